--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -14,37 +14,37 @@
 )
 
 const (
-	// connectTime is how long a connection may take to come up.
-	connectTime = time.Second
-	// mostConns are those of the calls that are out, of the ones left out beside them, and some that are just being closed.
-	mostConns = 8
-	// mostIdleConns are the one of the last answer and one of an answer at the address before.
-	mostIdleConns = 2
-	// maxList bounds an answer; a fleet of thousands stays below.
-	maxList = 8 << 20
-	// maxHead bounds the head of an answer.
-	maxHead = 16 << 10
+	// connectTimeout limits the time to establish a connection.
+	connectTimeout = time.Second
+	// maxConns covers the open calls, the calls left open beside them, and some connections that are being closed.
+	maxConns = 8
+	// maxIdleConns covers the connection of the last answer and one of an answer at the previous address.
+	maxIdleConns = 2
+	// maxListBytes bounds an answer; the list of a fleet of thousands is smaller.
+	maxListBytes = 8 << 20
+	// maxHeaderBytes bounds the header of an answer.
+	maxHeaderBytes = 16 << 10
 )
 
-// errCutOff is what a call ends with whose answer had begun.
-var errCutOff = errors.New("discovery's answer cannot be read to its end")
+// errCutOff is the error of a call whose answer began but cannot be read to its end.
+var errCutOff = errors.New("discovery's answer was cut off or is invalid")
 
-// errTurnedAway is what a call ends with that discovery has no answer for now.
+// errTurnedAway is the error of a call that discovery refuses to answer now.
 var errTurnedAway = errors.New("discovery turned the call away")
 
-// newHTTPClient returns the client that calls discovery.
+// newHTTPClient returns the HTTP client that calls discovery.
 func newHTTPClient(conns *openConns) *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:            conns.dial,
 		DisableCompression:     true,
-		MaxConnsPerHost:        mostConns,
-		MaxIdleConns:           mostIdleConns,
-		MaxResponseHeaderBytes: maxHead,
+		MaxConnsPerHost:        maxConns,
+		MaxIdleConns:           maxIdleConns,
+		MaxResponseHeaderBytes: maxHeaderBytes,
 	}}
 }
 
-// urlOf is where a call goes.
-func urlOf(c plan.Call) string {
+// callURL returns the URL of a call.
+func callURL(c plan.Call) string {
 	url := "http://" + c.Address + "/catalog/members"
 	if c.From < 0 {
 		return url
@@ -52,25 +52,25 @@
 	return fmt.Sprintf("%s?from=%d&hold_ms=%d", url, c.From, c.Hold.Milliseconds())
 }
 
-// answer is what a call has come to.
+// answer is the result of a call.
 type answer struct {
-	list *Catalog  // nil without a whole answer
-	conn *openConn // nil where it is not known
+	list *Catalog  // nil without a complete answer
+	conn *openConn // nil if unknown
 }
 
-// call makes one call, tells of what it meets on the way, and says how it ended.
+// call makes one call, reports its progress to the plan, and returns how it ended.
 func (d *Client) call(ctx context.Context, c plan.Call) (a answer, end plan.CallEnd, err error) {
-	begun, url := time.Now(), urlOf(c)
+	started, url := time.Now(), callURL(c)
 	a, err = d.fetch(ctx, c, url)
 	end = endOf(err, context.Cause(ctx))
 	d.noteEnd(end)
-	d.logCall(ctx, end, url, begun, err)
+	d.logCall(ctx, end, url, started, err)
 	return a, end, err
 }
 
-// fetch fetches a list.
+// fetch requests a list.
 func (d *Client) fetch(ctx context.Context, c plan.Call, url string) (a answer, err error) {
-	var begun atomic.Bool // the answer; Do may return before the trace's call does
+	var answerStarted atomic.Bool // a part of the answer has arrived; atomic because Do may return before the trace function does
 	var conn atomic.Pointer[openConn]
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
@@ -78,7 +78,7 @@
 				conn.Store(o)
 			}
 		},
-		GotFirstResponseByte: func() { begun.Store(true) },
+		GotFirstResponseByte: func() { answerStarted.Store(true) },
 	})
 	defer func() { a.conn = conn.Load() }()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -87,7 +87,7 @@
 	}
 	resp, err := d.client.Do(req)
 	if err != nil {
-		if begun.Load() {
+		if answerStarted.Load() {
 			d.noteProgress(c.ID)
 			return answer{}, fmt.Errorf("%w: %w", errCutOff, err)
 		}
@@ -102,18 +102,18 @@
 		d.noteAnswerBegun(c.ID)
 		d.noteProgress(c.ID)
 	}})
-	conn.Load().complete()
+	conn.Load().markComplete()
 	return answer{list: list}, err
 }
 
-// readAnswer reads a list to its end.
+// readAnswer reads a complete list.
 func readAnswer(body io.Reader) (*Catalog, error) {
-	text, err := io.ReadAll(io.LimitReader(body, maxList+1))
+	text, err := io.ReadAll(io.LimitReader(body, maxListBytes+1))
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("%w: %w", errCutOff, err)
-	case len(text) > maxList:
-		return nil, fmt.Errorf("discovery's answer is over %d bytes", maxList)
+	case len(text) > maxListBytes:
+		return nil, fmt.Errorf("discovery's answer exceeds %d bytes", maxListBytes)
 	}
 	list, err := ReadCatalog(text)
 	if err != nil {
@@ -122,16 +122,16 @@
 	return list, nil
 }
 
-// progressReader tells of each part that has come.
+// progressReader calls onRead for each part that is read.
 type progressReader struct {
 	io.Reader
-	came func()
+	onRead func()
 }
 
 func (r *progressReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	if n > 0 {
-		r.came()
+		r.onRead()
 	}
 	return n, err
 }
--- a/internal/discovery/catalog.go
+++ b/internal/discovery/catalog.go
@@ -10,7 +10,7 @@
 	"brasswell/internal/settings"
 )
 
-// Catalog is discovery's form of a server list, whole or the changes since some version.
+// Catalog is a server list in the format of discovery: the whole list, or the changes since a version.
 type Catalog struct {
 	Seq   int64 `json:"seq"`
 	Whole bool  `json:"whole"`
@@ -28,17 +28,17 @@
 	"up": balance.InService, "draining": balance.Draining, "removed": balance.Gone,
 }
 
-// entries turns a list into the balancer's entries and the addresses to dial, and says what is odd about it. A
-// server whose entry makes no sense is kept as one that drains: it is there, but how to use it is not known.
-// To void the whole list instead would keep every other change from the balancer for as long as that entry
-// stands; to leave the server out would take it for gone.
-func (c *Catalog) entries(zones map[string]int) (list []balance.Entry, addresses map[string]string, odd error) {
+// entries converts a list to the entries of the balancer and the addresses to dial, and returns an error that
+// describes the invalid entries. A server with an invalid entry is kept as draining: it exists, but it is not known
+// how to use it. Rejecting the whole list instead would keep every other change from the balancer for as long as that
+// entry exists; omitting the server would make it count as gone.
+func (c *Catalog) entries(zones map[string]int) (list []balance.Entry, addresses map[string]string, invalid error) {
 	list = make([]balance.Entry, 0, len(c.Hosts))
 	addresses = make(map[string]string, len(c.Hosts))
-	at := make(map[string]int, len(c.Hosts))
+	index := make(map[string]int, len(c.Hosts))
 	for _, h := range c.Hosts {
 		if h.Host == "" {
-			odd = errors.Join(odd, errors.New("entry without a host"))
+			invalid = errors.Join(invalid, errors.New("entry without a host"))
 			continue
 		}
 		state, known := states[h.Health]
@@ -55,22 +55,22 @@
 			err = fmt.Errorf("%s: dial: %w", h.Host, dialErr)
 		}
 		if err != nil {
-			odd = errors.Join(odd, err)
+			invalid = errors.Join(invalid, err)
 			state = balance.Draining
 		}
 		e := balance.Entry{ID: h.Host, Zone: zone, Cell: h.Block, State: state, Boot: settings.Millis(h.BornMS)}
 		addresses[h.Host] = h.Dial
-		if n, twice := at[h.Host]; twice {
+		if n, twice := index[h.Host]; twice {
 			list[n] = e // the later entry counts
 			continue
 		}
-		at[h.Host] = len(list)
+		index[h.Host] = len(list)
 		list = append(list, e)
 	}
-	return list, addresses, odd
+	return list, addresses, invalid
 }
 
-// kind says how the list relates to the one already held.
+// kind returns how the list relates to the held one.
 func (c *Catalog) kind() balance.ListKind {
 	if c.Whole {
 		return balance.Full
@@ -78,7 +78,7 @@
 	return balance.Delta
 }
 
-// ReadCatalog reads a list in discovery's form.
+// ReadCatalog parses a list in the format of discovery.
 func ReadCatalog(text []byte) (*Catalog, error) {
 	c := &Catalog{}
 	if err := json.Unmarshal(text, c); err != nil {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery follows the server list by the protocol that discovery speaks. Package plan decides which calls are made and whether the
-// list may be acted on.
+// Package discovery follows the server list with the protocol of discovery. Package plan decides which calls are made
+// and whether the list may be used.
 package discovery
 
 import (
@@ -17,34 +17,35 @@
 // pushRetry is the pause between calls to an agent that does not answer.
 const pushRetry = 250 * time.Millisecond
 
-// Update takes in a list, or the word that a call has failed, with the addresses to dial beside the entries.
+// UpdateFunc receives a list, or the report that a call has failed, with the addresses to dial in addition to the
+// entries.
 type Update func(kind balance.ListKind, entries []balance.Entry, addresses map[string]string)
 
 // Client follows the server list.
 type Client struct {
-	zones   map[string]int
-	client  *http.Client
-	conns   *openConns
-	log     *slog.Logger
-	update  Update
-	started time.Time
-	kick    chan struct{} // holds one where the plan has changed, and the watch has to look
-
-	mu       sync.Mutex
-	options  Options
-	askEvery time.Duration
-	plan     *plan.Follower
-	calls    map[plan.CallEnd]int64 // that have ended so
-	stood    plan.Standing          // what Fresh has found last
-	ran      time.Duration          // when this process was last seen to run
-}
-
-// New returns a client that makes no call yet. update is called from one goroutine at a time.
+	zones       map[string]int
+	client      *http.Client
+	conns       *openConns
+	log         *slog.Logger
+	update      Update
+	started     time.Time
+	planChanged chan struct{} // holds one value if the plan has changed and the watch has to look at it
+
+	mu         sync.Mutex
+	options    Options
+	askEvery   time.Duration
+	plan       *plan.Follower
+	calls      map[plan.CallEnd]int64 // number of ended calls by outcome
+	lastStatus plan.Standing          // the status that Fresh found last
+	lastRan    time.Duration          // when this process was last seen to run
+}
+
+// New returns a Client that makes no call yet. update is called from one goroutine at a time.
 func New(address string, zones []string, o Options, log *slog.Logger, update Update) *Client {
 	conns := &openConns{open: map[*openConn]struct{}{}}
 	d := &Client{
-		zones: map[string]int{}, client: newHTTPClient(conns), conns: conns, log: log, update: update, started: time.Now(), kick: make(chan struct{}, 1),
-		plan: plan.NewFollower(0, address, o.settings(), rand.Float64), options: o, calls: map[plan.CallEnd]int64{}, stood: plan.Stale,
+		zones: map[string]int{}, client: newHTTPClient(conns), conns: conns, log: log, update: update, started: time.Now(), planChanged: make(chan struct{}, 1),
+		plan: plan.NewFollower(0, address, o.settings(), rand.Float64), options: o, calls: map[plan.CallEnd]int64{}, lastStatus: plan.Stale,
 	}
 	for n, zone := range zones {
 		d.zones[zone] = n
@@ -52,48 +53,50 @@
 	return d
 }
 
-// SetPushed says that the address is an agent on this machine that lists are pushed to. It is for a client that has made no call yet.
+// SetPushed declares that the address is an agent on this machine that lists are pushed to. It has to be called
+// before the first call is made.
 func (d *Client) SetPushed() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.plan.SetPushed(d.now())
 }
 
-// SetOptions changes the options; they hold from the next question on.
+// SetOptions changes the options; they apply from the next query on.
 func (d *Client) SetOptions(o Options) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.options = o
-	d.plan.SetSettings(d.settings())
+	d.plan.SetSettings(d.planSettings())
 }
 
-// SetAskEvery says for how long a proxy that does not ask may go on by its list; it is for a client that has made no call yet.
+// SetAskEvery sets how long a proxy that makes no call may use its list. It has to be called before the first call is
+// made.
 func (d *Client) SetAskEvery(every time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.askEvery = every
-	d.plan.SetSettings(d.settings())
+	d.plan.SetSettings(d.planSettings())
 }
 
-// settings are the plan's; mu is held.
-func (d *Client) settings() plan.Settings {
+// planSettings returns the settings of the plan; mu is held.
+func (d *Client) planSettings() plan.Settings {
 	s := d.options.settings()
 	s.AskEvery = d.askEvery
 	return s
 }
 
-// Move goes over to another address, at once or behind others that follow soon. The caller sees to it that a Watch runs, for the balancer
-// may be waiting for its time to ask again. The list that is held stays.
+// Move switches to another address, immediately or, after other moves, with a delay. The caller has to make sure that
+// a Watch runs, because the balancer may be waiting before it starts the next one. The held list stays.
 func (d *Client) Move(address string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	d.plan.Move(address, d.ran, now) // the signal may have waited while this process did not run
-	d.ran = now
-	d.wake()
+	d.plan.Move(address, d.lastRan, now) // the signal may have waited while this process did not run
+	d.lastRan = now
+	d.notifyWatch()
 }
 
-// Age is for how long discovery has given no whole answer.
+// Age is the time since discovery last gave a complete answer.
 func (d *Client) Age() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -107,24 +110,24 @@
 	return d.plan.Version()
 }
 
-// Resume goes on from a version that another process has taken in.
+// Resume continues from a version that another process has applied.
 func (d *Client) Resume(seq int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.plan.SetVersion(seq)
 }
 
-// Known takes in the list that the process starts with.
+// LoadCached applies the list that the process starts with.
 func (d *Client) Known(c *Catalog) {
 	before := d.Seq()
 	d.Resume(c.Seq)
-	d.pass(c, balance.Cached, before)
+	d.deliver(c, balance.Cached, before)
 }
 
-// CloseIdle ends the connections that no call uses; it is for the end of a proxy.
+// CloseIdle closes the connections that no call uses, when a proxy shuts down.
 func (d *Client) CloseIdle() { d.client.CloseIdleConnections() }
 
-// Follow keeps a watch up where lists are pushed: the balancer does not ask for one there.
+// Follow keeps a watch running where lists are pushed: the balancer does not request one there.
 func (d *Client) Follow(ctx context.Context) {
 	for ctx.Err() == nil {
 		d.Watch(ctx)
@@ -139,42 +142,42 @@
 	}
 }
 
-// now is the process's steady time, that of the plan.
+// now is the monotonic time of the process, which the plan uses.
 func (d *Client) now() time.Duration { return time.Since(d.started) }
 
-// wake has the watch look at the plan.
-func (d *Client) wake() {
+// notifyWatch makes the watch look at the plan.
+func (d *Client) notifyWatch() {
 	select {
-	case d.kick <- struct{}{}:
-	default: // it will look anyway
+	case d.planChanged <- struct{}{}:
+	default: // the watch will look anyway
 	}
 }
 
-// pass passes a list on, in place of one of a version.
-func (d *Client) pass(c *Catalog, kind balance.ListKind, before int64) {
-	list, addresses, odd := c.entries(d.zones)
-	if odd != nil {
-		d.log.Warn("server list: some entries make no sense", "error", odd)
+// deliver passes a list to the balancer. before is the version that was held until now.
+func (d *Client) deliver(c *Catalog, kind balance.ListKind, before int64) {
+	list, addresses, invalid := c.entries(d.zones)
+	if invalid != nil {
+		d.log.Warn("server list: some entries are invalid", "error", invalid)
 	}
-	d.logNews(kind, before, c.Seq, list)
+	d.logListUpdate(kind, before, c.Seq, list)
 	d.update(kind, list, addresses)
 }
 
-// noteAnswerBegun takes in a part of the list in an answer to a call.
+// noteAnswerBegun records a part of the list in an answer to a call.
 func (d *Client) noteAnswerBegun(id plan.CallID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	d.plan.AnswerBegun(id, d.ran, now) // it may have waited while this process did not run
-	d.ran = now
+	d.plan.AnswerBegun(id, d.lastRan, now) // it may have waited while this process did not run
+	d.lastRan = now
 }
 
-// noteProgress takes in that an answer goes on.
+// noteProgress records that a part of an answer has arrived.
 func (d *Client) noteProgress(id plan.CallID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.plan.Progress(id, d.now())
-	d.wake()
+	d.notifyWatch()
 }
 
 // noteEnd counts a call that has ended.
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -16,16 +16,16 @@
 	return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, seq, full, strings.Join(hosts, ","))
 }
 
-func TestOddEntriesLeaveTheOthers(t *testing.T) {
+func TestInvalidEntriesDoNotAffectOthers(t *testing.T) {
 	c, err := ReadCatalog([]byte(list(1, true, host("good", "127.0.0.1:1", "up"), host("odd", "127.0.0.1:2", "puzzled"),
 		host("", "127.0.0.1:3", "up"), host("nowhere", "no address", "up"),
 		strings.Replace(host("afar", "127.0.0.1:4", "up"), "kita", "moon", 1))))
 	if err != nil {
 		t.Fatal(err)
 	}
-	entries, _, odd := c.entries(map[string]int{"kita": 0})
-	if odd == nil {
-		t.Error("nothing is said of the odd entries")
+	entries, _, invalid := c.entries(map[string]int{"kita": 0})
+	if invalid == nil {
+		t.Error("no error for the invalid entries")
 	}
 	got := map[string]balance.State{}
 	for _, e := range entries {
--- a/internal/discovery/freshness_test.go
+++ b/internal/discovery/freshness_test.go
@@ -15,19 +15,19 @@
 	"brasswell/internal/discovery/plan"
 )
 
-// watched is a client that watches a service; told is called with each list and each failure.
-func watched(t *testing.T, s *service, told func(balance.ListKind)) (d *Client, end func()) {
+// watchService returns a client that watches a service. onUpdate is called with each list and each failure.
+func watchService(t *testing.T, s *service, onUpdate func(balance.ListKind)) (d *Client, end func()) {
 	t.Helper()
-	return follow(t, s, slog.DiscardHandler, false, told)
+	return watchServiceWithLog(t, s, slog.DiscardHandler, false, onUpdate)
 }
 
-// follow is watched with a log; pushed says that the service is an agent.
-func follow(t *testing.T, s *service, log slog.Handler, pushed bool, told func(balance.ListKind)) (d *Client, end func()) {
+// watchServiceWithLog is watchService with a log; pushed says that the service is an agent.
+func watchServiceWithLog(t *testing.T, s *service, log slog.Handler, pushed bool, onUpdate func(balance.ListKind)) (d *Client, end func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	var watch sync.WaitGroup
 	d = New("discovery:1", []string{"kita"}, DefaultOptions(), slog.New(log),
-		func(kind balance.ListKind, _ []balance.Entry, _ map[string]string) { told(kind) })
+		func(kind balance.ListKind, _ []balance.Entry, _ map[string]string) { onUpdate(kind) })
 	d.client.Transport.(*http.Transport).DialContext = s.dial
 	d.Resume(1)
 	if pushed {
@@ -37,43 +37,44 @@
 	return d, func() { cancel(); watch.Wait(); d.CloseIdle() }
 }
 
-// answeredOnce has the first call answered and the others meet a fault until back.
-func (s *service) answeredOnce(meets fault, back time.Duration) {
-	s.fate = func(call int) fault {
-		if call > 0 && time.Since(s.start) < back {
-			return meets
+// failAfterFirst makes the service answer the first call, and gives the others a fault until recoveredAt.
+func (s *service) failAfterFirst(f fault, recoveredAt time.Duration) {
+	s.faultOf = func(call int) fault {
+		if call > 0 && time.Since(s.start) < recoveredAt {
+			return f
 		}
-		return well
+		return faultNone
 	}
 }
 
-// TestAListThatCannotBeConfirmedIsNotActedOn: behind one answer discovery takes each call and refuses it, breaks its answer off, says nothing
-// or resets it, or no connection comes up. The list may be acted on until what discovery had counts as told, and again once it has answered.
-func TestAListThatCannotBeConfirmedIsNotActedOn(t *testing.T) {
-	const back = 10 * time.Second
-	const slack = plan.LeaseTime - toldWithin
+// TestListThatCannotBeConfirmedBecomesStale: after one answer, discovery accepts each call and refuses it, cuts its
+// answer off, does not respond or resets it, or no connection is established. The list may be used until the changes
+// of discovery count as notified, and again once it has answered.
+func TestListThatCannotBeConfirmedBecomesStale(t *testing.T) {
+	const recoveredAt = 10 * time.Second
+	const slack = plan.LeaseTime - notifiedWithin
 	hold := DefaultOptions().Hold
-	silentFor := hold + 2*time.Second + slack // a watch that has answered once stays open
+	silentFor := hold + 2*time.Second + slack // a watch that was answered once stays open
 	ends := map[fault]time.Duration{
-		turned: plan.LeaseTime, resetAt: plan.LeaseTime, silent: silentFor, unborn: silentFor, rejected: silentFor,
-		cut: hold, // what the first part of an answer says counts as told
+		faultTurnedAway: plan.LeaseTime, faultReset: plan.LeaseTime, faultSilent: silentFor, faultDialTimeout: silentFor, faultDialRefused: silentFor,
+		faultCutOff: hold, // the changes in the first part of an answer count as notified
 	}
-	for meets, end := range ends {
-		t.Run(string(meets), func(t *testing.T) {
+	for f, end := range ends {
+		t.Run(string(f), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newService()
 				defer s.close()
 				close(s.change)
-				s.answeredOnce(meets, back)
-				d, stop := watched(t, s, func(balance.ListKind) {})
+				s.failAfterFirst(f, recoveredAt)
+				d, stop := watchService(t, s, func(balance.ListKind) {})
 				defer stop()
-				for _, one := range []struct {
+				for _, tc := range []struct {
 					at    time.Duration
 					fresh bool
-				}{{end - 1, true}, {end + time.Millisecond, false}, {back - 1, false}, {back + 3*time.Second, true}} {
-					time.Sleep(one.at - time.Since(s.start))
-					if got := d.Fresh(); got != one.fresh {
-						t.Errorf("after %v the list may be acted on: %t, want %t", one.at, got, one.fresh)
+				}{{end - 1, true}, {end + time.Millisecond, false}, {recoveredAt - 1, false}, {recoveredAt + 3*time.Second, true}} {
+					time.Sleep(tc.at - time.Since(s.start))
+					if got := d.Fresh(); got != tc.fresh {
+						t.Errorf("after %v the list is fresh: %t, want %t", tc.at, got, tc.fresh)
 					}
 				}
 			})
@@ -81,32 +82,32 @@
 	}
 }
 
-// TestTheListOfAStartIsNotActedOn guards against sends by a list that is older than the process, until discovery has answered.
-func TestTheListOfAStartIsNotActedOn(t *testing.T) {
-	const back = 10 * time.Second
+// TestInitialListIsStale guards against using a list that is older than the process before discovery has answered.
+func TestInitialListIsStale(t *testing.T) {
+	const recoveredAt = 10 * time.Second
 	for _, pushed := range []bool{false, true} {
-		for _, meets := range []fault{turned, cut, silent, resetAt, unborn, rejected} {
-			t.Run(fmt.Sprintf("%s/pushed %t", meets, pushed), func(t *testing.T) {
+		for _, f := range []fault{faultTurnedAway, faultCutOff, faultSilent, faultReset, faultDialTimeout, faultDialRefused} {
+			t.Run(fmt.Sprintf("%s/pushed %t", f, pushed), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					s := newService()
 					defer s.close()
-					s.fate = func(int) fault {
-						if time.Since(s.start) < back {
-							return meets
+					s.faultOf = func(int) fault {
+						if time.Since(s.start) < recoveredAt {
+							return f
 						}
-						return well
+						return faultNone
 					}
-					d, stop := follow(t, s, slog.DiscardHandler, pushed, func(balance.ListKind) {})
+					d, stop := watchServiceWithLog(t, s, slog.DiscardHandler, pushed, func(balance.ListKind) {})
 					defer stop()
-					for at := time.Duration(0); at < back; at += time.Second {
+					for at := time.Duration(0); at < recoveredAt; at += time.Second {
 						time.Sleep(at - time.Since(s.start))
 						if d.Fresh() {
-							t.Errorf("after %v the list may be acted on", at)
+							t.Errorf("after %v the list is fresh", at)
 						}
 					}
-					time.Sleep(back + 4*time.Second - time.Since(s.start))
+					time.Sleep(recoveredAt + 4*time.Second - time.Since(s.start))
 					if !d.Fresh() {
-						t.Error("behind an answer the list may not be acted on")
+						t.Error("after an answer the list is stale")
 					}
 				})
 			})
@@ -114,29 +115,29 @@
 	}
 }
 
-// TestAnAgentThatDoesNotAnswerHoldsTheListBack: what an agent on this machine has counts as told at once, also where it refuses calls; its
-// silence is held to the time of a silent watch.
-func TestAnAgentThatDoesNotAnswerHoldsTheListBack(t *testing.T) {
-	const slack = plan.LeaseTime - toldWithin
+// TestAgentThatDoesNotAnswerMakesListStale: what an agent on this machine has counts as notified immediately, also if
+// it refuses calls. Its silence is treated like a watch without a response.
+func TestAgentThatDoesNotAnswerMakesListStale(t *testing.T) {
+	const slack = plan.LeaseTime - notifiedWithin
 	hold := DefaultOptions().Hold
-	for meets, end := range map[fault]time.Duration{turned: 0, cut: hold, silent: hold + 2*time.Second + slack} {
-		t.Run(string(meets), func(t *testing.T) {
+	for f, end := range map[fault]time.Duration{faultTurnedAway: 0, faultCutOff: hold, faultSilent: hold + 2*time.Second + slack} {
+		t.Run(string(f), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newService()
 				defer s.close()
-				s.answeredOnce(meets, time.Hour)
+				s.failAfterFirst(f, time.Hour)
 				close(s.change)
-				d, stop := follow(t, s, slog.DiscardHandler, true, func(balance.ListKind) {})
+				d, stop := watchServiceWithLog(t, s, slog.DiscardHandler, true, func(balance.ListKind) {})
 				defer stop()
 				time.Sleep(end - 1)
 				if end > 0 && !d.Fresh() {
-					t.Errorf("the list may not be acted on before %v", end)
+					t.Errorf("the list is stale before %v", end)
 				}
 				time.Sleep(slack)
 				for range 100 {
 					time.Sleep(100 * time.Millisecond)
 					if d.Fresh() {
-						t.Fatalf("the list may be acted on after %v", time.Since(s.start))
+						t.Fatalf("the list is fresh after %v", time.Since(s.start))
 					}
 				}
 			})
@@ -144,14 +145,15 @@
 	}
 }
 
-// TestChangesOfStandingAreLogged: each change in how far the list can be relied on has one line, with the calls that failed.
-func TestChangesOfStandingAreLogged(t *testing.T) {
+// TestStatusChangesAreLogged: each change of the status of the list is logged in one line, with the calls that
+// failed.
+func TestStatusChangesAreLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newService()
 		defer s.close()
-		s.answeredOnce(rejected, 10*time.Second)
+		s.failAfterFirst(faultDialRefused, 10*time.Second)
 		var text strings.Builder
-		d, end := follow(t, s, slog.NewTextHandler(&text, nil), false, func(balance.ListKind) {})
+		d, end := watchServiceWithLog(t, s, slog.NewTextHandler(&text, nil), false, func(balance.ListKind) {})
 		for range 30 {
 			time.Sleep(500 * time.Millisecond)
 			d.Fresh()
@@ -167,8 +169,8 @@
 	})
 }
 
-// TestFreshCostsNothing: it is asked for each request while the instance is locked.
-func TestFreshCostsNothing(t *testing.T) {
+// TestFreshDoesNotAllocate: Fresh is called for each request while the instance is locked.
+func TestFreshDoesNotAllocate(t *testing.T) {
 	d := New("discovery:1", nil, DefaultOptions(), slog.New(slog.DiscardHandler), nil)
 	for _, end := range plan.CallEnds() {
 		d.noteEnd(end)
--- a/internal/discovery/fuzz_test.go
+++ b/internal/discovery/fuzz_test.go
@@ -6,7 +6,8 @@
 	"brasswell/balance"
 )
 
-// FuzzCatalog: whatever discovery sends, each host comes out once at most, and what makes no sense is not sent to.
+// FuzzCatalog: whatever discovery sends, each host is returned at most once, and a host without an address is never
+// in service.
 func FuzzCatalog(f *testing.F) {
 	f.Add([]byte(list(1, true, host("a", "127.0.0.1:1", "up"), host("a", "127.0.0.1:2", "draining"))))
 	f.Add([]byte(`{"seq":1e300}`))
--- a/internal/discovery/line_test.go
+++ b/internal/discovery/line_test.go
@@ -18,31 +18,31 @@
 	"brasswell/internal/discovery/plan"
 )
 
-// lineService is a discovery with a line: each call waits for its turn, and one that a proxy makes while another of its calls waits
-// takes the other's place away and begins at the end of the line.
-type lineService struct {
-	pipes pipes
-	turn  time.Duration // until a call that begins to wait is answered
+// queueService is a discovery with a queue. Each call waits to be served, and a call that a proxy makes while another
+// of its calls waits takes away the place of the other and begins at the end of the queue.
+type queueService struct {
+	pipes       pipes
+	serviceTime time.Duration // how long a call waits until it is answered
 
-	mu       sync.Mutex
-	calls    int
-	turned   int                // away, by a later call
-	waiting  context.CancelFunc // of the call that waits
-	over     context.Context
-	shutDown context.CancelFunc
+	mu            sync.Mutex
+	calls         int
+	turnedAway    int                // calls turned away because of a later one
+	cancelWaiting context.CancelFunc // cancels the waiting call
+	done          context.Context
+	shutDown      context.CancelFunc
 }
 
-func newLineService(turn time.Duration) *lineService {
-	s := &lineService{turn: turn, waiting: func() {}}
-	s.over, s.shutDown = context.WithCancel(context.Background())
+func newQueueService(serviceTime time.Duration) *queueService {
+	s := &queueService{serviceTime: serviceTime, cancelWaiting: func() {}}
+	s.done, s.shutDown = context.WithCancel(context.Background())
 	return s
 }
 
-func (s *lineService) dial(context.Context, string, string) (net.Conn, error) {
+func (s *queueService) dial(context.Context, string, string) (net.Conn, error) {
 	return s.pipes.connect(s.serve), nil
 }
 
-func (s *lineService) serve(c net.Conn) {
+func (s *queueService) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -51,17 +51,17 @@
 		}
 		s.mu.Lock()
 		s.calls++
-		s.waiting()
-		mine, cancel := context.WithTimeout(s.over, s.turn)
-		s.waiting = cancel
+		s.cancelWaiting()
+		wait, cancel := context.WithTimeout(s.done, s.serviceTime)
+		s.cancelWaiting = cancel
 		s.mu.Unlock()
-		<-mine.Done()
+		<-wait.Done()
 		text := serviceUnavailable
-		if mine.Err() == context.DeadlineExceeded {
+		if wait.Err() == context.DeadlineExceeded {
 			text = answerOf(list(2, false, host("a", "127.0.0.1:1", "draining")))
 		} else {
 			s.mu.Lock()
-			s.turned++
+			s.turnedAway++
 			s.mu.Unlock()
 		}
 		if _, err := io.WriteString(c, text); err != nil {
@@ -70,27 +70,28 @@
 	}
 }
 
-func (s *lineService) close() {
+func (s *queueService) close() {
 	s.shutDown()
 	s.pipes.disconnect()
-	s.pipes.serves.Wait()
+	s.pipes.serving.Wait()
 }
 
-// TestAPlaceInLineIsKept: discovery has moved and has so many callers that an answer takes as long as it lets anybody wait. The call that
-// waits keeps its place: no second one is made before its turn, which would begin at the end of the line, and so on for ever.
-func TestAPlaceInLineIsKept(t *testing.T) {
+// TestQueuePlaceIsKept: discovery has moved and has so many callers that an answer takes as long as it lets a call
+// wait. The waiting call keeps its place: no second call is made before its answer. A second call would begin at the
+// end of the queue, and this would repeat forever.
+func TestQueuePlaceIsKept(t *testing.T) {
 	const longestWait = 2 * time.Second // then discovery turns a call away
 	synctest.Test(t, func(t *testing.T) {
-		s := newLineService(longestWait)
+		s := newQueueService(longestWait)
 		defer s.close()
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		began, told := time.Now(), make(chan time.Duration, 1)
+		began, notified := time.Now(), make(chan time.Duration, 1)
 		d := New("discovery:1", []string{"kita"}, DefaultOptions(), slog.New(slog.DiscardHandler),
 			func(kind balance.ListKind, entries []balance.Entry, _ map[string]string) {
 				if kind == balance.Delta && len(entries) > 0 {
 					cancel()
-					told <- time.Since(began)
+					notified <- time.Since(began)
 				}
 			})
 		d.client.Transport.(*http.Transport).DialContext = s.dial
@@ -99,15 +100,15 @@
 		var watch sync.WaitGroup
 		watch.Go(func() { d.Watch(ctx) })
 		select {
-		case after := <-told:
+		case after := <-notified:
 			s.mu.Lock()
-			if s.calls != 1 || s.turned != 0 {
-				t.Errorf("told after %v by %d calls, %d of them turned away; one was enough", after, s.calls, s.turned)
+			if s.calls != 1 || s.turnedAway != 0 {
+				t.Errorf("notified after %v by %d calls, %d of them turned away; one was enough", after, s.calls, s.turnedAway)
 			}
 			s.mu.Unlock()
-		case <-time.After(toldWithin):
+		case <-time.After(notifiedWithin):
 			s.mu.Lock()
-			t.Errorf("not told within %v: %d calls, %d of them turned away for a later one", toldWithin, s.calls, s.turned)
+			t.Errorf("not notified within %v: %d calls, %d of them turned away because of a later one", notifiedWithin, s.calls, s.turnedAway)
 			s.mu.Unlock()
 		}
 		cancel()
@@ -116,34 +117,36 @@
 	})
 }
 
-// TestUnheardAfterAMove: a proxy that is turned away after a move asks on, at random moments and no oftener than after other refusals:
-// a fleet that asks again every 200 ms keeps discovery from answering anybody. It is told within one pause once there is room.
+// TestTurnedAwayAfterMove: a proxy that is turned away after a move calls again after random delays, and no more
+// often than after other refusals: a fleet that calls again every 200 ms keeps discovery from answering anyone. The
+// proxy is notified within one delay once discovery has capacity.
 //
-// The bound on the mean is derived. Pauses are drawn evenly from 0 to c = plan.TurnedAwayMost, so the refused calls behind the first are a
-// renewal process with gaps of mean c/2 and variance c²/12. Over x = toldWithin/c = 5 such spans it makes 2x - 1/3 = 9.67 calls in the
-// mean, with a variance of 2x/3 + 2/9 = 3.56. With the first call and the one that is answered a play makes 11.67 calls, and the mean of
-// 1,300 plays scatters by 1.89/36.1 = 0.052: the bound stands 6.4 times that above it, so a run fails by chance once in 10^10.
-func TestUnheardAfterAMove(t *testing.T) {
-	const plays, mostCalls = 1300, 12 // mostCalls is of the mean; every 200 ms there would be 31
+// The bound on the mean is derived. Delays are uniform from 0 to c = plan.TurnedAwayDelayMax, so the refused calls
+// after the first are a renewal process with gaps of mean c/2 and variance c²/12. Over x = notifiedWithin/c = 5 such
+// spans it makes 2x - 1/3 = 9.67 calls in the mean, with a variance of 2x/3 + 2/9 = 3.56. With the first call and the
+// answered one, a run makes 11.67 calls, and the mean of 1,300 runs has a standard deviation of 1.89/36.1 = 0.052.
+// The bound is 6.4 times that above the mean, so the test fails by chance once in 10^10 executions.
+func TestTurnedAwayAfterMove(t *testing.T) {
+	const runs, maxMeanCalls = 1300, 12 // maxMeanCalls bounds the mean; with a call every 200 ms it would be 31
 	all := 0
-	for number := range uint64(plays) {
+	for number := range uint64(runs) {
 		synctest.Test(t, func(t *testing.T) {
 			s := newService()
 			defer s.close()
 			close(s.change)
-			s.fate = func(int) fault {
-				if time.Since(s.start) < toldWithin {
-					return turned
+			s.faultOf = func(int) fault {
+				if time.Since(s.start) < notifiedWithin {
+					return faultTurnedAway
 				}
-				return well
+				return faultNone
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			var told time.Duration
+			var notifiedAt time.Duration
 			d := New("discovery:1", []string{"kita"}, DefaultOptions(), slog.New(slog.DiscardHandler),
 				func(kind balance.ListKind, _ []balance.Entry, _ map[string]string) {
 					if kind != balance.ListFailed {
-						told = time.Since(s.start)
+						notifiedAt = time.Since(s.start)
 					}
 					cancel()
 				})
@@ -153,33 +156,34 @@
 			d.Move("discovery:2")
 			d.Watch(ctx)
 			d.CloseIdle()
-			if told < toldWithin || told > toldWithin+plan.TurnedAwayMost {
-				t.Errorf("told after %v; it could be reached after %v", told, toldWithin)
+			if notifiedAt < notifiedWithin || notifiedAt > notifiedWithin+plan.TurnedAwayMost {
+				t.Errorf("notified after %v; discovery was reachable after %v", notifiedAt, notifiedWithin)
 			}
-			_, calls := s.made()
+			_, calls := s.requests()
 			all += calls
 		})
 	}
-	if mean := float64(all) / plays; mean > mostCalls {
-		t.Errorf("%.1f calls in the mean while it was turned away for %v", mean, toldWithin)
+	if mean := float64(all) / runs; mean > maxMeanCalls {
+		t.Errorf("%.1f calls in the mean while the proxy was turned away for %v", mean, notifiedWithin)
 	}
 }
 
-// TestASeriesOfMovesIsGoneOverOnce: of configurations that follow each other the first one's address is asked at once, and the last one's
-// a little later, while the call to the first one goes on. What there is to tell is told within 4 s of each.
-func TestASeriesOfMovesIsGoneOverOnce(t *testing.T) {
+// TestSeriesOfMovesSwitchesToFirstAndLastAddress: when several configurations follow each other, the address of the
+// first one is called immediately, and that of the last one a little later, while the call to the first one stays
+// open. Existing changes are delivered within 4 s of each move.
+func TestSeriesOfMovesSwitchesToFirstAndLastAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newService()
 		defer s.close()
-		s.fate = func(int) fault { return well }
+		s.faultOf = func(int) fault { return faultNone }
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var dialled []string
-		var told time.Duration
+		var notifiedAt time.Duration
 		d := New("discovery:1", []string{"kita"}, DefaultOptions(), slog.New(slog.DiscardHandler),
 			func(_ balance.ListKind, entries []balance.Entry, _ map[string]string) {
-				if len(entries) > 0 && told == 0 {
-					told = time.Since(s.start)
+				if len(entries) > 0 && notifiedAt == 0 {
+					notifiedAt = time.Since(s.start)
 				}
 			})
 		d.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -205,27 +209,27 @@
 		if want := []string{"discovery:1", "discovery:2", "discovery:5"}; !slices.Equal(dialled, want) {
 			t.Errorf("dialled %q, want %q", dialled, want)
 		}
-		if told == 0 || told > first+4*time.Second || told > last+4*time.Second {
-			t.Errorf("told at %v; the configurations came from %v to %v", told, first, last)
+		if notifiedAt == 0 || notifiedAt > first+4*time.Second || notifiedAt > last+4*time.Second {
+			t.Errorf("notified at %v; the configurations came from %v to %v", notifiedAt, first, last)
 		}
 	})
 }
 
-// stallTime is how long an answer that has begun may pause before another call is made beside it.
-const stallTime = 300 * time.Millisecond
+// stallTimeout is how long an answer that has begun may pause before another call is made beside it.
+const stallTimeout = 300 * time.Millisecond
 
-// TestAStalledAnswerIsMadeUpFor: an answer that has begun and pauses has another call made beside it after a moment, long before a silent
-// one has.
-func TestAStalledAnswerIsMadeUpFor(t *testing.T) {
+// TestStalledAnswerIsHedged: if an answer pauses after it has begun, another call is made beside it after
+// stallTimeout, long before a call without any response would be overdue.
+func TestStalledAnswerIsHedged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newService()
 		defer s.close()
 		close(s.change)
-		s.fate = func(call int) fault {
+		s.faultOf = func(call int) fault {
 			if call == 0 {
-				return stalled
+				return faultStalled
 			}
-			return well
+			return faultNone
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -235,8 +239,8 @@
 		d.Resume(1)
 		d.Watch(ctx)
 		d.CloseIdle()
-		if took, _ := s.made(); len(took) != 2 || took[1] != stallTime {
-			t.Errorf("calls at %v, want a second one after %v", took, stallTime)
+		if took, _ := s.requests(); len(took) != 2 || took[1] != stallTimeout {
+			t.Errorf("calls at %v, want a second one after %v", took, stallTimeout)
 		}
 	})
 }
--- a/internal/discovery/move_test.go
+++ b/internal/discovery/move_test.go
@@ -17,16 +17,16 @@
 	"brasswell/internal/discovery/plan"
 )
 
-// oneWatchService is a discovery that knows its callers at all of its addresses: a call that is made while a watch of the same caller is open ends
-// that, and each call that continues no watch waits for its turn.
+// oneWatchService is a discovery that identifies its callers at all of its addresses. A call that is made while a
+// watch of the same caller is open ends that watch, and each call that continues no watch waits in a queue.
 type oneWatchService struct {
-	pipes pipes
-	turn  time.Duration // until a call that continues no watch is answered
+	pipes     pipes
+	queueTime time.Duration // how long a call that continues no watch waits for its answer
 
-	mu       sync.Mutex
-	endWatch context.CancelFunc // of the watch that is open; nil for none
-	turned   int                // calls that were turned away
-	answered time.Time          // the last one
+	mu         sync.Mutex
+	endWatch   context.CancelFunc // ends the open watch; nil for none
+	turnedAway int                // number of calls that were turned away
+	answered   time.Time          // time of the last answer
 }
 
 func (s *oneWatchService) dial(context.Context, string, string) (net.Conn, error) {
@@ -49,11 +49,11 @@
 		if _, err := io.WriteString(c, s.answer(closed, request)); err != nil {
 			return
 		}
-		<-closed.Done() // the next request, or the end
+		<-closed.Done() // the next request, or the end of the connection
 	}
 }
 
-// answer is the text that a call is answered with. closed ends as its caller closes it.
+// answer returns the response to a call. closed is done when the caller closes the connection.
 func (s *oneWatchService) answer(closed context.Context, request *http.Request) string {
 	continues := s.continues()
 	hold, _ := strconv.Atoi(request.URL.Query().Get("hold_ms"))
@@ -61,7 +61,7 @@
 	case hold > 0 && !s.watch(closed, time.Duration(hold)*time.Millisecond):
 		return serviceUnavailable
 	case hold == 0 && !continues:
-		time.Sleep(s.turn)
+		time.Sleep(s.queueTime)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +69,7 @@
 	return answerOf(list(1, false))
 }
 
-// continues ends the watch that is open, and says whether a call that comes now goes on with one.
+// continues ends the open watch, and reports whether a call that arrives now continues one.
 func (s *oneWatchService) continues() bool {
 	const watchGap = 200 * time.Millisecond
 	s.mu.Lock()
@@ -81,7 +81,7 @@
 	return time.Since(s.answered) <= watchGap
 }
 
-// watch waits for the end of a watch, and says whether it was answered.
+// watch waits for the end of a watch and reports whether it was answered.
 func (s *oneWatchService) watch(closed context.Context, hold time.Duration) (answered bool) {
 	over, end := context.WithCancel(closed)
 	defer end()
@@ -97,16 +97,17 @@
 	defer s.mu.Unlock()
 	s.endWatch = nil
 	if !answered && closed.Err() == nil {
-		s.turned++
+		s.turnedAway++
 	}
 	return answered
 }
 
-// TestAMoveEndsNoWatchOfTheNewAddress guards against a fleet that has to begin anew behind a new configuration: discovery answers few calls a second
-// that go on with no watch, and each process serves nobody until its own is.
-func TestAMoveEndsNoWatchOfTheNewAddress(t *testing.T) {
+// TestMoveEndsNoWatchAtNewAddress guards against a fleet that has to start anew after a new configuration: discovery
+// answers only few calls a second that continue no watch, and each process serves no requests until its call is
+// answered.
+func TestMoveEndsNoWatchAtNewAddress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &oneWatchService{turn: 8 * time.Second}
+		s := &oneWatchService{queueTime: 8 * time.Second}
 		d := New("discovery:1", nil, DefaultOptions(), slog.New(slog.DiscardHandler), func(balance.ListKind, []balance.Entry, map[string]string) {})
 		d.client.Transport.(*http.Transport).DialContext = s.dial
 		s.answered = time.Now() // another process of this caller has ended just now
@@ -119,19 +120,19 @@
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
 			if age := d.Age(); age > plan.LeaseTime || !d.Fresh() {
-				t.Errorf("nothing may be sent; the last answer was %v ago", age)
+				t.Errorf("the list is stale; the last answer was %v ago", age)
 				break
 			}
 		}
 		s.mu.Lock()
-		if s.turned > 0 {
-			t.Errorf("%d calls were turned away", s.turned)
+		if s.turnedAway > 0 {
+			t.Errorf("%d calls were turned away", s.turnedAway)
 		}
 		s.mu.Unlock()
 		cancel()
 		watch.Wait()
 		d.CloseIdle()
 		s.pipes.disconnect()
-		s.pipes.serves.Wait()
+		s.pipes.serving.Wait()
 	})
 }
--- a/internal/discovery/options.go
+++ b/internal/discovery/options.go
@@ -8,35 +8,36 @@
 	"brasswell/internal/operator"
 )
 
-// Options say how discovery is asked.
+// Options define how discovery is polled.
 type Options struct {
-	// Hold is how long a watch asks discovery to wait for news. A watch that has fallen silent is found out only
-	// Slack after that, and what changed meanwhile is missed until then: with 20 s a whole release went by. The
-	// shorter, the more calls discovery has to serve; an answer without news holds no entries.
+	// Hold is how long a watch asks discovery to wait for a change. A watch that gets no response is only detected
+	// Slack after that, and changes are missed until then: with 20 s a whole release was missed. A shorter Hold costs
+	// discovery more calls; an answer without changes contains no entries.
 	Hold time.Duration
-	// Slack on top of Hold is when a call counts as overdue: a machine that is cut off says nothing. What changed
-	// meanwhile counts as told, so by then another call must have asked.
+	// Slack is the time after Hold at which a call counts as overdue: a machine that is cut off sends nothing. Changes
+	// since then count as notified, so another call has to be made in time.
 	Slack time.Duration
 }
 
 const (
-	toldWithin = plan.ToldWithin
-	// answerRoom of that is left for the answer of the call that gets one.
-	answerRoom = 900 * time.Millisecond
+	notifiedWithin = plan.ToldWithin
+	// answerReserve is the part of notifiedWithin that is left for the answer of the call that gets one.
+	answerReserve = 900 * time.Millisecond
 )
 
-// lastCall is how long after a watch was opened the third call of its round begins at the latest: the first two may stay
-// silent, and what has changed meanwhile is still told in time.
-func (o *Options) lastCall() time.Duration { return o.Hold + o.Slack + plan.Overlap }
+// thirdCallDeadline is how long after the start of a watch the third call of its query begins at the latest: the
+// first two may get no response, and changes since then are still delivered in time.
+func (o *Options) thirdCallDeadline() time.Duration { return o.Hold + o.Slack + plan.Overlap }
 
 func (o *Options) settings() plan.Settings { return plan.Settings{Hold: o.Hold, Slack: o.Slack} }
 
-// DefaultOptions find a silent discovery within the time after which its news counts as told.
+// DefaultOptions returns options that detect an unresponsive discovery within the time after which its changes count
+// as notified.
 func DefaultOptions() Options {
 	return Options{Hold: 2500 * time.Millisecond, Slack: 800 * time.Millisecond}
 }
 
-// Section describes the options to the operator file.
+// Section describes the options for the operator file.
 func (o *Options) Section() operator.Section {
 	return operator.Section{
 		Name:   "discovery",
@@ -49,9 +50,9 @@
 				"How long after that a call counts as silent and is made again.").OnReload(),
 		},
 		Check: func() []operator.Problem {
-			if most := toldWithin - answerRoom - plan.Overlap; o.Hold+o.Slack > most {
-				return []operator.Problem{{Key: "slack", Text: fmt.Sprintf("hold and slack must stay within %v together: what changed counts as told %v after it did, and by then "+
-					"two more calls must have asked; lower either", most, toldWithin)}}
+			if most := notifiedWithin - answerReserve - plan.Overlap; o.Hold+o.Slack > most {
+				return []operator.Problem{{Key: "slack", Text: fmt.Sprintf("hold plus slack must not exceed %v: a change counts as notified %v after it was made, and by then "+
+					"two more calls must have been made; lower either", most, notifiedWithin)}}
 			}
 			return nil
 		},
--- a/internal/discovery/plan/agent_test.go
+++ b/internal/discovery/plan/agent_test.go
@@ -5,71 +5,76 @@
 	"testing"
 )
 
-// TestAnAgentThatCannotBeCalledHoldsTheListBack: what an agent has counts as told at once, whether or not a watch is open. A call that this process
-// had no means for, or that found nobody listening, leaves no watch open, and is not the silence of a discovery that is down.
-func TestAnAgentThatCannotBeCalledHoldsTheListBack(t *testing.T) {
+// TestAgentThatCannotBeCalledMakesListStale: what an agent has counts as notified immediately, whether or not a watch
+// is open. A call for which this process had no resources, or that found nobody listening, leaves no watch open, and
+// must not count like the silence of a discovery that is down.
+func TestAgentThatCannotBeCalledMakesListStale(t *testing.T) {
 	for _, end := range []CallEnd{NoMeans, Unreachable} {
-		l := confirmedAt(0, true)
+		l := leaseConfirmedAt(0, true)
 		failed := seconds(1)
-		l.called(Call{ID: 1, Hold: seconds(2.5)}, failed)
+		l.callStarted(Call{ID: 1, Hold: seconds(2.5)}, failed)
 		l.callEnded(1, end, failed)
-		l.callFailed(end, failed)
+		l.noteAgentFailure(end, failed)
 		if got := l.Standing(failed + leaseSlack); got != Stale {
-			t.Errorf("%s: %v behind the end of the only watch the list is %s", end, leaseSlack, got)
+			t.Errorf("%s: %v after the end of the only watch the list is %s", end, leaseSlack, got)
 		}
 	}
 }
 
-// movedAgent is a follower with a watch that waits for news at an agent and, behind a move at movedAt, a call to the agent at "b".
+// movedAgent returns a follower with a watch that waits for a change at an agent and, after a move at movedAt, a call
+// to the agent at "b".
 func movedAgent(t *testing.T) (f *Follower, watch, call Call) {
 	t.Helper()
-	f = holding(t)
+	f = newWatchingFollower(t)
 	f.SetPushed(0)
 	f.Stop()
 	f.Watch(0)
-	watch = answer(t, f, one(t, f).ID, seconds(0.1))
+	watch = answerUnchanged(t, f, onlyCall(t, f).ID, seconds(0.1))
 	f.Move("b", movedAt-seconds(0.1), movedAt)
 	if slices.ContainsFunc(f.actions, func(a Action) bool { _, givenUp := a.(GiveUp); return givenUp }) {
-		t.Errorf("the watch is given up at the move: %+v", f.actions)
+		t.Errorf("the watch is canceled at the move: %+v", f.actions)
 	}
-	return f, watch, one(t, f)
+	return f, watch, onlyCall(t, f)
 }
 
-// TestNewsOnAWatchAtAnAgentThatAMoveCrosses guards against news that the agent before writes on its watch as the other one is asked already.
-func TestNewsOnAWatchAtAnAgentThatAMoveCrosses(t *testing.T) {
+// TestUpdateOnAgentWatchDuringMove guards against losing an update that the agent at the old address writes on its
+// watch while the agent at the new address is already called.
+func TestUpdateOnAgentWatchDuringMove(t *testing.T) {
 	f, watch, call := movedAgent(t)
 	if use, ok := f.Received(watch.ID, 2, false, seconds(1.1)); !use || !ok {
-		t.Errorf("news on the watch: use %t, ok %t", use, ok)
+		t.Errorf("update on the watch: use %t, ok %t", use, ok)
 	}
 	f.Taken(seconds(1.1))
 	if made := f.Actions(); len(made) > 0 {
-		t.Errorf("behind them %+v", made)
+		t.Errorf("actions after the update: %+v", made)
 	}
 	if use, ok := f.Received(call.ID, 2, false, seconds(1.2)); !use || !ok {
 		t.Errorf("the answer at the new address: use %t, ok %t", use, ok)
 	}
 	f.Taken(seconds(1.2))
-	if next := one(t, f); !next.GoesOn || next.Address != "b" || next.From != 2 {
+	if next := onlyCall(t, f); !next.GoesOn || next.Address != "b" || next.From != 2 {
 		t.Errorf("the next call is %+v", next)
 	}
 }
 
-// TestTheWatchAtAnAgentBeforeAMoveStaysOut: news may be on their way to it, and the agent closes it.
-func TestTheWatchAtAnAgentBeforeAMoveStaysOut(t *testing.T) {
+// TestAgentWatchStaysOpenAfterMove: an update may be in transit to the watch at the old address, and the agent closes
+// it.
+func TestAgentWatchStaysOpenAfterMove(t *testing.T) {
 	f, watch, call := movedAgent(t)
 	f.Received(call.ID, 1, false, seconds(1.1))
 	f.Taken(seconds(1.1))
 	if made := f.Actions(); slices.Contains(made, Action(GiveUp{watch.ID})) {
-		t.Errorf("the watch at the old address is given up: %+v", made)
+		t.Errorf("the watch at the old address is canceled: %+v", made)
 	}
 	f.Ended(watch.ID, NoAnswer, seconds(2.5))
-	if len(f.left.out) > 0 {
-		t.Errorf("%d calls are left", len(f.left.out))
+	if len(f.lingering.out) > 0 {
+		t.Errorf("%d calls are lingering", len(f.lingering.out))
 	}
 }
 
-// TestAnOlderAnswerOfAnAgentReplacesNothing guards against a list that is told late by the older of two calls, changes or whole.
-func TestAnOlderAnswerOfAnAgentReplacesNothing(t *testing.T) {
+// TestOlderAnswerOfAgentReplacesNothing guards against using a list, partial or whole, that the older of two calls
+// delivers late.
+func TestOlderAnswerOfAgentReplacesNothing(t *testing.T) {
 	for _, whole := range []bool{false, true} {
 		f, watch, call := movedAgent(t)
 		f.Received(watch.ID, 3, false, seconds(1.1))
@@ -79,11 +84,11 @@
 			t.Errorf("whole %t: use %t, ok %t, version %d", whole, use, ok, f.Version())
 		}
 		f.Taken(seconds(1.2))
-		again := one(t, f)
+		again := onlyCall(t, f)
 		if again.From != 3 || again.Hold != 0 {
 			t.Errorf("whole %t: the next call is %+v", whole, again)
 		}
-		answer(t, f, again.ID, seconds(1.3))
+		answerUnchanged(t, f, again.ID, seconds(1.3))
 		if got := f.Standing(seconds(1.6)); got != Confirmed {
 			t.Errorf("whole %t: the list is %s", whole, got)
 		}
--- a/internal/discovery/plan/answer.go
+++ b/internal/discovery/plan/answer.go
@@ -2,116 +2,118 @@
 
 import "time"
 
-// receipt is what becomes of a whole answer.
-type receipt struct {
-	use          bool // its list is taken in
-	outdated     bool // a newer list was taken in while its call was out
-	late         bool // it was not read when it came, and tells nothing of since then
-	confirmation Confirmation
-	begun        time.Duration
-	version      int64
-	leftUntil    time.Duration // that of the calls that were left as it came
-	moves        int           // there were so many when it came; below 0 where its call was one that was left
-	here         bool          // its call was made to the address that discovery has now, behind the last move
+// receivedAnswer is a complete answer between AnswerReceived and AnswerApplied.
+type receivedAnswer struct {
+	use            bool // its list is applied
+	outdated       bool // a newer list was applied, or versions were reset, while its call was open
+	readLate       bool // it was read some time after it arrived, so it proves nothing about the time since
+	confirmation   Confirmation
+	firstPartAt    time.Duration
+	version        int64
+	lingerUntil    time.Duration // lingering.until when it was received
+	moves          int           // number of moves when it was received; below 0 if its call was lingering
+	currentAddress bool          // its call was made to the current address, after the last switch
 }
 
-// Received takes in a whole answer to a call, and says whether the list in it is to be taken in; Taken has to follow in either case. ok is
-// false where the answer comes too late to count.
+// AnswerReceived handles a complete answer to a call and reports whether its list has to be applied. AnswerApplied
+// has to follow in either case. ok is false if the answer arrives too late to count.
 func (f *Follower) Received(id CallID, version int64, whole bool, now time.Duration) (use, ok bool) {
-	c, out := f.outCall(id)
+	c, out := f.pendingCall(id)
 	if !out {
 		return false, false
 	}
 	f.callEnded(id, Answered, now)
-	f.receipt = receipt{begun: f.answerWhole(id, now), moves: -1, here: c.Address == f.address && c.at >= f.series.wentOver}
-	if _, left := f.left.out[id]; left {
-		delete(f.left.out, id)
+	f.received = receivedAnswer{firstPartAt: f.answerComplete(id, now), moves: -1, currentAddress: c.Address == f.address && c.sentAt >= f.series.switchedAt}
+	if _, left := f.lingering.out[id]; left {
+		delete(f.lingering.out, id)
 	} else {
-		delete(f.question.out, id)
-		f.receipt.moves = f.series.moves
-		f.receipt.leftUntil = f.left.until
-		f.leaveQuestion(now + leftTime)
+		delete(f.query.out, id)
+		f.received.moves = f.series.moves
+		f.received.lingerUntil = f.lingering.until
+		f.detachQuery(now + lingerTime)
 	}
-	r := &f.receipt
+	r := &f.received
 	r.version = f.version
-	r.outdated = c.counts != f.counts || version < f.version && c.at < f.taken
-	r.confirmation = confirmedBy(c.Call, c.at, now, !whole && version == c.From)
-	f.heard = max(f.heard, c.at)
+	r.outdated = c.versionResets != f.versionResets || version < f.version && c.sentAt < f.lastApplied
+	r.confirmation = confirmedBy(c.Call, c.sentAt, now, !whole && version == c.From)
+	f.answeredCallSent = max(f.answeredCallSent, c.sentAt)
 	r.use = !r.outdated && (whole || version >= f.version)
-	if f.pushed && now > c.at+c.Hold+lateEnd {
-		r.late = true // an agent answers at once, so it was this process that did not run
+	if f.pushed && now > c.sentAt+c.Hold+maxEndDelay {
+		r.readLate = true // an agent answers immediately, so the delay means that this process did not run
 	}
 	switch {
 	case r.use:
 		if version < f.version {
-			f.counts++
+			f.versionResets++
 		}
-		r.version, f.taken = version, now
+		r.version, f.lastApplied = version, now
 	case !r.outdated:
-		// Another service, or the same one started anew: it counts its versions from elsewhere, and what it calls changes may not be all
-		// that has changed for us.
+		// Another service, or a restarted one, numbers its versions differently, and its changes may not include
+		// everything that has changed since the held list.
 		r.version = -1
-		f.counts++
+		f.versionResets++
 	}
 	return r.use, true
 }
 
-// Taken takes in that the list of the answer that was received last is in use, or was thrown away, and goes on with the watch.
+// AnswerApplied records that the list of the last received answer is in use or was discarded, and continues the
+// watch.
 func (f *Follower) Taken(now time.Duration) {
-	r := f.receipt
+	r := f.received
 	f.version = r.version
 	switch {
-	case r.use && !r.late:
+	case r.use && !r.readLate:
 		f.Confirm(r.confirmation, now)
 	default:
-		f.discard(r.begun)
-		f.hurry(now)
+		f.discard(r.firstPartAt)
+		f.hedgeNow(now)
 	}
-	f.again = false
+	f.retriedCutOff = false
 	if r.moves == f.series.moves {
-		f.goesOn = true
-		f.series.unheard = f.series.unheard && !r.here
+		f.justAnswered = true
+		f.series.unanswered = f.series.unanswered && !r.currentAddress
 	}
-	f.leftWatchEnded(true, now)
-	if f.watching && f.question == nil && !f.pause.on {
-		f.goOn(now)
+	f.lingeringWatchEnded(true, now)
+	if f.watching && f.query == nil && !f.pause.on {
+		f.continueWatch(now)
 	}
 }
 
-// goOn goes on behind an answer: beside a watch that was left, which may still tell news, none is opened. Discovery ends both watches of a process
-// that opens two.
-func (f *Follower) goOn(now time.Duration) {
-	r := f.receipt
-	taken := r.use && !r.late
-	if overdue, open := f.left.watch(f.settings.Slack, now); taken && open && !f.pushed {
-		f.pause = pause{on: true, untilLeft: true, until: min(overdue, now+f.holdMost(now))}
-		if f.series.unheard {
-			f.pause.until = min(f.pause.until, f.series.last.at+moveWait)
+// continueWatch continues the watch after an answer. While a lingering watch may still deliver an update, no other
+// watch is opened: discovery ends both watches of a process that opens two.
+func (f *Follower) continueWatch(now time.Duration) {
+	r := f.received
+	taken := r.use && !r.readLate
+	if overdue, open := f.lingering.watch(f.settings.Slack, now); taken && open && !f.pushed {
+		f.pause = pause{on: true, untilLingering: true, until: min(overdue, now+f.maxHold(now))}
+		if f.series.unanswered {
+			f.pause.until = min(f.pause.until, f.series.last.at+oldWatchWait)
 		}
 		return
 	}
-	if taken && r.moves >= 0 && r.leftUntil <= r.confirmation.asOf && f.left.until == r.leftUntil {
-		f.giveUpLeft(now)
+	if taken && r.moves >= 0 && r.lingerUntil <= r.confirmation.asOf && f.lingering.until == r.lingerUntil {
+		f.cancelLingering(now)
 	}
-	f.ask(now)
+	f.startQuery(now)
 }
 
-// leftWatchEnded goes on where the watch that was left has ended which the next one waits for.
-func (f *Follower) leftWatchEnded(answered bool, now time.Duration) {
-	if _, open := f.left.watch(f.settings.Slack, now); open || !f.pause.untilLeft {
+// lingeringWatchEnded starts the next query once the lingering watch that it waits for has ended.
+func (f *Follower) lingeringWatchEnded(answered bool, now time.Duration) {
+	if _, open := f.lingering.watch(f.settings.Slack, now); open || !f.pause.untilLingering {
 		return
 	}
 	f.pause = pause{}
-	f.goesOn = answered
-	f.ask(now)
+	f.justAnswered = answered
+	f.startQuery(now)
 }
 
-// hurry has another call made beside one that waits for news: only an answer to a call made from now on lets the list be acted on again.
-func (f *Follower) hurry(now time.Duration) {
-	if f.question != nil {
-		f.question.late = min(f.question.late, now)
+// hedgeNow makes another call beside one that waits for a change, or ends the pause for a lingering watch: only an
+// answer to a call made from now on allows the list to be used again.
+func (f *Follower) hedgeNow(now time.Duration) {
+	if f.query != nil {
+		f.query.nextCallAt = min(f.query.nextCallAt, now)
 	}
-	if f.pause.untilLeft {
+	if f.pause.untilLingering {
 		f.pause.until = min(f.pause.until, now)
 	}
 }
--- a/internal/discovery/plan/asking.go
+++ b/internal/discovery/plan/asking.go
@@ -2,59 +2,61 @@
 
 import "time"
 
-// watchGap is how soon behind an answer the next call of the same watch comes.
-const watchGap = 200 * time.Millisecond
-
-// asking knows for how long no call has been out. A proxy that neither watches nor asks is held to its list for as long as the settings allow.
-type asking struct {
-	every  time.Duration // that; 0 for no bound
-	pushed bool          // what an agent has counts as told at once where no call is out
-	out    int           // calls
-	last   time.Duration // when the last one began
-	idle   time.Duration // since when none is out, where none is
-	goesOn time.Duration // for how long behind that a watch goes on
-	lapsed moment        // the first time, since a confirmation, by which one should have begun
+// watchContinuationGap is the longest time between an answer and a next call that continues the same watch.
+const watchContinuationGap = 200 * time.Millisecond
+
+// callGap tracks for how long no call has been open. A proxy that neither watches nor polls may use its list only for
+// as long as the settings allow.
+type callGap struct {
+	limit        time.Duration // how long after the start of one call the next one has to start; 0 for no limit
+	pushed       bool          // while no call is open, what the agent has counts as notified immediately
+	open         int           // number of open calls
+	lastStart    time.Duration // when the last call started
+	idleSince    time.Duration // since when no call has been open, if none is
+	continuesFor time.Duration // how long after idleSince a call still continues the watch
+	exceeded     optionalTime  // the first time since the last confirmation at which a call was due and had not started
 }
 
-// began takes in that a call begins. goesOn says that it goes on with a watch, which runs for a while behind an answer.
-func (a *asking) began(goesOn bool, now time.Duration) {
-	inTime := goesOn && now-a.idle <= a.goesOn
-	if due := a.due(); a.out == 0 && !inTime && due <= now && !a.lapsed.come {
-		a.lapsed = moment{due, true}
+// callStarted records that a call starts. continues says that it continues a watch, which counts as open for a short
+// time after an answer.
+func (a *callGap) callStarted(goesOn bool, now time.Duration) {
+	inTime := goesOn && now-a.idleSince <= a.continuesFor
+	if due := a.due(); a.open == 0 && !inTime && due <= now && !a.exceeded.set {
+		a.exceeded = optionalTime{due, true}
 	}
-	a.out++
-	a.last = now
+	a.open++
+	a.lastStart = now
 }
 
-// ended takes in that a call ends.
-func (a *asking) ended(end CallEnd, now time.Duration) {
-	a.out--
-	a.idle, a.goesOn = now, 0
+// callEnded records that a call has ended.
+func (a *callGap) callEnded(end CallEnd, now time.Duration) {
+	a.open--
+	a.idleSince, a.continuesFor = now, 0
 	if end == Answered {
-		a.goesOn = watchGap
+		a.continuesFor = watchContinuationGap
 	}
 }
 
-// confirmed takes in a confirmation.
-func (a *asking) confirmed() { a.lapsed = moment{} }
+// confirmed records a confirmation.
+func (a *callGap) confirmed() { a.exceeded = optionalTime{} }
 
-// due is when the next call has to begin.
-func (a *asking) due() time.Duration {
+// due is when the next call has to start.
+func (a *callGap) due() time.Duration {
 	switch {
 	case a.pushed:
-		return a.idle
-	case a.every == 0:
+		return a.idleSince
+	case a.limit == 0:
 		return never - leaseSlack
 	}
-	return a.last + a.every
+	return a.lastStart + a.limit
 }
 
-// told is when something may count as told for want of a call.
-func (a *asking) told() time.Duration {
+// noticeAt is the time from which changes may count as notified because no call was made.
+func (a *callGap) noticeAt() time.Duration {
 	switch {
-	case a.lapsed.come:
-		return a.lapsed.at
-	case a.out == 0:
+	case a.exceeded.set:
+		return a.exceeded.at
+	case a.open == 0:
 		return a.due()
 	}
 	return never - leaseSlack
--- a/internal/discovery/plan/backoff.go
+++ b/internal/discovery/plan/backoff.go
@@ -3,74 +3,78 @@
 import "time"
 
 const (
-	// TurnedAwayMost is the longest that is waited after a call that discovery had no room for, beside what the balancer waits: who asks
-	// again at once keeps the line full, for all that ask.
+	// TurnedAwayDelayMax is the longest random delay after a call that discovery had no capacity for, in addition to
+	// the balancer's own delay. Callers that retry immediately keep the queue full for everybody.
 	TurnedAwayMost = 1200 * time.Millisecond
-	// turnedAwayLeast is waited at least where a question has waited in discovery's line, for longWait or more, until it was turned away.
-	// Calls that have waited in vain and are made again at once can keep a line so full that nobody's turn comes in time, long after there
-	// was cause for it. It holds from youngFor after the start of the process on: one that has just started has an older list than all
-	// others, and is not to come last.
-	turnedAwayLeast = 800 * time.Millisecond
-	longWait        = time.Second
-	youngFor        = 6 * time.Second
-	// movePause is between calls that fail while a move settles.
-	movePause = 200 * time.Millisecond
+	// turnedAwayDelayMin is the shortest delay after a query that waited in discovery's queue for longQueueWait or
+	// more before it was turned away. Calls that have waited in vain and are repeated immediately can keep a queue so
+	// full that nobody is answered in time, long after the cause of the overload is gone. It applies only after the
+	// first startupPeriod of the process: a process that has just started has an older list than all others and must
+	// not be served last.
+	turnedAwayDelayMin = 800 * time.Millisecond
+	longQueueWait      = time.Second
+	startupPeriod      = 6 * time.Second
+	// moveRetryDelay is the delay between failing calls while a move settles.
+	moveRetryDelay = 200 * time.Millisecond
 )
 
-// pause is between two questions.
+// pause is the time between two queries.
 type pause struct {
-	on        bool
-	until     time.Duration
-	untilMove bool // until discovery is gone over to, in place of a time
-	untilLeft bool // until a watch that was left ends, and no longer than the time
-	ends      bool // the watch ends behind it, unless discovery has moved since a question that began after so many moves
-	moves     int
+	on             bool
+	until          time.Duration
+	untilMove      bool // until the switch to the new address of discovery, instead of a time
+	untilLingering bool // until a lingering watch ends, but no longer than until
+	endsWatch      bool // the watch ends after the pause, unless the number of moves differs from moves by then
+	moves          int
 }
 
-// failed decides what follows a question whose last call, c, has ended so. An answer that was cut off is asked for once more at once: what it
-// should have told counts as told soon, if it does not already. Where that befalls many at once discovery is asked by all of them at once;
-// who is turned away then waits as long as the balancer says.
-func (f *Follower) failed(c sentCall, end CallEnd, now time.Duration) {
-	q := f.question
-	f.question = nil
+// queryFailed decides what follows a query whose last call, c, has ended with end. A cut-off answer is requested once
+// more immediately: what it contained counts as notified soon, if it does not already. If this happens to many
+// proxies at once, all of them call discovery at once; those that are turned away then wait for as long as the
+// balancer decides.
+func (f *Follower) queryFailed(c sentCall, end CallEnd, now time.Duration) {
+	q := f.query
+	f.query = nil
 	switch {
 	case f.series.pending:
 		f.pause = pause{on: true, untilMove: true}
 	case f.series.settling(now) && c.Address != f.address:
-		f.ask(now) // discovery closes what is open at the address before
+		f.startQuery(now) // discovery closes the connections to the old address
 	case f.series.settling(now):
-		wait := movePause
+		wait := moveRetryDelay
 		if end == TurnedAway {
-			wait = f.turnedAway(q.begun, now)
+			wait = f.noteTurnedAway(q.startedAt, now)
 		}
 		f.pause = pause{on: true, until: now + wait}
-	case end == CutOff && !f.again:
-		f.again = true
-		f.ask(now)
+	case end == CutOff && !f.retriedCutOff:
+		f.retriedCutOff = true
+		f.startQuery(now)
 	case end == TurnedAway:
-		f.pause = pause{on: true, until: now + f.turnedAway(q.begun, now), ends: true, moves: q.moves}
+		f.pause = pause{on: true, until: now + f.noteTurnedAway(q.startedAt, now), endsWatch: true, moves: q.moves}
 	default:
-		f.end(q.moves, now)
+		f.endWatch(q.moves, now)
 	}
 }
 
-// turnedAway notes that discovery had no room for a question that began at a time, and returns for how long to wait before the next one.
-func (f *Follower) turnedAway(begun, now time.Duration) (wait time.Duration) {
-	f.refused = moment{now, true}
-	if now-begun >= longWait && now-f.started > youngFor {
-		wait = turnedAwayLeast
+// noteTurnedAway records that discovery had no capacity for a query that started at begun, and returns the delay
+// before the next one.
+func (f *Follower) noteTurnedAway(begun, now time.Duration) (wait time.Duration) {
+	f.lastTurnedAway = optionalTime{now, true}
+	if now-begun >= longQueueWait && now-f.started > startupPeriod {
+		wait = turnedAwayDelayMin
 	}
 	return wait + time.Duration(f.random()*float64(TurnedAwayMost))
 }
 
-// end ends the watch, unless discovery has moved since so many moves: who moved it counts on the watch that runs.
-func (f *Follower) end(moves int, now time.Duration) {
+// endWatch ends the watch, unless the number of moves differs from moves: the caller of Move relies on the running
+// watch.
+func (f *Follower) endWatch(moves int, now time.Duration) {
 	if f.series.moves != moves {
-		f.ask(now)
+		f.startQuery(now)
 		return
 	}
-	f.watching, f.again = false, false
-	f.giveUpLeft(now)
-	f.act(ReportFailure{})
-	f.act(EndWatch{})
+	f.watching, f.retriedCutOff = false, false
+	f.cancelLingering(now)
+	f.emit(ReportFailure{})
+	f.emit(EndWatch{})
 }
--- a/internal/discovery/plan/dating_test.go
+++ b/internal/discovery/plan/dating_test.go
@@ -4,85 +4,87 @@
 	"testing"
 )
 
-// TestOnlyNothingNewSinceItsOwnVersionIsDatedToTheEndOfTheWait: a call's news that another call has told before are an answer that was decided
-// on before the wait was over, whenever it comes; the list may have changed behind it.
-func TestOnlyNothingNewSinceItsOwnVersionIsDatedToTheEndOfTheWait(t *testing.T) {
-	f := holding(t)
-	watch := answer(t, f, one(t, f).ID, 0)
+// TestOnlyUnchangedAnswerIsDatedToEndOfHold: if a call delivers an update that another call has already delivered,
+// discovery decided on that answer before the hold time was over, whenever it arrives. The list may have changed
+// after that decision.
+func TestOnlyUnchangedAnswerIsDatedToEndOfHold(t *testing.T) {
+	f := newWatchingFollower(t)
+	watch := answerUnchanged(t, f, onlyCall(t, f).ID, 0)
 	if watch.Hold == 0 {
-		t.Fatal("the watch does not wait for news")
+		t.Fatal("the watch does not wait for a change")
 	}
 	begun := seconds(0.1)
 	f.AnswerBegun(watch.ID, begun, begun) // discovery decided before this
 	f.Progress(watch.ID, begun)
-	beside, _ := next(t, f)
+	beside, _ := nextCall(t, f)
 	told := watch.Hold - seconds(0.1)
 	if use, ok := f.Received(beside.ID, 2, false, told); !use || !ok {
-		t.Fatalf("the news is not taken: %t, %t", use, ok)
+		t.Fatalf("the update is not accepted: %t, %t", use, ok)
 	}
 	f.Taken(told)
 	came := watch.Hold + seconds(0.1)
 	if use, ok := f.Received(watch.ID, 2, false, came); !use || !ok {
-		t.Fatalf("the same news is not taken: %t, %t", use, ok)
+		t.Fatalf("the same update is not accepted: %t, %t", use, ok)
 	}
 	f.Taken(came)
-	if latest := begun + stallTime; f.asOf > latest {
-		t.Errorf("the list is taken for that of %v, and no answer was decided on behind %v", f.asOf, latest)
+	if latest := begun + stallTimeout; f.asOf > latest {
+		t.Errorf("the list is dated to %v, and no answer was decided on after %v", f.asOf, latest)
 	}
 }
 
-// TestTheNewestMoveBoundsTheLeaseBehindManyOthers: a move that comes while the most moves are remembered is told in its own time, also once an
-// answer has told what the others had.
-func TestTheNewestMoveBoundsTheLeaseBehindManyOthers(t *testing.T) {
-	l := confirmedAt(0, false)
-	for range mostMoves {
+// TestNewestMoveBoundsLeaseAfterManyOthers: the time limit of a move applies even if the move comes while the maximum
+// number of moves is remembered, and also once an answer has covered the other moves.
+func TestNewestMoveBoundsLeaseAfterManyOthers(t *testing.T) {
+	l := leaseConfirmedAt(0, false)
+	for range maxMoves {
 		l.Moved(seconds(1))
 	}
 	moved := seconds(10)
 	l.Moved(moved)
-	asOf := moved - seconds(0.1) // behind the others, and not behind this one
-	l.Confirm(of(asOf), moved)
-	if at := moved + moveToldWithin + leaseSlack; l.Standing(at) == Confirmed {
-		t.Errorf("the list of %v is acted on at %v, %v behind a move", asOf, at, at-moved)
+	asOf := moved - seconds(0.1) // after the others and before this one
+	l.Confirm(confirmationAt(asOf), moved)
+	if at := moved + moveNotifiedWithin + leaseSlack; l.Standing(at) == Confirmed {
+		t.Errorf("the list of %v is used at %v, %v after a move", asOf, at, at-moved)
 	}
 }
 
-// TestAMoveThatWasAnsweredBindsNoMore guards against holding back for an answer of the address before that comes behind one of the new address.
-func TestAMoveThatWasAnsweredBindsNoMore(t *testing.T) {
-	l := confirmedAt(0, false)
+// TestAnsweredMoveNoLongerBoundsLease guards against a stale list because an answer of the old address arrives after
+// one of the new address.
+func TestAnsweredMoveNoLongerBoundsLease(t *testing.T) {
+	l := leaseConfirmedAt(0, false)
 	l.Moved(seconds(1))
-	l.Confirm(of(seconds(1.1)), seconds(1.2))
-	l.Confirm(of(seconds(0.5)), seconds(2))
-	if at := seconds(1) + moveToldWithin + leaseSlack; l.Standing(at) != Confirmed {
-		t.Errorf("%v behind a move that was answered nothing is acted on", at-seconds(1))
+	l.Confirm(confirmationAt(seconds(1.1)), seconds(1.2))
+	l.Confirm(confirmationAt(seconds(0.5)), seconds(2))
+	if at := seconds(1) + moveNotifiedWithin + leaseSlack; l.Standing(at) != Confirmed {
+		t.Errorf("%v after a move that was answered the list is stale", at-seconds(1))
 	}
 }
 
-// TestAnAnswerOfTheAddressBeforeDoesNotReplaceTheListOfTheNewOne: where discovery has moved to a service that counts its versions from elsewhere,
-// an answer on a call that was left at the address before is older than the list that is held, whatever its version.
-func TestAnAnswerOfTheAddressBeforeDoesNotReplaceTheListOfTheNewOne(t *testing.T) {
-	f := holding(t)
+// TestAnswerOfOldAddressDoesNotReplaceListOfNewOne: if discovery moves to a service that numbers its versions
+// differently, an answer on a lingering call to the old address is older than the held list, whatever its version.
+func TestAnswerOfOldAddressDoesNotReplaceListOfNewOne(t *testing.T) {
+	f := newWatchingFollower(t)
 	f.SetVersion(50)
-	before := answer(t, f, one(t, f).ID, 0)
+	before := answerUnchanged(t, f, onlyCall(t, f).ID, 0)
 	moved := seconds(0.5)
 	f.Move("b", moved, moved)
-	asked := moved + moveWait
+	asked := moved + oldWatchWait
 	f.Time(asked)
-	c := one(t, f)
+	c := onlyCall(t, f)
 	if c.Address != "b" {
-		t.Fatalf("the call behind the move is %+v", c)
+		t.Fatalf("the call after the move is %+v", c)
 	}
 	if use, ok := f.Received(c.ID, 3, true, asked+seconds(0.1)); !use || !ok {
-		t.Fatalf("the new address's list is not taken: %t, %t", use, ok)
+		t.Fatalf("the list of the new address is not accepted: %t, %t", use, ok)
 	}
 	f.Taken(asked + seconds(0.1))
 	came := asked + seconds(0.3)
 	use, ok := f.Received(before.ID, 51, true, came)
 	if !ok {
-		t.Fatal("the watch at the address before is out no more")
+		t.Fatal("the watch at the old address is no longer open")
 	}
 	f.Taken(came)
 	if use && f.Standing(came) == Confirmed {
-		t.Errorf("version %d of the address before is acted on in place of version 3 of the new one", f.Version())
+		t.Errorf("version %d of the old address is used instead of version 3 of the new one", f.Version())
 	}
 }
--- a/internal/discovery/plan/follower.go
+++ b/internal/discovery/plan/follower.go
@@ -5,44 +5,44 @@
 	"time"
 )
 
-// Settings are how discovery is asked.
+// Settings define how discovery is polled.
 type Settings struct {
-	// Hold is how long a watch asks discovery to wait for news.
+	// Hold is how long a watch asks discovery to wait for a change.
 	Hold time.Duration
-	// Slack on top of Hold is when a watch counts as overdue.
+	// Slack is the time after Hold at which a watch counts as overdue.
 	Slack time.Duration
-	// AskEvery is for how long a proxy that does not ask may go on; 0 for no such bound.
+	// AskEvery is how long a proxy may use its list without making a call; 0 for no limit.
 	AskEvery time.Duration
 }
 
-// CallID names a call. IDs are never used again.
+// CallID identifies a call. IDs are never reused.
 type CallID uint64
 
 // Call is one call for the server list.
 type Call struct {
 	ID      CallID
 	Address string
-	From    int64         // the version held; below 0 for the whole list
-	Hold    time.Duration // for how long discovery may wait for news
-	Wait    time.Duration // when the call is given up as timed out
-	GoesOn  bool          // it goes on with a watch that was answered right before
-	Beside  bool          // it is made beside one that is overdue, and needs a connection of its own
+	From    int64         // the version held; below 0 to request the whole list
+	Hold    time.Duration // how long discovery may wait for a change
+	Wait    time.Duration // after this time the call is given up as timed out
+	GoesOn  bool          // the call continues a watch that was answered just before
+	Beside  bool          // the call is made beside an overdue one and needs its own connection
 }
 
-// Action is what a client has to do.
+// Action is something that the client has to do.
 type Action interface{ action() }
 
-// The actions.
+// The actions that a Follower requests.
 type (
-	// MakeCall makes a call; its events come back under its ID.
+	// MakeCall makes a call; its events are reported under its ID.
 	MakeCall struct{ Call Call }
-	// GiveUp ends a call. It needs no event any more.
+	// CancelCall ends a call. No event is expected for it afterwards.
 	GiveUp struct{ ID CallID }
-	// CloseIdle closes the connections that no call uses: they may lead to a machine that is gone.
+	// CloseIdleConns closes the connections that no call uses: they may lead to a machine that is gone.
 	CloseIdle struct{}
-	// ReportFailure tells the balancer that a call has failed.
+	// ReportFailure reports to the balancer that a call has failed.
 	ReportFailure struct{}
-	// EndWatch ends the watch: the balancer says when the next one begins.
+	// EndWatch ends the watch; the balancer decides when the next one starts.
 	EndWatch struct{}
 )
 
@@ -52,154 +52,157 @@
 func (ReportFailure) action() {}
 func (EndWatch) action()      {}
 
-// Follower decides which calls are made for the server list, and whether the list may be acted on. Its events are methods; what is to be
-// done for them is in Actions afterwards, and Next says when Time is due.
+// Follower decides which calls are made for the server list, and whether the list may be used. Events are reported by
+// calling its methods. Actions then returns what has to be done, and NextTick returns when Tick is due.
 type Follower struct {
 	Lease
 	settings Settings
-	random   func() float64 // from 0 to below 1
+	random   func() float64 // returns numbers in [0, 1)
 	started  time.Duration
 	address  string
 	version  int64 // of the list that is held; below 0 for none
 
-	watching bool
-	question *question // nil while none is out
-	pause    pause
-	again    bool // the question is asked again for an answer that was cut off
-	goesOn   bool // the last question was answered just now
-	refused  moment
-	series   series
-	left     leftCalls
-	receipt  receipt       // of the answer that is being taken in
-	taken    time.Duration // when a list was last taken in
-	counts   int           // how often discovery has begun to count its versions anew
-	lastCall CallID
-	actions  []Action
-}
-
-// sentCall is a call that is out.
+	watching       bool
+	query          *query // nil while none is open
+	pause          pause
+	retriedCutOff  bool // the query is repeated because an answer was cut off
+	justAnswered   bool // the last query was answered just now
+	lastTurnedAway optionalTime
+	series         moveSeries
+	lingering      lingeringCalls
+	received       receivedAnswer // the answer that is being applied
+	lastApplied    time.Duration  // when a list was last applied
+	versionResets  int            // how often discovery has restarted its version numbers
+	lastCallID     CallID
+	actions        []Action
+}
+
+// sentCall is an open call.
 type sentCall struct {
 	Call
-	at     time.Duration // when it was decided on
-	counts int           // how often discovery had begun to count anew by then
+	sentAt        time.Duration // when the Follower decided to make it
+	versionResets int           // Follower.versionResets at that time
 }
 
-// moment is a time that may not have come yet.
-type moment struct {
-	at   time.Duration
-	come bool
+// optionalTime is a time that may not be set.
+type optionalTime struct {
+	at  time.Duration
+	set bool
 }
 
-// within says whether it came less than so long ago.
-func (m moment) within(d, now time.Duration) bool { return m.come && now-m.at < d }
+// within reports whether the time is set and is less than d before now.
+func (m optionalTime) within(d, now time.Duration) bool { return m.set && now-m.at < d }
 
-// NewFollower returns one that makes no call yet, and holds no list. random returns numbers from 0 to below 1.
+// NewFollower returns a Follower that makes no call yet and holds no list. random returns numbers in [0, 1).
 func NewFollower(now time.Duration, address string, s Settings, random func() float64) *Follower {
 	f := &Follower{Lease: *NewLease(now, false), settings: s, random: random, started: now, address: address, version: -1}
-	f.left.out = map[CallID]sentCall{}
-	f.asking.every = s.AskEvery
+	f.lingering.out = map[CallID]sentCall{}
+	f.gap.limit = s.AskEvery
 	return f
 }
 
-// SetPushed says that the address is an agent on this machine; it is for a follower that makes no call yet.
+// SetPushed declares that the address is an agent on this machine. It has to be called before the first call is made.
 func (f *Follower) SetPushed(now time.Duration) { f.Lease = *NewLease(now, true) }
 
-// SetSettings changes how discovery is asked, from the next question on.
+// SetSettings changes how discovery is polled, from the next query on.
 func (f *Follower) SetSettings(s Settings) {
 	f.settings = s
-	f.asking.every = s.AskEvery
+	f.gap.limit = s.AskEvery
 }
 
-// Version is that of the list that is held; below 0 for none.
+// Version is the version of the list that is held; below 0 for none.
 func (f *Follower) Version() int64 { return f.version }
 
-// SetVersion takes in a version that was not told by a call of this follower.
+// SetVersion sets a version that did not come from a call of this Follower.
 func (f *Follower) SetVersion(version int64) { f.version = version }
 
-// Actions are those that the events since the last call of Actions have led to, in order.
+// Actions returns, in order, the actions that events have caused since the last call of Actions.
 func (f *Follower) Actions() []Action {
 	actions := f.actions
 	f.actions = nil
 	return actions
 }
 
-func (f *Follower) act(a Action) { f.actions = append(f.actions, a) }
+func (f *Follower) emit(a Action) { f.actions = append(f.actions, a) }
 
-// Watch begins to ask, unless the follower does already, and says whether it did not.
+// Watch starts polling and reports whether the caller has to run a new watch. It returns false if a watch already
+// runs, also if its EndWatch had not been returned by Actions yet: that watch then continues.
 func (f *Follower) Watch(now time.Duration) (begun bool) {
 	f.Time(now)
 	if f.watching {
 		return false
 	}
 	f.watching = true
-	f.ask(now)
-	return !f.takeBackEnd()
+	f.startQuery(now)
+	return !f.withdrawEndWatch()
 }
 
-// takeBackEnd takes back the word that the watch ends, where nobody has heard it yet, and says whether it did: the watch goes on.
-func (f *Follower) takeBackEnd() bool {
+// withdrawEndWatch removes an EndWatch that Actions has not returned yet and reports whether there was one.
+func (f *Follower) withdrawEndWatch() bool {
 	before := len(f.actions)
 	f.actions = slices.DeleteFunc(f.actions, func(a Action) bool { return a == Action(EndWatch{}) })
 	return len(f.actions) < before
 }
 
-// Stop ends the watch without a word.
+// Stop ends the watch without any action.
 func (f *Follower) Stop() {
-	f.watching, f.question, f.pause, f.goesOn, f.actions = false, nil, pause{}, false, nil
-	clear(f.left.out)
-	clear(f.begun)
-	f.asking.out = 0
-	f.silences = newSilences()
+	f.watching, f.query, f.pause, f.justAnswered, f.actions = false, nil, pause{}, false, nil
+	clear(f.lingering.out)
+	clear(f.partial)
+	f.gap.open = 0
+	f.misses = newMissTracker()
 }
 
-// Progress takes in a part of an answer to a call.
+// AnswerProgress records that a part of an answer to a call has arrived.
 func (f *Follower) Progress(id CallID, now time.Duration) {
-	if q := f.question; q != nil && id == q.newest {
-		// Discovery has come to this call, which has no place in line to lose: the rest comes soon, or never.
-		q.late = now + stallTime
+	if q := f.query; q != nil && id == q.newest {
+		// Discovery has begun to answer this call, which no longer has a place in the queue to lose: the rest arrives
+		// soon or never.
+		q.nextCallAt = now + stallTimeout
 		q.progress = true
 	}
-	if _, left := f.left.out[id]; left && f.pause.untilLeft {
-		f.pause.until = min(f.pause.until, now+stallTime)
+	if _, left := f.lingering.out[id]; left && f.pause.untilLingering {
+		f.pause.until = min(f.pause.until, now+stallTimeout)
 	}
 }
 
-// AnswerBegun takes in a part of the list in an answer to a call. told is when it may have been written at the earliest.
-func (f *Follower) AnswerBegun(id CallID, told, now time.Duration) {
-	if _, out := f.outCall(id); out {
-		f.Lease.AnswerBegun(id, told, now)
+// AnswerBegun records that a part of the list has arrived in an answer to a call. writtenAt is the earliest time at
+// which it may have been written.
+func (f *Follower) AnswerBegun(id CallID, writtenAt, now time.Duration) {
+	if _, out := f.pendingCall(id); out {
+		f.Lease.AnswerBegun(id, writtenAt, now)
 	}
 }
 
-// outCall is a call whose answer is waited for.
-func (f *Follower) outCall(id CallID) (c sentCall, out bool) {
-	if f.question != nil {
-		if c, out = f.question.out[id]; out {
+// pendingCall returns a call whose answer is still expected.
+func (f *Follower) pendingCall(id CallID) (c sentCall, out bool) {
+	if f.query != nil {
+		if c, out = f.query.out[id]; out {
 			return c, true
 		}
 	}
-	c, out = f.left.out[id]
+	c, out = f.lingering.out[id]
 	return c, out
 }
 
-// Ended takes in the end of a call without a whole answer.
+// CallFailed records that a call has ended without a complete answer.
 func (f *Follower) Ended(id CallID, end CallEnd, now time.Duration) {
-	c, out := f.outCall(id)
+	c, out := f.pendingCall(id)
 	if !out {
 		return
 	}
 	f.callEnded(id, end, now)
-	f.callFailed(end, now)
+	f.noteAgentFailure(end, now)
 	f.answerLost(id)
-	if end == TimedOut && now > c.at+c.Wait+lateEnd {
-		f.discard(now) // this process was held up, and an answer may have come meanwhile that nobody has read
+	if end == TimedOut && now > c.sentAt+c.Wait+maxEndDelay {
+		f.discard(now) // this process was stalled, and an unread answer may have arrived meanwhile
 	}
-	if _, left := f.left.out[id]; left && end == CutOff {
-		f.hurry(now)
+	if _, left := f.lingering.out[id]; left && end == CutOff {
+		f.hedgeNow(now)
 	}
-	delete(f.left.out, id)
-	f.leftWatchEnded(false, now)
-	q := f.question
+	delete(f.lingering.out, id)
+	f.lingeringWatchEnded(false, now)
+	q := f.query
 	if q == nil {
 		return
 	}
@@ -208,21 +211,21 @@
 	}
 	delete(q.out, id)
 	if len(q.out) == 0 {
-		f.failed(c, end, now)
+		f.queryFailed(c, end, now)
 	}
 }
 
-// lateEnd is how late a call's end may come in a process that runs.
-const lateEnd = 150 * time.Millisecond
+// maxEndDelay is how late the end of a call may be reported in a process that is not stalled.
+const maxEndDelay = 150 * time.Millisecond
 
-// Next is when Time is due; ok is false where there is nothing to wait for.
+// NextTick returns when Tick is due; ok is false if nothing is scheduled.
 func (f *Follower) Next() (at time.Duration, ok bool) {
 	at = never
 	if f.series.pending {
 		at = f.series.due
 	}
-	if f.question != nil {
-		at = min(at, f.question.late)
+	if f.query != nil {
+		at = min(at, f.query.nextCallAt)
 	}
 	if f.pause.on && !f.pause.untilMove {
 		at = min(at, f.pause.until)
@@ -230,25 +233,25 @@
 	return at, at != never
 }
 
-// Time does what is due.
+// Tick does what is due.
 func (f *Follower) Time(now time.Duration) {
 	if f.series.pending && now >= f.series.due {
-		f.goOver(now)
+		f.switchAddress(now)
 	}
-	if f.question != nil && now >= f.question.late {
-		f.call(now)
+	if f.query != nil && now >= f.query.nextCallAt {
+		f.makeCall(now)
 	}
 	if p := f.pause; p.on && !p.untilMove && now >= p.until {
 		f.pause = pause{}
 		switch {
-		case p.ends:
-			f.end(p.moves, now)
-		case p.untilLeft:
-			f.giveUpLeft(now)
-			f.goesOn = false
-			f.ask(now)
+		case p.endsWatch:
+			f.endWatch(p.moves, now)
+		case p.untilLingering:
+			f.cancelLingering(now)
+			f.justAnswered = false
+			f.startQuery(now)
 		default:
-			f.ask(now)
+			f.startQuery(now)
 		}
 	}
 }
--- a/internal/discovery/plan/follower_test.go
+++ b/internal/discovery/plan/follower_test.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// half is a draw in the middle.
-func half() float64 { return 0.5 }
+// midDraw is a random source that returns the middle of its range.
+func midDraw() float64 { return 0.5 }
 
-// defaults are the settings of a client.
-func defaults() Settings {
+// defaultSettings returns the default settings of a client.
+func defaultSettings() Settings {
 	return Settings{Hold: 2500 * time.Millisecond, Slack: 800 * time.Millisecond}
 }
 
-// holding returns a follower that holds a list and begins its first watch at 0.
-func holding(t *testing.T) *Follower {
+// newWatchingFollower returns a follower that holds a list and starts its first watch at 0.
+func newWatchingFollower(t *testing.T) *Follower {
 	t.Helper()
-	f := NewFollower(0, "a", defaults(), half)
+	f := NewFollower(0, "a", defaultSettings(), midDraw)
 	f.SetVersion(1)
 	if !f.Watch(0) {
 		t.Fatal("the watch does not begin")
@@ -25,8 +25,8 @@
 	return f
 }
 
-// calls are those that a follower has made since the last look.
-func calls(f *Follower) (made []Call) {
+// takeCalls returns the calls that a follower has made since the last look.
+func takeCalls(f *Follower) (made []Call) {
 	for _, a := range f.Actions() {
 		if c, ok := a.(MakeCall); ok {
 			made = append(made, c.Call)
@@ -35,18 +35,18 @@
 	return made
 }
 
-// one is the only call that a follower has made since the last look.
-func one(t *testing.T, f *Follower) Call {
+// onlyCall returns the only call that a follower has made since the last look.
+func onlyCall(t *testing.T, f *Follower) Call {
 	t.Helper()
-	made := calls(f)
+	made := takeCalls(f)
 	if len(made) != 1 {
 		t.Fatalf("%d calls, want one: %+v", len(made), made)
 	}
 	return made[0]
 }
 
-// next lets time go on until the follower makes a call.
-func next(t *testing.T, f *Follower) (c Call, at time.Duration) {
+// nextCall advances the time until the follower makes a call.
+func nextCall(t *testing.T, f *Follower) (c Call, at time.Duration) {
 	t.Helper()
 	for range 10 {
 		at, ok := f.Next()
@@ -54,7 +54,7 @@
 			break
 		}
 		f.Time(at)
-		if made := calls(f); len(made) > 0 {
+		if made := takeCalls(f); len(made) > 0 {
 			return made[0], at
 		}
 	}
@@ -62,21 +62,22 @@
 	return Call{}, 0
 }
 
-// answer answers a call at once with nothing new, and returns the next one.
-func answer(t *testing.T, f *Follower, id CallID, at time.Duration) Call {
+// answerUnchanged answers a call immediately, without changes, and returns the next call.
+func answerUnchanged(t *testing.T, f *Follower, id CallID, at time.Duration) Call {
 	t.Helper()
 	if use, ok := f.Received(id, f.Version(), false, at); !use || !ok {
-		t.Fatalf("an answer is not taken: %t, %t", use, ok)
+		t.Fatalf("an answer is not accepted: %t, %t", use, ok)
 	}
 	f.Taken(at)
-	return one(t, f)
+	return onlyCall(t, f)
 }
 
-// TestAWatchBeginsWithACallThatDoesNotHold: until an answer it is not known whether the list is as discovery has it, so the first call of a
-// watch, and of one behind a move or a failure, is answered at once; the next one waits for news, longer where discovery is crowded.
+// TestAWatchBeginsWithACallThatDoesNotHold: until an answer it is not known whether the list matches that of
+// discovery. So the first call of a watch, and the first one after a move or a failure, is answered immediately. The
+// next one waits for a change, and for longer if discovery is overloaded.
 func TestAWatchBeginsWithACallThatDoesNotHold(t *testing.T) {
-	f := holding(t)
-	c := one(t, f)
+	f := newWatchingFollower(t)
+	c := onlyCall(t, f)
 	expect := func(when string, hold time.Duration) {
 		t.Helper()
 		if c.Hold != hold {
@@ -84,101 +85,101 @@
 		}
 	}
 	expect("first", 0)
-	c = answer(t, f, c.ID, seconds(0.1))
-	expect("behind an answer", f.settings.Hold)
+	c = answerUnchanged(t, f, c.ID, seconds(0.1))
+	expect("after an answer", f.settings.Hold)
 	watch := c
 	f.Move("b", seconds(1), seconds(1))
-	c = answer(t, f, watch.ID, seconds(1.05))
+	c = answerUnchanged(t, f, watch.ID, seconds(1.05))
 	expect("after a move", 0)
-	c = answer(t, f, c.ID, seconds(1.1))
-	expect("behind the first answer after a move", f.settings.Hold)
+	c = answerUnchanged(t, f, c.ID, seconds(1.1))
+	expect("after the first answer after a move", f.settings.Hold)
 	watch = c
 	f.Move("c", seconds(10), seconds(10))
 	f.Ended(watch.ID, NoAnswer, seconds(10.1))
-	c = one(t, f)
+	c = onlyCall(t, f)
 	f.Ended(c.ID, TurnedAway, seconds(10.5))
-	c, _ = next(t, f)
+	c, _ = nextCall(t, f)
 	expect("after a refusal since the move", 0)
-	c = answer(t, f, c.ID, seconds(12))
-	expect("behind the first answer of a crowded discovery", crowdedHold)
+	c = answerUnchanged(t, f, c.ID, seconds(12))
+	expect("after the first answer of an overloaded discovery", overloadedHold)
 }
 
-// TestNewsBehindAMoveIsToldInTime: the third call behind a move, of which the first two stay silent, begins within 4 s; and behind a refusal
-// two calls fit into the time in which news counts as told.
-func TestNewsBehindAMoveIsToldInTime(t *testing.T) {
-	f := holding(t)
+// TestCallsAfterMoveBeginInTime: if the first two calls after a move get no response, the third one begins within 4 s
+// of the move. After a refusal, two calls fit into the time after which a change counts as notified.
+func TestCallsAfterMoveBeginInTime(t *testing.T) {
+	f := newWatchingFollower(t)
 	f.Move("b", seconds(1), seconds(1))
-	calls(f)
-	next(t, f)
-	if _, at := next(t, f); at > seconds(1)+4*time.Second {
-		t.Errorf("the second further call is made %v behind the move", at-seconds(1))
+	takeCalls(f)
+	nextCall(t, f)
+	if _, at := nextCall(t, f); at > seconds(1)+4*time.Second {
+		t.Errorf("the second further call is made %v after the move", at-seconds(1))
 	}
-	f, _, _ = movedAndAsked(t)
-	if _, at := next(t, f); at > movedAt+4*time.Second {
-		t.Errorf("with a silent watch and a silent call, the second call is made %v behind the move", at-movedAt)
+	f, _, _ = movedWithHedge(t)
+	if _, at := nextCall(t, f); at > movedAt+4*time.Second {
+		t.Errorf("with a watch and a call that get no response, the second call is made %v after the move", at-movedAt)
 	}
 	const answerRoom = 900 * time.Millisecond
-	if second := crowdedHold + defaults().Slack; second+answerRoom > ToldWithin {
-		t.Errorf("the call behind a silent watch of a crowded discovery is made after %v, too late for %v", second, ToldWithin)
+	if second := overloadedHold + defaultSettings().Slack; second+answerRoom > ToldWithin {
+		t.Errorf("the call after an unanswered watch of an overloaded discovery is made after %v, too late for %v", second, ToldWithin)
 	}
 }
 
-// TestTurnedAwayWaits: after a question that has waited in line in vain the next one comes later, but for a process that has just started, and
-// watches hold longer until discovery has not been crowded for some time.
-func TestTurnedAwayWaits(t *testing.T) {
+// TestDelayAfterTurnedAway: after a query that has waited in the queue in vain, the next one comes later, except in a
+// process that has just started. Watches hold for longer until discovery has not been overloaded for some time.
+func TestDelayAfterTurnedAway(t *testing.T) {
 	for _, draw := range []float64{0, 0.5, 0.999} {
-		f := NewFollower(0, "a", defaults(), func() float64 { return draw })
+		f := NewFollower(0, "a", defaultSettings(), func() float64 { return draw })
 		drawn := time.Duration(draw * float64(TurnedAwayMost))
-		settled := youngFor + longWait + 1
+		settled := startupPeriod + longQueueWait + 1
 		for _, c := range []struct {
 			what       string
 			begun, now time.Duration
 			want       time.Duration
 		}{
-			{"a process that has just started", 0, longWait, drawn},
-			{"one that was turned away at once", settled - longWait + 1, settled, drawn},
-			{"one that has waited in vain", settled - longWait, settled, turnedAwayLeast + drawn},
+			{"a process that has just started", 0, longQueueWait, drawn},
+			{"one that was turned away at once", settled - longQueueWait + 1, settled, drawn},
+			{"one that has waited in vain", settled - longQueueWait, settled, turnedAwayDelayMin + drawn},
 		} {
-			if got := f.turnedAway(c.begun, c.now); got != c.want {
+			if got := f.noteTurnedAway(c.begun, c.now); got != c.want {
 				t.Errorf("%s waits for %v, want %v", c.what, got, c.want)
 			}
 		}
-		f.goesOn = true
-		f.Confirm(of(settled+crowdedFor), settled)
-		for since, want := range map[time.Duration]time.Duration{crowdedFor - 1: crowdedHold, crowdedFor: defaults().Hold} {
-			if hold, _ := f.patience(settled + since); hold != want {
-				t.Errorf("%v behind a refusal a watch holds for %v, want %v", since, hold, want)
+		f.justAnswered = true
+		f.Confirm(confirmationAt(settled+overloadedFor), settled)
+		for since, want := range map[time.Duration]time.Duration{overloadedFor - 1: overloadedHold, overloadedFor: defaultSettings().Hold} {
+			if hold, _ := f.timing(settled + since); hold != want {
+				t.Errorf("%v after a refusal a watch holds for %v, want %v", since, hold, want)
 			}
 		}
-		f.goesOn = false
-		if hold, _ := f.patience(settled + 1); hold != 0 {
-			t.Errorf("the first call behind a refusal holds for %v", hold)
+		f.justAnswered = false
+		if hold, _ := f.timing(settled + 1); hold != 0 {
+			t.Errorf("the first call after a refusal holds for %v", hold)
 		}
 	}
 }
 
-// TestAfterAMoveACrowdedDiscoveryIsGivenTime: a call behind a move is overdue later once one was turned away since, and no sooner than any
-// other once it has been unanswered for long.
-func TestAfterAMoveACrowdedDiscoveryIsGivenTime(t *testing.T) {
-	f := holding(t)
+// TestCallAfterMoveIsOverdueLaterWhenOverloaded: a call after a move is overdue later once a call was turned away
+// since the move. If there has been no answer for long, it is overdue no sooner than any other call.
+func TestCallAfterMoveIsOverdueLaterWhenOverloaded(t *testing.T) {
+	f := newWatchingFollower(t)
 	f.Move("b", seconds(10), seconds(10))
 	expect := func(now, want time.Duration) {
 		t.Helper()
-		if _, overdue := f.patience(now); overdue != want {
+		if _, overdue := f.timing(now); overdue != want {
 			t.Errorf("at %v a call is overdue after %v, want %v", now, overdue, want)
 		}
 	}
 	expect(seconds(10), moveOverdue)
-	f.turnedAway(seconds(11), seconds(11))
-	expect(seconds(11), moveCrowdedOverdue)
-	expect(seconds(10)+moveStarved, defaults().Hold+defaults().Slack)
+	f.noteTurnedAway(seconds(11), seconds(11))
+	expect(seconds(11), moveOverloadedOverdue)
+	expect(seconds(10)+moveStarvedTime, defaultSettings().Hold+defaultSettings().Slack)
 }
 
-// TestAMoveBehindAFailureKeepsTheWatch: discovery moves between the call that fails and the end of its watch. Whoever moved it was told that a
-// watch runs, so that one must go on at the new address.
-func TestAMoveBehindAFailureKeepsTheWatch(t *testing.T) {
-	f := holding(t)
-	f.Ended(one(t, f).ID, TurnedAway, seconds(1))
+// TestMoveAfterFailureKeepsWatch: discovery moves between the failure of a call and the end of its watch. The caller
+// of Move was informed that a watch runs, so that watch has to continue at the new address.
+func TestMoveAfterFailureKeepsWatch(t *testing.T) {
+	f := newWatchingFollower(t)
+	f.Ended(onlyCall(t, f).ID, TurnedAway, seconds(1))
 	f.Move("b", seconds(1.1), seconds(1.1))
 	if f.Watch(seconds(1.2)) {
 		t.Fatal("a second watch begins")
@@ -188,57 +189,58 @@
 		t.Fatal("the follower waits for nothing")
 	}
 	f.Time(at)
-	if c := one(t, f); c.Address != "b" {
+	if c := onlyCall(t, f); c.Address != "b" {
 		t.Errorf("the next call goes to %q", c.Address)
 	}
 }
 
-// TestAPendingMoveIsGoneOverToByTheNextWatch: without a watch nothing is called, and the next one goes to the last address.
-func TestAPendingMoveIsGoneOverToByTheNextWatch(t *testing.T) {
-	f := holding(t)
+// TestNextWatchUsesPendingAddress: without a watch no call is made, and the next watch calls the last address.
+func TestNextWatchUsesPendingAddress(t *testing.T) {
+	f := newWatchingFollower(t)
 	f.Stop()
 	f.Move("b", seconds(1), seconds(1))
 	f.Move("c", seconds(1.5), seconds(1.5))
 	f.Time(seconds(60))
-	if made := calls(f); len(made) > 0 {
+	if made := takeCalls(f); len(made) > 0 {
 		t.Errorf("without a watch %+v", made)
 	}
 	f.Watch(seconds(61))
-	if c := one(t, f); c.Address != "c" {
+	if c := onlyCall(t, f); c.Address != "c" {
 		t.Errorf("the watch calls %q", c.Address)
 	}
 }
 
-// TestAMoveWhileNewsIsTakenIn: an answer of the old address that is being taken in as discovery moves is no answer of the new one.
-func TestAMoveWhileNewsIsTakenIn(t *testing.T) {
-	f := holding(t)
-	f.Received(one(t, f).ID, 2, false, seconds(1))
+// TestMoveWhileAnswerIsApplied: an answer of the old address that is being applied while discovery moves does not
+// count as an answer of the new one.
+func TestMoveWhileAnswerIsApplied(t *testing.T) {
+	f := newWatchingFollower(t)
+	f.Received(onlyCall(t, f).ID, 2, false, seconds(1))
 	f.Move("b", seconds(1), seconds(1))
 	f.Taken(seconds(1))
-	if c := one(t, f); c.Address != "b" || c.Hold != 0 || c.GoesOn {
-		t.Errorf("behind the move: %+v", c)
+	if c := onlyCall(t, f); c.Address != "b" || c.Hold != 0 || c.GoesOn {
+		t.Errorf("after the move: %+v", c)
 	}
 }
 
-// TestVersionsThatGoBack: changes of a lower version than the one held are not taken in, and the whole list is asked for. What they said
-// counts as told, so the list is not acted on until then.
-func TestVersionsThatGoBack(t *testing.T) {
-	f := holding(t)
+// TestVersionsThatDecrease: changes of a lower version than the held one are not applied, and the whole list is
+// requested. The changes count as notified, so the list is not used until then.
+func TestVersionsThatDecrease(t *testing.T) {
+	f := newWatchingFollower(t)
 	f.SetVersion(7)
-	use, ok := f.Received(one(t, f).ID, 3, false, seconds(1))
+	use, ok := f.Received(onlyCall(t, f).ID, 3, false, seconds(1))
 	if use || !ok {
-		t.Fatalf("a version that went back: use %t, ok %t", use, ok)
+		t.Fatalf("a lower version: use %t, ok %t", use, ok)
 	}
 	f.Taken(seconds(1))
-	c := one(t, f)
+	c := onlyCall(t, f)
 	if c.From >= 0 {
-		t.Errorf("changes from %d are asked for, want the whole list", c.From)
+		t.Errorf("changes from %d are requested, want the whole list", c.From)
 	}
 	if got := f.Standing(seconds(1.3)); got != Stale {
 		t.Errorf("the list is %s", got)
 	}
 	if use, _ := f.Received(c.ID, 3, true, seconds(2)); !use {
-		t.Error("the whole list is not taken in")
+		t.Error("the whole list is not applied")
 	}
 	f.Taken(seconds(2))
 	if got := f.Standing(seconds(2)); got != Confirmed || f.Version() != 3 {
@@ -246,106 +248,110 @@
 	}
 }
 
-// TestCallsBesideAnAnswerStayOutForAMoment guards against news on their way to a call as another is answered: it stays out for as long as they
-// may be sent against, what is answered to it is taken in, and what becomes of it ends no question.
-func TestCallsBesideAnAnswerStayOutForAMoment(t *testing.T) {
-	f := holding(t)
-	first := one(t, f)
+// TestHedgedCallsLingerAfterAnswer guards against losing an update that is in transit on one call when another is
+// answered. The call stays open for as long as requests may be sent against the update, its answer is applied, and
+// its end does not end any query.
+func TestHedgedCallsLingerAfterAnswer(t *testing.T) {
+	f := newWatchingFollower(t)
+	first := onlyCall(t, f)
 	var beside []Call
 	for range 2 {
-		c, _ := next(t, f)
+		c, _ := nextCall(t, f)
 		beside = append(beside, c)
 	}
 	f.Received(first.ID, 1, false, seconds(6))
 	f.Taken(seconds(6))
-	watch := one(t, f)
-	if watch.Hold > leftTime {
+	watch := onlyCall(t, f)
+	if watch.Hold > lingerTime {
 		t.Errorf("the next call holds for %v", watch.Hold)
 	}
 	if use, ok := f.Received(beside[0].ID, 2, false, seconds(6.1)); !use || !ok {
-		t.Errorf("news to a call beside: use %t, ok %t", use, ok)
+		t.Errorf("update on a hedged call: use %t, ok %t", use, ok)
 	}
 	f.Taken(seconds(6.1))
-	f.Received(watch.ID, 2, false, seconds(6)+leftTime) // with the same news, so it may be of any time since its sending
-	f.Taken(seconds(6) + leftTime)
-	watch = one(t, f)
+	f.Received(watch.ID, 2, false, seconds(6)+lingerTime) // with the same update, so it may be dated to any time since the call was sent
+	f.Taken(seconds(6) + lingerTime)
+	watch = onlyCall(t, f)
 	f.Received(watch.ID, 2, false, seconds(7))
 	f.Taken(seconds(7))
 	made := f.Actions()
 	if !slices.Contains(made, Action(GiveUp{beside[1].ID})) {
-		t.Error("the other call beside is not given up")
+		t.Error("the other hedged call is not canceled")
 	}
 	if again := made[len(made)-1].(MakeCall).Call; again.Hold != 0 {
-		t.Errorf("the call behind that holds for %v, though an answer to the other may have been on its way", again.Hold)
+		t.Errorf("the next call holds for %v, although an answer to the other may have been in transit", again.Hold)
 	}
 	f.Ended(beside[1].ID, TimedOut, seconds(8))
-	if _, ok := f.Received(beside[1].ID, 3, false, seconds(8)); ok || len(f.question.out) != 1 {
-		t.Errorf("a call that was given up is taken in; %d are out", len(f.question.out))
+	if _, ok := f.Received(beside[1].ID, 3, false, seconds(8)); ok || len(f.query.out) != 1 {
+		t.Errorf("an answer to a canceled call is accepted; %d calls are open", len(f.query.out))
 	}
 }
 
-// movedAt is when discovery has moved in the tests of a move.
+// movedAt is when discovery moves in the tests of a move.
 const movedAt = time.Second
 
-// moved is a follower with a watch that waits for news at address "a" as discovery moves to "b".
-func moved(t *testing.T) (f *Follower, watch Call) {
+// movedWithWatch returns a follower with a watch that waits for a change at address "a" when discovery moves to "b".
+func movedWithWatch(t *testing.T) (f *Follower, watch Call) {
 	t.Helper()
-	f = holding(t)
-	watch = answer(t, f, one(t, f).ID, seconds(0.1))
+	f = newWatchingFollower(t)
+	watch = answerUnchanged(t, f, onlyCall(t, f).ID, seconds(0.1))
 	f.Move("b", movedAt-seconds(0.1), movedAt)
 	if made := f.Actions(); len(made) > 0 {
-		t.Errorf("beside the watch before the move: %+v", made)
+		t.Errorf("actions during the watch at the old address: %+v", made)
 	}
 	return f, watch
 }
 
-// movedAndAsked is the same where the watch stays silent until another call is made beside it.
-func movedAndAsked(t *testing.T) (f *Follower, watch, call Call) {
+// movedWithHedge is like movedWithWatch, but the watch gets no response until another call is made beside it.
+func movedWithHedge(t *testing.T) (f *Follower, watch, call Call) {
 	t.Helper()
-	f, watch = moved(t)
-	call, at := next(t, f)
-	if at != movedAt+moveWait || call.Address != "b" || call.Hold != 0 || !call.Beside {
-		t.Errorf("%v behind the move the call %+v is made, want one at %v", at-movedAt, call, moveWait)
+	f, watch = movedWithWatch(t)
+	call, at := nextCall(t, f)
+	if at != movedAt+oldWatchWait || call.Address != "b" || call.Hold != 0 || !call.Beside {
+		t.Errorf("%v after the move the call %+v is made, want one at %v", at-movedAt, call, oldWatchWait)
 	}
 	return f, watch, call
 }
 
-// TestNewsOnAWatchThatAMoveCrosses guards against news that are written on the watch to the old address as discovery moves, and counted as told.
-func TestNewsOnAWatchThatAMoveCrosses(t *testing.T) {
-	f, watch := moved(t)
+// TestUpdateOnWatchDuringMove guards against losing an update that is written on the watch to the old address while
+// discovery moves, and that counts as notified.
+func TestUpdateOnWatchDuringMove(t *testing.T) {
+	f, watch := movedWithWatch(t)
 	if use, ok := f.Received(watch.ID, 2, false, seconds(1.1)); !use || !ok {
-		t.Errorf("news on the watch: use %t, ok %t", use, ok)
+		t.Errorf("update on the watch: use %t, ok %t", use, ok)
 	}
 	f.Taken(seconds(1.1))
-	call := one(t, f)
+	call := onlyCall(t, f)
 	if !call.GoesOn || call.Address != "b" || call.From != 2 || call.Hold != 0 {
 		t.Errorf("the next call is %+v", call)
 	}
-	if again := answer(t, f, call.ID, seconds(1.2)); !again.GoesOn || again.Address != "b" || again.Hold != f.settings.Hold {
-		t.Errorf("the call behind that is %+v", again)
+	if again := answerUnchanged(t, f, call.ID, seconds(1.2)); !again.GoesOn || again.Address != "b" || again.Hold != f.settings.Hold {
+		t.Errorf("the call after that is %+v", again)
 	}
 }
 
-// TestAWatchThatAMoveEnds: discovery closes the watch at the address before. The next call is made at once, however it was closed.
-func TestAWatchThatAMoveEnds(t *testing.T) {
+// TestWatchClosedByMove: discovery closes the watch at the old address. The next call is made immediately, however
+// the watch was closed.
+func TestWatchClosedByMove(t *testing.T) {
 	for _, end := range []CallEnd{NoAnswer, TurnedAway, CutOff, Unreachable} {
-		f, watch := moved(t)
+		f, watch := movedWithWatch(t)
 		closed := movedAt + seconds(1.5)
 		f.Ended(watch.ID, end, closed)
-		if c := one(t, f); c.Address != "b" || c.GoesOn || c.Hold != 0 {
+		if c := onlyCall(t, f); c.Address != "b" || c.GoesOn || c.Hold != 0 {
 			t.Errorf("%s: the next call is %+v", end, c)
 		}
 	}
 }
 
-// TestNoWatchIsOpenedBesideTheOneBeforeAMove guards against two watches of one process: discovery ends both, and the process has to begin anew.
-// News may be on their way on the one before as it is given up, so nothing is sent then until a later call is answered.
-func TestNoWatchIsOpenedBesideTheOneBeforeAMove(t *testing.T) {
-	f, watch, call := movedAndAsked(t)
+// TestNoSecondWatchWhileOldWatchIsOpen guards against two watches of one process: discovery ends both, and the
+// process has to start anew. An update may be in transit on the old watch when it is canceled, so no request is sent
+// until a later call is answered.
+func TestNoSecondWatchWhileOldWatchIsOpen(t *testing.T) {
+	f, watch, call := movedWithHedge(t)
 	f.Received(call.ID, 1, false, seconds(2.7))
 	f.Taken(seconds(2.7))
 	if made := f.Actions(); len(made) > 0 {
-		t.Fatalf("beside the watch before the move: %+v", made)
+		t.Fatalf("actions during the watch at the old address: %+v", made)
 	}
 	overdue := seconds(0.1) + watch.Hold + f.settings.Slack
 	if at, _ := f.Next(); at != overdue {
@@ -354,61 +360,64 @@
 	f.Time(overdue)
 	made := f.Actions()
 	if len(made) != 2 || made[0] != Action(GiveUp{watch.ID}) {
-		t.Fatalf("behind a silent watch: %+v", made)
+		t.Fatalf("after an unanswered watch: %+v", made)
 	}
 	next := made[1].(MakeCall).Call
 	if got := f.Standing(overdue); next.Hold != 0 || got != Stale {
-		t.Errorf("the list is %s, the next call holds for %v; news may be on their way on the watch that was given up", got, next.Hold)
+		t.Errorf("the list is %s, the next call holds for %v; an update may be in transit on the canceled watch", got, next.Hold)
 	}
-	if again := answer(t, f, next.ID, overdue+1); again.Hold != f.settings.Hold {
-		t.Errorf("the watch behind that holds for %v", again.Hold)
+	if again := answerUnchanged(t, f, next.ID, overdue+1); again.Hold != f.settings.Hold {
+		t.Errorf("the watch after that holds for %v", again.Hold)
 	}
 	if got := f.Standing(overdue + 1); got != Confirmed {
-		t.Errorf("behind an answer to a later call the list is %s", got)
+		t.Errorf("after an answer to a later call the list is %s", got)
 	}
 }
 
-// TestTheWatchBeforeAMoveStaysOutWhileCallsFail guards against news that are written on it before the new address has answered.
-func TestTheWatchBeforeAMoveStaysOutWhileCallsFail(t *testing.T) {
-	f, watch, call := movedAndAsked(t)
+// TestOldWatchStaysOpenWhileCallsFail guards against losing an update that is written on the old watch before the new
+// address has answered.
+func TestOldWatchStaysOpenWhileCallsFail(t *testing.T) {
+	f, watch, call := movedWithHedge(t)
 	f.Ended(call.ID, TurnedAway, seconds(2.7))
 	if use, ok := f.Received(watch.ID, 2, false, seconds(3)); !use || !ok {
-		t.Errorf("news on the watch: use %t, ok %t", use, ok)
+		t.Errorf("update on the watch: use %t, ok %t", use, ok)
 	}
 }
 
-// TestAnOlderAnswerReplacesNothing guards against a list that is told late by the older of two calls, changes or whole.
+// TestAnOlderAnswerReplacesNothing guards against using a list, partial or whole, that the older of two calls
+// delivers late.
 func TestAnOlderAnswerReplacesNothing(t *testing.T) {
 	for _, whole := range []bool{false, true} {
-		f, watch, call := movedAndAsked(t)
+		f, watch, call := movedWithHedge(t)
 		f.Received(watch.ID, 3, false, seconds(2.7))
 		f.Taken(seconds(2.7))
-		one(t, f)
+		onlyCall(t, f)
 		use, ok := f.Received(call.ID, 2, whole, seconds(2.8))
 		if use || !ok || f.Version() != 3 {
 			t.Errorf("whole %t: use %t, ok %t, version %d", whole, use, ok, f.Version())
 		}
 		f.Taken(seconds(2.8))
-		again, at := next(t, f)
+		again, at := nextCall(t, f)
 		if again.From != 3 || again.Hold != 0 || at != seconds(2.8) {
 			t.Errorf("whole %t: the next call, at %v, is %+v", whole, at, again)
 		}
-		answer(t, f, again.ID, seconds(2.9))
+		answerUnchanged(t, f, again.ID, seconds(2.9))
 		if got := f.Standing(seconds(3.2)); got != Confirmed {
 			t.Errorf("whole %t: the list is %s", whole, got)
 		}
 	}
 }
 
-// TestAWatchIsAnsweredWithinItsLease guards against a hold that outlasts a lease which counts from the sending of the call before.
-func TestAWatchIsAnsweredWithinItsLease(t *testing.T) {
-	f := holding(t)
-	watch := answer(t, f, one(t, f).ID, seconds(0.1))
-	f.turnedAway(seconds(0.1), seconds(0.1)) // crowded: watches hold for longer
+// TestWatchIsAnsweredWithinLease guards against a hold time that exceeds a lease that counts from the sending of the
+// previous call.
+func TestWatchIsAnsweredWithinLease(t *testing.T) {
+	f := newWatchingFollower(t)
+	watch := answerUnchanged(t, f, onlyCall(t, f).ID, seconds(0.1))
+	f.noteTurnedAway(seconds(0.1), seconds(0.1)) // overloaded: watches hold for longer
 	f.Received(watch.ID, 2, false, seconds(3.4))
 	f.Taken(seconds(3.4))
-	next := one(t, f)
-	if end := seconds(3.4) + next.Hold; end+answerTime > f.asOf+LeaseTime {
-		t.Errorf("a watch is answered at %v, and the lease ends at %v", end, f.ends())
+	next := onlyCall(t, f)
+	if end := seconds(3.4) + next.Hold; end+answerReserve > f.asOf+LeaseTime {
+		t.Errorf("a watch is answered at %v, and the lease ends at %v", end, f.expiry())
 	}
 }
--- a/internal/discovery/plan/lease.go
+++ b/internal/discovery/plan/lease.go
@@ -1,5 +1,6 @@
-// Package plan decides for a client of discovery. Events in, answers out, the time as an argument: it has no I/O, no lock, and reads no
-// clock. Times are spans of the process's steady clock.
+// Package plan makes the decisions of a client of discovery. It receives events, with the current time as an
+// argument, and returns actions. It does no I/O, has no locks and reads no clock. Times are durations on the
+// monotonic clock of the process.
 package plan
 
 import (
@@ -9,45 +10,49 @@
 )
 
 const (
-	// ToldWithin is when what discovery had while it could be reached counts as told, whatever became of the calls.
+	// NotifiedWithin is the time after which a change that discovery had while it was reachable counts as notified,
+	// whatever happened to the calls.
 	ToldWithin = 6 * time.Second
-	// moveToldWithin behind a move to another address of discovery all that it has by then counts as told.
-	moveToldWithin = 4 * time.Second
-	// leaseSlack is the part of the grace behind a notice, 500 ms, for which the list is still acted on. The rest is for a process that is
-	// held up between this decision and its write.
+	// moveNotifiedWithin is the time after a move to another address of discovery at which everything that discovery
+	// had at the move counts as notified.
+	moveNotifiedWithin = 4 * time.Second
+	// leaseSlack is the part of the 500 ms grace after a notice for which the list may still be used. The rest covers
+	// a process that is stalled between this decision and its write.
 	leaseSlack = 300 * time.Millisecond
-	// LeaseTime is for how long a confirmation lets the list be acted on.
+	// LeaseDuration is how long a confirmation allows the list to be used.
 	LeaseTime = ToldWithin + leaseSlack
-	// startWait is for how long a process that starts waits for its first answer until it counts as ready without one.
+	// startWait is how long a starting process waits for its first answer before it counts as ready without one.
 	startWait = 5 * time.Second
-	// PartTime is for how long a client holds requests back for the rest of an answer of which a part has come.
+	// PartialAnswerWait is how long a client holds requests back for the rest of an answer of which a part has
+	// arrived.
 	PartTime = 250 * time.Millisecond
-	// mostMoves bounds the moves that are remembered; behind more of them the oldest ones decide.
-	mostMoves = 16
+	// maxMoves bounds the moves that are remembered; if there are more, the oldest ones count.
+	maxMoves = 16
 )
 
 // CallEnd is how a call for the server list ended.
 type CallEnd string
 
-// The ends of calls.
+// The values of CallEnd.
 const (
 	Answered    CallEnd = "answered"
-	TurnedAway  CallEnd = "turned_away" // discovery had no room for it, or is down
-	CutOff      CallEnd = "cut_off"     // its answer broke off, or cannot be read
-	NoAnswer    CallEnd = "no_answer"   // its connection ended with no answer begun
-	Unreachable CallEnd = "unreachable" // no connection came up
-	TimedOut    CallEnd = "timed_out"   // it was given up for staying silent
-	Superseded  CallEnd = "superseded"  // calls that were made behind it were answered
-	NoMeans     CallEnd = "no_means"    // this process has no descriptor, port or memory for it now
+	TurnedAway  CallEnd = "turned_away" // discovery had no capacity for it, or is down
+	CutOff      CallEnd = "cut_off"     // its answer was cut off or cannot be read
+	NoAnswer    CallEnd = "no_answer"   // its connection ended before an answer began
+	Unreachable CallEnd = "unreachable" // no connection was established
+	TimedOut    CallEnd = "timed_out"   // it was given up because no answer came
+	Superseded  CallEnd = "superseded"  // calls that were made after it were answered
+	NoMeans     CallEnd = "no_means"    // this process had no descriptor, port or memory for it
 )
 
-// CallEnds are all of them.
+// CallEnds returns all values of CallEnd.
 func CallEnds() []CallEnd {
 	return []CallEnd{Answered, TurnedAway, CutOff, NoAnswer, Unreachable, TimedOut, Superseded, NoMeans}
 }
 
-// failsInSight says whether a call has ended by what discovery or the network did, and not by being given up.
-func (e CallEnd) failsInSight() bool {
+// observedFailure reports whether discovery, the network or a lack of local resources made the call fail, as opposed
+// to an answer or to giving the call up.
+func (e CallEnd) observedFailure() bool {
 	switch e {
 	case TurnedAway, CutOff, NoAnswer, Unreachable, NoMeans:
 		return true
@@ -55,23 +60,25 @@
 	return false
 }
 
-// Standing is how far the list that is held can be relied on.
+// Status says whether the list that is held can be relied on.
 type Standing string
 
-// The standings.
+// The values of Status.
 const (
-	Confirmed Standing = "confirmed" // discovery gave a whole answer recently enough
-	Stale     Standing = "stale"     // it did not: the list is not acted on
+	Confirmed Standing = "confirmed" // discovery gave a complete answer recently enough
+	Stale     Standing = "stale"     // it did not: the list may not be used
 )
 
-// Confirmation is the proof that a list is no older than a time: a whole answer of discovery that was taken in. Only confirmedBy makes one.
+// Confirmation is the proof that a list is no older than a given time: a complete answer of discovery whose list was
+// applied. Only confirmedBy creates one.
 type Confirmation struct {
 	asOf time.Duration
 	sent time.Duration // when its call was made
 }
 
-// confirmedBy returns what a whole answer proves that came at a time to a call which was decided on at another. Discovery decided on it
-// behind the call's sending. It has waited for as long as it was asked to where it answered with nothing new, and not sooner.
+// confirmedBy returns what a complete answer proves that arrived at came to a call that the Follower decided to make
+// at sent. Discovery decided on the answer after the call was sent. If the answer contains no changes and did not
+// come early, discovery had waited for the whole hold time before.
 func confirmedBy(c Call, sent, came time.Duration, unchanged bool) Confirmation {
 	if unchanged && came >= sent+c.Hold {
 		return Confirmation{asOf: sent + c.Hold, sent: sent}
@@ -79,166 +86,174 @@
 	return Confirmation{asOf: sent, sent: sent}
 }
 
-// Lease says whether the server list may be acted on. A confirmation grants it, and nothing else does: whoever gives no whole answer, be it
-// with silence, a reset, a refusal or a dial that fails, may be a discovery that has news. The list of a start is older than the process and
-// is confirmed by nothing.
+// Lease decides whether the server list may be used. Only a confirmation grants it: a discovery that gives no
+// complete answer, whether because of silence, a reset, a refusal or a failed dial, may have changes. The list that a
+// process starts with is older than the process, and nothing confirms it.
 type Lease struct {
-	pushed    bool
-	started   time.Duration
-	confirmed bool            // by any answer so far
-	asOf      time.Duration   // of the last confirmation
-	answered  time.Duration   // when discovery last gave a whole answer; the start before that
-	heard     time.Duration   // when the last call was made that was answered whole
-	moves     []time.Duration // of which not all is known yet, the first of them
-	lastMove  moment
-	spoke     bool // an agent has met a call with something other than silence or a whole answer, since its last one
-	spokeAt   time.Duration
-	told      time.Duration // when what it had then counts as told
-	asking    asking
-	silences  silences
-	// What an answer holds counts as told when it is written, whether or not it comes to its end, and some time before a part of it comes.
-	begun   map[CallID]part // of answers that are coming
-	untaken moment          // the first part of an answer that did not come whole, or was thrown away
-}
-
-// part is the first part of an answer that has not come whole.
-type part struct {
-	told time.Duration // when it may have been written at the earliest
-	came time.Duration
-}
-
-// ends is until when the list is acted on beside it. Until PartTime is over nothing is.
-func (p part) ends() time.Duration { return max(p.told+leaseSlack, p.came+PartTime) }
-
-// NewLease returns the lease of a process that starts at a time. pushed says that the address is an agent on this machine, which answers at
-// once with what it has.
+	pushed           bool
+	started          time.Duration
+	confirmed        bool            // at least one answer has confirmed a list
+	asOf             time.Duration   // the latest time for which the list is confirmed
+	lastAnswer       time.Duration   // when discovery last gave a complete answer; before the first one, the start time
+	answeredCallSent time.Duration   // when the last call was made that was answered completely
+	moves            []time.Duration // the earliest moves that no answer covers yet
+	lastMove         optionalTime
+	agentFailed      bool // a call to the agent has failed (see observedFailure) since its last complete answer
+	agentFailedAt    time.Duration
+	agentNoticeAt    time.Duration // when what the agent had at agentFailedAt counts as notified
+	gap              callGap
+	misses           missTracker
+	// The changes in an answer count as notified when it is written, which is some time before a part of it arrives,
+	// and even if the rest never arrives.
+	partial   map[CallID]partialAnswer // of answers that have not arrived completely
+	discarded optionalTime             // when the first part arrived of the last answer that was incomplete or discarded
+}
+
+// partialAnswer is the first part of an answer that has not arrived completely.
+type partialAnswer struct {
+	writtenAt  time.Duration // the earliest time at which it may have been written
+	receivedAt time.Duration
+}
+
+// expiry is the time until which the list may be used while the rest of the answer is missing. The client holds
+// requests back until PartialAnswerWait is over.
+func (p partialAnswer) expiry() time.Duration {
+	return max(p.writtenAt+leaseSlack, p.receivedAt+PartTime)
+}
+
+// NewLease returns the lease of a process that starts at now. pushed says that the address is an agent on this
+// machine, which answers immediately with what it has.
 func NewLease(now time.Duration, pushed bool) *Lease {
-	return &Lease{pushed: pushed, started: now, answered: now, begun: map[CallID]part{}, silences: newSilences(), asking: asking{pushed: pushed, last: now, idle: now}}
+	return &Lease{pushed: pushed, started: now, lastAnswer: now, partial: map[CallID]partialAnswer{}, misses: newMissTracker(), gap: callGap{pushed: pushed, lastStart: now, idleSince: now}}
 }
 
-// Confirm takes in a whole answer that is acted on from now on.
+// Confirm records a complete answer whose list is used from now on.
 func (l *Lease) Confirm(c Confirmation, now time.Duration) {
 	l.asOf = max(l.asOf, c.asOf)
-	l.confirmed, l.answered = true, now
-	l.spoke = l.spoke && l.spokeAt > l.asOf
-	l.asking.confirmed()
-	heard := func(moved time.Duration) bool { return moved < c.sent } // what changes behind that is told as ever
-	l.moves = slices.DeleteFunc(l.moves, heard)
-	if heard(l.lastMove.at) {
-		l.lastMove.come = false
-	}
-	if len(l.moves) == 0 && l.lastMove.come {
+	l.confirmed, l.lastAnswer = true, now
+	l.agentFailed = l.agentFailed && l.agentFailedAt > l.asOf
+	l.gap.confirmed()
+	answeredBy := func(moved time.Duration) bool { return moved < c.sent } // later changes are notified as usual
+	l.moves = slices.DeleteFunc(l.moves, answeredBy)
+	if answeredBy(l.lastMove.at) {
+		l.lastMove.set = false
+	}
+	if len(l.moves) == 0 && l.lastMove.set {
 		l.moves = append(l.moves, l.lastMove.at)
 	}
-	l.silences.confirmed(l.asOf)
-	maps.DeleteFunc(l.begun, func(_ CallID, p part) bool { return p.came <= l.asOf })
-	if l.untaken.at <= l.asOf {
-		l.untaken = moment{}
+	l.misses.confirmed(l.asOf)
+	maps.DeleteFunc(l.partial, func(_ CallID, p partialAnswer) bool { return p.receivedAt <= l.asOf })
+	if l.discarded.at <= l.asOf {
+		l.discarded = optionalTime{}
 	}
 }
 
-// AnswerBegun takes in a part of the list in an answer to a call, which may have been written at a time.
-func (l *Lease) AnswerBegun(id CallID, told, now time.Duration) {
-	if _, known := l.begun[id]; !known {
-		l.begun[id] = part{told, now}
+// AnswerBegun records a part of the list in an answer to a call. writtenAt is the earliest time at which it may have
+// been written.
+func (l *Lease) AnswerBegun(id CallID, writtenAt, now time.Duration) {
+	if _, known := l.partial[id]; !known {
+		l.partial[id] = partialAnswer{writtenAt, now}
 	}
 }
 
-// called takes in a call.
-func (l *Lease) called(c Call, now time.Duration) {
-	l.asking.began(c.GoesOn, now)
-	l.silences.began(c, now)
+// callStarted records that a call starts.
+func (l *Lease) callStarted(c Call, now time.Duration) {
+	l.gap.callStarted(c.GoesOn, now)
+	l.misses.callStarted(c, now)
 }
 
-// callEnded takes in that a call is out no more, however it ended.
+// callEnded records that a call is no longer open, however it ended.
 func (l *Lease) callEnded(id CallID, end CallEnd, now time.Duration) {
-	l.asking.ended(end, now)
-	l.silences.ended(id, end, now, l.asOf)
+	l.gap.callEnded(end, now)
+	l.misses.callEnded(id, end, now, l.asOf)
 }
 
-// answerWhole takes in that a call's answer has come to its end, and returns when its first part came.
-func (l *Lease) answerWhole(id CallID, now time.Duration) (came time.Duration) {
-	came = now
-	if p, known := l.begun[id]; known {
-		came = p.came
+// answerComplete records that the answer to a call has arrived completely, and returns when its first part arrived.
+func (l *Lease) answerComplete(id CallID, now time.Duration) (receivedAt time.Duration) {
+	receivedAt = now
+	if p, known := l.partial[id]; known {
+		receivedAt = p.receivedAt
 	}
-	delete(l.begun, id)
-	return came
+	delete(l.partial, id)
+	return receivedAt
 }
 
-// answerLost takes in that the rest of a call's answer will not come, or will not be read.
+// answerLost records that the rest of the answer to a call will not arrive or will not be read.
 func (l *Lease) answerLost(id CallID) {
-	if p, begun := l.begun[id]; begun {
-		l.discard(p.came)
-		delete(l.begun, id)
+	if p, begun := l.partial[id]; begun {
+		l.discard(p.receivedAt)
+		delete(l.partial, id)
 	}
 }
 
-// discard takes in an answer whose first part came at a time and that is not acted on. A call made behind the last of them has to be answered.
-func (l *Lease) discard(came time.Duration) {
-	l.untaken = moment{max(l.untaken.at, came), true}
+// discard records an answer that is not used and whose first part arrived at receivedAt. A call made after the last
+// such answer has to be answered before the list may be used again.
+func (l *Lease) discard(receivedAt time.Duration) {
+	l.discarded = optionalTime{max(l.discarded.at, receivedAt), true}
 }
 
-// Moved takes in that discovery has another address.
+// Moved records that discovery has another address.
 func (l *Lease) Moved(now time.Duration) {
-	l.lastMove = moment{now, true}
-	if len(l.moves) < mostMoves {
+	l.lastMove = optionalTime{now, true}
+	if len(l.moves) < maxMoves {
 		l.moves = append(l.moves, now)
 	}
 }
 
-// callFailed takes in the end of a call without a whole answer. An agent has what it was sent, and what it has counts as told at once, but for
-// a time behind a move.
-func (l *Lease) callFailed(end CallEnd, now time.Duration) {
-	if !l.pushed || l.spoke || !end.failsInSight() {
+// noteAgentFailure records that a call ended without a complete answer. An agent has what it was sent, and what it
+// has counts as notified immediately, except for a time after a move.
+func (l *Lease) noteAgentFailure(end CallEnd, now time.Duration) {
+	if !l.pushed || l.agentFailed || !end.observedFailure() {
 		return
 	}
-	l.spoke, l.spokeAt, l.told = true, now, l.asOf
+	l.agentFailed, l.agentFailedAt, l.agentNoticeAt = true, now, l.asOf
 	for _, moved := range l.moves {
-		if moved > max(l.asOf, l.heard) {
-			l.told = moved + moveToldWithin
+		if moved > max(l.asOf, l.answeredCallSent) {
+			l.agentNoticeAt = moved + moveNotifiedWithin
 			return
 		}
 	}
 }
 
-// Standing says how far the list can be relied on.
+// Status returns whether the list can be relied on.
 func (l *Lease) Standing(now time.Duration) Standing {
-	if !l.confirmed || l.untaken.come || now >= l.ends() {
+	if !l.confirmed || l.discarded.set || now >= l.expiry() {
 		return Stale
 	}
 	return Confirmed
 }
 
-// Ready says whether the process should be given requests: its list was confirmed once, or it has waited for that long enough.
+// Ready reports whether the process should receive requests: its list was confirmed once, or it has waited long
+// enough for that.
 func (l *Lease) Ready(now time.Duration) bool { return l.confirmed || now-l.started >= startWait }
 
-// Age is for how long discovery has given no whole answer, or since the start.
-func (l *Lease) Age(now time.Duration) time.Duration { return now - l.answered }
+// Age is the time since discovery last gave a complete answer, or since the start.
+func (l *Lease) Age(now time.Duration) time.Duration { return now - l.lastAnswer }
 
 // never is later than any time.
 const never = time.Duration(1<<63 - 1)
 
-// ends is until when the list may be acted on.
-func (l *Lease) ends() time.Duration {
-	told := min(l.asOf+ToldWithin, l.silences.told(), l.asking.told())
+// expiry is the time until which the list may be used.
+func (l *Lease) expiry() time.Duration {
+	noticeAt := min(l.asOf+ToldWithin, l.misses.noticeAt(), l.gap.noticeAt())
 	if len(l.moves) > 0 {
-		told = min(told, l.moves[0]+moveToldWithin)
+		noticeAt = min(noticeAt, l.moves[0]+moveNotifiedWithin)
 	}
-	if l.spoke {
-		told = min(told, l.told)
+	if l.agentFailed {
+		noticeAt = min(noticeAt, l.agentNoticeAt)
 	}
-	end := told + leaseSlack
-	for _, p := range l.begun {
-		end = min(end, p.ends())
+	end := noticeAt + leaseSlack
+	for _, p := range l.partial {
+		end = min(end, p.expiry())
 	}
 	return end
 }
 
-// holdMost is for how long a call that is made now may wait for news, and its answer still come before the lease ends.
-func (l *Lease) holdMost(now time.Duration) time.Duration {
-	if l.untaken.come || l.ends() <= now {
+// maxHold is how long a call that is made now may wait for a change so that its answer still arrives before the lease
+// ends.
+func (l *Lease) maxHold(now time.Duration) time.Duration {
+	if l.discarded.set || l.expiry() <= now {
 		return 0
 	}
-	return max(min(l.asOf+LeaseTime-answerTime, l.silences.told())-now, 0)
+	return max(min(l.asOf+LeaseTime-answerReserve, l.misses.noticeAt())-now, 0)
 }
--- a/internal/discovery/plan/left.go
+++ b/internal/discovery/plan/left.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// leftTime is how long a call stays out behind the answer of another one, at least: news that were written before may still come to it, and
-// count as told, until nothing may be sent against them any more.
-const leftTime = 500 * time.Millisecond
+// lingerTime is the minimum time for which a call stays open after another call was answered. An update that was
+// written earlier may still arrive on it and counts as notified; lingerTime lasts until no request may be sent
+// against such an update any more.
+const lingerTime = 500 * time.Millisecond
 
-// leftCalls are calls that no question waits for any more, and that are still out: what is written on them counts as told.
-type leftCalls struct {
+// lingeringCalls are open calls that no query waits for any more. What is written on them counts as notified.
+type lingeringCalls struct {
 	out   map[CallID]sentCall
-	until time.Duration // an answer that tells of this moment, or of a later one, ends them
+	until time.Duration // an answer that is valid as of this time or later ends them
 }
 
-// add leaves calls out until an answer that tells of a moment.
-func (l *leftCalls) add(calls map[CallID]sentCall, until time.Duration) {
+// add keeps calls open until an answer that is valid as of until.
+func (l *lingeringCalls) add(calls map[CallID]sentCall, until time.Duration) {
 	if len(calls) == 0 {
 		return
 	}
@@ -25,42 +26,43 @@
 	l.until = max(l.until, until)
 }
 
-// watch is when the last of the calls that wait for news is overdue; open is false where none waits in time.
-func (l *leftCalls) watch(slack, now time.Duration) (overdue time.Duration, open bool) {
+// watch returns when the last of the calls that wait for a change is overdue. open is false if none of them is still
+// in time.
+func (l *lingeringCalls) watch(slack, now time.Duration) (overdue time.Duration, open bool) {
 	for _, c := range l.out {
 		if c.Hold > 0 {
-			overdue = max(overdue, c.at+c.Hold+slack)
+			overdue = max(overdue, c.sentAt+c.Hold+slack)
 		}
 	}
 	return overdue, overdue > now
 }
 
-// hold is for how long a call may wait for news, so that its answer ends the calls that are left.
-func (l *leftCalls) hold(most, now time.Duration) time.Duration {
+// limitHold limits the hold time of a call so that its answer ends the lingering calls.
+func (l *lingeringCalls) limitHold(most, now time.Duration) time.Duration {
 	if len(l.out) == 0 {
 		return most
 	}
 	return min(most, max(l.until-now, 0))
 }
 
-// ids are those of the calls, in order.
-func (l *leftCalls) ids() []CallID { return slices.Sorted(maps.Keys(l.out)) }
+// ids returns the IDs of the calls in order.
+func (l *lingeringCalls) ids() []CallID { return slices.Sorted(maps.Keys(l.out)) }
 
-// leaveQuestion ends the question. Its calls stay out until an answer that tells of a moment.
-func (f *Follower) leaveQuestion(until time.Duration) {
-	if f.question == nil {
+// detachQuery ends the query. Its calls stay open until an answer that is valid as of until.
+func (f *Follower) detachQuery(until time.Duration) {
+	if f.query == nil {
 		return
 	}
-	f.left.add(f.question.out, until)
-	f.question = nil
+	f.lingering.add(f.query.out, until)
+	f.query = nil
 }
 
-// giveUpLeft ends the calls that were left.
-func (f *Follower) giveUpLeft(now time.Duration) {
-	for _, id := range f.left.ids() {
+// cancelLingering cancels the lingering calls.
+func (f *Follower) cancelLingering(now time.Duration) {
+	for _, id := range f.lingering.ids() {
 		f.callEnded(id, Superseded, now)
 		f.answerLost(id)
-		f.act(GiveUp{id})
+		f.emit(GiveUp{id})
 	}
-	clear(f.left.out)
+	clear(f.lingering.out)
 }
--- a/internal/discovery/plan/move.go
+++ b/internal/discovery/plan/move.go
@@ -2,48 +2,51 @@
 
 import "time"
 
-// Move takes in another address of discovery, which is gone over to at once or behind others that follow soon. The list that is held stays,
-// and so does its version: what has changed since is asked for at the new address. The caller sees to it that a watch begins. told is when this process may have been told at the earliest.
-func (f *Follower) Move(address string, told, now time.Duration) {
-	f.Moved(told)
+// Move records another address of discovery. The Follower switches to it immediately, or after a delay if the move
+// follows another one closely. The held list and its version stay; changes since then are requested at the new
+// address. The caller has to make sure that a watch runs. notifiedAt is the earliest time at which this process may
+// have been notified.
+func (f *Follower) Move(address string, notifiedAt, now time.Duration) {
+	f.Moved(notifiedAt)
 	if f.series.add(address, now) {
-		f.goOver(now)
+		f.switchAddress(now)
 	}
 }
 
-// goOver goes over to the new address. A watch at the one before stays for a moment: discovery goes on with a process whose next call comes right
-// behind an answer, and has all that open another call beside their watch begin anew, one after the other.
-func (f *Follower) goOver(now time.Duration) {
-	f.address = f.series.goOver(now)
-	f.goesOn = false
-	if f.awaitsWatch() {
+// switchAddress switches to the new address. A watch at the old address stays open for a moment: discovery continues
+// the watch of a process whose next call follows an answer immediately, but makes all processes that open another
+// call beside their watch start anew, one after the other.
+func (f *Follower) switchAddress(now time.Duration) {
+	f.address = f.series.switchAddress(now)
+	f.justAnswered = false
+	if f.awaitWatch() {
 		return
 	}
-	waiting := f.question != nil || f.pause.untilMove || f.pause.untilLeft
-	f.leaveQuestion(now + leftTime)
-	f.act(CloseIdle{})
+	waiting := f.query != nil || f.pause.untilMove || f.pause.untilLingering
+	f.detachQuery(now + lingerTime)
+	f.emit(CloseIdle{})
 	if f.watching && waiting {
 		f.pause = pause{}
-		f.ask(now)
+		f.startQuery(now)
 	}
 }
 
-// awaitsWatch has the next call wait for the end of the watch that is open, and says whether there is one. It is not waited for where lists are
-// pushed: an agent answers at once, and what it has counts as told.
-func (f *Follower) awaitsWatch() bool {
+// awaitWatch makes the next call wait for the end of the watch that is open, and reports whether there is one. Where
+// lists are pushed it does not wait: an agent answers immediately, and what it has counts as notified.
+func (f *Follower) awaitWatch() bool {
 	if f.pushed {
 		return false
 	}
-	until := f.series.last.at + moveWait
-	if f.pause.untilLeft {
+	until := f.series.last.at + oldWatchWait
+	if f.pause.untilLingering {
 		f.pause.until = min(f.pause.until, until)
 		return true
 	}
-	q := f.question
-	if q == nil || !q.watches() {
+	q := f.query
+	if q == nil || !q.watchOpen() {
 		return false
 	}
 	q.moved = true
-	q.late = min(q.late, until)
+	q.nextCallAt = min(q.nextCallAt, until)
 	return true
 }
--- a/internal/discovery/plan/series.go
+++ b/internal/discovery/plan/series.go
@@ -3,51 +3,53 @@
 import "time"
 
 const (
-	// moveSettle is how long after a move to another address calls are repeated after movePause when they fail, and, until one is answered,
-	// are short: all that there is to tell counts as told 4 s after the move.
-	moveSettle = moveToldWithin
-	// moveStarved is for how long after a move a proxy that has had no answer at the new address goes on asking as after a move: who has
-	// waited longest does not wait for the balancer's back-off as well.
-	moveStarved = 8 * time.Second
-	// A move within seriesGap of the last one is of the same series. A client goes over to the first address of a series at once, and to
-	// the last one seriesQuiet after it, or seriesMost after it has last gone over: each call that is given up for the next one keeps its
-	// place in discovery's line, and a fleet that gives up one with each of four configurations fills that line for seconds.
-	seriesGap   = 2 * time.Second
-	seriesQuiet = time.Second
-	seriesMost  = 2 * time.Second
+	// moveSettleTime is how long after a move to another address calls that fail are repeated after moveRetryDelay,
+	// and calls do not hold and are overdue sooner until one is answered: all changes that exist count as notified 4 s
+	// after the move.
+	moveSettleTime = moveNotifiedWithin
+	// moveStarvedTime is how long after a move a proxy without an answer at the new address keeps polling as after a
+	// move: the proxies that have waited longest should not wait for the backoff of the balancer as well.
+	moveStarvedTime = 8 * time.Second
+	// A move within seriesGap of the previous one belongs to the same series. A client switches to the first address
+	// of a series immediately. It switches to the last one seriesDelay after the move or seriesDelayMax after its last
+	// switch, whichever is earlier: each call that is abandoned for the next one keeps its place in the queue of
+	// discovery, and a fleet that abandons one for each of four configurations fills that queue for seconds.
+	seriesGap      = 2 * time.Second
+	seriesDelay    = time.Second
+	seriesDelayMax = 2 * time.Second
 )
 
-// series is the way to another address of discovery.
-type series struct {
-	moves    int           // so far
-	last     moment        // the last move
-	address  string        // where to go over to
-	pending  bool          // it has not been gone over to yet
-	due      time.Duration // when it will be
-	wentOver time.Duration // when the client has last gone over
-	unheard  bool          // nothing was answered since then
+// moveSeries tracks the switch to another address of discovery.
+type moveSeries struct {
+	moves      int           // number of moves so far
+	last       optionalTime  // the last move
+	address    string        // the address to switch to
+	pending    bool          // the switch is still to be made
+	due        time.Duration // when to make it
+	switchedAt time.Duration // when the client last switched
+	unanswered bool          // no call has been answered since then
 }
 
-// add takes in a move, and says whether it is gone over to at once.
-func (s *series) add(address string, now time.Duration) (atOnce bool) {
-	follows := s.last.within(seriesGap, now)
-	s.address, s.last = address, moment{now, true}
+// add records a move and reports whether to switch to its address immediately.
+func (s *moveSeries) add(address string, now time.Duration) (atOnce bool) {
+	inSeries := s.last.within(seriesGap, now)
+	s.address, s.last = address, optionalTime{now, true}
 	s.moves++
-	if !follows {
+	if !inSeries {
 		return true
 	}
 	s.pending = true
-	s.due = min(now+seriesQuiet, max(now, s.wentOver+seriesMost))
+	s.due = min(now+seriesDelay, max(now, s.switchedAt+seriesDelayMax))
 	return false
 }
 
-// goOver returns the address that is gone over to now.
-func (s *series) goOver(now time.Duration) string {
-	s.pending, s.wentOver, s.unheard = false, now, true
+// switchAddress records the switch and returns the address to use from now on.
+func (s *moveSeries) switchAddress(now time.Duration) string {
+	s.pending, s.switchedAt, s.unanswered = false, now, true
 	return s.address
 }
 
-// settling says whether discovery has moved lately.
-func (s *series) settling(now time.Duration) bool {
-	return s.last.within(moveSettle, now) || s.unheard && s.last.within(moveStarved, now)
+// settling reports whether discovery has moved recently.
+func (s *moveSeries) settling(now time.Duration) bool {
+	return s.last.within(moveSettleTime, now) || s.unanswered && s.last.within(moveStarvedTime, now)
 }
--- a/internal/discovery/plan/silences.go
+++ b/internal/discovery/plan/silences.go
@@ -2,85 +2,89 @@
 
 import "time"
 
-// waitToldWithin behind the wait of a call that stays silent, what it should have told counts as told.
-const waitToldWithin = 2 * time.Second
+// waitNotifiedWithin is how long after the end of the hold time of an unanswered call the changes that it should have
+// reported count as notified.
+const waitNotifiedWithin = 2 * time.Second
 
-// silences knows when something that calls may have missed counts as told. Any call that is out may have fallen silent as it began.
-type silences struct {
-	out    map[CallID]openCall
-	missed missed
+// missTracker tracks when changes that calls may have missed count as notified. Any open call may have been
+// unresponsive from its start.
+type missTracker struct {
+	open   map[CallID]openCall
+	missed missedChanges
 }
 
-// openCall is a call that is out.
+// openCall is what missTracker knows of an open call.
 type openCall struct {
 	sent      time.Duration
 	hold      time.Duration
-	confirmed bool // a list of later than its sending is held
+	confirmed bool // the list is confirmed for a time no earlier than sent
 }
 
-// missed is what calls may have missed that are over.
-type missed struct {
-	any   bool
-	told  time.Duration // when the first of it counts, at the earliest
-	until time.Duration // when the last of these calls ended
+// missedChanges describes what calls that have ended may have missed.
+type missedChanges struct {
+	any      bool
+	noticeAt time.Duration // the earliest time at which a missed change may count as notified
+	lastEnd  time.Duration // when the last of these calls ended
 }
 
-func newSilences() silences { return silences{out: map[CallID]openCall{}} }
+func newMissTracker() missTracker { return missTracker{open: map[CallID]openCall{}} }
 
-// told is when what the call misses counts as told.
-func (c openCall) told() time.Duration {
+// noticeAt is when the changes that the call misses count as notified.
+func (c openCall) noticeAt() time.Duration {
 	if c.hold > 0 && !c.confirmed {
-		return c.sent + min(c.hold+waitToldWithin, ToldWithin)
+		return c.sent + min(c.hold+waitNotifiedWithin, ToldWithin)
 	}
 	return c.sent + ToldWithin
 }
 
-func (s *silences) began(c Call, now time.Duration) { s.out[c.ID] = openCall{sent: now, hold: c.Hold} }
+func (s *missTracker) callStarted(c Call, now time.Duration) {
+	s.open[c.ID] = openCall{sent: now, hold: c.Hold}
+}
 
-// ended takes in that a call is out no more. A list of asOf is held.
-func (s *silences) ended(id CallID, end CallEnd, now, asOf time.Duration) {
-	c, out := s.out[id]
-	delete(s.out, id)
+// callEnded records that a call is no longer open. asOf is the time for which the held list is confirmed.
+func (s *missTracker) callEnded(id CallID, end CallEnd, now, asOf time.Duration) {
+	c, out := s.open[id]
+	delete(s.open, id)
 	if !out || end == Answered {
 		return
 	}
-	if end.failsInSight() {
+	if end.observedFailure() {
 		if c.sent >= asOf {
-			return // what discovery has counts by its own time before that
+			return // the time limit that counts from asOf ends no later
 		}
 		c.hold = 0
 	}
-	told := c.told()
+	noticeAt := c.noticeAt()
 	if end == Superseded {
-		told = min(told, asOf) // an answer to it may be on its way
+		noticeAt = min(noticeAt, asOf) // an answer to it may be in transit
 	}
-	if !s.missed.any || told < s.missed.told {
-		s.missed.told = told
+	if !s.missed.any || noticeAt < s.missed.noticeAt {
+		s.missed.noticeAt = noticeAt
 	}
-	s.missed.any, s.missed.until = true, now
+	s.missed.any, s.missed.lastEnd = true, now
 }
 
-// confirmed takes in that a list of a time is held.
-func (s *silences) confirmed(asOf time.Duration) {
-	if s.missed.until <= asOf {
-		s.missed = missed{}
+// confirmed records that the held list is confirmed for a time.
+func (s *missTracker) confirmed(asOf time.Duration) {
+	if s.missed.lastEnd <= asOf {
+		s.missed = missedChanges{}
 	}
-	for id, c := range s.out {
+	for id, c := range s.open {
 		if c.sent <= asOf {
 			c.confirmed = true
-			s.out[id] = c
+			s.open[id] = c
 		}
 	}
 }
 
-// told is when something that a call has missed counts as told.
-func (s *silences) told() time.Duration {
-	told := never - leaseSlack
+// noticeAt is when a change that a call may have missed counts as notified.
+func (s *missTracker) noticeAt() time.Duration {
+	noticeAt := never - leaseSlack
 	if s.missed.any {
-		told = s.missed.told
+		noticeAt = s.missed.noticeAt
 	}
-	for _, c := range s.out {
-		told = min(told, c.told())
+	for _, c := range s.open {
+		noticeAt = min(noticeAt, c.noticeAt())
 	}
-	return told
+	return noticeAt
 }
--- a/internal/discovery/plan/walk_test.go
+++ b/internal/discovery/plan/walk_test.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// walk is a follower that meets events in any order, and what it has to hold behind each of them.
+// walk drives a follower through random events and checks its invariants after each of them.
 type walk struct {
 	*testing.T
-	dice   *rand.Rand
+	rng    *rand.Rand
 	f      *Follower
 	now    time.Duration
-	out    map[CallID]sentCall // calls that were made, and that have not ended
+	out    map[CallID]sentCall // calls that were made and have not ended
 	pushed bool
 }
 
-// TestNoOrderOfEventsStopsAFollower plays drawn events: a follower that watches always has a call out, or waits for a time that comes; it opens no
-// second watch beside one that is in time; and its books of the calls that are out agree.
-func TestNoOrderOfEventsStopsAFollower(t *testing.T) {
+// TestNoOrderOfEventsStopsFollower runs random events. A watching follower always has a call open or waits for a time
+// that comes, it opens no second watch beside one that is not overdue, and its records of the open calls agree.
+func TestNoOrderOfEventsStopsFollower(t *testing.T) {
 	const walks, steps = 1000, 200
 	for seed := range uint64(walks) {
-		w := &walk{T: t, dice: rand.New(rand.NewPCG(seed, 0x3a1f)), out: map[CallID]sentCall{}, pushed: seed%4 == 0}
-		w.f = NewFollower(0, "a", defaults(), w.dice.Float64)
+		w := &walk{T: t, rng: rand.New(rand.NewPCG(seed, 0x3a1f)), out: map[CallID]sentCall{}, pushed: seed%4 == 0}
+		w.f = NewFollower(0, "a", defaultSettings(), w.rng.Float64)
 		if w.pushed {
 			w.f.SetPushed(0)
 		}
-		w.f.SetVersion(int64(w.dice.IntN(3) - 1))
+		w.f.SetVersion(int64(w.rng.IntN(3) - 1))
 		w.f.Watch(0)
 		for range steps {
-			w.carryOut()
+			w.runActions()
 			w.check()
 			if t.Failed() {
 				t.Fatalf("seed %d, at %v", seed, w.now)
@@ -41,140 +41,140 @@
 	}
 }
 
-// carryOut does what the follower has decided.
-func (w *walk) carryOut() {
+// runActions does what the follower has decided.
+func (w *walk) runActions() {
 	for _, action := range w.f.Actions() {
 		switch a := action.(type) {
 		case MakeCall:
-			w.made(a.Call)
+			w.noteCall(a.Call)
 		case GiveUp:
 			if _, out := w.out[a.ID]; !out {
-				w.Errorf("call %d is given up, and is not out", a.ID)
+				w.Errorf("call %d is canceled, and is not open", a.ID)
 			}
 			delete(w.out, a.ID)
 		}
 	}
 }
 
-// made takes in a call.
-func (w *walk) made(c Call) {
+// noteCall records a call.
+func (w *walk) noteCall(c Call) {
 	for _, other := range w.out {
-		if c.Hold > 0 && other.Hold > 0 && other.at+other.Hold+defaults().Slack > w.now && !w.pushed {
+		if c.Hold > 0 && other.Hold > 0 && other.sentAt+other.Hold+defaultSettings().Slack > w.now && !w.pushed {
 			w.Errorf("watch %+v is opened beside %+v", c, other)
 		}
 	}
-	w.out[c.ID] = sentCall{Call: c, at: w.now}
+	w.out[c.ID] = sentCall{Call: c, sentAt: w.now}
 }
 
 // check checks the follower between two events.
 func (w *walk) check() {
 	f := w.f
-	known := maps.Clone(f.left.out)
-	if f.question != nil {
-		maps.Copy(known, f.question.out)
-		if len(f.question.out) == 0 {
-			w.Error("a question that no call asks")
+	known := maps.Clone(f.lingering.out)
+	if f.query != nil {
+		maps.Copy(known, f.query.out)
+		if len(f.query.out) == 0 {
+			w.Error("a query without an open call")
 		}
 	}
 	if a, b := slices.Sorted(maps.Keys(known)), slices.Sorted(maps.Keys(w.out)); !slices.Equal(a, b) {
-		w.Errorf("calls %v are out, and the follower knows of %v", b, a)
+		w.Errorf("calls %v are open, and the follower knows of %v", b, a)
 	}
-	if f.asking.out != len(w.out) || len(f.silences.out) != len(w.out) {
-		w.Errorf("%d calls are out; asking knows %d, silences %d", len(w.out), f.asking.out, len(f.silences.out))
+	if f.gap.open != len(w.out) || len(f.misses.open) != len(w.out) {
+		w.Errorf("%d calls are open; gap counts %d, misses %d", len(w.out), f.gap.open, len(f.misses.open))
 	}
 	at, ok := f.Next()
 	switch {
-	case f.watching && f.question == nil && !f.pause.on, f.watching && !ok:
+	case f.watching && f.query == nil && !f.pause.on, f.watching && !ok:
 		w.Error("the follower watches, and waits for nothing")
-	case f.question != nil && f.pause.on:
-		w.Error("a question in a pause")
+	case f.query != nil && f.pause.on:
+		w.Error("a query during a pause")
 	case f.pause.untilMove && !f.series.pending:
-		w.Error("a pause for no move")
+		w.Error("a pause for a move that is not pending")
 	case at > w.now+10*time.Second && f.watching:
-		w.Errorf("the next time comes in %v", at-w.now)
+		w.Errorf("the next tick is due in %v", at-w.now)
 	}
 }
 
-// step plays one event.
+// step runs one event.
 func (w *walk) step() {
-	if at, ok := w.f.Next(); ok && w.dice.IntN(3) == 0 {
+	if at, ok := w.f.Next(); ok && w.rng.IntN(3) == 0 {
 		w.now = max(w.now, at)
-		w.timeGoesOn()
+		w.tick()
 		return
 	}
-	w.now += time.Duration(w.dice.ExpFloat64() * float64(200*time.Millisecond))
-	switch draw := w.dice.IntN(20); {
+	w.now += time.Duration(w.rng.ExpFloat64() * float64(200*time.Millisecond))
+	switch draw := w.rng.IntN(20); {
 	case draw < 8:
 		w.answer()
 	case draw < 12:
 		w.end()
 	case draw < 14:
-		w.part()
+		w.partOfAnswer()
 	case draw < 16:
-		w.f.Move(string(rune('a'+w.dice.IntN(3))), w.now-time.Duration(w.dice.IntN(2))*time.Millisecond, w.now)
+		w.f.Move(string(rune('a'+w.rng.IntN(3))), w.now-time.Duration(w.rng.IntN(2))*time.Millisecond, w.now)
 		w.f.Watch(w.now)
-	case draw == 16 && w.dice.IntN(10) == 0:
+	case draw == 16 && w.rng.IntN(10) == 0:
 		w.f.Stop()
 		clear(w.out)
 	case draw == 17:
 		w.f.Watch(w.now)
-	case draw == 18 && w.dice.IntN(5) == 0:
-		w.f.SetSettings(Settings{Hold: time.Duration(1+w.dice.IntN(2500)) * time.Millisecond, Slack: defaults().Slack, AskEvery: time.Second})
+	case draw == 18 && w.rng.IntN(5) == 0:
+		w.f.SetSettings(Settings{Hold: time.Duration(1+w.rng.IntN(2500)) * time.Millisecond, Slack: defaultSettings().Slack, AskEvery: time.Second})
 	default:
-		w.timeGoesOn()
+		w.tick()
 	}
 }
 
-// timeGoesOn has the follower do what is due, after which nothing is.
-func (w *walk) timeGoesOn() {
+// tick makes the follower do what is due, and checks that nothing is due afterwards.
+func (w *walk) tick() {
 	w.f.Time(w.now)
 	if at, ok := w.f.Next(); ok && at <= w.now {
-		w.Errorf("behind its time %v the follower's next is %v", w.now, at)
+		w.Errorf("after the tick at %v the next tick of the follower is at %v", w.now, at)
 	}
 }
 
-// any is a call that is out.
-func (w *walk) any() (id CallID, out bool) {
+// anyCall returns a random open call.
+func (w *walk) anyCall() (id CallID, out bool) {
 	ids := slices.Sorted(maps.Keys(w.out))
 	if len(ids) == 0 {
 		return 0, false
 	}
-	return ids[w.dice.IntN(len(ids))], true
+	return ids[w.rng.IntN(len(ids))], true
 }
 
-// answer answers a call; discovery may move while the answer is taken in.
+// answer answers a call; discovery may move while the answer is applied.
 func (w *walk) answer() {
-	id, out := w.any()
+	id, out := w.anyCall()
 	if !out {
 		return
 	}
 	c := w.out[id]
 	delete(w.out, id)
-	version := max(c.From, 0) + int64(w.dice.IntN(4)) - int64(w.dice.IntN(8)/7*5)
-	if _, ok := w.f.Received(id, max(version, 0), c.From < 0 || w.dice.IntN(4) == 0, w.now); !ok {
-		w.Errorf("the answer to call %d, which is out, is not taken", id)
+	version := max(c.From, 0) + int64(w.rng.IntN(4)) - int64(w.rng.IntN(8)/7*5)
+	if _, ok := w.f.Received(id, max(version, 0), c.From < 0 || w.rng.IntN(4) == 0, w.now); !ok {
+		w.Errorf("the answer to call %d, which is open, is not accepted", id)
 		return
 	}
-	if w.dice.IntN(4) == 0 {
-		w.f.Move(string(rune('a'+w.dice.IntN(3))), w.now, w.now)
+	if w.rng.IntN(4) == 0 {
+		w.f.Move(string(rune('a'+w.rng.IntN(3))), w.now, w.now)
 	}
 	w.f.Taken(w.now)
 }
 
 // end ends a call without an answer.
 func (w *walk) end() {
-	id, out := w.any()
+	id, out := w.anyCall()
 	if !out {
 		return
 	}
 	delete(w.out, id)
 	ends := []CallEnd{TurnedAway, CutOff, NoAnswer, Unreachable, TimedOut, NoMeans}
-	w.f.Ended(id, ends[w.dice.IntN(len(ends))], w.now)
+	w.f.Ended(id, ends[w.rng.IntN(len(ends))], w.now)
 }
 
-// part has a part of an answer come.
-func (w *walk) part() {
-	if id, out := w.any(); out {
+// partOfAnswer delivers a part of an answer.
+func (w *walk) partOfAnswer() {
+	if id, out := w.anyCall(); out {
 		w.f.Progress(id, w.now)
 		w.f.AnswerBegun(id, w.now, w.now)
 	}
--- a/internal/discovery/standing.go
+++ b/internal/discovery/standing.go
@@ -5,27 +5,28 @@
 	"brasswell/internal/figures"
 )
 
-// Fresh says whether requests may be sent by the list that is held. It is asked for each request, and more than once.
+// Fresh reports whether requests may be sent according to the held list. It is called for each request, and more than
+// once.
 func (d *Client) Fresh() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	standing := d.plan.Standing(now)
-	if standing != d.stood {
-		d.logStanding(standing, now)
-		d.stood = standing
+	status := d.plan.Standing(now)
+	if status != d.lastStatus {
+		d.logStatus(status, now)
+		d.lastStatus = status
 	}
-	return standing != plan.Stale
+	return status != plan.Stale
 }
 
-// Ready says whether the process should be given requests.
+// Ready reports whether the process should receive requests.
 func (d *Client) Ready() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.plan.Ready(d.now())
 }
 
-// failedCalls counts the calls without a whole answer, by their ends; mu is held.
+// failedCalls returns the number of calls without a complete answer by outcome; mu is held.
 func (d *Client) failedCalls() map[plan.CallEnd]int64 {
 	failed := map[plan.CallEnd]int64{}
 	for end, n := range d.calls {
@@ -36,21 +37,21 @@
 	return failed
 }
 
-// AppendFigures writes the age of the list, whether it may be acted on, and the calls that have ended by how they did.
+// AppendFigures appends the age of the list, whether it is stale, and the number of ended calls by outcome.
 func (d *Client) AppendFigures(text []byte) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	standing := d.plan.Standing(now)
+	status := d.plan.Standing(now)
 	text = figures.AppendLine(text, "list_age_ms", d.plan.Age(now).Milliseconds(), 'g')
-	text = figures.AppendLine(text, "list_stale", oneIf(standing == plan.Stale), 'g')
+	text = figures.AppendLine(text, "list_stale", boolToInt(status == plan.Stale), 'g')
 	for _, end := range plan.CallEnds() {
 		text = figures.AppendLine(text, "list_calls."+string(end), d.calls[end], 'c')
 	}
 	return text
 }
 
-func oneIf(yes bool) int64 {
+func boolToInt(yes bool) int64 {
 	if yes {
 		return 1
 	}
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -22,71 +22,71 @@
 	"brasswell/internal/discovery/plan"
 )
 
-// TestNewsFitsBehindTwoSilentCalls computes the bound from the options, for a watch and for a whole list.
-func TestNewsFitsBehindTwoSilentCalls(t *testing.T) {
+// TestThirdCallFitsWithinNotification computes the bound from the options, for a watch and for a whole list.
+func TestThirdCallFitsWithinNotification(t *testing.T) {
 	o := DefaultOptions()
-	watch := o.lastCall()
-	whole := plan.CallWait // for the second: a proxy with no list cannot be held to one, and must be ready within 10 s
-	t.Logf("the third call begins within %v of a watch, the second within %v of a call for the whole list", watch, whole)
-	if watch+answerRoom > toldWithin || 2*whole+answerRoom > 10*time.Second {
-		t.Errorf("%v and %v must leave %v of %v", watch, whole, answerRoom, toldWithin)
+	watch := o.thirdCallDeadline()
+	whole := plan.CallWait // for the second call: a proxy without a list cannot be notified of changes, and must be ready within 10 s
+	t.Logf("the third call begins within %v of a watch, the second one within %v of a call for the whole list", watch, whole)
+	if watch+answerReserve > notifiedWithin || 2*whole+answerReserve > 10*time.Second {
+		t.Errorf("%v and %v must leave %v of %v", watch, whole, answerReserve, notifiedWithin)
 	}
 	for _, hold := range []time.Duration{50 * time.Millisecond, 2500 * time.Millisecond, 3350 * time.Millisecond, 3400 * time.Millisecond, time.Minute} {
 		o := Options{Hold: hold, Slack: 50 * time.Millisecond}
 		s := o.Section()
-		if fits, refused := o.lastCall()+answerRoom <= toldWithin, len(s.Check()) > 0; fits == refused {
+		if fits, refused := o.thirdCallDeadline()+answerReserve <= notifiedWithin, len(s.Check()) > 0; fits == refused {
 			t.Errorf("hold %v: fits %t, refused %t", hold, fits, refused)
 		}
 	}
 }
 
-// fault is what becomes of a call.
+// fault is what happens to a call.
 type fault string
 
 const (
-	well     fault = "well"     // answered
-	unborn   fault = "unborn"   // its connection never comes up
-	rejected fault = "rejected" // its connection is refused
-	silent   fault = "silent"   // taken, and never a word
-	resetAt  fault = "reset"    // taken, and ended with no answer
-	cut      fault = "cut"      // answered by half
-	turned   fault = "refused"  // 503
-	stalled  fault = "stalled"  // answered by half, and never a word more
+	faultNone        fault = "well"     // answered
+	faultDialTimeout fault = "unborn"   // its connection is never established
+	faultDialRefused fault = "rejected" // its connection is refused
+	faultSilent      fault = "silent"   // accepted, with no response
+	faultReset       fault = "reset"    // accepted, and closed with no response
+	faultCutOff      fault = "cut"      // half an answer, then the connection is closed
+	faultTurnedAway  fault = "refused"  // 503
+	faultStalled     fault = "stalled"  // half an answer, then nothing
 )
 
-// service is discovery on pipes, so that a test may set its clock: what becomes of a call is said when it is dialled and
-// when it asks.
+// service is a discovery on pipes, so that a test can control its clock. The fault of a call is determined when it is
+// dialed and again when its request arrives.
 type service struct {
-	pipes  pipes
-	mu     sync.Mutex
-	fate   func(call int) fault // by how many were made before
-	calls  int
-	asked  []time.Duration      // when each request came whole
-	turn   func(news bool) bool // waits until a call is worked on, and says no if that takes too long; nil for at once
-	change chan struct{}        // closed when the change is there
-	start  time.Time
-	over   chan struct{} // closed at the end
+	pipes        pipes
+	mu           sync.Mutex
+	faultOf      func(call int) fault // the fault of a call, by the number of calls before it
+	calls        int
+	requestTimes []time.Duration        // when each request was received completely
+	waitTurn     func(update bool) bool // waits until a call is processed and returns false if that takes too long; nil for no wait
+	change       chan struct{}          // closed when the change exists
+	start        time.Time
+	done         chan struct{} // closed at the end of the test
 }
 
 func newService() *service {
-	return &service{change: make(chan struct{}), over: make(chan struct{}), start: time.Now()}
+	return &service{change: make(chan struct{}), done: make(chan struct{}), start: time.Now()}
 }
 
-// made is when each call asked, and how many were made.
-func (s *service) made() ([]time.Duration, int) {
+// requests returns when each request was received, and the number of calls.
+func (s *service) requests() ([]time.Duration, int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.asked), s.calls
+	return slices.Clone(s.requestTimes), s.calls
 }
 
-// close ends all connections, and waits for who served them.
+// close closes all connections and waits for the goroutines that served them.
 func (s *service) close() {
 	s.pipes.disconnect()
-	close(s.over)
-	s.pipes.serves.Wait()
+	close(s.done)
+	s.pipes.serving.Wait()
 }
 
-// A dial fails as one of package net's does.
+// These are the errors of failed dials in package net.
 var (
 	errRefusedDial = &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 	errSilentDial  = &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
@@ -94,16 +94,16 @@
 
 func (s *service) dial(ctx context.Context, _, _ string) (net.Conn, error) {
 	s.mu.Lock()
-	f := s.fate(s.calls)
-	if f == unborn || f == rejected {
+	f := s.faultOf(s.calls)
+	if f == faultDialTimeout || f == faultDialRefused {
 		s.calls++
 	}
 	s.mu.Unlock()
 	switch f {
-	case rejected:
+	case faultDialRefused:
 		return nil, errRefusedDial
-	case unborn:
-		ctx, cancel := context.WithTimeout(ctx, time.Second) // the dialer's own
+	case faultDialTimeout:
+		ctx, cancel := context.WithTimeout(ctx, time.Second) // the timeout of the dialer
 		defer cancel()
 		<-ctx.Done()
 		return nil, errSilentDial
@@ -120,17 +120,17 @@
 			return
 		}
 		s.mu.Lock()
-		f := s.fate(s.calls)
+		f := s.faultOf(s.calls)
 		s.calls++
-		s.asked = append(s.asked, time.Since(s.start))
+		s.requestTimes = append(s.requestTimes, time.Since(s.start))
 		s.mu.Unlock()
 		switch f {
-		case silent, unborn, rejected: // it was dialled when all was well
+		case faultSilent, faultDialTimeout, faultDialRefused: // it was dialed before the fault began
 			io.Copy(io.Discard, c) // until the caller gives up
 			return
-		case resetAt:
+		case faultReset:
 			return
-		case turned:
+		case faultTurnedAway:
 			io.WriteString(c, serviceUnavailable)
 			continue
 		}
@@ -154,58 +154,58 @@
 			text = `{"seq":2,"whole":false,"hosts":[]}`
 			s.hold(held, nil)
 		}
-		if s.turn != nil && !s.turn(strings.Contains(text, "dial")) {
+		if s.waitTurn != nil && !s.waitTurn(strings.Contains(text, "dial")) {
 			io.WriteString(c, serviceUnavailable)
 			continue
 		}
 		answer := answerOf(text)
-		if f == cut || f == stalled {
+		if f == faultCutOff || f == faultStalled {
 			answer = answer[:len(answer)-10]
 		}
-		if _, err := io.WriteString(c, answer); err != nil || f == cut {
+		if _, err := io.WriteString(c, answer); err != nil || f == faultCutOff {
 			return
 		}
-		if f == stalled {
+		if f == faultStalled {
 			io.Copy(io.Discard, c) // until the caller gives up
 			return
 		}
 	}
 }
 
-// hold waits for news.
-func (s *service) hold(at time.Duration, news <-chan struct{}) {
-	over := time.NewTimer(at)
+// hold waits for an update.
+func (s *service) hold(limit time.Duration, update <-chan struct{}) {
+	over := time.NewTimer(limit)
 	defer over.Stop()
 	select {
-	case <-news:
+	case <-update:
 	case <-over.C:
-	case <-s.over:
+	case <-s.done:
 	}
 }
 
-// follower is a balancer that follows a service as a proxy's does.
-type follower struct {
+// proxyStub is a balancer that follows a service as the balancer of a proxy does.
+type proxyStub struct {
 	mu       sync.Mutex
 	balancer *balance.Balancer
-	stopped  bool // no timer rings any more
+	stopped  bool // timers no longer have an effect
 	watch    func()
-	told     chan struct{} // closed once the drain is known
+	notified chan struct{} // closed once the balancer knows of the drain
 	once     sync.Once
 }
 
-func (f *follower) stop() {
+func (f *proxyStub) stop() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.stopped = true
 }
 
-func (f *follower) Send(string, string, time.Duration) {}
-func (f *follower) Refuse(string, time.Duration)       {}
-func (f *follower) Fail(string)                        {}
-func (f *follower) Cancel(string, int)                 {}
-func (f *follower) Log(string)                         {}
-func (f *follower) Watch()                             { f.watch() }
-func (f *follower) SetTimer(d time.Duration, token uint64) {
+func (f *proxyStub) Send(string, string, time.Duration) {}
+func (f *proxyStub) Refuse(string, time.Duration)       {}
+func (f *proxyStub) Fail(string)                        {}
+func (f *proxyStub) Cancel(string, int)                 {}
+func (f *proxyStub) Log(string)                         {}
+func (f *proxyStub) Watch()                             { f.watch() }
+func (f *proxyStub) SetTimer(d time.Duration, token uint64) {
 	time.AfterFunc(d, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
@@ -216,27 +216,28 @@
 	})
 }
 
-// followAt plays one proxy against a service of which calls meet a fault until back, and once more after it; the change
-// is there from changed on. It returns how long after both the proxy has been told.
-func followAt(t *testing.T, askEvery, changed, back time.Duration, draws uint64, during, after fault) (late time.Duration, calls int) {
+// runProxy runs one proxy against a service whose calls meet the fault during until recoveredAt, and one call the
+// fault after once afterwards. The change exists from changed on. It returns how long after both times the proxy was
+// notified.
+func runProxy(t *testing.T, askEvery, changed, recoveredAt time.Duration, draws uint64, during, after fault) (late time.Duration, calls int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := newService()
 		defer s.close()
-		meets := -1 // the call that meets the fault after
-		s.fate = func(call int) fault {
+		afterCall := -1 // the number of the call that meets the fault after; -1 before it
+		s.faultOf = func(call int) fault {
 			switch now := time.Since(s.start); {
 			case now < 500*time.Millisecond:
-				return well
-			case now < back:
+				return faultNone
+			case now < recoveredAt:
 				return during
-			case meets < 0 || meets == call:
-				meets = call
+			case afterCall < 0 || afterCall == call:
+				afterCall = call
 				return after
 			}
-			return well
+			return faultNone
 		}
-		f := &follower{told: make(chan struct{})}
+		f := &proxyStub{notified: make(chan struct{})}
 		ctx, cancel := context.WithCancel(t.Context())
 		var watches sync.WaitGroup
 		d := New("discovery:1", []string{"kita"}, DefaultOptions(), slog.New(slog.DiscardHandler),
@@ -247,7 +248,7 @@
 				if f.balancer.MaySend("a") || len(entries) == 0 {
 					return
 				}
-				f.once.Do(func() { close(f.told) })
+				f.once.Do(func() { close(f.notified) })
 			})
 		d.client.Transport.(*http.Transport).DialContext = s.dial
 		seed(d, draws)
@@ -268,78 +269,79 @@
 		time.Sleep(changed)
 		close(s.change)
 		select {
-		case <-f.told:
+		case <-f.notified:
 		case <-time.After(time.Minute):
-			asked, _ := s.made()
-			t.Errorf("never told; calls at %v", asked)
+			asked, _ := s.requests()
+			t.Errorf("never notified; calls at %v", asked)
 		}
-		late = time.Since(s.start) - max(changed, back)
+		late = time.Since(s.start) - max(changed, recoveredAt)
 		f.stop()
 		cancel()
 		watches.Wait()
 		d.CloseIdle()
-		_, calls = s.made()
+		_, calls = s.requests()
 	})
 	return late, calls
 }
 
-// TestToldInTimeWhateverACallMet: discovery is out of reach in each of the ways it can be, for times that let the back-off
-// grow, and the first call that it takes again meets a fault of its own. The drain is known toldWithin after discovery had
-// it and could be reached, whatever the settings allow between two calls.
-func TestToldInTimeWhateverACallMet(t *testing.T) {
-	outages := []fault{unborn, rejected, silent, resetAt, cut, turned}
-	faults := append([]fault{well}, outages...)
+// TestProxyIsNotifiedInTimeAfterOutages: discovery is unreachable in each possible way, for times that let the
+// backoff grow, and the first call that it accepts again meets another fault. The drain is known within
+// notifiedWithin after discovery had it and was reachable, whatever interval between two calls the settings allow.
+func TestProxyIsNotifiedInTimeAfterOutages(t *testing.T) {
+	outages := []fault{faultDialTimeout, faultDialRefused, faultSilent, faultReset, faultCutOff, faultTurnedAway}
+	faults := append([]fault{faultNone}, outages...)
 	for _, askEvery := range []time.Duration{5 * time.Second, 10 * time.Second, time.Minute} {
 		t.Run(fmt.Sprint(askEvery), func(t *testing.T) {
 			t.Parallel()
-			worst, plays := map[string]time.Duration{}, 0
+			worst, runs := map[string]time.Duration{}, 0
 			for _, during := range outages {
 				for _, after := range faults {
 					for step := range 24 {
-						back := 2*time.Second + time.Duration(step)*537*time.Millisecond
+						recoveredAt := 2*time.Second + time.Duration(step)*537*time.Millisecond
 						changed := 1500 * time.Millisecond
 						if step%2 == 1 {
-							changed = back + time.Duration(step)*130*time.Millisecond
+							changed = recoveredAt + time.Duration(step)*130*time.Millisecond
 						}
-						late, _ := followAt(t, askEvery, changed, back, uint64(step), during, after)
+						late, _ := runProxy(t, askEvery, changed, recoveredAt, uint64(step), during, after)
 						name := string(during) + ", then " + string(after)
 						worst[name] = max(worst[name], late)
-						plays++
+						runs++
 					}
 				}
 			}
 			for name, late := range worst {
-				if late > toldWithin {
-					t.Errorf("%s: told %v after discovery had it and could be reached", name, late)
+				if late > notifiedWithin {
+					t.Errorf("%s: notified %v after discovery had the change and was reachable", name, late)
 				}
 			}
 			var most time.Duration
 			for _, late := range worst {
 				most = max(most, late)
 			}
-			t.Logf("%d plays, told within %v at worst: %v", plays, most, worst)
+			t.Logf("%d runs, notified within %v at worst: %v", runs, most, worst)
 		})
 	}
 }
 
-// TestOverdueCallStaysOut: the first call hangs, the second, made beside it, hangs too, and the third is answered. Each is
-// made while the one before is still open, the oldest of three is given up, and one answer is taken in.
-func TestOverdueCallStaysOut(t *testing.T) {
+// TestOverdueCallStaysOpen: the first call hangs, the second one, which is made beside it, hangs too, and the third
+// one is answered. Each is made while the previous one is still open, the oldest of the three is given up, and one
+// answer is applied.
+func TestOverdueCallStaysOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newService()
 		defer s.close()
-		s.fate = func(call int) fault {
+		s.faultOf = func(call int) fault {
 			if call < 2 {
-				return silent
+				return faultSilent
 			}
-			return well
+			return faultNone
 		}
 		close(s.change)
 		ctx, cancel := context.WithCancel(t.Context())
-		var told []balance.ListKind
+		var kinds []balance.ListKind
 		d := New("discovery:1", []string{"kita"}, DefaultOptions(), slog.New(slog.DiscardHandler),
 			func(kind balance.ListKind, _ []balance.Entry, _ map[string]string) {
-				if told = append(told, kind); kind != balance.ListFailed {
+				if kinds = append(kinds, kind); kind != balance.ListFailed {
 					cancel()
 				}
 			})
@@ -348,23 +350,23 @@
 		d.Watch(ctx)
 		d.CloseIdle()
 		o := DefaultOptions()
-		want := []time.Duration{0, o.Hold + o.Slack, o.lastCall()}
-		if asked, _ := s.made(); !slices.Equal(asked, want) {
+		want := []time.Duration{0, o.Hold + o.Slack, o.thirdCallDeadline()}
+		if asked, _ := s.requests(); !slices.Equal(asked, want) {
 			t.Errorf("calls at %v, want %v", asked, want)
 		}
-		if want := []balance.ListKind{balance.ListFailed, balance.Delta}; !slices.Equal(told, want) || d.Seq() != 2 {
-			t.Errorf("told %v, version %d, want %v: the call that was given up, and the answer", told, d.Seq(), want)
+		if want := []balance.ListKind{balance.ListFailed, balance.Delta}; !slices.Equal(kinds, want) || d.Seq() != 2 {
+			t.Errorf("reported %v, version %d, want %v: the call that was given up, and the answer", kinds, d.Seq(), want)
 		}
 	})
 }
 
-// TestSilenceIsTold: discovery takes calls and says nothing for a minute. There are two calls out at most, and for each that is given
-// up the balancer is told that it failed.
-func TestSilenceIsTold(t *testing.T) {
+// TestSilenceIsReportedAsFailure: discovery accepts calls and does not respond for a minute. At most two calls are
+// open, and each one that is given up is reported to the balancer as failed.
+func TestSilenceIsReportedAsFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newService()
 		defer s.close()
-		s.fate = func(int) fault { return silent }
+		s.faultOf = func(int) fault { return faultSilent }
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		failed := 0
@@ -379,88 +381,88 @@
 		d.Watch(ctx)
 		d.CloseIdle()
 		o := DefaultOptions()
-		want := 1 + int((time.Minute-o.Hold-o.Slack)/plan.Overlap) // beside the first
-		if _, calls := s.made(); calls != want+1 || failed != want-1 {
+		want := 1 + int((time.Minute-o.Hold-o.Slack)/plan.Overlap) // in addition to the first
+		if _, calls := s.requests(); calls != want+1 || failed != want-1 {
 			t.Errorf("%d calls, %d failed; want %d, and all but two", calls, failed, want+1)
 		}
 	})
 }
 
-// TestALateAnswerStillCounts: the watch that was overdue is answered while the call beside it is out: discovery works calls off
-// in turn, and the place in the line was kept.
+// TestALateAnswerStillCounts: an overdue watch is answered while the call beside it is open. Discovery processes
+// calls in order, and the watch has kept its place in the queue.
 func TestALateAnswerStillCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newService()
 		defer s.close()
-		s.fate = func(call int) fault {
+		s.faultOf = func(call int) fault {
 			if call == 2 {
-				return silent
+				return faultSilent
 			}
-			return well
+			return faultNone
 		}
-		time.AfterFunc(3400*time.Millisecond, func() { close(s.change) }) // behind the first call's hold, which the service exceeds
+		time.AfterFunc(3400*time.Millisecond, func() { close(s.change) }) // after the hold time of the watch, which the service exceeds
 		ctx, cancel := context.WithCancel(t.Context())
-		told := 0
+		updates := 0
 		d := New("discovery:1", []string{"kita"}, DefaultOptions(), slog.New(slog.DiscardHandler),
 			func(balance.ListKind, []balance.Entry, map[string]string) {
-				if told++; told == 2 { // the first call is answered at once
+				if updates++; updates == 2 { // the first call is answered immediately
 					cancel()
 				}
 			})
 		d.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
 			c, err := s.dial(ctx, network, address)
-			return longHold{c}, err
+			return longHoldConn{c}, err
 		}
 		d.Resume(1)
 		d.Watch(ctx)
 		d.CloseIdle()
-		if _, calls := s.made(); told != 2 || d.Seq() != 2 || calls != 3 {
-			t.Errorf("told %d times, version %d, %d calls; want the watch's answer while the call beside it is out", told, d.Seq(), calls)
+		if _, calls := s.requests(); updates != 2 || d.Seq() != 2 || calls != 3 {
+			t.Errorf("%d updates, version %d, %d calls; want the answer to the watch while the call beside it is open", updates, d.Seq(), calls)
 		}
 	})
 }
 
-// longHold makes the service hold calls for longer than they ask for.
-type longHold struct{ net.Conn }
+// longHoldConn makes the service hold calls for longer than they request.
+type longHoldConn struct{ net.Conn }
 
-func (l longHold) Write(b []byte) (int, error) {
+func (l longHoldConn) Write(b []byte) (int, error) {
 	_, err := l.Conn.Write([]byte(strings.Replace(string(b), "hold_ms=2500", "hold_ms=3450", 1)))
 	return len(b), err
 }
 
-// herd is many proxies that follow one service, which works calls off in turn, so many lines a second.
-type herd struct {
+// proxyFleet is many proxies that follow one service, which processes a limited number of list lines a second.
+type proxyFleet struct {
 	*service
-	told    []time.Duration // when each knew, by the start of the play
-	all     chan struct{}   // closed once all do
-	clients []*Client
-	lines   map[int]int // sent, by second
-	stop    func()
+	notified    []time.Duration // when each proxy was notified, from the start of the run
+	allNotified chan struct{}   // closed once all are notified
+	clients     []*Client
+	lines       map[int]int // lines sent in each second
+	stop        func()
 }
 
 const (
-	linesASecond = 200
-	linePatience = 3 * time.Second // a call that has waited so long is turned away
+	linesPerSecond = 200
+	queueTimeout   = 3 * time.Second // a call that has waited longer is turned away
 )
 
-// newHerd begins so many that know a list, or none; each answer has so many lines. knows says when a list is the one
-// that counts.
-func newHerd(t *testing.T, proxies, lines int, known bool, fate func(now time.Duration) fault, knows func(*balance.Balancer) bool) *herd {
+// newProxyFleet starts a number of proxies, with a known list or none; each answer with a change has so many lines.
+// knows reports whether a balancer has the list that counts.
+func newProxyFleet(t *testing.T, proxies, lines int, known bool, fate func(now time.Duration) fault, knows func(*balance.Balancer) bool) *proxyFleet {
 	t.Helper()
-	h := &herd{service: newService(), all: make(chan struct{}), lines: map[int]int{}}
-	h.fate = func(int) fault { return fate(time.Since(h.start)) }
+	h := &proxyFleet{service: newService(), allNotified: make(chan struct{}), lines: map[int]int{}}
+	h.faultOf = func(int) fault { return fate(time.Since(h.start)) }
 	queue := make(chan struct{}, 1)
-	h.turn = func(news bool) bool {
+	h.waitTurn = func(update bool) bool {
 		lines := lines
-		if !news {
+		if !update {
 			lines = 1
 		}
 		select {
 		case queue <- struct{}{}:
-		case <-time.After(linePatience):
+		case <-time.After(queueTimeout):
 			return false
 		}
-		time.Sleep(time.Duration(lines) * time.Second / linesASecond)
+		time.Sleep(time.Duration(lines) * time.Second / linesPerSecond)
 		h.mu.Lock()
 		h.lines[int(time.Since(h.start)/time.Second)] += lines
 		h.mu.Unlock()
@@ -469,7 +471,7 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var watches sync.WaitGroup
-	var followers []*follower
+	var followers []*proxyStub
 	h.stop = func() {
 		for _, f := range followers {
 			f.stop()
@@ -482,7 +484,7 @@
 		h.close()
 	}
 	for n := range proxies {
-		f, done := &follower{}, false
+		f, done := &proxyStub{}, false
 		followers = append(followers, f)
 		d := New("discovery:1", []string{"kita"}, DefaultOptions(), slog.New(slog.DiscardHandler),
 			func(kind balance.ListKind, entries []balance.Entry, _ map[string]string) {
@@ -495,8 +497,8 @@
 				done = true
 				h.mu.Lock()
 				defer h.mu.Unlock()
-				if h.told = append(h.told, time.Since(h.start)); len(h.told) == proxies {
-					close(h.all)
+				if h.notified = append(h.notified, time.Since(h.start)); len(h.notified) == proxies {
+					close(h.allNotified)
 				}
 			})
 		d.client.Transport.(*http.Transport).DialContext = h.dial
@@ -521,64 +523,65 @@
 	return h
 }
 
-// wait returns when the proxies knew, in order, by the start of the play, and the most lines in a second.
-func (h *herd) wait() (told []time.Duration, most int) {
+// wait returns when the proxies were notified, in order, from the start of the run, and the most lines in a second.
+func (h *proxyFleet) wait() (notified []time.Duration, maxLines int) {
 	select {
-	case <-h.all:
+	case <-h.allNotified:
 	case <-time.After(time.Minute):
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, n := range h.lines {
-		most = max(most, n)
+		maxLines = max(maxLines, n)
 	}
-	return slices.Clone(h.told), most
+	return slices.Clone(h.notified), maxLines
 }
 
-// TestThreeHundredComeBack: discovery was down for 8 s and then has a drain to tell to 300 proxies. It serves as many lines a
-// second as it takes to tell all in 1.5 s. All know of it in time, and in asking for it they make few calls more than there
-// are proxies: the pauses are short, and still no herd.
-func TestThreeHundredComeBack(t *testing.T) {
-	const proxies, back = 300, 10 * time.Second
+// TestThreeHundredProxiesAfterOutage: discovery was down for 8 s and then has a drain to report to 300 proxies. It
+// serves as many lines a second as it needs to notify all of them in 1.5 s. All are notified in time, and the number
+// of calls is little more than two for each proxy: the delays are short and still spread the load.
+func TestThreeHundredProxiesAfterOutage(t *testing.T) {
+	const proxies, recoveredAt = 300, 10 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		h := newHerd(t, proxies, 1, true, func(now time.Duration) fault {
-			if now > 2*time.Second && now < back {
-				return rejected
+		h := newProxyFleet(t, proxies, 1, true, func(now time.Duration) fault {
+			if now > 2*time.Second && now < recoveredAt {
+				return faultDialRefused
 			}
-			return well
+			return faultNone
 		}, func(b *balance.Balancer) bool { return !b.MaySend("a") })
 		defer h.stop()
-		time.Sleep(back - time.Millisecond)
+		time.Sleep(recoveredAt - time.Millisecond)
 		close(h.change)
-		before, _ := h.made()
-		told, most := h.wait()
-		asked, _ := h.made()
+		before, _ := h.requests()
+		notified, maxLines := h.wait()
+		asked, _ := h.requests()
 		calls := len(asked) - len(before)
-		if len(told) < proxies || told[proxies-1]-back > toldWithin || most > linesASecond {
-			t.Fatalf("%d of %d told, the last after %v; %d lines in a second", len(told), proxies, told[len(told)-1]-back, most)
+		if len(notified) < proxies || notified[proxies-1]-recoveredAt > notifiedWithin || maxLines > linesPerSecond {
+			t.Fatalf("%d of %d notified, the last after %v; %d lines in a second", len(notified), proxies, notified[len(notified)-1]-recoveredAt, maxLines)
 		}
-		t.Logf("all %d told within %v by %d calls, at most %d lines in a second", proxies, told[proxies-1]-back, calls, most)
-		if calls > proxies*9/4 { // one that tells, and one that waits for more
-			t.Errorf("%d calls by %d proxies to be told and to wait on", calls, proxies)
+		t.Logf("all %d notified within %v by %d calls, at most %d lines in a second", proxies, notified[proxies-1]-recoveredAt, calls, maxLines)
+		if calls > proxies*9/4 { // one that is answered with the drain, and one that waits for more
+			t.Errorf("%d calls by %d proxies to be notified and to continue their watches", calls, proxies)
 		}
 	})
 }
 
-// TestManyStartAtOnce: 30 proxies that know no list start in the same moment, and 300; discovery takes 3 s, 6 s and 7.5 s to
-// answer each of them once, and turns away who has waited for 3 s. Nine in ten have a list within 10 s, and all within 30 s.
-func TestManyStartAtOnce(t *testing.T) {
+// TestManyProxiesStartAtOnce: 30 proxies without a list start at the same moment, and 300 do. Discovery takes 3 s, 6
+// s and 7.5 s to answer each of them once, and turns away calls that have waited for 3 s. Nine in ten have a list
+// within 10 s, and all within 30 s.
+func TestManyProxiesStartAtOnce(t *testing.T) {
 	for _, c := range []struct{ proxies, lines int }{{30, 20}, {30, 40}, {300, 5}} {
 		synctest.Test(t, func(t *testing.T) {
-			h := newHerd(t, c.proxies, c.lines, false, func(time.Duration) fault { return well },
+			h := newProxyFleet(t, c.proxies, c.lines, false, func(time.Duration) fault { return faultNone },
 				func(b *balance.Balancer) bool { return b.MaySend("a") })
 			defer h.stop()
-			told, most := h.wait()
-			_, calls := h.made()
-			if len(told) < c.proxies || told[c.proxies*9/10] > 10*time.Second || told[c.proxies-1] > 30*time.Second {
-				t.Fatalf("%+v: %d have a list: %v", c, len(told), told)
+			notified, maxLines := h.wait()
+			_, calls := h.requests()
+			if len(notified) < c.proxies || notified[c.proxies*9/10] > 10*time.Second || notified[c.proxies-1] > 30*time.Second {
+				t.Fatalf("%+v: %d have a list: %v", c, len(notified), notified)
 			}
 			t.Logf("%+v: nine in ten have a list within %v, all within %v; %d calls, at most %d lines in a second",
-				c, told[c.proxies*9/10], told[c.proxies-1], calls, most)
+				c, notified[c.proxies*9/10], notified[c.proxies-1], calls, maxLines)
 		})
 	}
 }
--- a/internal/discovery/trace.go
+++ b/internal/discovery/trace.go
@@ -12,11 +12,11 @@
 	"brasswell/internal/discovery/plan"
 )
 
-// TraceCall is the line that tells of each call that has ended: at level debug if it was answered, and at level info if not. `brasswell
-// count` reads it.
+// TraceCall is the message of the log line for each call that has ended, at level debug if it was answered or
+// superseded, and otherwise at level info. `brasswell count` reads it.
 const TraceCall = "call"
 
-// endOf says how a call ended. cause is why its context was cancelled, if it was.
+// endOf returns how a call ended. cause is why its context was canceled, if it was.
 func endOf(err, cause error) plan.CallEnd {
 	var dial *net.OpError
 	var timeout net.Error
@@ -40,8 +40,8 @@
 	return plan.NoAnswer
 }
 
-// logCall writes the line of a call that has ended.
-func (d *Client) logCall(ctx context.Context, end plan.CallEnd, url string, begun time.Time, err error) {
+// logCall logs a call that has ended.
+func (d *Client) logCall(ctx context.Context, end plan.CallEnd, url string, started time.Time, err error) {
 	level := slog.LevelInfo
 	if end == plan.Answered || end == plan.Superseded {
 		level = slog.LevelDebug
@@ -49,26 +49,27 @@
 	if !d.log.Enabled(ctx, level) {
 		return
 	}
-	d.log.Log(ctx, level, TraceCall, "took_ms", time.Since(begun).Milliseconds(), "seq", d.Seq(), "error", err,
+	d.log.Log(ctx, level, TraceCall, "took_ms", time.Since(started).Milliseconds(), "seq", d.Seq(), "error", err,
 		"end", string(end), "age_ms", d.Age().Milliseconds(), "url", url)
 }
 
-// logStanding writes the line of a change in how far the list can be relied on, with the calls that have failed since the start; mu is held.
-func (d *Client) logStanding(standing plan.Standing, now time.Duration) {
-	fields := []any{"before", d.stood, "now", standing, "age_ms", d.plan.Age(now).Milliseconds(), "seq", d.plan.Version(), "failed_calls", d.failedCalls()}
-	switch standing {
+// logStatus logs a change of the status of the list, with the number of calls that have failed since the start; mu is
+// held.
+func (d *Client) logStatus(status plan.Standing, now time.Duration) {
+	fields := []any{"before", d.lastStatus, "now", status, "age_ms", d.plan.Age(now).Milliseconds(), "seq", d.plan.Version(), "failed_calls", d.failedCalls()}
+	switch status {
 	case plan.Stale:
-		d.log.Warn("the server list may be out of date: discovery gives no whole answer; nothing is sent until it does", fields...)
+		d.log.Warn("the server list may be out of date: discovery gives no complete answer; nothing is sent until it does", fields...)
 	case plan.Confirmed:
 		d.log.Info("the server list is confirmed", fields...)
 	}
 }
 
-// mostNamed bounds the ids in one line on news of the list.
-const mostNamed = 8
+// maxLoggedIDs bounds the IDs in one log line on an update of the list.
+const maxLoggedIDs = 8
 
-// logNews writes which servers a list tells to drain, to be gone or to be in service.
-func (d *Client) logNews(kind balance.ListKind, before, seq int64, entries []balance.Entry) {
+// logListUpdate logs which servers are draining, gone or in service according to a list.
+func (d *Client) logListUpdate(kind balance.ListKind, before, seq int64, entries []balance.Entry) {
 	if kind == balance.Delta && len(entries) == 0 || !d.log.Enabled(context.Background(), slog.LevelInfo) {
 		return
 	}
@@ -83,7 +84,7 @@
 			if e.State != group.state {
 				continue
 			}
-			if count++; count <= mostNamed && (kind == balance.Delta || group.state != balance.InService) {
+			if count++; count <= maxLoggedIDs && (kind == balance.Delta || group.state != balance.InService) {
 				named = append(named, e.ID)
 			}
 		}
