--- a/internal/discovery/unread.go
+++ b/internal/discovery/unread.go
@@ -15,31 +15,31 @@
 	"brasswell/internal/discovery/plan"
 )
 
-// unreadEvery is the pause between two looks at what is unread.
-const unreadEvery = time.Millisecond
+// unreadPollInterval is the pause between two checks for unread data.
+const unreadPollInterval = time.Millisecond
 
-// openConns are the connections to discovery that are open.
+// openConns is the set of open connections to discovery.
 type openConns struct {
 	mu   sync.Mutex
 	open map[*openConn]struct{}
 }
 
-// openConn is a connection to discovery. Its reads go through the kernel's calls under mu, so that what has come is always seen either there or
-// here.
+// openConn is a connection to discovery. It reads with system calls under mu, so that received data is always visible
+// either in the kernel or in receivedAt.
 type openConn struct {
 	net.Conn
-	raw syscall.RawConn
-	of  *openConns
+	raw  syscall.RawConn
+	pool *openConns
 
-	mu      sync.Mutex
-	came    time.Time // when bytes came last that no call has taken in; zero for none
-	waiting bool      // a reader waits for more
-	whole   bool      // a call has read all that it waits for
+	mu             sync.Mutex
+	receivedAt     time.Time // when the last bytes arrived that no call has applied; zero for none
+	readerWaiting  bool      // a reader waits for more data
+	answerComplete bool      // a call has read its complete answer
 }
 
 // dial opens a connection to discovery.
 func (s *openConns) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: connectTime}
+	dialer := net.Dialer{Timeout: connectTimeout}
 	c, err := dialer.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
@@ -53,18 +53,18 @@
 		c.Close()
 		return nil, err
 	}
-	o := &openConn{Conn: c, raw: raw, of: s}
+	o := &openConn{Conn: c, raw: raw, pool: s}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open[o] = struct{}{}
 	return o, nil
 }
 
-// Read reads what has come.
+// Read reads what has arrived.
 func (c *openConn) Read(p []byte) (n int, err error) {
 	var failed error
 	if err := c.raw.Read(func(fd uintptr) (done bool) {
-		n, failed = c.readNow(int(fd), p)
+		n, failed = c.readAvailable(int(fd), p)
 		return !errors.Is(failed, unix.EAGAIN)
 	}); err != nil {
 		return 0, err
@@ -78,8 +78,8 @@
 	return n, nil
 }
 
-// readNow reads what the kernel holds.
-func (c *openConn) readNow(fd int, p []byte) (n int, err error) {
+// readAvailable reads what the kernel holds.
+func (c *openConn) readAvailable(fd int, p []byte) (n int, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for {
@@ -87,63 +87,63 @@
 			break
 		}
 	}
-	c.waiting = errors.Is(err, unix.EAGAIN)
+	c.readerWaiting = errors.Is(err, unix.EAGAIN)
 	if err == nil && n > 0 {
-		c.came = time.Now()
+		c.receivedAt = time.Now()
 	}
 	return max(n, 0), err
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *openConn) Close() error {
-	c.of.mu.Lock()
-	delete(c.of.open, c)
-	c.of.mu.Unlock()
+	c.pool.mu.Lock()
+	delete(c.pool.open, c)
+	c.pool.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// complete says that a call has read all that it waits for. c may be nil.
-func (c *openConn) complete() {
+// markComplete records that a call has read its complete answer. c may be nil.
+func (c *openConn) markComplete() {
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.whole = true
+	c.answerComplete = true
 }
 
-// taken says that what was read has been taken in, or says nothing of the list. c may be nil.
-func (c *openConn) taken() {
+// markApplied records that the data read was applied, or contains nothing about the list. c may be nil.
+func (c *openConn) markApplied() {
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.came, c.whole = time.Time{}, false
+	c.receivedAt, c.answerComplete = time.Time{}, false
 }
 
-// unread says whether something has come that is not taken in. The rest of an answer of which a part has come is waited for no longer than
-// PartTime.
+// unread reports whether data has arrived that is not applied. If only a part of an answer has arrived, the rest is
+// waited for no longer than PartialAnswerWait.
 func (c *openConn) unread(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.came.IsZero() && (c.whole || !c.waiting || now.Sub(c.came) < plan.PartTime) {
+	if !c.receivedAt.IsZero() && (c.answerComplete || !c.readerWaiting || now.Sub(c.receivedAt) < plan.PartTime) {
 		return true
 	}
 	return c.readable()
 }
 
-// readable says whether the kernel holds something that nobody has read.
-func (c *openConn) readable() (yes bool) {
+// readable reports whether the kernel holds unread data.
+func (c *openConn) readable() (ok bool) {
 	c.raw.Control(func(fd uintptr) {
 		fds := [1]unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 		n, err := unix.Poll(fds[:], 0)
-		yes = err == nil && n == 1
+		ok = err == nil && n == 1
 	})
-	return yes
+	return ok
 }
 
-// unread says whether something has come on any connection that is not taken in.
+// unread reports whether data has arrived on any connection that is not applied.
 func (s *openConns) unread() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,17 +156,18 @@
 	return false
 }
 
-// CatchUp waits until all that discovery has written to this process is taken in, or ctx is done. What is written counts as told, and a
-// process that was stopped, or not run for a while, finds requests and news at the same moment.
+// CatchUp waits until everything that discovery has written to this process is applied, or ctx is done. An update
+// counts as notified once it is written, and a process that was stopped or stalled receives requests and updates at
+// the same moment.
 func (d *Client) CatchUp(ctx context.Context) {
 	for d.conns.unread() {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(unreadEvery):
+		case <-time.After(unreadPollInterval):
 		}
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.ran = d.now()
+	d.lastRan = d.now()
 }
--- a/internal/discovery/unread_test.go
+++ b/internal/discovery/unread_test.go
@@ -32,8 +32,9 @@
 	return c.(*openConn), other
 }
 
-// TestWhatHasComeIsUnreadUntilItIsTakenIn: in the kernel, in this process's buffers, and no longer than an answer's rest is waited for.
-func TestWhatHasComeIsUnreadUntilItIsTakenIn(t *testing.T) {
+// TestReceivedBytesAreUnreadUntilApplied: this holds in the kernel and in the buffers of the process, but no longer
+// than the rest of an answer is waited for.
+func TestReceivedBytesAreUnreadUntilApplied(t *testing.T) {
 	s := &openConns{open: map[*openConn]struct{}{}}
 	conn, other := connected(t, s)
 	expect := func(when string, want bool) {
@@ -43,35 +44,36 @@
 		}
 	}
 	expect("with nothing written", false)
-	if _, err := io.WriteString(other, "news"); err != nil {
+	if _, err := io.WriteString(other, "update"); err != nil {
 		t.Fatal(err)
 	}
-	for !s.unread() { // until it has come
+	for !s.unread() { // until it has arrived
 	}
-	if _, err := io.ReadFull(conn, make([]byte, len("news"))); err != nil {
+	if _, err := io.ReadFull(conn, make([]byte, len("update"))); err != nil {
 		t.Fatal(err)
 	}
 	expect("once it was read", true)
-	conn.taken()
-	expect("once it was taken in", false)
-	conn.came, conn.waiting = time.Now().Add(-plan.PartTime), true
-	expect("while the rest does not come", false)
-	conn.complete()
-	expect("once it has come whole", true)
-	conn.taken()
-	expect("once that was taken in", false)
+	conn.markApplied()
+	expect("once it was applied", false)
+	conn.receivedAt, conn.readerWaiting = time.Now().Add(-plan.PartTime), true
+	expect("while the rest does not arrive", false)
+	conn.markComplete()
+	expect("once it has arrived completely", true)
+	conn.markApplied()
+	expect("once that was applied", false)
 	conn.Close()
 	if n := len(s.open); n > 0 {
-		t.Errorf("%d connections are kept behind their end", n)
+		t.Errorf("%d connections are kept after they were closed", n)
 	}
 }
 
-// TestNewsThatHaveComeAreCaughtUpWith guards against sends by the list before them: while they are being taken in, CatchUp waits.
-func TestNewsThatHaveComeAreCaughtUpWith(t *testing.T) {
-	news := make(chan string)
+// TestCatchUpWaitsForReceivedUpdate guards against requests that are sent according to the list before an update:
+// CatchUp waits while the update is being applied.
+func TestCatchUpWaitsForReceivedUpdate(t *testing.T) {
+	updates := make(chan string)
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case text := <-news:
+		case text := <-updates:
 			io.WriteString(w, text)
 		case <-r.Context().Done():
 		}
@@ -82,26 +84,26 @@
 	}
 	go server.Serve(l)
 	defer server.Close()
-	taking, goOn := make(chan struct{}), make(chan struct{})
+	applying, proceed := make(chan struct{}), make(chan struct{})
 	d := New(l.Addr().String(), []string{"kita"}, DefaultOptions(), slog.New(slog.DiscardHandler),
-		func(balance.ListKind, []balance.Entry, map[string]string) { close(taking); <-goOn })
+		func(balance.ListKind, []balance.Entry, map[string]string) { close(applying); <-proceed })
 	d.Resume(1)
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { d.Watch(ctx); close(ended) }()
 	defer func() { cancel(); <-ended; d.CloseIdle() }()
-	news <- list(2, false, host("a", "127.0.0.1:1", "draining"))
-	<-taking
+	updates <- list(2, false, host("a", "127.0.0.1:1", "draining"))
+	<-applying
 	caught := make(chan struct{})
 	go func() { d.CatchUp(t.Context()); close(caught) }()
 	select {
 	case <-caught:
-		t.Error("caught up with news that are not taken in")
+		t.Error("CatchUp returned while an update was not applied")
 	case <-time.After(2 * plan.PartTime):
 	}
-	close(goOn)
+	close(proceed)
 	<-caught
 	if !d.Fresh() {
-		t.Error("the list is not confirmed behind the news")
+		t.Error("the list is not confirmed after the update")
 	}
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -9,7 +9,7 @@
 	"brasswell/internal/discovery/plan"
 )
 
-// result is how one call ended.
+// result is the outcome of one call.
 type result struct {
 	answer
 	id  plan.CallID
@@ -17,84 +17,85 @@
 	err error
 }
 
-// watch carries the plan's actions out while a Watch runs.
+// watch runs the actions of the plan for one call of Watch.
 type watch struct {
 	*Client
 	ctx     context.Context
 	calls   map[plan.CallID]context.CancelCauseFunc
 	running sync.WaitGroup
 	results chan result
-	over    chan struct{} // closed when no result is waited for any more
-	last    error         // of the call that failed last
+	done    chan struct{} // closed when results are no longer received
+	lastErr error         // of the call that failed last
 	ended   bool
 }
 
-// Watch follows the changes until asking for them fails for good, as package plan decides. It returns at once where one runs already.
+// Watch follows the list until the plan ends the watch because calls fail, or ctx is done. It returns immediately if
+// another Watch runs.
 func (d *Client) Watch(ctx context.Context) {
 	d.mu.Lock()
-	begun := d.plan.Watch(d.now())
+	started := d.plan.Watch(d.now())
 	d.mu.Unlock()
-	if !begun {
+	if !started {
 		return
 	}
-	w := &watch{Client: d, ctx: ctx, calls: map[plan.CallID]context.CancelCauseFunc{}, results: make(chan result), over: make(chan struct{})}
+	w := &watch{Client: d, ctx: ctx, calls: map[plan.CallID]context.CancelCauseFunc{}, results: make(chan result), done: make(chan struct{})}
 	w.run()
-	close(w.over)
+	close(w.done)
 	for _, end := range w.calls {
 		end(context.Canceled)
 	}
 	w.running.Wait()
 }
 
-// run goes on until the plan ends the watch, or ctx is done.
+// run runs until the plan ends the watch, or ctx is done.
 func (w *watch) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		w.carryOut()
+		w.runActions()
 		if w.ended {
 			return
 		}
-		timer.Reset(w.untilNext())
+		timer.Reset(w.untilNextTick())
 		select {
 		case <-w.ctx.Done():
 			w.mu.Lock()
 			w.plan.Stop()
 			w.mu.Unlock()
 			return
-		case <-w.kick:
+		case <-w.planChanged:
 		case <-timer.C:
 			w.mu.Lock()
 			w.plan.Time(w.now())
 			w.mu.Unlock()
 		case r := <-w.results:
-			w.take(r)
+			w.handleResult(r)
 		}
 	}
 }
 
-// idleWait is for a plan that waits for nothing: an event will wake the watch.
-const idleWait = time.Hour
+// maxIdleWait is the timer interval if the plan has no next tick: an event will notify the watch.
+const maxIdleWait = time.Hour
 
-// untilNext is how long the plan waits for its time.
-func (w *watch) untilNext() time.Duration {
+// untilNextTick returns how long to wait until the next tick of the plan.
+func (w *watch) untilNextTick() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.ran = w.now()
+	w.lastRan = w.now()
 	at, ok := w.plan.Next()
 	if !ok {
-		return idleWait
+		return maxIdleWait
 	}
 	return max(at-w.now(), 0)
 }
 
-// take takes in how a call ended.
-func (w *watch) take(r result) {
-	defer r.conn.taken()
+// handleResult reports to the plan how a call ended.
+func (w *watch) handleResult(r result) {
+	defer r.conn.markApplied()
 	delete(w.calls, r.id)
 	if r.list == nil {
 		w.mu.Lock()
-		w.last = r.err
+		w.lastErr = r.err
 		w.plan.Ended(r.id, r.end, w.now())
 		w.mu.Unlock()
 		return
@@ -107,37 +108,37 @@
 		return
 	}
 	if use {
-		w.pass(r.list, r.list.kind(), before)
+		w.deliver(r.list, r.list.kind(), before)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.plan.Taken(w.now())
 }
 
-// carryOut carries out what the plan has decided.
-func (w *watch) carryOut() {
+// runActions runs the actions that the plan has decided on.
+func (w *watch) runActions() {
 	w.mu.Lock()
 	actions := w.plan.Actions()
 	w.mu.Unlock()
 	for _, action := range actions {
 		switch a := action.(type) {
 		case plan.MakeCall:
-			w.begin(a.Call)
+			w.startCall(a.Call)
 		case plan.GiveUp:
-			w.giveUp(a.ID)
+			w.cancelCall(a.ID)
 		case plan.CloseIdle:
 			w.client.CloseIdleConnections()
 		case plan.ReportFailure:
 			w.update(balance.ListFailed, nil, nil)
 		case plan.EndWatch:
-			w.log.Warn("watch on the server list broke", "error", w.last)
+			w.log.Warn("watch on the server list failed", "error", w.lastErr)
 			w.ended = true
 		}
 	}
 }
 
-// begin makes a call.
-func (w *watch) begin(c plan.Call) {
+// startCall makes a call.
+func (w *watch) startCall(c plan.Call) {
 	if c.Beside {
 		w.log.Info("a call for the server list is overdue; another is made beside it")
 	}
@@ -150,15 +151,15 @@
 		a, end, err := w.call(timed, c)
 		select {
 		case w.results <- result{answer: a, id: c.ID, end: end, err: err}:
-		case <-ctx.Done(): // given up
-			a.conn.taken()
-		case <-w.over:
-			a.conn.taken()
+		case <-ctx.Done(): // canceled by the plan
+			a.conn.markApplied()
+		case <-w.done:
+			a.conn.markApplied()
 		}
 	})
 }
 
-func (w *watch) giveUp(id plan.CallID) {
+func (w *watch) cancelCall(id plan.CallID) {
 	if end := w.calls[id]; end != nil {
 		delete(w.calls, id)
 		end(context.Canceled)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -15,19 +15,19 @@
 	"brasswell/balance"
 )
 
-// whole and half are answers to one call: a list, and one whose connection ends within it. refused is discovery's word
-// that it has no room.
+// wholeAnswer and halfAnswer are answers to one call: a list, and one whose connection ends within it. refused is the
+// response of a discovery without capacity.
 var (
-	text    = list(7, true, host("a", "127.0.0.1:1", "up"))
-	whole   = answerOf(text)
-	half    = whole[:len(whole)-20]
-	noHead  = "HTTP/1"
-	noList  = answerOf("{\"s")
-	none    = ""
-	refused = serviceUnavailable
+	wholeList   = list(7, true, host("a", "127.0.0.1:1", "up"))
+	wholeAnswer = answerOf(wholeList)
+	halfAnswer  = wholeAnswer[:len(wholeAnswer)-20]
+	cutHead     = "HTTP/1"
+	cutList     = answerOf("{\"s")
+	noAnswer    = ""
+	refused     = serviceUnavailable
 )
 
-// scripted answers one call after another as told, each on a connection of its own, and then takes no more.
+// scripted serves one answer after another, each on its own connection, and then accepts no more.
 func scripted(t *testing.T, answers ...string) (address string, calls func() int) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -56,52 +56,53 @@
 	return l.Addr().String(), func() int { mu.Lock(); defer mu.Unlock(); return taken }
 }
 
-// TestCutOffAnswersAreAskedForAgain: what an answer that breaks off should have told counts as told, so it is asked for
-// again at once, and once; a refusal or a break with no answer begun is for the balancer's back-off.
-func TestCutOffAnswersAreAskedForAgain(t *testing.T) {
+// TestCutOffAnswerIsRequestedAgain: the changes in an answer that is cut off count as notified, so it is requested
+// again immediately, and once. A refusal, or a connection that ends before an answer, is left to the backoff of the
+// balancer.
+func TestCutOffAnswerIsRequestedAgain(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	for _, c := range []struct {
 		name    string
 		answers []string
 		calls   int
-		told    []balance.ListKind
+		want    []balance.ListKind
 	}{
-		{"within the body", []string{half, whole, refused}, 3, []balance.ListKind{balance.Full, balance.ListFailed}},
-		{"within the head", []string{noHead, whole, refused}, 3, []balance.ListKind{balance.Full, balance.ListFailed}},
-		{"within the list", []string{noList, whole, refused}, 3, []balance.ListKind{balance.Full, balance.ListFailed}},
-		{"twice", []string{half, half, whole}, 2, []balance.ListKind{balance.ListFailed}},
-		{"again later", []string{half, whole, half, whole, refused}, 5, []balance.ListKind{balance.Full, balance.Full, balance.ListFailed}},
-		{"refused", []string{refused, whole}, 1, []balance.ListKind{balance.ListFailed}},
-		{"no answer begun", []string{none, whole}, 1, []balance.ListKind{balance.ListFailed}},
+		{"within the body", []string{halfAnswer, wholeAnswer, refused}, 3, []balance.ListKind{balance.Full, balance.ListFailed}},
+		{"within the head", []string{cutHead, wholeAnswer, refused}, 3, []balance.ListKind{balance.Full, balance.ListFailed}},
+		{"within the list", []string{cutList, wholeAnswer, refused}, 3, []balance.ListKind{balance.Full, balance.ListFailed}},
+		{"twice", []string{halfAnswer, halfAnswer, wholeAnswer}, 2, []balance.ListKind{balance.ListFailed}},
+		{"again later", []string{halfAnswer, wholeAnswer, halfAnswer, wholeAnswer, refused}, 5, []balance.ListKind{balance.Full, balance.Full, balance.ListFailed}},
+		{"refused", []string{refused, wholeAnswer}, 1, []balance.ListKind{balance.ListFailed}},
+		{"no answer", []string{noAnswer, wholeAnswer}, 1, []balance.ListKind{balance.ListFailed}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			address, calls := scripted(t, c.answers...)
-			var told []balance.ListKind
+			var got []balance.ListKind
 			d := New(address, []string{"kita"}, DefaultOptions(), slog.New(slog.DiscardHandler),
-				func(kind balance.ListKind, _ []balance.Entry, _ map[string]string) { told = append(told, kind) })
-			d.client.Transport.(*http.Transport).DisableKeepAlives = true // each answer its own connection
+				func(kind balance.ListKind, _ []balance.Entry, _ map[string]string) { got = append(got, kind) })
+			d.client.Transport.(*http.Transport).DisableKeepAlives = true // a connection for each answer
 			d.Watch(context.Background())
 			d.CloseIdle()
-			if !slices.Equal(told, c.told) || calls() != c.calls {
-				t.Errorf("told %v in %d calls, want %v in %d", told, calls(), c.told, c.calls)
+			if !slices.Equal(got, c.want) || calls() != c.calls {
+				t.Errorf("reported %v in %d calls, want %v in %d", got, calls(), c.want, c.calls)
 			}
 		})
 	}
 }
 
-// TestQuietWatchIsTold: an answer without news shows the balancer that discovery answers.
-func TestQuietWatchIsTold(t *testing.T) {
+// TestAnswerWithoutChangesIsReported: an answer without changes shows the balancer that discovery answers.
+func TestAnswerWithoutChangesIsReported(t *testing.T) {
 	answer := answerOf(list(7, false))
 	address, _ := scripted(t, answer, refused)
-	var told []string
+	var got []string
 	d := New(address, nil, DefaultOptions(), slog.New(slog.DiscardHandler),
 		func(kind balance.ListKind, entries []balance.Entry, _ map[string]string) {
-			told = append(told, fmt.Sprint(kind, len(entries)))
+			got = append(got, fmt.Sprint(kind, len(entries)))
 		})
 	d.client.Transport.(*http.Transport).DisableKeepAlives = true
 	d.Resume(7)
 	d.Watch(context.Background())
-	if want := []string{"delta 0", "failed 0"}; !slices.Equal(told, want) {
-		t.Errorf("told %q, want %q", told, want)
+	if want := []string{"delta 0", "failed 0"}; !slices.Equal(got, want) {
+		t.Errorf("reported %q, want %q", got, want)
 	}
 }
