--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -19,7 +19,7 @@
 
 // UpdateFunc receives a list, or the report that a call has failed, with the addresses to dial in addition to the
 // entries.
-type Update func(kind balance.ListKind, entries []balance.Entry, addresses map[string]string)
+type UpdateFunc func(kind balance.ListKind, entries []balance.Entry, addresses map[string]string)
 
 // Client follows the server list.
 type Client struct {
@@ -27,7 +27,7 @@
 	client      *http.Client
 	conns       *openConns
 	log         *slog.Logger
-	update      Update
+	update      UpdateFunc
 	started     time.Time
 	planChanged chan struct{} // holds one value if the plan has changed and the watch has to look at it
 
@@ -36,12 +36,12 @@
 	askEvery   time.Duration
 	plan       *plan.Follower
 	calls      map[plan.CallEnd]int64 // number of ended calls by outcome
-	lastStatus plan.Standing          // the status that Fresh found last
+	lastStatus plan.Status            // the status that Fresh found last
 	lastRan    time.Duration          // when this process was last seen to run
 }
 
 // New returns a Client that makes no call yet. update is called from one goroutine at a time.
-func New(address string, zones []string, o Options, log *slog.Logger, update Update) *Client {
+func New(address string, zones []string, o Options, log *slog.Logger, update UpdateFunc) *Client {
 	conns := &openConns{open: map[*openConn]struct{}{}}
 	d := &Client{
 		zones: map[string]int{}, client: newHTTPClient(conns), conns: conns, log: log, update: update, started: time.Now(), planChanged: make(chan struct{}, 1),
@@ -118,7 +118,7 @@
 }
 
 // LoadCached applies the list that the process starts with.
-func (d *Client) Known(c *Catalog) {
+func (d *Client) LoadCached(c *Catalog) {
 	before := d.Seq()
 	d.Resume(c.Seq)
 	d.deliver(c, balance.Cached, before)
@@ -176,7 +176,7 @@
 func (d *Client) noteProgress(id plan.CallID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.plan.Progress(id, d.now())
+	d.plan.AnswerProgress(id, d.now())
 	d.notifyWatch()
 }
 
--- a/internal/discovery/freshness_test.go
+++ b/internal/discovery/freshness_test.go
@@ -52,11 +52,11 @@
 // of discovery count as notified, and again once it has answered.
 func TestListThatCannotBeConfirmedBecomesStale(t *testing.T) {
 	const recoveredAt = 10 * time.Second
-	const slack = plan.LeaseTime - notifiedWithin
+	const slack = plan.LeaseDuration - notifiedWithin
 	hold := DefaultOptions().Hold
 	silentFor := hold + 2*time.Second + slack // a watch that was answered once stays open
 	ends := map[fault]time.Duration{
-		faultTurnedAway: plan.LeaseTime, faultReset: plan.LeaseTime, faultSilent: silentFor, faultDialTimeout: silentFor, faultDialRefused: silentFor,
+		faultTurnedAway: plan.LeaseDuration, faultReset: plan.LeaseDuration, faultSilent: silentFor, faultDialTimeout: silentFor, faultDialRefused: silentFor,
 		faultCutOff: hold, // the changes in the first part of an answer count as notified
 	}
 	for f, end := range ends {
@@ -118,7 +118,7 @@
 // TestAgentThatDoesNotAnswerMakesListStale: what an agent on this machine has counts as notified immediately, also if
 // it refuses calls. Its silence is treated like a watch without a response.
 func TestAgentThatDoesNotAnswerMakesListStale(t *testing.T) {
-	const slack = plan.LeaseTime - notifiedWithin
+	const slack = plan.LeaseDuration - notifiedWithin
 	hold := DefaultOptions().Hold
 	for f, end := range map[fault]time.Duration{faultTurnedAway: 0, faultCutOff: hold, faultSilent: hold + 2*time.Second + slack} {
 		t.Run(string(f), func(t *testing.T) {
--- a/internal/discovery/line_test.go
+++ b/internal/discovery/line_test.go
@@ -156,7 +156,7 @@
 			d.Move("discovery:2")
 			d.Watch(ctx)
 			d.CloseIdle()
-			if notifiedAt < notifiedWithin || notifiedAt > notifiedWithin+plan.TurnedAwayMost {
+			if notifiedAt < notifiedWithin || notifiedAt > notifiedWithin+plan.TurnedAwayDelayMax {
 				t.Errorf("notified after %v; discovery was reachable after %v", notifiedAt, notifiedWithin)
 			}
 			_, calls := s.requests()
--- a/internal/discovery/options.go
+++ b/internal/discovery/options.go
@@ -20,14 +20,14 @@
 }
 
 const (
-	notifiedWithin = plan.ToldWithin
+	notifiedWithin = plan.NotifiedWithin
 	// answerReserve is the part of notifiedWithin that is left for the answer of the call that gets one.
 	answerReserve = 900 * time.Millisecond
 )
 
 // thirdCallDeadline is how long after the start of a watch the third call of its query begins at the latest: the
 // first two may get no response, and changes since then are still delivered in time.
-func (o *Options) thirdCallDeadline() time.Duration { return o.Hold + o.Slack + plan.Overlap }
+func (o *Options) thirdCallDeadline() time.Duration { return o.Hold + o.Slack + plan.HedgeDelay }
 
 func (o *Options) settings() plan.Settings { return plan.Settings{Hold: o.Hold, Slack: o.Slack} }
 
@@ -50,7 +50,7 @@
 				"How long after that a call counts as silent and is made again.").OnReload(),
 		},
 		Check: func() []operator.Problem {
-			if most := notifiedWithin - answerReserve - plan.Overlap; o.Hold+o.Slack > most {
+			if most := notifiedWithin - answerReserve - plan.HedgeDelay; o.Hold+o.Slack > most {
 				return []operator.Problem{{Key: "slack", Text: fmt.Sprintf("hold plus slack must not exceed %v: a change counts as notified %v after it was made, and by then "+
 					"two more calls must have been made; lower either", most, notifiedWithin)}}
 			}
--- a/internal/discovery/overlap_test.go
+++ b/internal/discovery/overlap_test.go
@@ -21,7 +21,7 @@
 	defer close(ending.done)
 	d.plan.Watch(0)
 	d.plan.Actions() // the first call is made
-	d.plan.Ended(1, plan.NoAnswer, 0)
+	d.plan.CallFailed(1, plan.NoAnswer, 0)
 	d.plan.Watch(0)
 	ending.runActions()
 	if ending.ended && len(ending.calls) > 0 {
--- a/internal/discovery/plan/answer.go
+++ b/internal/discovery/plan/answer.go
@@ -17,7 +17,7 @@
 
 // AnswerReceived handles a complete answer to a call and reports whether its list has to be applied. AnswerApplied
 // has to follow in either case. ok is false if the answer arrives too late to count.
-func (f *Follower) Received(id CallID, version int64, whole bool, now time.Duration) (use, ok bool) {
+func (f *Follower) AnswerReceived(id CallID, version int64, whole bool, now time.Duration) (use, ok bool) {
 	c, out := f.pendingCall(id)
 	if !out {
 		return false, false
@@ -58,7 +58,7 @@
 
 // AnswerApplied records that the list of the last received answer is in use or was discarded, and continues the
 // watch.
-func (f *Follower) Taken(now time.Duration) {
+func (f *Follower) AnswerApplied(now time.Duration) {
 	r := f.received
 	f.version = r.version
 	switch {
--- a/internal/discovery/plan/backoff.go
+++ b/internal/discovery/plan/backoff.go
@@ -5,7 +5,7 @@
 const (
 	// TurnedAwayDelayMax is the longest random delay after a call that discovery had no capacity for, in addition to
 	// the balancer's own delay. Callers that retry immediately keep the queue full for everybody.
-	TurnedAwayMost = 1200 * time.Millisecond
+	TurnedAwayDelayMax = 1200 * time.Millisecond
 	// turnedAwayDelayMin is the shortest delay after a query that waited in discovery's queue for longQueueWait or
 	// more before it was turned away. Calls that have waited in vain and are repeated immediately can keep a queue so
 	// full that nobody is answered in time, long after the cause of the overload is gone. It applies only after the
@@ -63,7 +63,7 @@
 	if now-begun >= longQueueWait && now-f.started > startupPeriod {
 		wait = turnedAwayDelayMin
 	}
-	return wait + time.Duration(f.random()*float64(TurnedAwayMost))
+	return wait + time.Duration(f.random()*float64(TurnedAwayDelayMax))
 }
 
 // endWatch ends the watch, unless the number of moves differs from moves: the caller of Move relies on the running
--- a/internal/discovery/plan/dating_test.go
+++ b/internal/discovery/plan/dating_test.go
@@ -15,18 +15,18 @@
 	}
 	begun := seconds(0.1)
 	f.AnswerBegun(watch.ID, begun, begun) // discovery decided before this
-	f.Progress(watch.ID, begun)
+	f.AnswerProgress(watch.ID, begun)
 	beside, _ := nextCall(t, f)
 	told := watch.Hold - seconds(0.1)
-	if use, ok := f.Received(beside.ID, 2, false, told); !use || !ok {
+	if use, ok := f.AnswerReceived(beside.ID, 2, false, told); !use || !ok {
 		t.Fatalf("the update is not accepted: %t, %t", use, ok)
 	}
-	f.Taken(told)
+	f.AnswerApplied(told)
 	came := watch.Hold + seconds(0.1)
-	if use, ok := f.Received(watch.ID, 2, false, came); !use || !ok {
+	if use, ok := f.AnswerReceived(watch.ID, 2, false, came); !use || !ok {
 		t.Fatalf("the same update is not accepted: %t, %t", use, ok)
 	}
-	f.Taken(came)
+	f.AnswerApplied(came)
 	if latest := begun + stallTimeout; f.asOf > latest {
 		t.Errorf("the list is dated to %v, and no answer was decided on after %v", f.asOf, latest)
 	}
@@ -43,7 +43,7 @@
 	l.Moved(moved)
 	asOf := moved - seconds(0.1) // after the others and before this one
 	l.Confirm(confirmationAt(asOf), moved)
-	if at := moved + moveNotifiedWithin + leaseSlack; l.Standing(at) == Confirmed {
+	if at := moved + moveNotifiedWithin + leaseSlack; l.Status(at) == Confirmed {
 		t.Errorf("the list of %v is used at %v, %v after a move", asOf, at, at-moved)
 	}
 }
@@ -55,7 +55,7 @@
 	l.Moved(seconds(1))
 	l.Confirm(confirmationAt(seconds(1.1)), seconds(1.2))
 	l.Confirm(confirmationAt(seconds(0.5)), seconds(2))
-	if at := seconds(1) + moveNotifiedWithin + leaseSlack; l.Standing(at) != Confirmed {
+	if at := seconds(1) + moveNotifiedWithin + leaseSlack; l.Status(at) != Confirmed {
 		t.Errorf("%v after a move that was answered the list is stale", at-seconds(1))
 	}
 }
@@ -69,22 +69,22 @@
 	moved := seconds(0.5)
 	f.Move("b", moved, moved)
 	asked := moved + oldWatchWait
-	f.Time(asked)
+	f.Tick(asked)
 	c := onlyCall(t, f)
 	if c.Address != "b" {
 		t.Fatalf("the call after the move is %+v", c)
 	}
-	if use, ok := f.Received(c.ID, 3, true, asked+seconds(0.1)); !use || !ok {
+	if use, ok := f.AnswerReceived(c.ID, 3, true, asked+seconds(0.1)); !use || !ok {
 		t.Fatalf("the list of the new address is not accepted: %t, %t", use, ok)
 	}
-	f.Taken(asked + seconds(0.1))
+	f.AnswerApplied(asked + seconds(0.1))
 	came := asked + seconds(0.3)
-	use, ok := f.Received(before.ID, 51, true, came)
+	use, ok := f.AnswerReceived(before.ID, 51, true, came)
 	if !ok {
 		t.Fatal("the watch at the old address is no longer open")
 	}
-	f.Taken(came)
-	if use && f.Standing(came) == Confirmed {
+	f.AnswerApplied(came)
+	if use && f.Status(came) == Confirmed {
 		t.Errorf("version %d of the old address is used instead of version 3 of the new one", f.Version())
 	}
 }
--- a/internal/discovery/plan/follower.go
+++ b/internal/discovery/plan/follower.go
@@ -20,13 +20,13 @@
 
 // Call is one call for the server list.
 type Call struct {
-	ID      CallID
-	Address string
-	From    int64         // the version held; below 0 to request the whole list
-	Hold    time.Duration // how long discovery may wait for a change
-	Wait    time.Duration // after this time the call is given up as timed out
-	GoesOn  bool          // the call continues a watch that was answered just before
-	Beside  bool          // the call is made beside an overdue one and needs its own connection
+	ID             CallID
+	Address        string
+	From           int64         // the version held; below 0 to request the whole list
+	Hold           time.Duration // how long discovery may wait for a change
+	Timeout        time.Duration // after this time the call is given up as timed out
+	ContinuesWatch bool          // the call continues a watch that was answered just before
+	Hedged         bool          // the call is made beside an overdue one and needs its own connection
 }
 
 // Action is something that the client has to do.
@@ -37,20 +37,20 @@
 	// MakeCall makes a call; its events are reported under its ID.
 	MakeCall struct{ Call Call }
 	// CancelCall ends a call. No event is expected for it afterwards.
-	GiveUp struct{ ID CallID }
+	CancelCall struct{ ID CallID }
 	// CloseIdleConns closes the connections that no call uses: they may lead to a machine that is gone.
-	CloseIdle struct{}
+	CloseIdleConns struct{}
 	// ReportFailure reports to the balancer that a call has failed.
 	ReportFailure struct{}
 	// EndWatch ends the watch; the balancer decides when the next one starts.
 	EndWatch struct{}
 )
 
-func (MakeCall) action()      {}
-func (GiveUp) action()        {}
-func (CloseIdle) action()     {}
-func (ReportFailure) action() {}
-func (EndWatch) action()      {}
+func (MakeCall) action()       {}
+func (CancelCall) action()     {}
+func (CloseIdleConns) action() {}
+func (ReportFailure) action()  {}
+func (EndWatch) action()       {}
 
 // Follower decides which calls are made for the server list, and whether the list may be used. Events are reported by
 // calling its methods. Actions then returns what has to be done, and NextTick returns when Tick is due.
@@ -128,7 +128,7 @@
 // Watch starts polling and reports whether the caller has to run a new watch. It returns false if a watch already
 // runs, also if its EndWatch had not been returned by Actions yet: that watch then continues.
 func (f *Follower) Watch(now time.Duration) (begun bool) {
-	f.Time(now)
+	f.Tick(now)
 	if f.watching {
 		return false
 	}
@@ -154,7 +154,7 @@
 }
 
 // AnswerProgress records that a part of an answer to a call has arrived.
-func (f *Follower) Progress(id CallID, now time.Duration) {
+func (f *Follower) AnswerProgress(id CallID, now time.Duration) {
 	if q := f.query; q != nil && id == q.newest {
 		// Discovery has begun to answer this call, which no longer has a place in the queue to lose: the rest arrives
 		// soon or never.
@@ -186,7 +186,7 @@
 }
 
 // CallFailed records that a call has ended without a complete answer.
-func (f *Follower) Ended(id CallID, end CallEnd, now time.Duration) {
+func (f *Follower) CallFailed(id CallID, end CallEnd, now time.Duration) {
 	c, out := f.pendingCall(id)
 	if !out {
 		return
@@ -194,7 +194,7 @@
 	f.callEnded(id, end, now)
 	f.noteAgentFailure(end, now)
 	f.answerLost(id)
-	if end == TimedOut && now > c.sentAt+c.Wait+maxEndDelay {
+	if end == TimedOut && now > c.sentAt+c.Timeout+maxEndDelay {
 		f.discard(now) // this process was stalled, and an unread answer may have arrived meanwhile
 	}
 	if _, left := f.lingering.out[id]; left && end == CutOff {
@@ -219,7 +219,7 @@
 const maxEndDelay = 150 * time.Millisecond
 
 // NextTick returns when Tick is due; ok is false if nothing is scheduled.
-func (f *Follower) Next() (at time.Duration, ok bool) {
+func (f *Follower) NextTick() (at time.Duration, ok bool) {
 	at = never
 	if f.series.pending {
 		at = f.series.due
@@ -234,7 +234,7 @@
 }
 
 // Tick does what is due.
-func (f *Follower) Time(now time.Duration) {
+func (f *Follower) Tick(now time.Duration) {
 	if f.series.pending && now >= f.series.due {
 		f.switchAddress(now)
 	}
--- a/internal/discovery/plan/follower_test.go
+++ b/internal/discovery/plan/follower_test.go
@@ -49,11 +49,11 @@
 func nextCall(t *testing.T, f *Follower) (c Call, at time.Duration) {
 	t.Helper()
 	for range 10 {
-		at, ok := f.Next()
+		at, ok := f.NextTick()
 		if !ok {
 			break
 		}
-		f.Time(at)
+		f.Tick(at)
 		if made := takeCalls(f); len(made) > 0 {
 			return made[0], at
 		}
@@ -65,10 +65,10 @@
 // answerUnchanged answers a call immediately, without changes, and returns the next call.
 func answerUnchanged(t *testing.T, f *Follower, id CallID, at time.Duration) Call {
 	t.Helper()
-	if use, ok := f.Received(id, f.Version(), false, at); !use || !ok {
+	if use, ok := f.AnswerReceived(id, f.Version(), false, at); !use || !ok {
 		t.Fatalf("an answer is not accepted: %t, %t", use, ok)
 	}
-	f.Taken(at)
+	f.AnswerApplied(at)
 	return onlyCall(t, f)
 }
 
@@ -95,9 +95,9 @@
 	expect("after the first answer after a move", f.settings.Hold)
 	watch = c
 	f.Move("c", seconds(10), seconds(10))
-	f.Ended(watch.ID, NoAnswer, seconds(10.1))
+	f.CallFailed(watch.ID, NoAnswer, seconds(10.1))
 	c = onlyCall(t, f)
-	f.Ended(c.ID, TurnedAway, seconds(10.5))
+	f.CallFailed(c.ID, TurnedAway, seconds(10.5))
 	c, _ = nextCall(t, f)
 	expect("after a refusal since the move", 0)
 	c = answerUnchanged(t, f, c.ID, seconds(12))
@@ -119,8 +119,8 @@
 		t.Errorf("with a watch and a call that get no response, the second call is made %v after the move", at-movedAt)
 	}
 	const answerRoom = 900 * time.Millisecond
-	if second := overloadedHold + defaultSettings().Slack; second+answerRoom > ToldWithin {
-		t.Errorf("the call after an unanswered watch of an overloaded discovery is made after %v, too late for %v", second, ToldWithin)
+	if second := overloadedHold + defaultSettings().Slack; second+answerRoom > NotifiedWithin {
+		t.Errorf("the call after an unanswered watch of an overloaded discovery is made after %v, too late for %v", second, NotifiedWithin)
 	}
 }
 
@@ -129,7 +129,7 @@
 func TestDelayAfterTurnedAway(t *testing.T) {
 	for _, draw := range []float64{0, 0.5, 0.999} {
 		f := NewFollower(0, "a", defaultSettings(), func() float64 { return draw })
-		drawn := time.Duration(draw * float64(TurnedAwayMost))
+		drawn := time.Duration(draw * float64(TurnedAwayDelayMax))
 		settled := startupPeriod + longQueueWait + 1
 		for _, c := range []struct {
 			what       string
@@ -179,16 +179,16 @@
 // of Move was informed that a watch runs, so that watch has to continue at the new address.
 func TestMoveAfterFailureKeepsWatch(t *testing.T) {
 	f := newWatchingFollower(t)
-	f.Ended(onlyCall(t, f).ID, TurnedAway, seconds(1))
+	f.CallFailed(onlyCall(t, f).ID, TurnedAway, seconds(1))
 	f.Move("b", seconds(1.1), seconds(1.1))
 	if f.Watch(seconds(1.2)) {
 		t.Fatal("a second watch begins")
 	}
-	at, ok := f.Next()
+	at, ok := f.NextTick()
 	if !ok {
 		t.Fatal("the follower waits for nothing")
 	}
-	f.Time(at)
+	f.Tick(at)
 	if c := onlyCall(t, f); c.Address != "b" {
 		t.Errorf("the next call goes to %q", c.Address)
 	}
@@ -200,7 +200,7 @@
 	f.Stop()
 	f.Move("b", seconds(1), seconds(1))
 	f.Move("c", seconds(1.5), seconds(1.5))
-	f.Time(seconds(60))
+	f.Tick(seconds(60))
 	if made := takeCalls(f); len(made) > 0 {
 		t.Errorf("without a watch %+v", made)
 	}
@@ -214,10 +214,10 @@
 // count as an answer of the new one.
 func TestMoveWhileAnswerIsApplied(t *testing.T) {
 	f := newWatchingFollower(t)
-	f.Received(onlyCall(t, f).ID, 2, false, seconds(1))
+	f.AnswerReceived(onlyCall(t, f).ID, 2, false, seconds(1))
 	f.Move("b", seconds(1), seconds(1))
-	f.Taken(seconds(1))
-	if c := onlyCall(t, f); c.Address != "b" || c.Hold != 0 || c.GoesOn {
+	f.AnswerApplied(seconds(1))
+	if c := onlyCall(t, f); c.Address != "b" || c.Hold != 0 || c.ContinuesWatch {
 		t.Errorf("after the move: %+v", c)
 	}
 }
@@ -227,23 +227,23 @@
 func TestVersionsThatDecrease(t *testing.T) {
 	f := newWatchingFollower(t)
 	f.SetVersion(7)
-	use, ok := f.Received(onlyCall(t, f).ID, 3, false, seconds(1))
+	use, ok := f.AnswerReceived(onlyCall(t, f).ID, 3, false, seconds(1))
 	if use || !ok {
 		t.Fatalf("a lower version: use %t, ok %t", use, ok)
 	}
-	f.Taken(seconds(1))
+	f.AnswerApplied(seconds(1))
 	c := onlyCall(t, f)
 	if c.From >= 0 {
 		t.Errorf("changes from %d are requested, want the whole list", c.From)
 	}
-	if got := f.Standing(seconds(1.3)); got != Stale {
+	if got := f.Status(seconds(1.3)); got != Stale {
 		t.Errorf("the list is %s", got)
 	}
-	if use, _ := f.Received(c.ID, 3, true, seconds(2)); !use {
+	if use, _ := f.AnswerReceived(c.ID, 3, true, seconds(2)); !use {
 		t.Error("the whole list is not applied")
 	}
-	f.Taken(seconds(2))
-	if got := f.Standing(seconds(2)); got != Confirmed || f.Version() != 3 {
+	f.AnswerApplied(seconds(2))
+	if got := f.Status(seconds(2)); got != Confirmed || f.Version() != 3 {
 		t.Errorf("the list is %s, version %d", got, f.Version())
 	}
 }
@@ -259,30 +259,30 @@
 		c, _ := nextCall(t, f)
 		beside = append(beside, c)
 	}
-	f.Received(first.ID, 1, false, seconds(6))
-	f.Taken(seconds(6))
+	f.AnswerReceived(first.ID, 1, false, seconds(6))
+	f.AnswerApplied(seconds(6))
 	watch := onlyCall(t, f)
 	if watch.Hold > lingerTime {
 		t.Errorf("the next call holds for %v", watch.Hold)
 	}
-	if use, ok := f.Received(beside[0].ID, 2, false, seconds(6.1)); !use || !ok {
+	if use, ok := f.AnswerReceived(beside[0].ID, 2, false, seconds(6.1)); !use || !ok {
 		t.Errorf("update on a hedged call: use %t, ok %t", use, ok)
 	}
-	f.Taken(seconds(6.1))
-	f.Received(watch.ID, 2, false, seconds(6)+lingerTime) // with the same update, so it may be dated to any time since the call was sent
-	f.Taken(seconds(6) + lingerTime)
+	f.AnswerApplied(seconds(6.1))
+	f.AnswerReceived(watch.ID, 2, false, seconds(6)+lingerTime) // with the same update, so it may be dated to any time since the call was sent
+	f.AnswerApplied(seconds(6) + lingerTime)
 	watch = onlyCall(t, f)
-	f.Received(watch.ID, 2, false, seconds(7))
-	f.Taken(seconds(7))
+	f.AnswerReceived(watch.ID, 2, false, seconds(7))
+	f.AnswerApplied(seconds(7))
 	made := f.Actions()
-	if !slices.Contains(made, Action(GiveUp{beside[1].ID})) {
+	if !slices.Contains(made, Action(CancelCall{beside[1].ID})) {
 		t.Error("the other hedged call is not canceled")
 	}
 	if again := made[len(made)-1].(MakeCall).Call; again.Hold != 0 {
 		t.Errorf("the next call holds for %v, although an answer to the other may have been in transit", again.Hold)
 	}
-	f.Ended(beside[1].ID, TimedOut, seconds(8))
-	if _, ok := f.Received(beside[1].ID, 3, false, seconds(8)); ok || len(f.query.out) != 1 {
+	f.CallFailed(beside[1].ID, TimedOut, seconds(8))
+	if _, ok := f.AnswerReceived(beside[1].ID, 3, false, seconds(8)); ok || len(f.query.out) != 1 {
 		t.Errorf("an answer to a canceled call is accepted; %d calls are open", len(f.query.out))
 	}
 }
@@ -307,7 +307,7 @@
 	t.Helper()
 	f, watch = movedWithWatch(t)
 	call, at := nextCall(t, f)
-	if at != movedAt+oldWatchWait || call.Address != "b" || call.Hold != 0 || !call.Beside {
+	if at != movedAt+oldWatchWait || call.Address != "b" || call.Hold != 0 || !call.Hedged {
 		t.Errorf("%v after the move the call %+v is made, want one at %v", at-movedAt, call, oldWatchWait)
 	}
 	return f, watch, call
@@ -317,15 +317,15 @@
 // discovery moves, and that counts as notified.
 func TestUpdateOnWatchDuringMove(t *testing.T) {
 	f, watch := movedWithWatch(t)
-	if use, ok := f.Received(watch.ID, 2, false, seconds(1.1)); !use || !ok {
+	if use, ok := f.AnswerReceived(watch.ID, 2, false, seconds(1.1)); !use || !ok {
 		t.Errorf("update on the watch: use %t, ok %t", use, ok)
 	}
-	f.Taken(seconds(1.1))
+	f.AnswerApplied(seconds(1.1))
 	call := onlyCall(t, f)
-	if !call.GoesOn || call.Address != "b" || call.From != 2 || call.Hold != 0 {
+	if !call.ContinuesWatch || call.Address != "b" || call.From != 2 || call.Hold != 0 {
 		t.Errorf("the next call is %+v", call)
 	}
-	if again := answerUnchanged(t, f, call.ID, seconds(1.2)); !again.GoesOn || again.Address != "b" || again.Hold != f.settings.Hold {
+	if again := answerUnchanged(t, f, call.ID, seconds(1.2)); !again.ContinuesWatch || again.Address != "b" || again.Hold != f.settings.Hold {
 		t.Errorf("the call after that is %+v", again)
 	}
 }
@@ -336,8 +336,8 @@
 	for _, end := range []CallEnd{NoAnswer, TurnedAway, CutOff, Unreachable} {
 		f, watch := movedWithWatch(t)
 		closed := movedAt + seconds(1.5)
-		f.Ended(watch.ID, end, closed)
-		if c := onlyCall(t, f); c.Address != "b" || c.GoesOn || c.Hold != 0 {
+		f.CallFailed(watch.ID, end, closed)
+		if c := onlyCall(t, f); c.Address != "b" || c.ContinuesWatch || c.Hold != 0 {
 			t.Errorf("%s: the next call is %+v", end, c)
 		}
 	}
@@ -348,28 +348,28 @@
 // until a later call is answered.
 func TestNoSecondWatchWhileOldWatchIsOpen(t *testing.T) {
 	f, watch, call := movedWithHedge(t)
-	f.Received(call.ID, 1, false, seconds(2.7))
-	f.Taken(seconds(2.7))
+	f.AnswerReceived(call.ID, 1, false, seconds(2.7))
+	f.AnswerApplied(seconds(2.7))
 	if made := f.Actions(); len(made) > 0 {
 		t.Fatalf("actions during the watch at the old address: %+v", made)
 	}
 	overdue := seconds(0.1) + watch.Hold + f.settings.Slack
-	if at, _ := f.Next(); at != overdue {
+	if at, _ := f.NextTick(); at != overdue {
 		t.Errorf("the next call is made at %v, want %v", at, overdue)
 	}
-	f.Time(overdue)
+	f.Tick(overdue)
 	made := f.Actions()
-	if len(made) != 2 || made[0] != Action(GiveUp{watch.ID}) {
+	if len(made) != 2 || made[0] != Action(CancelCall{watch.ID}) {
 		t.Fatalf("after an unanswered watch: %+v", made)
 	}
 	next := made[1].(MakeCall).Call
-	if got := f.Standing(overdue); next.Hold != 0 || got != Stale {
+	if got := f.Status(overdue); next.Hold != 0 || got != Stale {
 		t.Errorf("the list is %s, the next call holds for %v; an update may be in transit on the canceled watch", got, next.Hold)
 	}
 	if again := answerUnchanged(t, f, next.ID, overdue+1); again.Hold != f.settings.Hold {
 		t.Errorf("the watch after that holds for %v", again.Hold)
 	}
-	if got := f.Standing(overdue + 1); got != Confirmed {
+	if got := f.Status(overdue + 1); got != Confirmed {
 		t.Errorf("after an answer to a later call the list is %s", got)
 	}
 }
@@ -378,8 +378,8 @@
 // address has answered.
 func TestOldWatchStaysOpenWhileCallsFail(t *testing.T) {
 	f, watch, call := movedWithHedge(t)
-	f.Ended(call.ID, TurnedAway, seconds(2.7))
-	if use, ok := f.Received(watch.ID, 2, false, seconds(3)); !use || !ok {
+	f.CallFailed(call.ID, TurnedAway, seconds(2.7))
+	if use, ok := f.AnswerReceived(watch.ID, 2, false, seconds(3)); !use || !ok {
 		t.Errorf("update on the watch: use %t, ok %t", use, ok)
 	}
 }
@@ -389,20 +389,20 @@
 func TestAnOlderAnswerReplacesNothing(t *testing.T) {
 	for _, whole := range []bool{false, true} {
 		f, watch, call := movedWithHedge(t)
-		f.Received(watch.ID, 3, false, seconds(2.7))
-		f.Taken(seconds(2.7))
+		f.AnswerReceived(watch.ID, 3, false, seconds(2.7))
+		f.AnswerApplied(seconds(2.7))
 		onlyCall(t, f)
-		use, ok := f.Received(call.ID, 2, whole, seconds(2.8))
+		use, ok := f.AnswerReceived(call.ID, 2, whole, seconds(2.8))
 		if use || !ok || f.Version() != 3 {
 			t.Errorf("whole %t: use %t, ok %t, version %d", whole, use, ok, f.Version())
 		}
-		f.Taken(seconds(2.8))
+		f.AnswerApplied(seconds(2.8))
 		again, at := nextCall(t, f)
 		if again.From != 3 || again.Hold != 0 || at != seconds(2.8) {
 			t.Errorf("whole %t: the next call, at %v, is %+v", whole, at, again)
 		}
 		answerUnchanged(t, f, again.ID, seconds(2.9))
-		if got := f.Standing(seconds(3.2)); got != Confirmed {
+		if got := f.Status(seconds(3.2)); got != Confirmed {
 			t.Errorf("whole %t: the list is %s", whole, got)
 		}
 	}
@@ -414,10 +414,10 @@
 	f := newWatchingFollower(t)
 	watch := answerUnchanged(t, f, onlyCall(t, f).ID, seconds(0.1))
 	f.noteTurnedAway(seconds(0.1), seconds(0.1)) // overloaded: watches hold for longer
-	f.Received(watch.ID, 2, false, seconds(3.4))
-	f.Taken(seconds(3.4))
+	f.AnswerReceived(watch.ID, 2, false, seconds(3.4))
+	f.AnswerApplied(seconds(3.4))
 	next := onlyCall(t, f)
-	if end := seconds(3.4) + next.Hold; end+answerReserve > f.asOf+LeaseTime {
+	if end := seconds(3.4) + next.Hold; end+answerReserve > f.asOf+LeaseDuration {
 		t.Errorf("a watch is answered at %v, and the lease ends at %v", end, f.expiry())
 	}
 }
--- a/internal/discovery/plan/lease.go
+++ b/internal/discovery/plan/lease.go
@@ -12,7 +12,7 @@
 const (
 	// NotifiedWithin is the time after which a change that discovery had while it was reachable counts as notified,
 	// whatever happened to the calls.
-	ToldWithin = 6 * time.Second
+	NotifiedWithin = 6 * time.Second
 	// moveNotifiedWithin is the time after a move to another address of discovery at which everything that discovery
 	// had at the move counts as notified.
 	moveNotifiedWithin = 4 * time.Second
@@ -20,12 +20,12 @@
 	// a process that is stalled between this decision and its write.
 	leaseSlack = 300 * time.Millisecond
 	// LeaseDuration is how long a confirmation allows the list to be used.
-	LeaseTime = ToldWithin + leaseSlack
+	LeaseDuration = NotifiedWithin + leaseSlack
 	// startWait is how long a starting process waits for its first answer before it counts as ready without one.
 	startWait = 5 * time.Second
 	// PartialAnswerWait is how long a client holds requests back for the rest of an answer of which a part has
 	// arrived.
-	PartTime = 250 * time.Millisecond
+	PartialAnswerWait = 250 * time.Millisecond
 	// maxMoves bounds the moves that are remembered; if there are more, the oldest ones count.
 	maxMoves = 16
 )
@@ -42,31 +42,31 @@
 	Unreachable CallEnd = "unreachable" // no connection was established
 	TimedOut    CallEnd = "timed_out"   // it was given up because no answer came
 	Superseded  CallEnd = "superseded"  // calls that were made after it were answered
-	NoMeans     CallEnd = "no_means"    // this process had no descriptor, port or memory for it
+	NoResources CallEnd = "no_means"    // this process had no descriptor, port or memory for it
 )
 
 // CallEnds returns all values of CallEnd.
 func CallEnds() []CallEnd {
-	return []CallEnd{Answered, TurnedAway, CutOff, NoAnswer, Unreachable, TimedOut, Superseded, NoMeans}
+	return []CallEnd{Answered, TurnedAway, CutOff, NoAnswer, Unreachable, TimedOut, Superseded, NoResources}
 }
 
 // observedFailure reports whether discovery, the network or a lack of local resources made the call fail, as opposed
 // to an answer or to giving the call up.
 func (e CallEnd) observedFailure() bool {
 	switch e {
-	case TurnedAway, CutOff, NoAnswer, Unreachable, NoMeans:
+	case TurnedAway, CutOff, NoAnswer, Unreachable, NoResources:
 		return true
 	}
 	return false
 }
 
 // Status says whether the list that is held can be relied on.
-type Standing string
+type Status string
 
 // The values of Status.
 const (
-	Confirmed Standing = "confirmed" // discovery gave a complete answer recently enough
-	Stale     Standing = "stale"     // it did not: the list may not be used
+	Confirmed Status = "confirmed" // discovery gave a complete answer recently enough
+	Stale     Status = "stale"     // it did not: the list may not be used
 )
 
 // Confirmation is the proof that a list is no older than a given time: a complete answer of discovery whose list was
@@ -118,7 +118,7 @@
 // expiry is the time until which the list may be used while the rest of the answer is missing. The client holds
 // requests back until PartialAnswerWait is over.
 func (p partialAnswer) expiry() time.Duration {
-	return max(p.writtenAt+leaseSlack, p.receivedAt+PartTime)
+	return max(p.writtenAt+leaseSlack, p.receivedAt+PartialAnswerWait)
 }
 
 // NewLease returns the lease of a process that starts at now. pushed says that the address is an agent on this
@@ -158,7 +158,7 @@
 
 // callStarted records that a call starts.
 func (l *Lease) callStarted(c Call, now time.Duration) {
-	l.gap.callStarted(c.GoesOn, now)
+	l.gap.callStarted(c.ContinuesWatch, now)
 	l.misses.callStarted(c, now)
 }
 
@@ -216,7 +216,7 @@
 }
 
 // Status returns whether the list can be relied on.
-func (l *Lease) Standing(now time.Duration) Standing {
+func (l *Lease) Status(now time.Duration) Status {
 	if !l.confirmed || l.discarded.set || now >= l.expiry() {
 		return Stale
 	}
@@ -235,7 +235,7 @@
 
 // expiry is the time until which the list may be used.
 func (l *Lease) expiry() time.Duration {
-	noticeAt := min(l.asOf+ToldWithin, l.misses.noticeAt(), l.gap.noticeAt())
+	noticeAt := min(l.asOf+NotifiedWithin, l.misses.noticeAt(), l.gap.noticeAt())
 	if len(l.moves) > 0 {
 		noticeAt = min(noticeAt, l.moves[0]+moveNotifiedWithin)
 	}
@@ -255,5 +255,5 @@
 	if l.discarded.set || l.expiry() <= now {
 		return 0
 	}
-	return max(min(l.asOf+LeaseTime-answerReserve, l.misses.noticeAt())-now, 0)
+	return max(min(l.asOf+LeaseDuration-answerReserve, l.misses.noticeAt())-now, 0)
 }
--- a/internal/discovery/plan/left.go
+++ b/internal/discovery/plan/left.go
@@ -62,7 +62,7 @@
 	for _, id := range f.lingering.ids() {
 		f.callEnded(id, Superseded, now)
 		f.answerLost(id)
-		f.emit(GiveUp{id})
+		f.emit(CancelCall{id})
 	}
 	clear(f.lingering.out)
 }
--- a/internal/discovery/plan/move.go
+++ b/internal/discovery/plan/move.go
@@ -24,7 +24,7 @@
 	}
 	waiting := f.query != nil || f.pause.untilMove || f.pause.untilLingering
 	f.detachQuery(now + lingerTime)
-	f.emit(CloseIdle{})
+	f.emit(CloseIdleConns{})
 	if f.watching && waiting {
 		f.pause = pause{}
 		f.startQuery(now)
--- a/internal/discovery/plan/move_test.go
+++ b/internal/discovery/plan/move_test.go
@@ -10,7 +10,7 @@
 // notified.
 func TestTwoSilentCallsAfterWatchClosedByMove(t *testing.T) {
 	f, watch := movedWithWatch(t)
-	f.Ended(watch.ID, NoAnswer, movedAt+seconds(1.5))
+	f.CallFailed(watch.ID, NoAnswer, movedAt+seconds(1.5))
 	onlyCall(t, f)
 	nextCall(t, f)
 	if _, at := nextCall(t, f); at > movedAt+moveNotifiedWithin {
@@ -32,19 +32,19 @@
 // one is made early enough for its answer to keep the list in use.
 func TestOneSilentCallAfterLastMoveOfSeries(t *testing.T) {
 	f, watch := movedWithWatch(t)
-	f.Received(watch.ID, 1, false, movedAt+seconds(0.1))
-	f.Taken(movedAt + seconds(0.1))
+	f.AnswerReceived(watch.ID, 1, false, movedAt+seconds(0.1))
+	f.AnswerApplied(movedAt + seconds(0.1))
 	watch = answerUnchanged(t, f, onlyCall(t, f).ID, movedAt+seconds(0.2))
 	last := movedAt + seconds(1)
 	f.Move("c", last, last)
-	wentOver, _ := f.Next()
-	f.Time(wentOver)
+	wentOver, _ := f.NextTick()
+	f.Tick(wentOver)
 	if _, at := nextCall(t, f); at != last+oldWatchWait {
 		t.Errorf("a call beside the watch is made %v after the move", at-last)
 	}
-	f.Ended(watch.ID, NoAnswer, wentOver+seconds(1.5))
-	if _, at := nextCall(t, f); f.Standing(at) != Confirmed {
-		t.Errorf("the call after an unanswered one is made %v after the move, and the list is %s by then", at-last, f.Standing(at))
+	f.CallFailed(watch.ID, NoAnswer, wentOver+seconds(1.5))
+	if _, at := nextCall(t, f); f.Status(at) != Confirmed {
+		t.Errorf("the call after an unanswered one is made %v after the move, and the list is %s by then", at-last, f.Status(at))
 	}
 }
 
@@ -62,8 +62,8 @@
 		t.Fatalf("calls are made to %q and %q", call.Address, last.Address)
 	}
 	now += seconds(0.01)
-	f.Received(last.ID, 3, false, now)
-	f.Taken(now)
+	f.AnswerReceived(last.ID, 3, false, now)
+	f.AnswerApplied(now)
 	if made := f.Actions(); len(made) > 0 {
 		t.Fatalf("calls during the lingering watch: %+v", made)
 	}
@@ -76,7 +76,7 @@
 // wantCallSoon fails the test unless the list is stale and another call is made within retryWithin.
 func wantCallSoon(t *testing.T, f *Follower, now time.Duration) {
 	t.Helper()
-	if got := f.Standing(now); got != Stale {
+	if got := f.Status(now); got != Stale {
 		t.Fatalf("the list is %s", got)
 	}
 	if _, at := nextCall(t, f); at > now+retryWithin {
@@ -89,10 +89,10 @@
 func TestDiscardedAnswerDuringLingeringWatchCausesCall(t *testing.T) {
 	f, _, call, now := movedTwiceWithWatch(t)
 	now += seconds(0.1)
-	if use, ok := f.Received(call.ID, 2, false, now); use || !ok {
+	if use, ok := f.AnswerReceived(call.ID, 2, false, now); use || !ok {
 		t.Fatalf("the older answer: use %t, ok %t", use, ok)
 	}
-	f.Taken(now)
+	f.AnswerApplied(now)
 	wantCallSoon(t, f, now)
 }
 
@@ -101,7 +101,7 @@
 	f, _, call, now := movedTwiceWithWatch(t)
 	now += seconds(0.1)
 	f.AnswerBegun(call.ID, now, now)
-	f.Ended(call.ID, CutOff, now)
+	f.CallFailed(call.ID, CutOff, now)
 	wantCallSoon(t, f, now)
 }
 
@@ -111,9 +111,9 @@
 	f, watch, _, now := movedTwiceWithWatch(t)
 	now += seconds(0.1)
 	f.AnswerBegun(watch.ID, now, now)
-	f.Progress(watch.ID, now)
+	f.AnswerProgress(watch.ID, now)
 	if _, at := nextCall(t, f); at > now+retryWithin {
-		t.Errorf("the next call is made %v later; the list is %s from %v on", at-now, f.Standing(now+leaseSlack), leaseSlack)
+		t.Errorf("the next call is made %v later; the list is %s from %v on", at-now, f.Status(now+leaseSlack), leaseSlack)
 	}
 }
 
@@ -124,19 +124,19 @@
 	f := newWatchingFollower(t)
 	first := onlyCall(t, f)
 	f.noteTurnedAway(0, 0)
-	f.Received(first.ID, 1, false, seconds(0.1))
-	f.Taken(seconds(0.1))
+	f.AnswerReceived(first.ID, 1, false, seconds(0.1))
+	f.AnswerApplied(seconds(0.1))
 	watch := onlyCall(t, f)
 	f.Move("b", movedAt, movedAt)
 	f.Move("a", movedAt+seconds(0.1), movedAt+seconds(0.1))
-	wentOver, _ := f.Next()
-	f.Time(wentOver)
+	wentOver, _ := f.NextTick()
+	f.Tick(wentOver)
 	call := answerUnchanged(t, f, watch.ID, wentOver+seconds(0.4))
 	if call.Hold != 0 {
 		t.Errorf("the first call after the moves waits for a change for %v", call.Hold)
 	}
-	if came := wentOver + seconds(0.4) + call.Hold; f.Standing(came) != Confirmed {
-		t.Errorf("%v after the move, when the call is answered, the list is %s", came-movedAt, f.Standing(came))
+	if came := wentOver + seconds(0.4) + call.Hold; f.Status(came) != Confirmed {
+		t.Errorf("%v after the move, when the call is answered, the list is %s", came-movedAt, f.Status(came))
 	}
 }
 
@@ -150,9 +150,9 @@
 	f.Move("b", movedAt, movedAt)
 	call, _ := nextCall(t, f)
 	again := movedAt + seriesGap + seconds(0.1)
-	f.Received(call.ID, 1, false, again)
+	f.AnswerReceived(call.ID, 1, false, again)
 	f.Move("c", again, again)
-	f.Taken(again)
+	f.AnswerApplied(again)
 	if c, at := nextCall(t, f); c.Address != "c" || at > again+oldWatchWait {
 		t.Errorf("the next call, to %q, is made %v after the move", c.Address, at-again)
 	}
@@ -166,8 +166,8 @@
 	answerUnchanged(t, f, onlyCall(t, f).ID, seconds(0.9))
 	f.Move("b", movedAt, movedAt)
 	call, _ := nextCall(t, f)
-	f.Received(call.ID, 1, false, seconds(2.7))
-	f.Taken(seconds(2.7))
+	f.AnswerReceived(call.ID, 1, false, seconds(2.7))
+	f.AnswerApplied(seconds(2.7))
 	again := movedAt + seriesGap + seconds(0.1)
 	f.Move("c", again, again)
 	if made := takeCalls(f); len(made) > 0 {
--- a/internal/discovery/plan/notice_test.go
+++ b/internal/discovery/plan/notice_test.go
@@ -115,7 +115,7 @@
 		// Calls with any other outcome.
 		"calls that are refused":        {run: func() *Follower { f := answeredFollower(); failCalls(f, TurnedAway, 1, 50); return f }, noticeAt: 6},
 		"calls that are reset":          {run: func() *Follower { f := answeredFollower(); failCalls(f, NoAnswer, 1, 50); return f }, noticeAt: 6},
-		"calls without local resources": {run: func() *Follower { f := answeredFollower(); failCalls(f, NoMeans, 1, 50); return f }, noticeAt: 6},
+		"calls without local resources": {run: func() *Follower { f := answeredFollower(); failCalls(f, NoResources, 1, 50); return f }, noticeAt: 6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := c.run()
@@ -125,7 +125,7 @@
 			}
 			from := max(seconds(c.noticeAt)+usableAfterNotice, f.started)
 			for at := from; at <= seconds(last); at += 50 * time.Millisecond {
-				if got := f.Standing(at); got != Stale {
+				if got := f.Status(at); got != Stale {
 					t.Fatalf("the list is %s at %v, %v after the notice", got, at, at-seconds(c.noticeAt))
 				}
 			}
@@ -139,22 +139,22 @@
 func TestNewerAnswerReadAfterOlderOne(t *testing.T) {
 	f := newWatchingFollower(t)
 	older := answerUnchanged(t, f, onlyCall(t, f).ID, 0)
-	at, _ := f.Next()
-	f.Time(at)
+	at, _ := f.NextTick()
+	f.Tick(at)
 	newer := onlyCall(t, f)
-	if use, ok := f.Received(older.ID, 1, false, at); !use || !ok {
+	if use, ok := f.AnswerReceived(older.ID, 1, false, at); !use || !ok {
 		t.Fatal("the answer to the older call is not applied")
 	}
-	f.Taken(at)
+	f.AnswerApplied(at)
 	next := onlyCall(t, f)
-	if use, ok := f.Received(newer.ID, 2, true, at); !use || !ok {
+	if use, ok := f.AnswerReceived(newer.ID, 2, true, at); !use || !ok {
 		t.Error("the update on the newer call is not applied")
 	}
-	f.Taken(at)
-	if use, ok := f.Received(older.ID, 0, true, at); use || ok || f.Version() != 2 {
+	f.AnswerApplied(at)
+	if use, ok := f.AnswerReceived(older.ID, 0, true, at); use || ok || f.Version() != 2 {
 		t.Error("a list of a lower version is applied from a call that has ended")
 	}
-	if use, _ := f.Received(next.ID, 2, false, at); !use {
+	if use, _ := f.AnswerReceived(next.ID, 2, false, at); !use {
 		t.Error("the answer to the next call is not applied")
 	}
 }
@@ -164,19 +164,19 @@
 func TestAWholeListOfALowerVersion(t *testing.T) {
 	f := newWatchingFollower(t)
 	first := onlyCall(t, f)
-	at, _ := f.Next()
-	f.Time(at)
+	at, _ := f.NextTick()
+	f.Tick(at)
 	second := onlyCall(t, f)
-	if use, _ := f.Received(second.ID, 9, true, at); !use {
+	if use, _ := f.AnswerReceived(second.ID, 9, true, at); !use {
 		t.Fatal("the answer to the newer call is not applied")
 	}
-	f.Taken(at)
-	if use, _ := f.Received(first.ID, 8, true, at); use || f.Version() != 9 {
+	f.AnswerApplied(at)
+	if use, _ := f.AnswerReceived(first.ID, 8, true, at); use || f.Version() != 9 {
 		t.Errorf("the list of the older call is applied after that of the newer one: version %d", f.Version())
 	}
-	f.Taken(at)
-	use, _ := f.Received(onlyCall(t, f).ID, 5, true, at+1)
-	f.Taken(at + 1)
+	f.AnswerApplied(at)
+	use, _ := f.AnswerReceived(onlyCall(t, f).ID, 5, true, at+1)
+	f.AnswerApplied(at + 1)
 	if !use || f.Version() != 5 {
 		t.Errorf("a whole list of a discovery that restarts its version numbers is not applied: version %d", f.Version())
 	}
@@ -191,7 +191,7 @@
 	c := answerUnchanged(t, f, onlyCall(t, f).ID, now)
 	for range 50 {
 		for came := now + c.Hold + defaultSettings().Slack; now < came; now += 10 * time.Millisecond {
-			if got := f.Standing(now); got != Confirmed {
+			if got := f.Status(now); got != Confirmed {
 				t.Fatalf("the list is %s at %v, and each call was answered", got, now)
 			}
 		}
--- a/internal/discovery/plan/question.go
+++ b/internal/discovery/plan/question.go
@@ -5,11 +5,11 @@
 const (
 	// CallTimeout limits a call that does not hold. Discovery answers calls in order of arrival, so a caller that
 	// gives up sooner loses its place in the queue.
-	CallWait = 3500 * time.Millisecond
+	CallTimeout = 3500 * time.Millisecond
 	// HedgeDelay is how long a call may be overdue before another is made beside it, on its own connection. A call
 	// without a response cannot be distinguished from one that waits in the queue or whose update is in transit; it
 	// ends at its Timeout.
-	Overlap = CallWait / 2
+	HedgeDelay = CallTimeout / 2
 	// answerReserve is the part of the lease that is left, where possible, for the answer of a call that waits for a
 	// change.
 	answerReserve = 500 * time.Millisecond
@@ -99,15 +99,15 @@
 func (f *Follower) makeCall(now time.Duration) {
 	q := f.query
 	f.lastCallID++
-	c := Call{ID: f.lastCallID, Address: f.address, From: f.version, GoesOn: q.continuesWatch && q.made == 0, Beside: q.made > 0}
-	overdue := Overlap
-	c.Wait = CallWait
+	c := Call{ID: f.lastCallID, Address: f.address, From: f.version, ContinuesWatch: q.continuesWatch && q.made == 0, Hedged: q.made > 0}
+	overdue := HedgeDelay
+	c.Timeout = CallTimeout
 	switch {
 	case f.version < 0: // answered with the whole list as soon as discovery gets to it
-		overdue, c.Wait = CallWait, CallWait+Overlap
+		overdue, c.Timeout = CallTimeout, CallTimeout+HedgeDelay
 	case q.made == 0:
 		c.Hold = q.hold
-		overdue, c.Wait = q.overdue, max(q.hold, f.settings.Hold)+CallWait
+		overdue, c.Timeout = q.overdue, max(q.hold, f.settings.Hold)+CallTimeout
 	}
 	switch {
 	case q.made != 1:
@@ -116,8 +116,8 @@
 	case q.overdue == moveOverdue && !f.turnedAwaySinceMove():
 		overdue = min(overdue, max(f.series.last.at+moveNotifiedWithin-now, secondCallOverdue))
 	}
-	if c.Beside {
-		f.emit(CloseIdle{})
+	if c.Hedged {
+		f.emit(CloseIdleConns{})
 	}
 	if q.made > 1 {
 		f.emit(ReportFailure{})
--- a/internal/discovery/plan/silences.go
+++ b/internal/discovery/plan/silences.go
@@ -32,9 +32,9 @@
 // noticeAt is when the changes that the call misses count as notified.
 func (c openCall) noticeAt() time.Duration {
 	if c.hold > 0 && !c.confirmed {
-		return c.sent + min(c.hold+waitNotifiedWithin, ToldWithin)
+		return c.sent + min(c.hold+waitNotifiedWithin, NotifiedWithin)
 	}
-	return c.sent + ToldWithin
+	return c.sent + NotifiedWithin
 }
 
 func (s *missTracker) callStarted(c Call, now time.Duration) {
--- a/internal/discovery/plan/walk_test.go
+++ b/internal/discovery/plan/walk_test.go
@@ -47,7 +47,7 @@
 		switch a := action.(type) {
 		case MakeCall:
 			w.noteCall(a.Call)
-		case GiveUp:
+		case CancelCall:
 			if _, out := w.out[a.ID]; !out {
 				w.Errorf("call %d is canceled, and is not open", a.ID)
 			}
@@ -82,7 +82,7 @@
 	if f.gap.open != len(w.out) || len(f.misses.open) != len(w.out) {
 		w.Errorf("%d calls are open; gap counts %d, misses %d", len(w.out), f.gap.open, len(f.misses.open))
 	}
-	at, ok := f.Next()
+	at, ok := f.NextTick()
 	switch {
 	case f.watching && f.query == nil && !f.pause.on, f.watching && !ok:
 		w.Error("the follower watches, and waits for nothing")
@@ -97,7 +97,7 @@
 
 // step runs one event.
 func (w *walk) step() {
-	if at, ok := w.f.Next(); ok && w.rng.IntN(3) == 0 {
+	if at, ok := w.f.NextTick(); ok && w.rng.IntN(3) == 0 {
 		w.now = max(w.now, at)
 		w.tick()
 		return
@@ -127,8 +127,8 @@
 
 // tick makes the follower do what is due, and checks that nothing is due afterwards.
 func (w *walk) tick() {
-	w.f.Time(w.now)
-	if at, ok := w.f.Next(); ok && at <= w.now {
+	w.f.Tick(w.now)
+	if at, ok := w.f.NextTick(); ok && at <= w.now {
 		w.Errorf("after the tick at %v the next tick of the follower is at %v", w.now, at)
 	}
 }
@@ -151,14 +151,14 @@
 	c := w.out[id]
 	delete(w.out, id)
 	version := max(c.From, 0) + int64(w.rng.IntN(4)) - int64(w.rng.IntN(8)/7*5)
-	if _, ok := w.f.Received(id, max(version, 0), c.From < 0 || w.rng.IntN(4) == 0, w.now); !ok {
+	if _, ok := w.f.AnswerReceived(id, max(version, 0), c.From < 0 || w.rng.IntN(4) == 0, w.now); !ok {
 		w.Errorf("the answer to call %d, which is open, is not accepted", id)
 		return
 	}
 	if w.rng.IntN(4) == 0 {
 		w.f.Move(string(rune('a'+w.rng.IntN(3))), w.now, w.now)
 	}
-	w.f.Taken(w.now)
+	w.f.AnswerApplied(w.now)
 }
 
 // end ends a call without an answer.
@@ -168,14 +168,14 @@
 		return
 	}
 	delete(w.out, id)
-	ends := []CallEnd{TurnedAway, CutOff, NoAnswer, Unreachable, TimedOut, NoMeans}
-	w.f.Ended(id, ends[w.rng.IntN(len(ends))], w.now)
+	ends := []CallEnd{TurnedAway, CutOff, NoAnswer, Unreachable, TimedOut, NoResources}
+	w.f.CallFailed(id, ends[w.rng.IntN(len(ends))], w.now)
 }
 
 // partOfAnswer delivers a part of an answer.
 func (w *walk) partOfAnswer() {
 	if id, out := w.anyCall(); out {
-		w.f.Progress(id, w.now)
+		w.f.AnswerProgress(id, w.now)
 		w.f.AnswerBegun(id, w.now, w.now)
 	}
 }
--- a/internal/discovery/standing.go
+++ b/internal/discovery/standing.go
@@ -11,7 +11,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	status := d.plan.Standing(now)
+	status := d.plan.Status(now)
 	if status != d.lastStatus {
 		d.logStatus(status, now)
 		d.lastStatus = status
@@ -42,7 +42,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	status := d.plan.Standing(now)
+	status := d.plan.Status(now)
 	text = figures.AppendLine(text, "list_age_ms", d.plan.Age(now).Milliseconds(), 'g')
 	text = figures.AppendLine(text, "list_stale", boolToInt(status == plan.Stale), 'g')
 	for _, end := range plan.CallEnds() {
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -26,7 +26,7 @@
 func TestThirdCallFitsWithinNotification(t *testing.T) {
 	o := DefaultOptions()
 	watch := o.thirdCallDeadline()
-	whole := plan.CallWait // for the second call: a proxy without a list cannot be notified of changes, and must be ready within 10 s
+	whole := plan.CallTimeout // for the second call: a proxy without a list cannot be notified of changes, and must be ready within 10 s
 	t.Logf("the third call begins within %v of a watch, the second one within %v of a call for the whole list", watch, whole)
 	if watch+answerReserve > notifiedWithin || 2*whole+answerReserve > 10*time.Second {
 		t.Errorf("%v and %v must leave %v of %v", watch, whole, answerReserve, notifiedWithin)
@@ -265,7 +265,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Known(known)
+		d.LoadCached(known)
 		time.Sleep(changed)
 		close(s.change)
 		select {
@@ -381,7 +381,7 @@
 		d.Watch(ctx)
 		d.CloseIdle()
 		o := DefaultOptions()
-		want := 1 + int((time.Minute-o.Hold-o.Slack)/plan.Overlap) // in addition to the first
+		want := 1 + int((time.Minute-o.Hold-o.Slack)/plan.HedgeDelay) // in addition to the first
 		if _, calls := s.requests(); calls != want+1 || failed != want-1 {
 			t.Errorf("%d calls, %d failed; want %d, and all but two", calls, failed, want+1)
 		}
@@ -518,7 +518,7 @@
 				t.Fatal(err)
 			}
 		}
-		d.Known(have)
+		d.LoadCached(have)
 	}
 	return h
 }
--- a/internal/discovery/trace.go
+++ b/internal/discovery/trace.go
@@ -31,7 +31,7 @@
 		return plan.CutOff
 	case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE), errors.Is(err, syscall.ENOBUFS), errors.Is(err, syscall.ENOMEM),
 		errors.Is(err, syscall.EADDRNOTAVAIL):
-		return plan.NoMeans
+		return plan.NoResources
 	case errors.As(err, &dial) && dial.Op == "dial", errors.Is(err, syscall.ECONNREFUSED):
 		return plan.Unreachable
 	case errors.As(err, &timeout) && timeout.Timeout():
@@ -55,7 +55,7 @@
 
 // logStatus logs a change of the status of the list, with the number of calls that have failed since the start; mu is
 // held.
-func (d *Client) logStatus(status plan.Standing, now time.Duration) {
+func (d *Client) logStatus(status plan.Status, now time.Duration) {
 	fields := []any{"before", d.lastStatus, "now", status, "age_ms", d.plan.Age(now).Milliseconds(), "seq", d.plan.Version(), "failed_calls", d.failedCalls()}
 	switch status {
 	case plan.Stale:
--- a/internal/discovery/unread.go
+++ b/internal/discovery/unread.go
@@ -127,7 +127,7 @@
 func (c *openConn) unread(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.receivedAt.IsZero() && (c.answerComplete || !c.readerWaiting || now.Sub(c.receivedAt) < plan.PartTime) {
+	if !c.receivedAt.IsZero() && (c.answerComplete || !c.readerWaiting || now.Sub(c.receivedAt) < plan.PartialAnswerWait) {
 		return true
 	}
 	return c.readable()
--- a/internal/discovery/unread_test.go
+++ b/internal/discovery/unread_test.go
@@ -55,7 +55,7 @@
 	expect("once it was read", true)
 	conn.markApplied()
 	expect("once it was applied", false)
-	conn.receivedAt, conn.readerWaiting = time.Now().Add(-plan.PartTime), true
+	conn.receivedAt, conn.readerWaiting = time.Now().Add(-plan.PartialAnswerWait), true
 	expect("while the rest does not arrive", false)
 	conn.markComplete()
 	expect("once it has arrived completely", true)
@@ -99,7 +99,7 @@
 	select {
 	case <-caught:
 		t.Error("CatchUp returned while an update was not applied")
-	case <-time.After(2 * plan.PartTime):
+	case <-time.After(2 * plan.PartialAnswerWait):
 	}
 	close(proceed)
 	<-caught
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -66,7 +66,7 @@
 		case <-w.planChanged:
 		case <-timer.C:
 			w.mu.Lock()
-			w.plan.Time(w.now())
+			w.plan.Tick(w.now())
 			w.mu.Unlock()
 		case r := <-w.results:
 			w.handleResult(r)
@@ -82,7 +82,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.lastRan = w.now()
-	at, ok := w.plan.Next()
+	at, ok := w.plan.NextTick()
 	if !ok {
 		return maxIdleWait
 	}
@@ -96,13 +96,13 @@
 	if r.list == nil {
 		w.mu.Lock()
 		w.lastErr = r.err
-		w.plan.Ended(r.id, r.end, w.now())
+		w.plan.CallFailed(r.id, r.end, w.now())
 		w.mu.Unlock()
 		return
 	}
 	w.mu.Lock()
 	before := w.plan.Version()
-	use, ok := w.plan.Received(r.id, r.list.Seq, r.list.Whole, w.now())
+	use, ok := w.plan.AnswerReceived(r.id, r.list.Seq, r.list.Whole, w.now())
 	w.mu.Unlock()
 	if !ok {
 		return
@@ -112,7 +112,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.plan.Taken(w.now())
+	w.plan.AnswerApplied(w.now())
 }
 
 // runActions runs the actions that the plan has decided on.
@@ -124,9 +124,9 @@
 		switch a := action.(type) {
 		case plan.MakeCall:
 			w.startCall(a.Call)
-		case plan.GiveUp:
+		case plan.CancelCall:
 			w.cancelCall(a.ID)
-		case plan.CloseIdle:
+		case plan.CloseIdleConns:
 			w.client.CloseIdleConnections()
 		case plan.ReportFailure:
 			w.update(balance.ListFailed, nil, nil)
@@ -139,11 +139,11 @@
 
 // startCall makes a call.
 func (w *watch) startCall(c plan.Call) {
-	if c.Beside {
+	if c.Hedged {
 		w.log.Info("a call for the server list is overdue; another is made beside it")
 	}
 	ctx, cancel := context.WithCancelCause(w.ctx)
-	timed, stop := context.WithTimeout(ctx, c.Wait)
+	timed, stop := context.WithTimeout(ctx, c.Timeout)
 	w.calls[c.ID] = cancel
 	w.running.Go(func() {
 		defer cancel(nil)
--- a/internal/discovery/written_test.go
+++ b/internal/discovery/written_test.go
@@ -195,7 +195,7 @@
 			time.Sleep(time.Second)
 			s.pipes.disconnect()
 			close(s.change)
-			expectStaleAfter(t, d, s.start, time.Second+plan.ToldWithin)
+			expectStaleAfter(t, d, s.start, time.Second+plan.NotifiedWithin)
 		})
 	}
 }
@@ -251,6 +251,6 @@
 		s.faultOf = func(int) fault { return faultTurnedAway }
 		d, end := watchService(t, s, func(balance.ListKind) {})
 		defer end()
-		expectStaleAfter(t, d, s.start, plan.ToldWithin-behind)
+		expectStaleAfter(t, d, s.start, plan.NotifiedWithin-behind)
 	})
 }
