--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -256,7 +256,7 @@
 		var err error
 		f.balancer, err = balance.New(balance.Settings{
 			Instances: 1, MaxAttempts: 1, AskForList: true, AskEvery: askEvery,
-			Classes: []balance.Class{{Aim: time.Second, GiveUp: time.Second}},
+			Classes: []balance.Class{{Aim: time.Second, ClientTimeout: time.Second}},
 		}, draws, f)
 		if err != nil {
 			t.Fatal(err)
@@ -507,7 +507,7 @@
 		var err error
 		if f.balancer, err = balance.New(balance.Settings{
 			Instances: 1, MaxAttempts: 1, AskForList: true, AskEvery: 10 * time.Second,
-			Classes: []balance.Class{{Aim: time.Second, GiveUp: time.Second}},
+			Classes: []balance.Class{{Aim: time.Second, ClientTimeout: time.Second}},
 		}, uint64(n), f); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -87,7 +87,7 @@
 		s.turnAway(w, ask, http.StatusServiceUnavailable, errors.New("too many connections"))
 		return
 	}
-	if s.channels != nil && handshake.Wanted(r) {
+	if s.channels != nil && handshake.IsUpgrade(r) {
 		s.upgrade(w, r, ask)
 		return
 	}
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -42,7 +42,7 @@
 	}
 	begun := time.Now()
 	if p.channels != nil {
-		p.channels.Leave()
+		p.channels.BeginShutdown()
 	}
 	if p.upgrade != nil && p.upgrade.leave() {
 		p.listener.Stop()
@@ -54,7 +54,7 @@
 	if !p.restart.Run(p.left) {
 		p.log.Warn("leaving with callers' connections still open")
 	}
-	for p.channels != nil && p.channels.Len() > 0 && time.Since(begun) < p.channels.LeaveWithin() {
+	for p.channels != nil && p.channels.Len() > 0 && time.Since(begun) < p.channels.ShutdownTimeout() {
 		time.Sleep(acceptQuiet)
 	}
 	// A request that is read between here and the end of the server would have nobody to answer it.
