--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -16,7 +16,7 @@
 const (
 	// connectTimeout limits the time to establish a connection.
 	connectTimeout = time.Second
-	// maxConns covers the open calls, the calls left open beside them, and some connections that are being closed.
+	// maxConns covers the open calls, the lingering ones, and some connections that are being closed.
 	maxConns = 8
 	// maxIdleConns covers the connection of the last answer and one of an answer at the previous address.
 	maxIdleConns = 2
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -168,7 +168,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	d.plan.AnswerBegun(id, d.lastRan, now) // it may have waited while this process did not run
+	d.plan.AnswerBegun(id, d.lastRan, now) // the part may have waited while this process did not run
 	d.lastRan = now
 }
 
--- a/internal/discovery/line_test.go
+++ b/internal/discovery/line_test.go
@@ -128,7 +128,7 @@
 // The bound is 6.4 times that above the mean, so the test fails by chance once in 10^10 executions.
 func TestTurnedAwayAfterMove(t *testing.T) {
 	const runs, maxMeanCalls = 1300, 12 // maxMeanCalls bounds the mean; with a call every 200 ms it would be 31
-	all := 0
+	totalCalls := 0
 	for number := range uint64(runs) {
 		synctest.Test(t, func(t *testing.T) {
 			s := newService()
@@ -160,10 +160,10 @@
 				t.Errorf("notified after %v; discovery was reachable after %v", notifiedAt, notifiedWithin)
 			}
 			_, calls := s.requests()
-			all += calls
+			totalCalls += calls
 		})
 	}
-	if mean := float64(all) / runs; mean > maxMeanCalls {
+	if mean := float64(totalCalls) / runs; mean > maxMeanCalls {
 		t.Errorf("%.1f calls in the mean while the proxy was turned away for %v", mean, notifiedWithin)
 	}
 }
@@ -178,7 +178,7 @@
 		s.faultOf = func(int) fault { return faultNone }
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		var dialled []string
+		var dialed []string
 		var notifiedAt time.Duration
 		d := New("discovery:1", []string{"kita"}, DefaultOptions(), slog.New(slog.DiscardHandler),
 			func(_ balance.ListKind, entries []balance.Entry, _ map[string]string) {
@@ -187,7 +187,7 @@
 				}
 			})
 		d.client.Transport.(*http.Transport).DialContext = func(ctx context.Context, network, address string) (net.Conn, error) {
-			dialled = append(dialled, address)
+			dialed = append(dialed, address)
 			return s.dial(ctx, network, address)
 		}
 		d.Resume(1)
@@ -206,8 +206,8 @@
 		cancel()
 		watch.Wait()
 		d.CloseIdle()
-		if want := []string{"discovery:1", "discovery:2", "discovery:5"}; !slices.Equal(dialled, want) {
-			t.Errorf("dialled %q, want %q", dialled, want)
+		if want := []string{"discovery:1", "discovery:2", "discovery:5"}; !slices.Equal(dialed, want) {
+			t.Errorf("dialed %q, want %q", dialed, want)
 		}
 		if notifiedAt == 0 || notifiedAt > first+4*time.Second || notifiedAt > last+4*time.Second {
 			t.Errorf("notified at %v; the configurations came from %v to %v", notifiedAt, first, last)
@@ -239,8 +239,8 @@
 		d.Resume(1)
 		d.Watch(ctx)
 		d.CloseIdle()
-		if took, _ := s.requests(); len(took) != 2 || took[1] != stallTimeout {
-			t.Errorf("calls at %v, want a second one after %v", took, stallTimeout)
+		if times, _ := s.requests(); len(times) != 2 || times[1] != stallTimeout {
+			t.Errorf("calls at %v, want a second one after %v", times, stallTimeout)
 		}
 	})
 }
--- a/internal/discovery/move_test.go
+++ b/internal/discovery/move_test.go
@@ -71,14 +71,14 @@
 
 // continues ends the open watch, and reports whether a call that arrives now continues one.
 func (s *oneWatchService) continues() bool {
-	const watchGap = 200 * time.Millisecond
+	const continuationGap = 200 * time.Millisecond
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.endWatch != nil {
 		s.endWatch()
 		return false
 	}
-	return time.Since(s.answered) <= watchGap
+	return time.Since(s.answered) <= continuationGap
 }
 
 // watch waits for the end of a watch and reports whether it was answered.
--- a/internal/discovery/plan/agent_test.go
+++ b/internal/discovery/plan/agent_test.go
@@ -31,7 +31,7 @@
 	f.Watch(0)
 	watch = answerUnchanged(t, f, onlyCall(t, f).ID, seconds(0.1))
 	f.Move("b", movedAt-seconds(0.1), movedAt)
-	if slices.ContainsFunc(f.actions, func(a Action) bool { _, givenUp := a.(CancelCall); return givenUp }) {
+	if slices.ContainsFunc(f.actions, func(a Action) bool { _, canceled := a.(CancelCall); return canceled }) {
 		t.Errorf("the watch is canceled at the move: %+v", f.actions)
 	}
 	return f, watch, onlyCall(t, f)
@@ -67,8 +67,8 @@
 		t.Errorf("the watch at the old address is canceled: %+v", made)
 	}
 	f.CallFailed(watch.ID, NoAnswer, seconds(2.5))
-	if len(f.lingering.out) > 0 {
-		t.Errorf("%d calls are lingering", len(f.lingering.out))
+	if len(f.lingering.open) > 0 {
+		t.Errorf("%d calls are lingering", len(f.lingering.open))
 	}
 }
 
--- a/internal/discovery/plan/answer.go
+++ b/internal/discovery/plan/answer.go
@@ -4,7 +4,7 @@
 
 // receivedAnswer is a complete answer between AnswerReceived and AnswerApplied.
 type receivedAnswer struct {
-	use            bool // its list is applied
+	apply          bool // its list has to be applied
 	outdated       bool // a newer list was applied, or versions were reset, while its call was open
 	readLate       bool // it was read some time after it arrived, so it proves nothing about the time since
 	confirmation   Confirmation
@@ -18,16 +18,16 @@
 // AnswerReceived handles a complete answer to a call and reports whether its list has to be applied. AnswerApplied
 // has to follow in either case. ok is false if the answer arrives too late to count.
 func (f *Follower) AnswerReceived(id CallID, version int64, whole bool, now time.Duration) (use, ok bool) {
-	c, out := f.pendingCall(id)
-	if !out {
+	c, pending := f.pendingCall(id)
+	if !pending {
 		return false, false
 	}
 	f.callEnded(id, Answered, now)
 	f.received = receivedAnswer{firstPartAt: f.answerComplete(id, now), moves: -1, currentAddress: c.Address == f.address && c.sentAt >= f.series.switchedAt}
-	if _, left := f.lingering.out[id]; left {
-		delete(f.lingering.out, id)
+	if _, isLingering := f.lingering.open[id]; isLingering {
+		delete(f.lingering.open, id)
 	} else {
-		delete(f.query.out, id)
+		delete(f.query.open, id)
 		f.received.moves = f.series.moves
 		f.received.lingerUntil = f.lingering.until
 		f.detachQuery(now + lingerTime)
@@ -37,12 +37,12 @@
 	r.outdated = c.versionResets != f.versionResets || version < f.version && c.sentAt < f.lastApplied
 	r.confirmation = confirmedBy(c.Call, c.sentAt, now, !whole && version == c.From)
 	f.answeredCallSent = max(f.answeredCallSent, c.sentAt)
-	r.use = !r.outdated && (whole || version >= f.version)
+	r.apply = !r.outdated && (whole || version >= f.version)
 	if f.pushed && now > c.sentAt+c.Hold+maxEndDelay {
 		r.readLate = true // an agent answers immediately, so the delay means that this process did not run
 	}
 	switch {
-	case r.use:
+	case r.apply:
 		if version < f.version {
 			f.versionResets++
 		}
@@ -53,7 +53,7 @@
 		r.version = -1
 		f.versionResets++
 	}
-	return r.use, true
+	return r.apply, true
 }
 
 // AnswerApplied records that the list of the last received answer is in use or was discarded, and continues the
@@ -62,7 +62,7 @@
 	r := f.received
 	f.version = r.version
 	switch {
-	case r.use && !r.readLate:
+	case r.apply && !r.readLate:
 		f.Confirm(r.confirmation, now)
 	default:
 		f.discard(r.firstPartAt)
@@ -83,15 +83,15 @@
 // watch is opened: discovery ends both watches of a process that opens two.
 func (f *Follower) continueWatch(now time.Duration) {
 	r := f.received
-	taken := r.use && !r.readLate
-	if overdue, open := f.lingering.watch(f.settings.Slack, now); taken && open && !f.pushed {
+	applied := r.apply && !r.readLate
+	if overdue, open := f.lingering.watch(f.settings.Slack, now); applied && open && !f.pushed {
 		f.pause = pause{on: true, untilLingering: true, until: min(overdue, now+f.maxHold(now))}
 		if f.series.unanswered {
 			f.pause.until = min(f.pause.until, f.series.last.at+oldWatchWait)
 		}
 		return
 	}
-	if taken && r.moves >= 0 && r.lingerUntil <= r.confirmation.asOf && f.lingering.until == r.lingerUntil {
+	if applied && r.moves >= 0 && r.lingerUntil <= r.confirmation.asOf && f.lingering.until == r.lingerUntil {
 		f.cancelLingering(now)
 	}
 	f.startQuery(now)
--- a/internal/discovery/plan/asking.go
+++ b/internal/discovery/plan/asking.go
@@ -19,8 +19,8 @@
 
 // callStarted records that a call starts. continues says that it continues a watch, which counts as open for a short
 // time after an answer.
-func (a *callGap) callStarted(goesOn bool, now time.Duration) {
-	inTime := goesOn && now-a.idleSince <= a.continuesFor
+func (a *callGap) callStarted(continues bool, now time.Duration) {
+	inTime := continues && now-a.idleSince <= a.continuesFor
 	if due := a.due(); a.open == 0 && !inTime && due <= now && !a.exceeded.set {
 		a.exceeded = optionalTime{due, true}
 	}
--- a/internal/discovery/plan/backoff.go
+++ b/internal/discovery/plan/backoff.go
@@ -56,11 +56,11 @@
 	}
 }
 
-// noteTurnedAway records that discovery had no capacity for a query that started at begun, and returns the delay
+// noteTurnedAway records that discovery had no capacity for a query that started at startedAt, and returns the delay
 // before the next one.
-func (f *Follower) noteTurnedAway(begun, now time.Duration) (wait time.Duration) {
+func (f *Follower) noteTurnedAway(startedAt, now time.Duration) (wait time.Duration) {
 	f.lastTurnedAway = optionalTime{now, true}
-	if now-begun >= longQueueWait && now-f.started > startupPeriod {
+	if now-startedAt >= longQueueWait && now-f.started > startupPeriod {
 		wait = turnedAwayDelayMin
 	}
 	return wait + time.Duration(f.random()*float64(TurnedAwayDelayMax))
--- a/internal/discovery/plan/dating_test.go
+++ b/internal/discovery/plan/dating_test.go
@@ -13,21 +13,21 @@
 	if watch.Hold == 0 {
 		t.Fatal("the watch does not wait for a change")
 	}
-	begun := seconds(0.1)
-	f.AnswerBegun(watch.ID, begun, begun) // discovery decided before this
-	f.AnswerProgress(watch.ID, begun)
-	beside, _ := nextCall(t, f)
-	told := watch.Hold - seconds(0.1)
-	if use, ok := f.AnswerReceived(beside.ID, 2, false, told); !use || !ok {
+	firstPartAt := seconds(0.1)
+	f.AnswerBegun(watch.ID, firstPartAt, firstPartAt) // discovery decided before this
+	f.AnswerProgress(watch.ID, firstPartAt)
+	hedged, _ := nextCall(t, f)
+	updatedAt := watch.Hold - seconds(0.1)
+	if use, ok := f.AnswerReceived(hedged.ID, 2, false, updatedAt); !use || !ok {
 		t.Fatalf("the update is not accepted: %t, %t", use, ok)
 	}
-	f.AnswerApplied(told)
-	came := watch.Hold + seconds(0.1)
-	if use, ok := f.AnswerReceived(watch.ID, 2, false, came); !use || !ok {
+	f.AnswerApplied(updatedAt)
+	receivedAt := watch.Hold + seconds(0.1)
+	if use, ok := f.AnswerReceived(watch.ID, 2, false, receivedAt); !use || !ok {
 		t.Fatalf("the same update is not accepted: %t, %t", use, ok)
 	}
-	f.AnswerApplied(came)
-	if latest := begun + stallTimeout; f.asOf > latest {
+	f.AnswerApplied(receivedAt)
+	if latest := firstPartAt + stallTimeout; f.asOf > latest {
 		t.Errorf("the list is dated to %v, and no answer was decided on after %v", f.asOf, latest)
 	}
 }
@@ -65,26 +65,26 @@
 func TestAnswerOfOldAddressDoesNotReplaceListOfNewOne(t *testing.T) {
 	f := newWatchingFollower(t)
 	f.SetVersion(50)
-	before := answerUnchanged(t, f, onlyCall(t, f).ID, 0)
+	oldWatch := answerUnchanged(t, f, onlyCall(t, f).ID, 0)
 	moved := seconds(0.5)
 	f.Move("b", moved, moved)
-	asked := moved + oldWatchWait
-	f.Tick(asked)
+	calledAt := moved + oldWatchWait
+	f.Tick(calledAt)
 	c := onlyCall(t, f)
 	if c.Address != "b" {
 		t.Fatalf("the call after the move is %+v", c)
 	}
-	if use, ok := f.AnswerReceived(c.ID, 3, true, asked+seconds(0.1)); !use || !ok {
+	if use, ok := f.AnswerReceived(c.ID, 3, true, calledAt+seconds(0.1)); !use || !ok {
 		t.Fatalf("the list of the new address is not accepted: %t, %t", use, ok)
 	}
-	f.AnswerApplied(asked + seconds(0.1))
-	came := asked + seconds(0.3)
-	use, ok := f.AnswerReceived(before.ID, 51, true, came)
+	f.AnswerApplied(calledAt + seconds(0.1))
+	receivedAt := calledAt + seconds(0.3)
+	use, ok := f.AnswerReceived(oldWatch.ID, 51, true, receivedAt)
 	if !ok {
 		t.Fatal("the watch at the old address is no longer open")
 	}
-	f.AnswerApplied(came)
-	if use && f.Status(came) == Confirmed {
+	f.AnswerApplied(receivedAt)
+	if use && f.Status(receivedAt) == Confirmed {
 		t.Errorf("version %d of the old address is used instead of version 3 of the new one", f.Version())
 	}
 }
--- a/internal/discovery/plan/discard_test.go
+++ b/internal/discovery/plan/discard_test.go
@@ -38,12 +38,12 @@
 			f.SetPushed(0)
 			f.Stop()
 			f.Watch(0)
-			before := answerUnchanged(t, f, onlyCall(t, f).ID, 0)
-			came := before.Hold
+			oldWatch := answerUnchanged(t, f, onlyCall(t, f).ID, 0)
+			came := oldWatch.Hold
 			moved := came - seconds(0.2)
 			f.Move("b", moved, moved)
 			refuse(t, f, onlyCall(t, f), moved, came)
-			if _, ok := f.AnswerReceived(before.ID, 1, false, came); !ok {
+			if _, ok := f.AnswerReceived(oldWatch.ID, 1, false, came); !ok {
 				t.Fatal("the watch at the old address is no longer open")
 			}
 			f.AnswerApplied(came)
--- a/internal/discovery/plan/follower.go
+++ b/internal/discovery/plan/follower.go
@@ -96,7 +96,7 @@
 // NewFollower returns a Follower that makes no call yet and holds no list. random returns numbers in [0, 1).
 func NewFollower(now time.Duration, address string, s Settings, random func() float64) *Follower {
 	f := &Follower{Lease: *NewLease(now, false), settings: s, random: random, started: now, address: address, version: -1}
-	f.lingering.out = map[CallID]sentCall{}
+	f.lingering.open = map[CallID]sentCall{}
 	f.gap.limit = s.AskEvery
 	return f
 }
@@ -127,7 +127,7 @@
 
 // Watch starts polling and reports whether the caller has to run a new watch. It returns false if a watch already
 // runs, also if its EndWatch had not been returned by Actions yet: that watch then continues.
-func (f *Follower) Watch(now time.Duration) (begun bool) {
+func (f *Follower) Watch(now time.Duration) (started bool) {
 	f.Tick(now)
 	if f.watching {
 		return false
@@ -147,7 +147,7 @@
 // Stop ends the watch without any action.
 func (f *Follower) Stop() {
 	f.watching, f.query, f.pause, f.justAnswered, f.actions = false, nil, pause{}, false, nil
-	clear(f.lingering.out)
+	clear(f.lingering.open)
 	clear(f.partial)
 	f.gap.open = 0
 	f.misses = newMissTracker()
@@ -161,7 +161,7 @@
 		q.nextCallAt = now + stallTimeout
 		q.progress = true
 	}
-	if _, left := f.lingering.out[id]; left && f.pause.untilLingering {
+	if _, isLingering := f.lingering.open[id]; isLingering && f.pause.untilLingering {
 		f.pause.until = min(f.pause.until, now+stallTimeout)
 	}
 }
@@ -169,26 +169,26 @@
 // AnswerBegun records that a part of the list has arrived in an answer to a call. writtenAt is the earliest time at
 // which it may have been written.
 func (f *Follower) AnswerBegun(id CallID, writtenAt, now time.Duration) {
-	if _, out := f.pendingCall(id); out {
+	if _, pending := f.pendingCall(id); pending {
 		f.Lease.AnswerBegun(id, writtenAt, now)
 	}
 }
 
 // pendingCall returns a call whose answer is still expected.
-func (f *Follower) pendingCall(id CallID) (c sentCall, out bool) {
+func (f *Follower) pendingCall(id CallID) (c sentCall, ok bool) {
 	if f.query != nil {
-		if c, out = f.query.out[id]; out {
+		if c, ok = f.query.open[id]; ok {
 			return c, true
 		}
 	}
-	c, out = f.lingering.out[id]
-	return c, out
+	c, ok = f.lingering.open[id]
+	return c, ok
 }
 
 // CallFailed records that a call has ended without a complete answer.
 func (f *Follower) CallFailed(id CallID, end CallEnd, now time.Duration) {
-	c, out := f.pendingCall(id)
-	if !out {
+	c, pending := f.pendingCall(id)
+	if !pending {
 		return
 	}
 	f.callEnded(id, end, now)
@@ -197,20 +197,20 @@
 	if end == TimedOut && now > c.sentAt+c.Timeout+maxEndDelay {
 		f.discard(now) // this process was stalled, and an unread answer may have arrived meanwhile
 	}
-	if _, left := f.lingering.out[id]; left && end == CutOff {
+	if _, isLingering := f.lingering.open[id]; isLingering && end == CutOff {
 		f.hedgeNow(now)
 	}
-	delete(f.lingering.out, id)
+	delete(f.lingering.open, id)
 	f.lingeringWatchEnded(false, now)
 	q := f.query
 	if q == nil {
 		return
 	}
-	if _, out := q.out[id]; !out {
+	if _, inQuery := q.open[id]; !inQuery {
 		return
 	}
-	delete(q.out, id)
-	if len(q.out) == 0 {
+	delete(q.open, id)
+	if len(q.open) == 0 {
 		f.queryFailed(c, end, now)
 	}
 }
--- a/internal/discovery/plan/follower_test.go
+++ b/internal/discovery/plan/follower_test.go
@@ -118,8 +118,8 @@
 	if _, at := nextCall(t, f); at > movedAt+4*time.Second {
 		t.Errorf("with a watch and a call that get no response, the second call is made %v after the move", at-movedAt)
 	}
-	const answerRoom = 900 * time.Millisecond
-	if second := overloadedHold + defaultSettings().Slack; second+answerRoom > NotifiedWithin {
+	const reserve = 900 * time.Millisecond
+	if second := overloadedHold + defaultSettings().Slack; second+reserve > NotifiedWithin {
 		t.Errorf("the call after an unanswered watch of an overloaded discovery is made after %v, too late for %v", second, NotifiedWithin)
 	}
 }
@@ -132,15 +132,15 @@
 		drawn := time.Duration(draw * float64(TurnedAwayDelayMax))
 		settled := startupPeriod + longQueueWait + 1
 		for _, c := range []struct {
-			what       string
-			begun, now time.Duration
-			want       time.Duration
+			what           string
+			startedAt, now time.Duration
+			want           time.Duration
 		}{
 			{"a process that has just started", 0, longQueueWait, drawn},
 			{"one that was turned away at once", settled - longQueueWait + 1, settled, drawn},
 			{"one that has waited in vain", settled - longQueueWait, settled, turnedAwayDelayMin + drawn},
 		} {
-			if got := f.noteTurnedAway(c.begun, c.now); got != c.want {
+			if got := f.noteTurnedAway(c.startedAt, c.now); got != c.want {
 				t.Errorf("%s waits for %v, want %v", c.what, got, c.want)
 			}
 		}
@@ -254,10 +254,10 @@
 func TestHedgedCallsLingerAfterAnswer(t *testing.T) {
 	f := newWatchingFollower(t)
 	first := onlyCall(t, f)
-	var beside []Call
+	var hedged []Call
 	for range 2 {
 		c, _ := nextCall(t, f)
-		beside = append(beside, c)
+		hedged = append(hedged, c)
 	}
 	f.AnswerReceived(first.ID, 1, false, seconds(6))
 	f.AnswerApplied(seconds(6))
@@ -265,7 +265,7 @@
 	if watch.Hold > lingerTime {
 		t.Errorf("the next call holds for %v", watch.Hold)
 	}
-	if use, ok := f.AnswerReceived(beside[0].ID, 2, false, seconds(6.1)); !use || !ok {
+	if use, ok := f.AnswerReceived(hedged[0].ID, 2, false, seconds(6.1)); !use || !ok {
 		t.Errorf("update on a hedged call: use %t, ok %t", use, ok)
 	}
 	f.AnswerApplied(seconds(6.1))
@@ -275,15 +275,15 @@
 	f.AnswerReceived(watch.ID, 2, false, seconds(7))
 	f.AnswerApplied(seconds(7))
 	made := f.Actions()
-	if !slices.Contains(made, Action(CancelCall{beside[1].ID})) {
+	if !slices.Contains(made, Action(CancelCall{hedged[1].ID})) {
 		t.Error("the other hedged call is not canceled")
 	}
 	if again := made[len(made)-1].(MakeCall).Call; again.Hold != 0 {
 		t.Errorf("the next call holds for %v, although an answer to the other may have been in transit", again.Hold)
 	}
-	f.CallFailed(beside[1].ID, TimedOut, seconds(8))
-	if _, ok := f.AnswerReceived(beside[1].ID, 3, false, seconds(8)); ok || len(f.query.out) != 1 {
-		t.Errorf("an answer to a canceled call is accepted; %d calls are open", len(f.query.out))
+	f.CallFailed(hedged[1].ID, TimedOut, seconds(8))
+	if _, ok := f.AnswerReceived(hedged[1].ID, 3, false, seconds(8)); ok || len(f.query.open) != 1 {
+		t.Errorf("an answer to a canceled call is accepted; %d calls are open", len(f.query.open))
 	}
 }
 
--- a/internal/discovery/plan/lease.go
+++ b/internal/discovery/plan/lease.go
@@ -76,11 +76,11 @@
 	sent time.Duration // when its call was made
 }
 
-// confirmedBy returns what a complete answer proves that arrived at came to a call that the Follower decided to make
-// at sent. Discovery decided on the answer after the call was sent. If the answer contains no changes and did not
-// come early, discovery had waited for the whole hold time before.
-func confirmedBy(c Call, sent, came time.Duration, unchanged bool) Confirmation {
-	if unchanged && came >= sent+c.Hold {
+// confirmedBy returns what a complete answer proves that arrived at receivedAt to a call that the Follower decided to
+// make at sent. Discovery decided on the answer after the call was sent. If the answer contains no changes and did
+// not come early, discovery had waited for the whole hold time before it decided.
+func confirmedBy(c Call, sent, receivedAt time.Duration, unchanged bool) Confirmation {
+	if unchanged && receivedAt >= sent+c.Hold {
 		return Confirmation{asOf: sent + c.Hold, sent: sent}
 	}
 	return Confirmation{asOf: sent, sent: sent}
@@ -180,7 +180,7 @@
 
 // answerLost records that the rest of the answer to a call will not arrive or will not be read.
 func (l *Lease) answerLost(id CallID) {
-	if p, begun := l.partial[id]; begun {
+	if p, known := l.partial[id]; known {
 		l.discard(p.receivedAt)
 		delete(l.partial, id)
 	}
--- a/internal/discovery/plan/left.go
+++ b/internal/discovery/plan/left.go
@@ -13,7 +13,7 @@
 
 // lingeringCalls are open calls that no query waits for any more. What is written on them counts as notified.
 type lingeringCalls struct {
-	out   map[CallID]sentCall
+	open  map[CallID]sentCall
 	until time.Duration // an answer that is valid as of this time or later ends them
 }
 
@@ -22,14 +22,14 @@
 	if len(calls) == 0 {
 		return
 	}
-	maps.Copy(l.out, calls)
+	maps.Copy(l.open, calls)
 	l.until = max(l.until, until)
 }
 
 // watch returns when the last of the calls that wait for a change is overdue. open is false if none of them is still
 // in time.
 func (l *lingeringCalls) watch(slack, now time.Duration) (overdue time.Duration, open bool) {
-	for _, c := range l.out {
+	for _, c := range l.open {
 		if c.Hold > 0 {
 			overdue = max(overdue, c.sentAt+c.Hold+slack)
 		}
@@ -38,22 +38,22 @@
 }
 
 // limitHold limits the hold time of a call so that its answer ends the lingering calls.
-func (l *lingeringCalls) limitHold(most, now time.Duration) time.Duration {
-	if len(l.out) == 0 {
-		return most
+func (l *lingeringCalls) limitHold(limit, now time.Duration) time.Duration {
+	if len(l.open) == 0 {
+		return limit
 	}
-	return min(most, max(l.until-now, 0))
+	return min(limit, max(l.until-now, 0))
 }
 
 // ids returns the IDs of the calls in order.
-func (l *lingeringCalls) ids() []CallID { return slices.Sorted(maps.Keys(l.out)) }
+func (l *lingeringCalls) ids() []CallID { return slices.Sorted(maps.Keys(l.open)) }
 
 // detachQuery ends the query. Its calls stay open until an answer that is valid as of until.
 func (f *Follower) detachQuery(until time.Duration) {
 	if f.query == nil {
 		return
 	}
-	f.lingering.add(f.query.out, until)
+	f.lingering.add(f.query.open, until)
 	f.query = nil
 }
 
@@ -64,5 +64,5 @@
 		f.answerLost(id)
 		f.emit(CancelCall{id})
 	}
-	clear(f.lingering.out)
+	clear(f.lingering.open)
 }
--- a/internal/discovery/plan/move_test.go
+++ b/internal/discovery/plan/move_test.go
@@ -37,12 +37,12 @@
 	watch = answerUnchanged(t, f, onlyCall(t, f).ID, movedAt+seconds(0.2))
 	last := movedAt + seconds(1)
 	f.Move("c", last, last)
-	wentOver, _ := f.NextTick()
-	f.Tick(wentOver)
+	switchedAt, _ := f.NextTick()
+	f.Tick(switchedAt)
 	if _, at := nextCall(t, f); at != last+oldWatchWait {
 		t.Errorf("a call beside the watch is made %v after the move", at-last)
 	}
-	f.CallFailed(watch.ID, NoAnswer, wentOver+seconds(1.5))
+	f.CallFailed(watch.ID, NoAnswer, switchedAt+seconds(1.5))
 	if _, at := nextCall(t, f); f.Status(at) != Confirmed {
 		t.Errorf("the call after an unanswered one is made %v after the move, and the list is %s by then", at-last, f.Status(at))
 	}
@@ -129,14 +129,14 @@
 	watch := onlyCall(t, f)
 	f.Move("b", movedAt, movedAt)
 	f.Move("a", movedAt+seconds(0.1), movedAt+seconds(0.1))
-	wentOver, _ := f.NextTick()
-	f.Tick(wentOver)
-	call := answerUnchanged(t, f, watch.ID, wentOver+seconds(0.4))
+	switchedAt, _ := f.NextTick()
+	f.Tick(switchedAt)
+	call := answerUnchanged(t, f, watch.ID, switchedAt+seconds(0.4))
 	if call.Hold != 0 {
 		t.Errorf("the first call after the moves waits for a change for %v", call.Hold)
 	}
-	if came := wentOver + seconds(0.4) + call.Hold; f.Status(came) != Confirmed {
-		t.Errorf("%v after the move, when the call is answered, the list is %s", came-movedAt, f.Status(came))
+	if answeredAt := switchedAt + seconds(0.4) + call.Hold; f.Status(answeredAt) != Confirmed {
+		t.Errorf("%v after the move, when the call is answered, the list is %s", answeredAt-movedAt, f.Status(answeredAt))
 	}
 }
 
@@ -149,12 +149,12 @@
 	answerUnchanged(t, f, onlyCall(t, f).ID, seconds(0.9))
 	f.Move("b", movedAt, movedAt)
 	call, _ := nextCall(t, f)
-	again := movedAt + seriesGap + seconds(0.1)
-	f.AnswerReceived(call.ID, 1, false, again)
-	f.Move("c", again, again)
-	f.AnswerApplied(again)
-	if c, at := nextCall(t, f); c.Address != "c" || at > again+oldWatchWait {
-		t.Errorf("the next call, to %q, is made %v after the move", c.Address, at-again)
+	secondMove := movedAt + seriesGap + seconds(0.1)
+	f.AnswerReceived(call.ID, 1, false, secondMove)
+	f.Move("c", secondMove, secondMove)
+	f.AnswerApplied(secondMove)
+	if c, at := nextCall(t, f); c.Address != "c" || at > secondMove+oldWatchWait {
+		t.Errorf("the next call, to %q, is made %v after the move", c.Address, at-secondMove)
 	}
 }
 
@@ -168,8 +168,8 @@
 	call, _ := nextCall(t, f)
 	f.AnswerReceived(call.ID, 1, false, seconds(2.7))
 	f.AnswerApplied(seconds(2.7))
-	again := movedAt + seriesGap + seconds(0.1)
-	f.Move("c", again, again)
+	secondMove := movedAt + seriesGap + seconds(0.1)
+	f.Move("c", secondMove, secondMove)
 	if made := takeCalls(f); len(made) > 0 {
 		t.Errorf("calls during the lingering watch: %+v", made)
 	}
--- a/internal/discovery/plan/question.go
+++ b/internal/discovery/plan/question.go
@@ -46,7 +46,7 @@
 	hold           time.Duration // of its first call
 	overdue        time.Duration // after how long its first call is overdue
 	made           int
-	out            map[CallID]sentCall
+	open           map[CallID]sentCall
 	newest         CallID        // the last call that was made
 	nextCallAt     time.Duration // when the next call is made beside the newest one
 	moved          bool          // discovery has moved since its first call was made
@@ -58,7 +58,7 @@
 
 // startQuery requests what has changed.
 func (f *Follower) startQuery(now time.Duration) {
-	q := &query{startedAt: now, moves: f.series.moves, continuesWatch: f.justAnswered, out: map[CallID]sentCall{}}
+	q := &query{startedAt: now, moves: f.series.moves, continuesWatch: f.justAnswered, open: map[CallID]sentCall{}}
 	q.hold, q.overdue = f.timing(now)
 	f.query = q
 	f.justAnswered = false
@@ -124,7 +124,7 @@
 	}
 	q.newest = c.ID
 	q.made++
-	q.out[c.ID] = sentCall{c, now, f.versionResets}
+	q.open[c.ID] = sentCall{c, now, f.versionResets}
 	f.callStarted(c, now)
 	q.nextCallAt = now + overdue
 	f.emit(MakeCall{c})
--- a/internal/discovery/plan/series.go
+++ b/internal/discovery/plan/series.go
@@ -31,7 +31,7 @@
 }
 
 // add records a move and reports whether to switch to its address immediately.
-func (s *moveSeries) add(address string, now time.Duration) (atOnce bool) {
+func (s *moveSeries) add(address string, now time.Duration) (immediately bool) {
 	inSeries := s.last.within(seriesGap, now)
 	s.address, s.last = address, optionalTime{now, true}
 	s.moves++
--- a/internal/discovery/plan/silences.go
+++ b/internal/discovery/plan/silences.go
@@ -43,9 +43,9 @@
 
 // callEnded records that a call is no longer open. asOf is the time for which the held list is confirmed.
 func (s *missTracker) callEnded(id CallID, end CallEnd, now, asOf time.Duration) {
-	c, out := s.open[id]
+	c, known := s.open[id]
 	delete(s.open, id)
-	if !out || end == Answered {
+	if !known || end == Answered {
 		return
 	}
 	if end.observedFailure() {
--- a/internal/discovery/plan/walk_test.go
+++ b/internal/discovery/plan/walk_test.go
@@ -14,7 +14,7 @@
 	rng    *rand.Rand
 	f      *Follower
 	now    time.Duration
-	out    map[CallID]sentCall // calls that were made and have not ended
+	open   map[CallID]sentCall // calls that were made and have not ended
 	pushed bool
 }
 
@@ -23,7 +23,7 @@
 func TestNoOrderOfEventsStopsFollower(t *testing.T) {
 	const walks, steps = 1000, 200
 	for seed := range uint64(walks) {
-		w := &walk{T: t, rng: rand.New(rand.NewPCG(seed, 0x3a1f)), out: map[CallID]sentCall{}, pushed: seed%4 == 0}
+		w := &walk{T: t, rng: rand.New(rand.NewPCG(seed, 0x3a1f)), open: map[CallID]sentCall{}, pushed: seed%4 == 0}
 		w.f = NewFollower(0, "a", defaultSettings(), w.rng.Float64)
 		if w.pushed {
 			w.f.SetPushed(0)
@@ -48,39 +48,39 @@
 		case MakeCall:
 			w.noteCall(a.Call)
 		case CancelCall:
-			if _, out := w.out[a.ID]; !out {
+			if _, isOpen := w.open[a.ID]; !isOpen {
 				w.Errorf("call %d is canceled, and is not open", a.ID)
 			}
-			delete(w.out, a.ID)
+			delete(w.open, a.ID)
 		}
 	}
 }
 
 // noteCall records a call.
 func (w *walk) noteCall(c Call) {
-	for _, other := range w.out {
+	for _, other := range w.open {
 		if c.Hold > 0 && other.Hold > 0 && other.sentAt+other.Hold+defaultSettings().Slack > w.now && !w.pushed {
 			w.Errorf("watch %+v is opened beside %+v", c, other)
 		}
 	}
-	w.out[c.ID] = sentCall{Call: c, sentAt: w.now}
+	w.open[c.ID] = sentCall{Call: c, sentAt: w.now}
 }
 
 // check checks the follower between two events.
 func (w *walk) check() {
 	f := w.f
-	known := maps.Clone(f.lingering.out)
+	known := maps.Clone(f.lingering.open)
 	if f.query != nil {
-		maps.Copy(known, f.query.out)
-		if len(f.query.out) == 0 {
+		maps.Copy(known, f.query.open)
+		if len(f.query.open) == 0 {
 			w.Error("a query without an open call")
 		}
 	}
-	if a, b := slices.Sorted(maps.Keys(known)), slices.Sorted(maps.Keys(w.out)); !slices.Equal(a, b) {
+	if a, b := slices.Sorted(maps.Keys(known)), slices.Sorted(maps.Keys(w.open)); !slices.Equal(a, b) {
 		w.Errorf("calls %v are open, and the follower knows of %v", b, a)
 	}
-	if f.gap.open != len(w.out) || len(f.misses.open) != len(w.out) {
-		w.Errorf("%d calls are open; gap counts %d, misses %d", len(w.out), f.gap.open, len(f.misses.open))
+	if f.gap.open != len(w.open) || len(f.misses.open) != len(w.open) {
+		w.Errorf("%d calls are open; gap counts %d, misses %d", len(w.open), f.gap.open, len(f.misses.open))
 	}
 	at, ok := f.NextTick()
 	switch {
@@ -115,7 +115,7 @@
 		w.f.Watch(w.now)
 	case draw == 16 && w.rng.IntN(10) == 0:
 		w.f.Stop()
-		clear(w.out)
+		clear(w.open)
 	case draw == 17:
 		w.f.Watch(w.now)
 	case draw == 18 && w.rng.IntN(5) == 0:
@@ -134,8 +134,8 @@
 }
 
 // anyCall returns a random open call.
-func (w *walk) anyCall() (id CallID, out bool) {
-	ids := slices.Sorted(maps.Keys(w.out))
+func (w *walk) anyCall() (id CallID, ok bool) {
+	ids := slices.Sorted(maps.Keys(w.open))
 	if len(ids) == 0 {
 		return 0, false
 	}
@@ -144,12 +144,12 @@
 
 // answer answers a call; discovery may move while the answer is applied.
 func (w *walk) answer() {
-	id, out := w.anyCall()
-	if !out {
+	id, ok := w.anyCall()
+	if !ok {
 		return
 	}
-	c := w.out[id]
-	delete(w.out, id)
+	c := w.open[id]
+	delete(w.open, id)
 	version := max(c.From, 0) + int64(w.rng.IntN(4)) - int64(w.rng.IntN(8)/7*5)
 	if _, ok := w.f.AnswerReceived(id, max(version, 0), c.From < 0 || w.rng.IntN(4) == 0, w.now); !ok {
 		w.Errorf("the answer to call %d, which is open, is not accepted", id)
@@ -163,18 +163,18 @@
 
 // end ends a call without an answer.
 func (w *walk) end() {
-	id, out := w.anyCall()
-	if !out {
+	id, ok := w.anyCall()
+	if !ok {
 		return
 	}
-	delete(w.out, id)
+	delete(w.open, id)
 	ends := []CallEnd{TurnedAway, CutOff, NoAnswer, Unreachable, TimedOut, NoResources}
 	w.f.CallFailed(id, ends[w.rng.IntN(len(ends))], w.now)
 }
 
 // partOfAnswer delivers a part of an answer.
 func (w *walk) partOfAnswer() {
-	if id, out := w.anyCall(); out {
+	if id, ok := w.anyCall(); ok {
 		w.f.AnswerProgress(id, w.now)
 		w.f.AnswerBegun(id, w.now, w.now)
 	}
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -22,8 +22,8 @@
 	"brasswell/internal/discovery/plan"
 )
 
-// TestThirdCallFitsWithinNotification computes the bound from the options, for a watch and for a whole list.
-func TestThirdCallFitsWithinNotification(t *testing.T) {
+// TestThirdCallBeginsInTime computes the bound from the options, for a watch and for a whole list.
+func TestThirdCallBeginsInTime(t *testing.T) {
 	o := DefaultOptions()
 	watch := o.thirdCallDeadline()
 	whole := plan.CallTimeout // for the second call: a proxy without a list cannot be notified of changes, and must be ready within 10 s
@@ -88,8 +88,8 @@
 
 // These are the errors of failed dials in package net.
 var (
-	errRefusedDial = &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
-	errSilentDial  = &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
+	errDialRefused = &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
+	errDialTimeout = &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
 )
 
 func (s *service) dial(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -101,12 +101,12 @@
 	s.mu.Unlock()
 	switch f {
 	case faultDialRefused:
-		return nil, errRefusedDial
+		return nil, errDialRefused
 	case faultDialTimeout:
 		ctx, cancel := context.WithTimeout(ctx, time.Second) // the timeout of the dialer
 		defer cancel()
 		<-ctx.Done()
-		return nil, errSilentDial
+		return nil, errDialTimeout
 	}
 	return s.pipes.connect(s.serve), nil
 }
@@ -134,12 +134,12 @@
 			io.WriteString(c, serviceUnavailable)
 			continue
 		}
-		from, held := req.URL.Query().Get("from"), time.Duration(0)
+		from, holdTime := req.URL.Query().Get("from"), time.Duration(0)
 		if ms, err := strconv.Atoi(req.URL.Query().Get("hold_ms")); err == nil {
-			held = time.Duration(ms) * time.Millisecond
+			holdTime = time.Duration(ms) * time.Millisecond
 		}
 		if from == "1" {
-			s.hold(held, s.change)
+			s.hold(holdTime, s.change)
 		}
 		text := `{"seq":1,"whole":false,"hosts":[]}`
 		select {
@@ -152,7 +152,7 @@
 		}
 		if from == "2" {
 			text = `{"seq":2,"whole":false,"hosts":[]}`
-			s.hold(held, nil)
+			s.hold(holdTime, nil)
 		}
 		if s.waitTurn != nil && !s.waitTurn(strings.Contains(text, "dial")) {
 			io.WriteString(c, serviceUnavailable)
@@ -219,7 +219,7 @@
 // runProxy runs one proxy against a service whose calls meet the fault during until recoveredAt, and one call the
 // fault after once afterwards. The change exists from changed on. It returns how long after both times the proxy was
 // notified.
-func runProxy(t *testing.T, askEvery, changed, recoveredAt time.Duration, draws uint64, during, after fault) (late time.Duration, calls int) {
+func runProxy(t *testing.T, askEvery, changed, recoveredAt time.Duration, drawSeed uint64, during, after fault) (late time.Duration, calls int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		s := newService()
@@ -251,13 +251,13 @@
 				f.once.Do(func() { close(f.notified) })
 			})
 		d.client.Transport.(*http.Transport).DialContext = s.dial
-		seed(d, draws)
+		seed(d, drawSeed)
 		f.watch = func() { watches.Go(func() { d.Watch(ctx) }) }
 		var err error
 		f.balancer, err = balance.New(balance.Settings{
 			Instances: 1, MaxAttempts: 1, AskForList: true, AskEvery: askEvery,
 			Classes: []balance.Class{{Aim: time.Second, ClientTimeout: time.Second}},
-		}, draws, f)
+		}, drawSeed, f)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -271,8 +271,8 @@
 		select {
 		case <-f.notified:
 		case <-time.After(time.Minute):
-			asked, _ := s.requests()
-			t.Errorf("never notified; calls at %v", asked)
+			times, _ := s.requests()
+			t.Errorf("never notified; calls at %v", times)
 		}
 		late = time.Since(s.start) - max(changed, recoveredAt)
 		f.stop()
@@ -314,11 +314,11 @@
 					t.Errorf("%s: notified %v after discovery had the change and was reachable", name, late)
 				}
 			}
-			var most time.Duration
+			var maxLate time.Duration
 			for _, late := range worst {
-				most = max(most, late)
+				maxLate = max(maxLate, late)
 			}
-			t.Logf("%d runs, notified within %v at worst: %v", runs, most, worst)
+			t.Logf("%d runs, notified within %v at worst: %v", runs, maxLate, worst)
 		})
 	}
 }
@@ -351,8 +351,8 @@
 		d.CloseIdle()
 		o := DefaultOptions()
 		want := []time.Duration{0, o.Hold + o.Slack, o.thirdCallDeadline()}
-		if asked, _ := s.requests(); !slices.Equal(asked, want) {
-			t.Errorf("calls at %v, want %v", asked, want)
+		if times, _ := s.requests(); !slices.Equal(times, want) {
+			t.Errorf("calls at %v, want %v", times, want)
 		}
 		if want := []balance.ListKind{balance.ListFailed, balance.Delta}; !slices.Equal(kinds, want) || d.Seq() != 2 {
 			t.Errorf("reported %v, version %d, want %v: the call that was given up, and the answer", kinds, d.Seq(), want)
@@ -446,11 +446,11 @@
 )
 
 // newProxyFleet starts a number of proxies, with a known list or none; each answer with a change has so many lines.
-// knows reports whether a balancer has the list that counts.
-func newProxyFleet(t *testing.T, proxies, lines int, known bool, fate func(now time.Duration) fault, knows func(*balance.Balancer) bool) *proxyFleet {
+// hasList reports whether a balancer has the list that counts.
+func newProxyFleet(t *testing.T, proxies, lines int, known bool, faultAt func(now time.Duration) fault, hasList func(*balance.Balancer) bool) *proxyFleet {
 	t.Helper()
 	h := &proxyFleet{service: newService(), allNotified: make(chan struct{}), lines: map[int]int{}}
-	h.faultOf = func(int) fault { return fate(time.Since(h.start)) }
+	h.faultOf = func(int) fault { return faultAt(time.Since(h.start)) }
 	queue := make(chan struct{}, 1)
 	h.waitTurn = func(update bool) bool {
 		lines := lines
@@ -471,9 +471,9 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var watches sync.WaitGroup
-	var followers []*proxyStub
+	var stubs []*proxyStub
 	h.stop = func() {
-		for _, f := range followers {
+		for _, f := range stubs {
 			f.stop()
 		}
 		cancel()
@@ -485,13 +485,13 @@
 	}
 	for n := range proxies {
 		f, done := &proxyStub{}, false
-		followers = append(followers, f)
+		stubs = append(stubs, f)
 		d := New("discovery:1", []string{"kita"}, DefaultOptions(), slog.New(slog.DiscardHandler),
 			func(kind balance.ListKind, entries []balance.Entry, _ map[string]string) {
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				f.balancer.Update(time.Duration(time.Now().UnixNano()), kind, entries)
-				if done || kind == balance.Cached || !knows(f.balancer) {
+				if done || kind == balance.Cached || !hasList(f.balancer) {
 					return
 				}
 				done = true
@@ -512,13 +512,13 @@
 			t.Fatal(err)
 		}
 		h.clients = append(h.clients, d)
-		have := &Catalog{Seq: -1}
+		initial := &Catalog{Seq: -1}
 		if known {
-			if have, err = ReadCatalog([]byte(list(1, true, host("a", "127.0.0.1:1", "up")))); err != nil {
+			if initial, err = ReadCatalog([]byte(list(1, true, host("a", "127.0.0.1:1", "up")))); err != nil {
 				t.Fatal(err)
 			}
 		}
-		d.LoadCached(have)
+		d.LoadCached(initial)
 	}
 	return h
 }
@@ -554,8 +554,8 @@
 		close(h.change)
 		before, _ := h.requests()
 		notified, maxLines := h.wait()
-		asked, _ := h.requests()
-		calls := len(asked) - len(before)
+		times, _ := h.requests()
+		calls := len(times) - len(before)
 		if len(notified) < proxies || notified[proxies-1]-recoveredAt > notifiedWithin || maxLines > linesPerSecond {
 			t.Fatalf("%d of %d notified, the last after %v; %d lines in a second", len(notified), proxies, notified[len(notified)-1]-recoveredAt, maxLines)
 		}
--- a/internal/discovery/unread_test.go
+++ b/internal/discovery/unread_test.go
@@ -32,8 +32,8 @@
 	return c.(*openConn), other
 }
 
-// TestReceivedBytesAreUnreadUntilApplied: this holds in the kernel and in the buffers of the process, but no longer
-// than the rest of an answer is waited for.
+// TestReceivedBytesAreUnreadUntilApplied: received bytes count as unread in the kernel and in the buffers of the
+// process, until they are applied, but no longer than the rest of an answer is waited for.
 func TestReceivedBytesAreUnreadUntilApplied(t *testing.T) {
 	s := &openConns{open: map[*openConn]struct{}{}}
 	conn, other := connected(t, s)
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -35,7 +35,7 @@
 		t.Fatal(err)
 	}
 	var mu sync.Mutex
-	taken := 0
+	accepted := 0
 	var served sync.WaitGroup
 	served.Go(func() {
 		defer l.Close()
@@ -45,7 +45,7 @@
 				return
 			}
 			mu.Lock()
-			taken++
+			accepted++
 			mu.Unlock()
 			c.Read(make([]byte, 4096))
 			c.Write([]byte(answer))
@@ -53,7 +53,7 @@
 		}
 	})
 	t.Cleanup(func() { l.Close(); served.Wait() })
-	return l.Addr().String(), func() int { mu.Lock(); defer mu.Unlock(); return taken }
+	return l.Addr().String(), func() int { mu.Lock(); defer mu.Unlock(); return accepted }
 }
 
 // TestCutOffAnswerIsRequestedAgain: the changes in an answer that is cut off count as notified, so it is requested
--- a/internal/discovery/written_test.go
+++ b/internal/discovery/written_test.go
@@ -177,7 +177,7 @@
 // TestDialTimeoutsDoNotExtendLease: discovery is reachable for others and has a change from 1 s on. After the first
 // answer its accept queue is full, and each dial of this proxy times out or succeeds too late.
 func TestDialTimeoutsDoNotExtendLease(t *testing.T) {
-	for _, taken := range []int{1, 2} { // calls that are accepted before that; the second gets no response
+	for _, accepted := range []int{1, 2} { // calls that are accepted before that; the second gets no response
 		synctest.Test(t, func(t *testing.T) {
 			s := newService()
 			defer s.close()
@@ -185,7 +185,7 @@
 				switch {
 				case call == 0:
 					return faultNone
-				case call < taken:
+				case call < accepted:
 					return faultSilent
 				}
 				return faultDialTimeout
@@ -213,7 +213,7 @@
 			dials++
 			mu.Unlock()
 			<-over
-			return nil, errSilentDial
+			return nil, errDialTimeout
 		}
 		d.Resume(1)
 		ctx, cancel := context.WithCancel(t.Context())
@@ -243,7 +243,7 @@
 // TestListOlderThanItsProcess: a process starts 1.43 s after a change, with the list from before it, and each of its
 // calls is refused. The change counts as notified 6 s after discovery had it, not 6 s after the start.
 func TestListOlderThanItsProcess(t *testing.T) {
-	const behind = 1430 * time.Millisecond
+	const startDelay = 1430 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		s := newService()
 		defer s.close()
@@ -251,6 +251,6 @@
 		s.faultOf = func(int) fault { return faultTurnedAway }
 		d, end := watchService(t, s, func(balance.ListKind) {})
 		defer end()
-		expectStaleAfter(t, d, s.start, plan.NotifiedWithin-behind)
+		expectStaleAfter(t, d, s.start, plan.NotifiedWithin-startDelay)
 	})
 }
