--- a/derive/derive_test.go
+++ b/derive/derive_test.go
@@ -15,7 +15,7 @@
 const s = time.Second
 
 // sound is a catalogue as a library has it.
-func sound() App {
+func validApp() App {
 	return App{
 		Name: "catalogue", Memory: 64 << 20, Sockets: 256,
 		Routes: []Route{
@@ -29,7 +29,7 @@
 }
 
 func TestSoundDescription(t *testing.T) {
-	p, found := Derive(sound())
+	p, found := Derive(validApp())
 	if len(found) > 0 || p == nil {
 		t.Fatalf("findings %+v", found)
 	}
@@ -60,10 +60,10 @@
 // TestFindings breaks the sound description in one place each; a near miss beside it must pass.
 func TestFindings(t *testing.T) {
 	for _, x := range []struct {
-		code    string
-		warning bool
-		broken  func(*App)
-		near    func(*App)
+		code     string
+		warning  bool
+		broken   func(*App)
+		nearMiss func(*App)
 	}{
 		{"no-deed", false, func(a *App) { a.Routes[0].Reads = nil }, func(a *App) { a.Routes[2].Reads = nil }},
 		{"writes-safe", false, func(a *App) { a.Routes[1].Repeat = "safe" }, func(a *App) { a.Routes[0].Repeat = "safe" }},
@@ -88,7 +88,7 @@
 		{"shares-over", false, func(a *App) { a.Calls[0].Share = 0.6 }, func(a *App) { a.Calls[0].Share = 0.5 }},
 		{"sockets-short", false, func(a *App) { a.Sockets = 23 }, func(a *App) { a.Sockets = 24 }},
 	} {
-		a := sound()
+		a := validApp()
 		x.broken(&a)
 		p, found := Derive(a)
 		if len(found) != 1 || found[0].Code != x.code || found[0].Warning != x.warning || (p != nil) != x.warning {
@@ -99,8 +99,8 @@
 				t.Errorf("%s does not say enough: %+v", x.code, f)
 			}
 		}
-		a = sound()
-		x.near(&a)
+		a = validApp()
+		x.nearMiss(&a)
 		if _, found := Derive(a); len(found) > 0 {
 			t.Errorf("beside %s: %+v", x.code, found)
 		}
@@ -113,7 +113,7 @@
 	plans := 0
 	rapid.Check(t, func(t *rapid.T) {
 		// Most of what is drawn is sound, or few descriptions would have a plan.
-		often := func(name string) bool { return rapid.IntRange(0, 30).Draw(t, name) > 0 }
+		usually := func(name string) bool { return rapid.IntRange(0, 30).Draw(t, name) > 0 }
 		names := []string{"a", "b", "c"}[:rapid.IntRange(0, 3).Draw(t, "services")]
 		words := func(name string, from []string) []string {
 			if len(from) == 0 {
@@ -122,7 +122,7 @@
 			return rapid.SliceOfN(rapid.SampledFrom(from), 0, 2).Draw(t, name)
 		}
 		times := func(name string, least, most time.Duration) time.Duration {
-			if often(name + " in range") {
+			if usually(name + " in range") {
 				return time.Duration(rapid.Int64Range(int64(least), int64(most)).Draw(t, name))
 			}
 			return time.Duration(rapid.Int64Range(-1, int64(2*time.Hour)).Draw(t, name))
@@ -136,7 +136,7 @@
 				Group:  rapid.SampledFrom([]string{"all", "zone", "cell"}).Draw(t, "group"),
 				Window: times("window", s, 20*s), Wanted: times("wanted", s, 2*s), GiveUp: times("give up", 2*s, 9*s),
 			}
-			if !often("worth left out") {
+			if !usually("worth left out") {
 				r.Worth = rapid.Float64().Draw(t, "worth")
 			}
 			a.Routes = append(a.Routes, r)
@@ -180,7 +180,7 @@
 		for _, b := range p.Bulkheads {
 			sockets += b.Sockets
 			memory += b.Memory
-			if b.Sockets < leastSockets {
+			if b.Sockets < minSockets {
 				t.Fatalf("a service with %d sockets", b.Sockets)
 			}
 		}
--- a/internal/host/attempt.go
+++ b/internal/host/attempt.go
@@ -11,28 +11,28 @@
 
 // attempt is one send of a request.
 type attempt struct {
-	instance *Instance
-	request  *Request
-	number   int
-	to       backends.Endpoint
-	sent     time.Duration
-	from     time.Duration // when the backend can have begun: sent, or when the request had all come
-	begun    bool          // it was about to be written, so the backend may have it
-	unrun    bool          // its outcome proves that it never ran
-	asked    time.Duration // when the agreed rules let it go
-	ground   rules.Ground  // what that rested on
-	end      time.Duration // when the proxy stops waiting
-	ctx      context.Context
-	cancel   context.CancelCauseFunc
-	timer    *time.Timer
-	over     bool
-	passing  bool // its answer is being passed on
+	instance   *Instance
+	request    *Request
+	number     int
+	to         backends.Endpoint
+	sent       time.Duration
+	mayStartAt time.Duration // when the backend can have begun: sent, or when the request had all come
+	dispatched bool          // it was about to be written, so the backend may have it
+	neverRan   bool          // its outcome proves that it never ran
+	checkedAt  time.Duration // when the agreed rules let it go
+	basis      rules.Ground  // what that rested on
+	deadline   time.Duration // when the proxy stops waiting
+	ctx        context.Context
+	cancel     context.CancelCauseFunc
+	timer      *time.Timer
+	ended      bool
+	streaming  bool // its answer is being passed on
 }
 
 // run carries an attempt out.
 func (i *Instance) run(a *attempt) {
 	if !a.mayDial() {
-		i.end(a, balance.Ignored, nil) // never sent
+		i.finish(a, balance.Ignored, nil) // never sent
 		return
 	}
 	exchange := i.backends.Exchange
@@ -40,7 +40,7 @@
 		exchange = i.backends.Upgrade
 	}
 	outcome, r := exchange(a.ctx, a.to, a.request.message, a)
-	i.end(a, outcome, r)
+	i.finish(a, outcome, r)
 }
 
 // mayDial says whether an attempt is still wanted before a connection is looked for: it may have waited for a worker, and
@@ -49,70 +49,70 @@
 	i := a.instance
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return !i.closed && a.end > a.sent && i.wanted(a, i.now()) && i.awaited(a.request)
+	return !i.closed && a.deadline > a.sent && i.maySend(a, i.now()) && i.callerWaiting(a.request)
 }
 
 // wanted says whether an attempt may still be sent for all that is known here; mu is held. The list or a hand may have taken its server
 // out since it was decided, or the servers that drop a repeat may have forgotten the first attempt.
-func (i *Instance) wanted(a *attempt, now time.Duration) bool {
-	return i.address[a.to.Server] == a.to && !a.request.answered && a.ctx.Err() == nil &&
+func (i *Instance) maySend(a *attempt, now time.Duration) bool {
+	return i.endpoints[a.to.Server] == a.to && !a.request.answered && a.ctx.Err() == nil &&
 		i.balancer.MayBegin(now, a.request.id, a.number)
 }
 
 // heldUp is how long a look at the list and the decision by it take at most in a process that runs.
-const heldUp = 100 * time.Millisecond
+const stallThreshold = 100 * time.Millisecond
 
 // Begin says how long an attempt that is about to be written may take, and whether it is still wanted. All news of the list that have come
 // are taken in before; behind a hold-up there may be more.
-func (a *attempt) Begin() (left time.Duration, wanted bool) {
+func (a *attempt) Begin() (remaining time.Duration, wanted bool) {
 	i := a.instance
-	if i.list == nil {
-		return a.decide()
+	if i.serverList == nil {
+		return a.checkSend()
 	}
 	for {
-		looked := i.now()
-		i.list.CatchUp(a.ctx)
-		left, wanted = a.decide()
-		if !wanted || i.now()-looked < heldUp {
-			return left, wanted
+		checkStart := i.now()
+		i.serverList.CatchUp(a.ctx)
+		remaining, wanted = a.checkSend()
+		if !wanted || i.now()-checkStart < stallThreshold {
+			return remaining, wanted
 		}
 	}
 }
 
 // decide is Begin by what is known now.
-func (a *attempt) decide() (time.Duration, bool) {
+func (a *attempt) checkSend() (time.Duration, bool) {
 	i := a.instance
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	now := i.now()
-	left := a.end - now
-	if a.request.arriving {
-		left = a.end - a.sent
+	remaining := a.deadline - now
+	if a.request.receiving {
+		remaining = a.deadline - a.sent
 	}
-	wanted := i.wanted(a, now) && left > 0 && i.awaited(a.request)
+	wanted := i.maySend(a, now) && remaining > 0 && i.callerWaiting(a.request)
 	if wanted && a.request.message.Offer != nil {
 		wanted = i.channels.MayOpen(a.to.Server)
 	}
-	if wanted && i.list != nil && !i.list.Fresh() {
+	if wanted && i.serverList != nil && !i.serverList.Fresh() {
 		wanted = false // any of the servers may drain or be gone
-		i.giveUp(a, i.listWait, byStaleList)
+		i.abandon(a, i.listRetryAfter, causeStaleList)
 	}
-	if wanted && i.gate != nil {
-		wanted = i.allowed(a)
+	if wanted && i.agreedRules != nil {
+		wanted = i.allowedByRules(a)
 	}
-	a.begun = wanted
-	return left, wanted
+	a.dispatched = wanted
+	return remaining, wanted
 }
 
 // awaited says whether a request's caller still waits, and drops the request if not; mu is held. The caller's end of sending is read
 // by a goroutine of net/http's, which may come later than the send: in a process that was stopped for seconds, requests stand
 // in sockets whose callers are long gone, and have had their effect through another proxy. It asks the kernel and so holds
 // for any cause of a late read. It harms who ends its sending and still waits, which Drop's callers forbid anyway.
-func (i *Instance) awaited(q *Request) bool {
+func (i *Instance) callerWaiting(q *Request) bool {
 	if q.caller == nil || !q.caller.Gone() {
 		return true
 	}
-	i.traceUnserved(q, Failed, byCaller)
+	i.traceUnserved(q, Failed, causeCallerGone)
 	q.answer(Final{Verdict: Failed})
 	i.balancer.Dropped(i.now(), q.id)
 	return false
@@ -120,43 +120,43 @@
 
 // allowed asks the agreed rules right before an attempt's first byte: the process may have been paused since it was decided. What
 // they forbid at any server is given up at once; mu is held.
-func (i *Instance) allowed(a *attempt) bool {
-	again, _ := a.others()
-	var ruling rules.Ruling
-	ruling, a.ground = i.gate.Rule(a.to.Server, a.request.message.Class, again)
-	a.asked = i.now()
-	switch ruling {
+func (i *Instance) allowedByRules(a *attempt) bool {
+	repeat, _ := a.otherAttempts()
+	var decision rules.Ruling
+	decision, a.basis = i.agreedRules.Rule(a.to.Server, a.request.message.Class, repeat)
+	a.checkedAt = i.now()
+	switch decision {
 	case rules.Allowed:
 		return true
 	case rules.Banned:
 		return false // another server may do
 	}
-	i.giveUp(a, i.gateWait, byRules)
+	i.abandon(a, i.rulesRetryAfter, causeAgreedRules)
 	return false
 }
 
 // others says whether another attempt of the same request may have run, and whether one is still out; mu is held.
-func (a *attempt) others() (ran, out bool) {
+func (a *attempt) otherAttempts() (mayHaveRun, outstanding bool) {
 	for _, b := range a.request.attempts {
-		ran = ran || b != a && b.begun && !b.unrun
-		out = out || b != a && b.begun && !b.over
+		mayHaveRun = mayHaveRun || b != a && b.dispatched && !b.neverRan
+		outstanding = outstanding || b != a && b.dispatched && !b.ended
 	}
-	return ran, out
+	return mayHaveRun, outstanding
 }
 
 // giveUp ends the request of an attempt that may be sent to no server, harmlessly if nothing of it may have run. One that is still out
 // may serve it, and is waited for; mu is held.
-func (i *Instance) giveUp(a *attempt, wait time.Duration, by unservedBy) {
+func (i *Instance) abandon(a *attempt, retryAfter time.Duration, cause unservedCause) {
 	q := a.request
-	ran, out := a.others()
+	ran, out := a.otherAttempts()
 	if out {
 		return
 	}
-	f := Final{Verdict: Refused, Wait: wait}
+	f := Final{Verdict: Refused, Wait: retryAfter}
 	if ran {
 		f = Final{Verdict: Failed}
 	}
-	i.traceUnserved(q, f.Verdict, by)
+	i.traceUnserved(q, f.Verdict, cause)
 	q.answer(f)
 	i.balancer.Dropped(i.now(), q.id)
 }
@@ -169,27 +169,27 @@
 	if a.ctx.Err() != nil || !a.request.answer(Final{Verdict: Served, Reply: r}) {
 		return false
 	}
-	a.passing = true
+	a.streaming = true
 	a.timer.Stop()
 	i.balancer.Started(i.now(), a.request.id, a.number)
 	return true
 }
 
 // end tells the balancer how an attempt ended, and first answers the request if that served it.
-func (i *Instance) end(a *attempt, outcome balance.Outcome, r *backends.Reply) {
+func (i *Instance) finish(a *attempt, outcome balance.Outcome, r *backends.Reply) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	a.timer.Stop()
 	a.cancel(nil)
-	a.over, a.unrun = true, outcome.ProvesUnrun()
+	a.ended, a.neverRan = true, outcome.ProvesUnrun()
 	q := a.request
-	q.out--
+	q.outstanding--
 	if outcome == balance.OK && r != nil && !q.answer(Final{Verdict: Served, Reply: r}) && r.Channel != nil {
 		r.Channel.Conn.Close() // nobody takes it any more
 	}
 	now := i.now()
-	latency := now - a.from
-	if q.arriving {
+	latency := now - a.mayStartAt
+	if q.receiving {
 		latency = 0 // the backend has not had the time to do anything
 	}
 	i.traceAttempt(a, outcome, now)
@@ -198,30 +198,30 @@
 		ID: q.id, Attempt: a.number, Outcome: outcome, Latency: latency, Finished: q.answered,
 		Spent: stream != nil && stream.EndAttempt(),
 	})
-	i.tidy(q)
+	i.removeIfDone(q)
 }
 
 // mostIdle workers are kept waiting for an attempt.
-const mostIdle = 64
+const maxIdleWorkers = 64
 
 // Send starts an attempt.
 func (i *Instance) Send(id, server string, timeout time.Duration) {
 	q := i.requests[id]
 	now := i.now()
 	a := &attempt{
-		instance: i, request: q, number: len(q.attempts), to: i.address[server], sent: now, from: now, end: now + timeout,
+		instance: i, request: q, number: len(q.attempts), to: i.endpoints[server], sent: now, mayStartAt: now, deadline: now + timeout,
 	}
 	a.ctx, a.cancel = context.WithCancelCause(context.Background())
 	a.timer = time.AfterFunc(timeout, func() { i.expire(a) })
-	if q.arriving {
+	if q.receiving {
 		a.timer.Stop() // its time has not begun
 	}
 	q.attempts = append(q.attempts, a)
-	q.out++
+	q.outstanding++
 	select {
 	case i.work <- a:
 	default:
-		i.running.Go(func() { i.worker(a) })
+		i.workers.Go(func() { i.worker(a) })
 	}
 }
 
@@ -229,7 +229,7 @@
 func (i *Instance) expire(a *attempt) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.now() < a.end || a.over || a.passing {
+	if i.now() < a.deadline || a.ended || a.streaming {
 		return // Received has set its time anew meanwhile
 	}
 	a.cancel(backends.ErrTimedOut)
@@ -240,14 +240,14 @@
 func (i *Instance) worker(a *attempt) {
 	for {
 		i.run(a)
-		if i.idle.Add(1) > mostIdle {
-			i.idle.Add(-1)
+		if i.idleWorkers.Add(1) > maxIdleWorkers {
+			i.idleWorkers.Add(-1)
 			return
 		}
 		select {
 		case a = <-i.work:
-			i.idle.Add(-1)
-		case <-i.ending:
+			i.idleWorkers.Add(-1)
+		case <-i.stopping:
 			return
 		}
 	}
--- a/internal/host/byhand.go
+++ b/internal/host/byhand.go
@@ -9,28 +9,28 @@
 // ByHand takes a server out or puts it back, and reports whether a list has ever named it. Once it has returned from
 // taking one out, nothing new begins to go there: a send that is decided and not yet written asks again right before its
 // first byte.
-func (i *Instance) ByHand(id string, out bool) (known bool) {
+func (i *Instance) ByHand(id string, banned bool) (known bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.closed {
 		return false
 	}
 	now := i.now()
-	_, agreed := i.agreed[id]
+	_, agreed := i.agreedBans[id]
 	switch {
-	case out:
+	case banned:
 		known = i.balancer.Suspend(now, id)
 	case agreed:
 		known = true // it stays out until that is lifted
 	default:
 		known = i.balancer.Resume(now, id)
 	}
-	if _, already := i.byHand[id]; !out {
-		delete(i.byHand, id)
+	if _, already := i.bannedSince[id]; !banned {
+		delete(i.bannedSince, id)
 	} else if known && !already {
-		i.byHand[id] = now
+		i.bannedSince[id] = now
 	}
-	i.keep() // what is held to a server that is out leads to a process that will be restarted
+	i.updatePool() // what is held to a server that is out leads to a process that will be restarted
 	return known
 }
 
@@ -38,13 +38,13 @@
 func (i *Instance) NoteByHand(ids []string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.noteByHand(i.now(), ids)
+	i.recordBans(i.now(), ids)
 }
 
 // noteByHand must be called with mu held.
-func (i *Instance) noteByHand(now time.Duration, ids []string) {
+func (i *Instance) recordBans(now time.Duration, ids []string) {
 	for _, id := range ids {
-		i.byHand[id] = now
+		i.bannedSince[id] = now
 	}
 }
 
@@ -57,13 +57,13 @@
 	}
 	now := i.now()
 	i.balancer.Ban(now, ids)
-	i.noteByHand(now, ids)
-	i.keep()
+	i.recordBans(now, ids)
+	i.updatePool()
 }
 
 // Banned are the servers that are out by hand, in order.
 func (i *Instance) Banned() []string {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return slices.Sorted(maps.Keys(i.byHand))
+	return slices.Sorted(maps.Keys(i.bannedSince))
 }
--- a/internal/host/carry.go
+++ b/internal/host/carry.go
@@ -22,10 +22,10 @@
 func (i *Instance) State() State {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	s := State{Now: i.now(), Since: maps.Clone(i.drains), Open: map[int]int{}}
+	s := State{Now: i.now(), Since: maps.Clone(i.drainingSince), Open: map[int]int{}}
 	s.Carried = i.balancer.Carry(s.Now)
-	maps.Copy(s.Since, i.byHand)
-	for id := range i.address {
+	maps.Copy(s.Since, i.bannedSince)
+	for id := range i.endpoints {
 		if i.balancer.InTurns(id) {
 			s.InTurns++
 		}
@@ -42,8 +42,8 @@
 func (i *Instance) Carry() (balance.Carried, map[string]string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	addresses := make(map[string]string, len(i.address))
-	for id, to := range i.address {
+	addresses := make(map[string]string, len(i.endpoints))
+	for id, to := range i.endpoints {
 		addresses[id] = to.Address
 	}
 	return i.balancer.Carry(i.now()), addresses
@@ -54,23 +54,23 @@
 
 // Adopt goes on from what an instance of another process of this machine knows, whose times are of a clock that was read as told; it is
 // for one that has taken nothing on yet.
-func (i *Instance) Adopt(c balance.Carried, addresses map[string]string, of clock.Reading) {
+func (i *Instance) Adopt(c balance.Carried, addresses map[string]string, reading clock.Reading) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	ahead := i.clock.Read().Ahead(of)
-	if ahead.Abs() > time.Second {
-		i.log.Warn("the wall clock was stepped between the starts of both processes; times are taken over by the steady one", "by", ahead)
+	offset := i.clock.Read().Ahead(reading)
+	if offset.Abs() > time.Second {
+		i.log.Warn("the wall clock was stepped between the starts of both processes; times are taken over by the steady one", "by", offset)
 	}
-	c.Shift(ahead)
+	c.Shift(offset)
 	i.adopt(c, addresses)
-	i.keep()
+	i.updatePool()
 }
 
 // adopt must be called with mu held, and keep after it.
 func (i *Instance) adopt(c balance.Carried, addresses map[string]string) {
 	for _, s := range c.Servers {
 		if address := addresses[s.Entry.ID]; s.Entry.State == balance.InService && address != "" {
-			i.address[s.Entry.ID] = backends.Endpoint{Server: s.Entry.ID, Address: address, Boot: s.Entry.Boot}
+			i.endpoints[s.Entry.ID] = backends.Endpoint{Server: s.Entry.ID, Address: address, Boot: s.Entry.Boot}
 		}
 	}
 	i.balancer.Adopt(i.now(), c)
@@ -78,29 +78,29 @@
 
 // Revive goes on from what was known before a start; it is for one that has taken nothing on yet. No start of a server before lost
 // is believed from then on: whoever ran before that is cold, whatever anybody says. 0 for any.
-func (i *Instance) Revive(c balance.Carried, addresses map[string]string, lost time.Duration) {
+func (i *Instance) Revive(c balance.Carried, addresses map[string]string, earliestStart time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.lost = lost
+	i.earliestStart = earliestStart
 	i.adopt(c, addresses)
 	now := i.now()
-	i.noteByHand(now, c.Banned)
-	i.applyAgreed(now)
-	i.keep()
+	i.recordBans(now, c.Banned)
+	i.applyAgreedBans(now)
+	i.updatePool()
 }
 
 // Births are when the servers in service were started, as far as that is believed.
-func (i *Instance) Births() (births []time.Duration) {
+func (i *Instance) Births() (starts []time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	for _, to := range i.address {
-		births = append(births, to.Boot)
+	for _, to := range i.endpoints {
+		starts = append(starts, to.Boot)
 	}
-	return births
+	return starts
 }
 
 // carryStep servers are looked at for one time that the lock is held.
-const carryStep = 256
+const snapshotBatch = 256
 
 // CarryInSteps returns what Carry does, not as of one moment, and holds up nothing that serves for longer than carryStep servers take.
 func (i *Instance) CarryInSteps() (balance.Carried, map[string]string) {
@@ -110,12 +110,12 @@
 	i.mu.Unlock()
 	addresses := make(map[string]string, len(ids))
 	for len(ids) > 0 {
-		some := ids[:min(len(ids), carryStep)]
-		ids = ids[len(some):]
+		batch := ids[:min(len(ids), snapshotBatch)]
+		ids = ids[len(batch):]
 		i.mu.Lock()
-		c.Servers = i.balancer.CarryServers(c.Servers, some)
-		for _, id := range some {
-			if to, listed := i.address[id]; listed {
+		c.Servers = i.balancer.CarryServers(c.Servers, batch)
+		for _, id := range batch {
+			if to, listed := i.endpoints[id]; listed {
 				addresses[id] = to.Address
 			}
 		}
--- a/internal/host/crossing_test.go
+++ b/internal/host/crossing_test.go
@@ -21,13 +21,13 @@
 
 // server takes requests and does with each connection what the test says once one has come whole.
 type server struct {
-	address string
-	took    atomic.Int32
-	l       net.Listener
-	served  sync.WaitGroup
+	address  string
+	received atomic.Int32
+	l        net.Listener
+	served   sync.WaitGroup
 }
 
-func newServer(t *testing.T, then func(net.Conn)) *server {
+func newServer(t *testing.T, handle func(net.Conn)) *server {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,8 +47,8 @@
 					if _, err := http.ReadRequest(r); err != nil {
 						return
 					}
-					s.took.Add(1)
-					then(c)
+					s.received.Add(1)
+					handle(c)
 				}
 			})
 		}
@@ -61,26 +61,26 @@
 func serve(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") }
 
 // breakOff ends a connection as a process that dies does.
-func breakOff(c net.Conn) {
+func resetConn(c net.Conn) {
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
 // waiter is a caller that goes when the test says so.
-type waiter struct{ gone atomic.Bool }
+type testCaller struct{ gone atomic.Bool }
 
-func (w *waiter) Gone() bool { return w.gone.Load() }
+func (w *testCaller) Gone() bool { return w.gone.Load() }
 
 // crossing is an instance before two servers. Each connection that it opens is held until the test lets it come up.
-type crossing struct {
+type fixture struct {
 	*Instance
 	dials chan chan struct{} // of each connection that is asked for, what lets it come up when closed
 	pool  *backends.Pool
 }
 
-func newCrossing(t *testing.T, class balance.Class, servers ...*server) *crossing {
+func newFixture(t *testing.T, class balance.Class, servers ...*server) *fixture {
 	t.Helper()
-	c := &crossing{dials: make(chan chan struct{}, 8)}
+	c := &fixture{dials: make(chan chan struct{}, 8)}
 	c.pool = backends.NewPool(backends.Limits{
 		Conns: 8, ConnectTimeout: 30 * time.Second, ConnIdle: 30 * time.Second, Options: backends.DefaultOptions(),
 		Control: func(_, _ string, _ syscall.RawConn) error {
@@ -105,14 +105,14 @@
 	return c
 }
 
-func (c *crossing) close() { c.Close(); c.pool.Close() }
+func (c *fixture) close() { c.Close(); c.pool.Close() }
 
 // long is a request's time; nothing here may take that long.
-const long = 20 * time.Second
+const requestTimeout = 20 * time.Second
 
-func (c *crossing) submit(w Caller) *Request {
+func (c *fixture) submit(w Caller) *Request {
 	u := &url.URL{Path: "/api"}
-	return c.Submit(w, &backends.Message{Method: "GET", URI: "/api", URL: u, Host: "x", Header: http.Header{}}, 0, -1, long, 0)
+	return c.Submit(w, &backends.Message{Method: "GET", URI: "/api", URL: u, Host: "x", Header: http.Header{}}, 0, -1, requestTimeout, 0)
 }
 
 func await[T any](t *testing.T, what string, c <-chan T) T {
@@ -120,14 +120,14 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(long / 2):
+	case <-time.After(requestTimeout / 2):
 		t.Fatalf("%s did not come", what)
 		panic("unreachable")
 	}
 }
 
 func class(effect balance.Effect, window time.Duration) balance.Class {
-	return balance.Class{Aim: long, GiveUp: long, Worth: 1, Effect: effect, Group: balance.GroupAll, Window: window}
+	return balance.Class{Aim: requestTimeout, GiveUp: requestTimeout, Worth: 1, Effect: effect, Group: balance.GroupAll, Window: window}
 }
 
 // TestWindowEndsWhileAConnectionComesUp: the first attempt may have run; the second is decided within the window, and its
@@ -135,21 +135,21 @@
 func TestWindowEndsWhileAConnectionComesUp(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	const window = 2 * time.Second
-	a, b := newServer(t, breakOff), newServer(t, breakOff)
+	a, b := newServer(t, resetConn), newServer(t, resetConn)
 	defer a.close()
 	defer b.close()
-	c := newCrossing(t, class(balance.Guarded, window), a, b)
+	c := newFixture(t, class(balance.Guarded, window), a, b)
 	defer c.close()
-	begun := time.Now()
-	q := c.submit(&waiter{})
+	start := time.Now()
+	q := c.submit(&testCaller{})
 	close(await(t, "the first connection", c.dials))
 	second := await(t, "the second connection", c.dials)
-	time.Sleep(time.Until(begun.Add(window + 50*time.Millisecond))) // until the window is over for certain
+	time.Sleep(time.Until(start.Add(window + 50*time.Millisecond))) // until the window is over for certain
 	close(second)
 	if f := await(t, "the answer", q.Final()); f.Verdict != Refused { // all drop repeats: harmless
 		t.Errorf("verdict %v", f.Verdict)
 	}
-	if n := a.took.Load() + b.took.Load(); n != 1 {
+	if n := a.received.Load() + b.received.Load(); n != 1 {
 		t.Errorf("%d attempts were written, want the first alone", n)
 	}
 }
@@ -157,12 +157,12 @@
 // TestWindowEndsWhileARepeatWaits is the same for a repeat that is held, since its servers can take none for now.
 func TestWindowEndsWhileARepeatWaits(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	a, b := newServer(t, breakOff), newServer(t, breakOff)
+	a, b := newServer(t, resetConn), newServer(t, resetConn)
 	defer a.close()
 	defer b.close()
-	c := newCrossing(t, class(balance.Guarded, 2*time.Second), a, b)
+	c := newFixture(t, class(balance.Guarded, 2*time.Second), a, b)
 	defer c.close()
-	q := c.submit(&waiter{})
+	q := c.submit(&testCaller{})
 	first := await(t, "the first connection", c.dials)
 	close(first)
 	second := await(t, "the second connection", c.dials)
@@ -172,7 +172,7 @@
 	if f := await(t, "the answer", q.Final()); f.Verdict != Refused {
 		t.Errorf("verdict %v", f.Verdict)
 	}
-	if n := a.took.Load() + b.took.Load(); n != 1 {
+	if n := a.received.Load() + b.received.Load(); n != 1 {
 		t.Errorf("%d attempts were written, want the first alone", n)
 	}
 }
@@ -181,19 +181,19 @@
 // here. No connection is asked for the next one.
 func TestNoDialForACallerThatHasGone(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	w := &waiter{}
-	leave := func(c net.Conn) { w.gone.Store(true); breakOff(c) }
+	w := &testCaller{}
+	leave := func(c net.Conn) { w.gone.Store(true); resetConn(c) }
 	a, b := newServer(t, leave), newServer(t, leave)
 	defer a.close()
 	defer b.close()
-	c := newCrossing(t, class(balance.Free, 0), a, b)
+	c := newFixture(t, class(balance.Free, 0), a, b)
 	defer c.close()
 	q := c.submit(w)
 	close(await(t, "the first connection", c.dials))
 	if f := await(t, "the answer", q.Final()); f.Verdict != Failed {
 		t.Errorf("verdict %v", f.Verdict)
 	}
-	if n := a.took.Load() + b.took.Load(); n != 1 || len(c.dials) != 0 {
+	if n := a.received.Load() + b.received.Load(); n != 1 || len(c.dials) != 0 {
 		t.Errorf("%d attempts written and %d more connections asked for, want 1 and none", n, len(c.dials))
 	}
 }
@@ -201,17 +201,17 @@
 // TestNothingIsSentForACallerThatWentWhileAConnectionCameUp.
 func TestNothingIsSentForACallerThatWentWhileAConnectionCameUp(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	w := &waiter{}
+	w := &testCaller{}
 	a := newServer(t, serve)
 	defer a.close()
-	c := newCrossing(t, class(balance.Free, 0), a)
+	c := newFixture(t, class(balance.Free, 0), a)
 	defer c.close()
 	q := c.submit(w)
 	up := await(t, "the connection", c.dials)
 	w.gone.Store(true)
 	close(up)
-	if f := await(t, "the answer", q.Final()); f.Verdict != Failed || a.took.Load() != 0 {
-		t.Errorf("verdict %v, %d attempts written", f.Verdict, a.took.Load())
+	if f := await(t, "the answer", q.Final()); f.Verdict != Failed || a.received.Load() != 0 {
+		t.Errorf("verdict %v, %d attempts written", f.Verdict, a.received.Load())
 	}
 }
 
@@ -222,7 +222,7 @@
 	turnAway := func(c net.Conn) {
 		io.WriteString(c, "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
 	}
-	half := func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"); breakOff(c) }
+	half := func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"); resetConn(c) }
 	failed := func(c net.Conn) { io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n") }
 	for _, k := range []struct {
 		name    string
@@ -230,30 +230,30 @@
 		took    int32
 		verdict Verdict
 	}{
-		{"turned away", turnAway, 2, Served}, {"broken off", breakOff, 1, Failed}, {"half an answer", half, 1, Failed},
+		{"turned away", turnAway, 2, Served}, {"broken off", resetConn, 1, Failed}, {"half an answer", half, 1, Failed},
 		{"an error", failed, 1, Failed},
 	} {
 		t.Run(k.name, func(t *testing.T) {
-			var turn atomic.Int32
-			then := func(c net.Conn) {
-				if turn.Add(1) == 1 {
+			var count atomic.Int32
+			handle := func(c net.Conn) {
+				if count.Add(1) == 1 {
 					k.first(c)
 					return
 				}
 				serve(c)
 			}
-			a, b := newServer(t, then), newServer(t, then)
+			a, b := newServer(t, handle), newServer(t, handle)
 			defer a.close()
 			defer b.close()
-			c := newCrossing(t, class(balance.SingleShot, 0), a, b)
+			c := newFixture(t, class(balance.SingleShot, 0), a, b)
 			defer c.close()
-			q := c.submit(&waiter{})
+			q := c.submit(&testCaller{})
 			close(await(t, "the first connection", c.dials))
 			if k.took == 2 {
 				close(await(t, "the second connection", c.dials))
 			}
 			f := await(t, "the answer", q.Final())
-			if n := a.took.Load() + b.took.Load(); f.Verdict != k.verdict || n != k.took {
+			if n := a.received.Load() + b.received.Load(); f.Verdict != k.verdict || n != k.took {
 				t.Errorf("verdict %v after %d attempts, want %v after %d", f.Verdict, n, k.verdict, k.took)
 			}
 		})
@@ -266,9 +266,9 @@
 	a, b := newServer(t, serve), newServer(t, serve)
 	defer a.close()
 	defer b.close()
-	c := newCrossing(t, class(balance.SingleShot, 0), a, b)
+	c := newFixture(t, class(balance.SingleShot, 0), a, b)
 	defer c.close()
-	q := c.submit(&waiter{})
+	q := c.submit(&testCaller{})
 	up := await(t, "the first connection", c.dials)
 	c.mu.Lock()
 	to := c.requests[q.id].attempts[0].to
@@ -283,15 +283,15 @@
 	if to.Address == b.address {
 		drained, other = b, a
 	}
-	if drained.took.Load() != 0 || other.took.Load() != 1 {
-		t.Errorf("%d written to the one that drains, %d to the other", drained.took.Load(), other.took.Load())
+	if drained.received.Load() != 0 || other.received.Load() != 1 {
+		t.Errorf("%d written to the one that drains, %d to the other", drained.received.Load(), other.received.Load())
 	}
 }
 
 // TestReadyMeansThatItCanServe: with no list, with one of servers that all drain or are gone, and again once one is there.
 func TestReadyMeansThatItCanServe(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	c := newCrossing(t, class(balance.Free, 0))
+	c := newFixture(t, class(balance.Free, 0))
 	defer c.close()
 	up := []balance.Entry{{ID: "a"}}
 	for n, step := range []struct {
--- a/internal/host/fleet.go
+++ b/internal/host/fleet.go
@@ -24,31 +24,31 @@
 	}
 	now := i.now()
 	for id := range bans {
-		if _, already := i.agreed[id]; !already {
-			i.agreed[id] = false
+		if _, already := i.agreedBans[id]; !already {
+			i.agreedBans[id] = false
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(i.agreed)) {
+	for _, id := range slices.Sorted(maps.Keys(i.agreedBans)) {
 		if _, out := bans[id]; out {
 			continue
 		}
-		known := i.agreed[id]
-		delete(i.agreed, id)
-		if _, byHand := i.byHand[id]; known && !byHand {
+		applied := i.agreedBans[id]
+		delete(i.agreedBans, id)
+		if _, byHand := i.bannedSince[id]; applied && !byHand {
 			i.balancer.Resume(now, id)
 		}
 	}
-	i.applyAgreed(now)
-	i.quota = quota
-	i.setPart()
-	i.keep()
+	i.applyAgreedBans(now)
+	i.quotaShare = quota
+	i.updateShares()
+	i.updatePool()
 }
 
 // applyAgreed tells the balancer of servers that are out, as soon as a list has named them; mu is held.
-func (i *Instance) applyAgreed(now time.Duration) {
-	for _, id := range slices.Sorted(maps.Keys(i.agreed)) {
-		if !i.agreed[id] {
-			i.agreed[id] = i.balancer.Suspend(now, id)
+func (i *Instance) applyAgreedBans(now time.Duration) {
+	for _, id := range slices.Sorted(maps.Keys(i.agreedBans)) {
+		if !i.agreedBans[id] {
+			i.agreedBans[id] = i.balancer.Suspend(now, id)
 		}
 	}
 }
@@ -57,32 +57,34 @@
 func (i *Instance) SetPart(part float64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.part = part
-	i.setPart()
+	i.upgradeShare = part
+	i.updateShares()
 }
 
 // SetFleet tells the balancer which part of what all proxies may do is this proxy's own.
 func (i *Instance) SetFleet(p parts.Parts) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if p == i.fleet || i.closed {
+	if p == i.fleetShares || i.closed {
 		return
 	}
-	i.fleet = p
-	i.setPart()
+	i.fleetShares = p
+	i.updateShares()
 	i.log.Info(LogParts, "soft", p.Soft, "hard", p.Hard)
 }
 
-func (i *Instance) setPart() { i.balancer.SetPart(i.part*i.fleet.Hard, i.quota*i.fleet.Soft) }
+func (i *Instance) updateShares() {
+	i.balancer.SetPart(i.upgradeShare*i.fleetShares.Hard, i.quotaShare*i.fleetShares.Soft)
+}
 
 // Renumber takes in this proxy's own number among so many that cut the list.
-func (i *Instance) Renumber(self, of int) {
+func (i *Instance) Renumber(self, total int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if was, among := i.balancer.Numbers(); i.closed || was == self && among == of {
+	if oldSelf, oldTotal := i.balancer.Numbers(); i.closed || oldSelf == self && oldTotal == total {
 		return
 	}
-	i.balancer.Renumber(i.now(), self, of)
-	i.tellChannels()
-	i.log.Info(LogNumber, "self", self, "of", of)
+	i.balancer.Renumber(i.now(), self, total)
+	i.updateChannels()
+	i.log.Info(LogNumber, "self", self, "of", total)
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -19,37 +19,37 @@
 // Instance hosts one balancer. It is the balancer's Host: the calls come while mu is held, so none of them may
 // block or call back; what takes time runs in a goroutine of its own and comes back through an event.
 type Instance struct {
-	clock    clock.Steady // Unix time, as the list's start times are
-	backends *backends.Pool
-	watch    func()     // starts a watch on the server list
-	channels Channels   // nil where there are none
-	gate     Gate       // nil where no rules are agreed on
-	door     Door       // nil where all are let in
-	list     ServerList // nil where the list that is held may always be acted on
-	listWait time.Duration
-	heldBack atomic.Int64  // requests that were not sent for want of a fresh list
-	lost     time.Duration // no start of a server before it is believed; 0 for any
-	gateWait time.Duration
-	log      *slog.Logger
-
-	mu       sync.Mutex
-	balancer *balance.Balancer
-	requests map[string]*Request
-	lastID   uint64
-	address  map[string]backends.Endpoint // of each server that the list has in service
+	clock             clock.Steady // Unix time, as the list's start times are
+	backends          *backends.Pool
+	watch             func()     // starts a watch on the server list
+	channels          Channels   // nil where there are none
+	agreedRules       Gate       // nil where no rules are agreed on
+	admissionGate     Door       // nil where all are let in
+	serverList        ServerList // nil where the list that is held may always be acted on
+	listRetryAfter    time.Duration
+	staleListUnserved atomic.Int64  // requests that were not sent for want of a fresh list
+	earliestStart     time.Duration // no start of a server before it is believed; 0 for any
+	rulesRetryAfter   time.Duration
+	log               *slog.Logger
+
+	mu        sync.Mutex
+	balancer  *balance.Balancer
+	requests  map[string]*Request
+	lastID    uint64
+	endpoints map[string]backends.Endpoint // of each server that the list has in service
 	// When a listed server was first seen to drain, and when one that is out was taken out by hand; for people.
-	drains, byHand map[string]time.Duration
-	agreed         map[string]bool // out by agreement; true once the balancer knows of it
-	quota          float64         // the agreed share of tenants' quotas
-	closed         bool
-	part           float64     // beside another process of this proxy
-	fleet          parts.Parts // among all proxies
-
-	timers  *timers
-	work    chan *attempt  // to workers that wait for some
-	idle    atomic.Int32   // workers that wait, or are about to
-	ending  chan struct{}  // closed when they are to end
-	running sync.WaitGroup // workers
+	drainingSince, bannedSince map[string]time.Duration
+	agreedBans                 map[string]bool // out by agreement; true once the balancer knows of it
+	quotaShare                 float64         // the agreed share of tenants' quotas
+	closed                     bool
+	upgradeShare               float64     // beside another process of this proxy
+	fleetShares                parts.Parts // among all proxies
+
+	timers      *timers
+	work        chan *attempt  // to workers that wait for some
+	idleWorkers atomic.Int32   // workers that wait, or are about to
+	stopping    chan struct{}  // closed when they are to end
+	workers     sync.WaitGroup // workers
 }
 
 // Channels is what an instance tells of its servers, and asks before a request for a channel goes to one. The calls come
@@ -101,17 +101,17 @@
 func (i *Instance) SetServerList(l ServerList, wait time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.list, i.listWait = l, wait
+	i.serverList, i.listRetryAfter = l, wait
 }
 
 // HeldBack is how many requests were not sent for want of a fresh list.
-func (i *Instance) HeldBack() int64 { return i.heldBack.Load() }
+func (i *Instance) HeldBack() int64 { return i.staleListUnserved.Load() }
 
 // SetDoor is for an instance that has taken nothing on yet.
 func (i *Instance) SetDoor(d Door) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.door = d
+	i.admissionGate = d
 }
 
 // SetGate is for an instance that has taken nothing on yet. Callers whose requests the agreed rules don't let in are asked to stay
@@ -119,7 +119,7 @@
 func (i *Instance) SetGate(g Gate, wait time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.gate, i.gateWait = g, wait
+	i.agreedRules, i.rulesRetryAfter = g, wait
 }
 
 // SetChannels is for an instance that has taken nothing on yet.
@@ -127,16 +127,16 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.channels = c
-	i.tellChannels()
+	i.updateChannels()
 }
 
 // tellChannels is called with mu held whenever what may be used has changed.
-func (i *Instance) tellChannels() {
+func (i *Instance) updateChannels() {
 	if i.channels == nil {
 		return
 	}
-	nodes := make([]plan.Node, 0, len(i.address))
-	for id, to := range i.address {
+	nodes := make([]plan.Node, 0, len(i.endpoints))
+	for id, to := range i.endpoints {
 		nodes = append(nodes, plan.Node{ID: id, Boot: to.Boot, Usable: i.balancer.MaySend(id), InTurns: i.balancer.InTurns(id)})
 	}
 	i.channels.Nodes(nodes)
@@ -146,9 +146,9 @@
 func New(settings balance.Settings, seed uint64, pool *backends.Pool, watch func(), log *slog.Logger) (*Instance, error) {
 	i := &Instance{
 		clock: clock.NewSteady(), backends: pool, watch: watch, log: log,
-		requests: map[string]*Request{}, address: map[string]backends.Endpoint{},
-		drains: map[string]time.Duration{}, byHand: map[string]time.Duration{}, agreed: map[string]bool{}, quota: 1,
-		work: make(chan *attempt), ending: make(chan struct{}), part: 1, fleet: parts.Whole,
+		requests: map[string]*Request{}, endpoints: map[string]backends.Endpoint{},
+		drainingSince: map[string]time.Duration{}, bannedSince: map[string]time.Duration{}, agreedBans: map[string]bool{}, quotaShare: 1,
+		work: make(chan *attempt), stopping: make(chan struct{}), upgradeShare: 1, fleetShares: parts.Whole,
 	}
 	i.timers = newTimers(i.now, i.timer)
 	var err error
@@ -196,7 +196,7 @@
 		}
 	}
 	i.mu.Unlock()
-	i.timers.end()
-	close(i.ending)
-	i.running.Wait()
+	i.timers.stop()
+	close(i.stopping)
+	i.workers.Wait()
 }
--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -16,58 +16,58 @@
 		return
 	}
 	if kind == balance.Full || kind == balance.Cached {
-		clear(i.address)
+		clear(i.endpoints)
 	}
-	if i.lost > 0 {
+	if i.earliestStart > 0 {
 		entries = slices.Clone(entries)
 		for n := range entries {
-			entries[n].Boot = max(entries[n].Boot, i.lost)
+			entries[n].Boot = max(entries[n].Boot, i.earliestStart)
 		}
 	}
 	for _, e := range entries {
 		if address := addresses[e.ID]; e.State == balance.InService && address != "" {
-			i.address[e.ID] = backends.Endpoint{Server: e.ID, Address: address, Boot: e.Boot}
+			i.endpoints[e.ID] = backends.Endpoint{Server: e.ID, Address: address, Boot: e.Boot}
 		} else {
-			delete(i.address, e.ID)
+			delete(i.endpoints, e.ID)
 		}
 	}
-	i.noteDrains(kind, entries)
+	i.recordDrains(kind, entries)
 	i.traceList(kind, entries)
 	i.balancer.Update(i.now(), kind, entries)
-	i.applyAgreed(i.now())
+	i.applyAgreedBans(i.now())
 	if kind != balance.ListFailed && (kind != balance.Delta || len(entries) > 0) {
-		i.keep()
+		i.updatePool()
 	}
 }
 
 // keep tells the pool whose connections may be used again. It is called with mu held, so that two calls cannot pass
 // each other.
-func (i *Instance) keep() {
-	wanted := make(map[backends.Endpoint]bool, len(i.address))
-	for id, to := range i.address {
+func (i *Instance) updatePool() {
+	wanted := make(map[backends.Endpoint]bool, len(i.endpoints))
+	for id, to := range i.endpoints {
 		if i.balancer.MaySend(id) {
 			wanted[to] = true
 		}
 	}
 	i.backends.Keep(wanted)
-	i.tellChannels()
+	i.updateChannels()
 }
 
 // noteDrains remembers since when servers drain; mu is held.
-func (i *Instance) noteDrains(kind balance.ListKind, entries []balance.Entry) {
-	before := i.drains
+func (i *Instance) recordDrains(kind balance.ListKind, entries []balance.Entry) {
+	before := i.drainingSince
 	if kind == balance.Full || kind == balance.Cached {
-		i.drains = map[string]time.Duration{}
+		i.drainingSince = map[string]time.Duration{}
 	}
 	for _, e := range entries {
 		at, known := before[e.ID]
 		switch {
 		case e.State != balance.Draining:
-			delete(i.drains, e.ID)
+			delete(i.drainingSince, e.ID)
 		case known:
-			i.drains[e.ID] = at
+			i.drainingSince[e.ID] = at
 		default:
-			i.drains[e.ID] = i.now()
+			i.drainingSince[e.ID] = i.now()
 		}
 	}
 }
@@ -95,5 +95,5 @@
 func (i *Instance) Ready() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return len(i.address) > 0 && (i.door == nil || i.door.Ready()) && (i.list == nil || i.list.Ready())
+	return len(i.endpoints) > 0 && (i.admissionGate == nil || i.admissionGate.Ready()) && (i.serverList == nil || i.serverList.Ready())
 }
--- a/internal/host/request.go
+++ b/internal/host/request.go
@@ -28,14 +28,14 @@
 // Request is one request from its submission until it is answered and its last attempt has ended. Its life is
 // bounded by its deadline: attempts time out by then, and the balancer answers what is left.
 type Request struct {
-	id       string
-	message  *backends.Message
-	caller   Caller // nil where nothing can be known of it
-	attempts []*attempt
-	out      int
-	answered bool
-	arriving bool       // its body still comes in
-	final    chan Final // takes exactly one, without blocking
+	id          string
+	message     *backends.Message
+	caller      Caller // nil where nothing can be known of it
+	attempts    []*attempt
+	outstanding int
+	answered    bool
+	receiving   bool       // its body still comes in
+	final       chan Final // takes exactly one, without blocking
 }
 
 // Submit hands a request to the balancer. Its clock starts here, when its last byte has been read, or with Received
@@ -50,29 +50,29 @@
 		q.answer(Final{Verdict: Failed})
 		return q
 	}
-	if i.door != nil {
-		if in, wait := i.door.Admit(class); !in {
-			i.traceUnserved(q, Refused, byDoor)
+	if i.admissionGate != nil {
+		if admitted, wait := i.admissionGate.Admit(class); !admitted {
+			i.traceUnserved(q, Refused, causeAdmissionGate)
 			q.answer(Final{Verdict: Refused, Wait: wait})
 			return q
 		}
 	}
-	if i.gate != nil && !i.gate.Open(class) {
-		i.traceUnserved(q, Refused, byRules)
-		q.answer(Final{Verdict: Refused, Wait: i.gateWait})
+	if i.agreedRules != nil && !i.agreedRules.Open(class) {
+		i.traceUnserved(q, Refused, causeAgreedRules)
+		q.answer(Final{Verdict: Refused, Wait: i.rulesRetryAfter})
 		return q
 	}
-	if i.list != nil && !i.list.Fresh() {
-		i.traceUnserved(q, Refused, byStaleList)
-		q.answer(Final{Verdict: Refused, Wait: i.listWait})
+	if i.serverList != nil && !i.serverList.Fresh() {
+		i.traceUnserved(q, Refused, causeStaleList)
+		q.answer(Final{Verdict: Refused, Wait: i.listRetryAfter})
 		return q
 	}
 	i.requests[q.id] = q
-	q.arriving = m.Body.Stream() != nil
+	q.receiving = m.Body.Stream() != nil
 	i.balancer.Submit(i.now(), balance.Request{
-		ID: q.id, Class: class, Tenant: tenant, Left: left, Within: within, Arriving: q.arriving,
+		ID: q.id, Class: class, Tenant: tenant, Left: left, Within: within, Arriving: q.receiving,
 	})
-	i.tidy(q)
+	i.removeIfDone(q)
 	return q
 }
 
@@ -80,21 +80,21 @@
 func (i *Instance) Received(q *Request) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if !q.arriving || i.closed {
+	if !q.receiving || i.closed {
 		return
 	}
-	q.arriving = false
+	q.receiving = false
 	now := i.now()
 	for _, a := range q.attempts {
-		if a.over {
+		if a.ended {
 			continue
 		}
-		left := a.end - a.sent
-		a.from, a.end = now, now+left
+		left := a.deadline - a.sent
+		a.mayStartAt, a.deadline = now, now+left
 		a.timer.Reset(left)
 	}
 	i.balancer.Received(now, q.id)
-	i.tidy(q)
+	i.removeIfDone(q)
 }
 
 // Drop tells the balancer that a request's caller has gone: callers give a request up by closing the connection
@@ -107,7 +107,7 @@
 	}
 	q.answer(Final{Verdict: Failed})
 	i.balancer.Dropped(i.now(), q.id)
-	i.tidy(q)
+	i.removeIfDone(q)
 }
 
 // answer decides a request's final answer; the first one stands.
@@ -121,8 +121,8 @@
 }
 
 // tidy forgets a request that is over.
-func (i *Instance) tidy(q *Request) {
-	if q.answered && q.out == 0 {
+func (i *Instance) removeIfDone(q *Request) {
+	if q.answered && q.outstanding == 0 {
 		delete(i.requests, q.id)
 		q.message.Body.Release()
 	}
@@ -130,17 +130,17 @@
 
 // Refuse answers a request so that trying again is harmless.
 func (i *Instance) Refuse(id string, wait time.Duration) {
-	i.decide(id, Final{Verdict: Refused, Wait: wait})
+	i.answerByID(id, Final{Verdict: Refused, Wait: wait})
 }
 
 // Fail answers a request without a promise.
-func (i *Instance) Fail(id string) { i.decide(id, Final{Verdict: Failed}) }
+func (i *Instance) Fail(id string) { i.answerByID(id, Final{Verdict: Failed}) }
 
-func (i *Instance) decide(id string, f Final) {
+func (i *Instance) answerByID(id string, f Final) {
 	if q := i.requests[id]; q != nil {
-		i.traceUnserved(q, f.Verdict, byBalancer)
+		i.traceUnserved(q, f.Verdict, causeBalancer)
 		q.answer(f)
-		i.tidy(q) // a timer may have decided it, and nothing else comes for it then
+		i.removeIfDone(q) // a timer may have decided it, and nothing else comes for it then
 	}
 }
 
--- a/internal/host/serverlist_test.go
+++ b/internal/host/serverlist_test.go
@@ -14,22 +14,22 @@
 )
 
 // confirmedList is a list that the test confirms or not.
-type confirmedList struct {
-	stale  atomic.Bool
-	unread chan struct{} // closed once its news are taken in; nil for none
-	asked  chan struct{} // takes one each time that they are waited for
+type fakeServerList struct {
+	stale    atomic.Bool
+	caughtUp chan struct{} // closed once its news are taken in; nil for none
+	catchUps chan struct{} // takes one each time that they are waited for
 }
 
-func (l *confirmedList) Fresh() bool { return !l.stale.Load() }
-func (l *confirmedList) Ready() bool { return true }
+func (l *fakeServerList) Fresh() bool { return !l.stale.Load() }
+func (l *fakeServerList) Ready() bool { return true }
 
-func (l *confirmedList) CatchUp(ctx context.Context) {
-	if l.unread == nil {
+func (l *fakeServerList) CatchUp(ctx context.Context) {
+	if l.caughtUp == nil {
 		return
 	}
-	l.asked <- struct{}{}
+	l.catchUps <- struct{}{}
 	select {
-	case <-l.unread:
+	case <-l.caughtUp:
 	case <-ctx.Done():
 	}
 }
@@ -43,9 +43,9 @@
 	defer goleak.VerifyNone(t)
 	s := newServer(t, serve)
 	defer s.close()
-	c := newCrossing(t, balance.Class{Aim: time.Second, GiveUp: long}, s)
+	c := newFixture(t, balance.Class{Aim: time.Second, GiveUp: requestTimeout}, s)
 	defer c.close()
-	list := &confirmedList{}
+	list := &fakeServerList{}
 	c.SetServerList(list, listWait)
 
 	list.stale.Store(true)
@@ -60,53 +60,53 @@
 	if got := await(t, "the answer", q.Final()); got.Verdict != Refused || got.Wait != listWait {
 		t.Errorf("by a list that became stale before the write: %+v", got)
 	}
-	if n := s.took.Load(); n > 0 {
+	if n := s.received.Load(); n > 0 {
 		t.Errorf("%d requests were sent by a stale list", n)
 	}
 	list.stale.Store(false)
-	defer c.letAllUp()()
+	defer c.completeDials()()
 	if got := await(t, "the answer", c.submit(nil).Final()); got.Verdict != Served {
 		t.Errorf("by a list that is confirmed again: %+v", got)
 	}
 }
 
 // letAllUp lets each connection come up at once, until the function that it returns is called.
-func (c *crossing) letAllUp() (end func()) {
-	over := make(chan struct{})
-	var letting sync.WaitGroup
-	letting.Go(func() {
+func (c *fixture) completeDials() (end func()) {
+	stop := make(chan struct{})
+	var done sync.WaitGroup
+	done.Go(func() {
 		for {
 			select {
 			case up := <-c.dials:
 				close(up)
-			case <-over:
+			case <-stop:
 				return
 			}
 		}
 	})
 	return func() {
-		close(over)
-		letting.Wait()
+		close(stop)
+		done.Wait()
 	}
 }
 
 // TestARepeatByAStaleListFails: an attempt that may have run is not repeated by a stale list, and its request cannot be refused harmlessly.
 func TestARepeatByAStaleListFails(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	list := &confirmedList{}
+	list := &fakeServerList{}
 	s := newServer(t, func(conn net.Conn) {
 		list.stale.Store(true)
-		breakOff(conn)
+		resetConn(conn)
 	})
 	defer s.close()
-	c := newCrossing(t, balance.Class{Aim: time.Second, GiveUp: long}, s, s)
+	c := newFixture(t, balance.Class{Aim: time.Second, GiveUp: requestTimeout}, s, s)
 	defer c.close()
 	c.SetServerList(list, listWait)
-	defer c.letAllUp()()
+	defer c.completeDials()()
 	if got := await(t, "the answer", c.submit(nil).Final()); got.Verdict != Failed {
 		t.Errorf("a request that may have run: %+v", got)
 	}
-	if n := s.took.Load(); n != 1 {
+	if n := s.received.Load(); n != 1 {
 		t.Errorf("sent %d times, want once", n)
 	}
 }
@@ -118,19 +118,19 @@
 	draining, up := newServer(t, serve), newServer(t, serve)
 	defer draining.close()
 	defer up.close()
-	c := newCrossing(t, balance.Class{Aim: time.Second, GiveUp: long}, draining)
+	c := newFixture(t, balance.Class{Aim: time.Second, GiveUp: requestTimeout}, draining)
 	defer c.close()
-	list := &confirmedList{unread: make(chan struct{}), asked: make(chan struct{}, 8)}
+	list := &fakeServerList{caughtUp: make(chan struct{}), catchUps: make(chan struct{}, 8)}
 	c.SetServerList(list, listWait)
-	defer c.letAllUp()()
+	defer c.completeDials()()
 	q := c.submit(nil)
-	await(t, "an attempt that is about to be sent", list.asked)
+	await(t, "an attempt that is about to be sent", list.catchUps)
 	c.Update(balance.Full, []balance.Entry{{ID: "a", State: balance.Draining}, {ID: "b"}}, map[string]string{"a": draining.address, "b": up.address})
-	close(list.unread)
+	close(list.caughtUp)
 	if got := await(t, "the answer", q.Final()); got.Verdict != Served {
 		t.Errorf("behind the news: %+v", got)
 	}
-	if n := draining.took.Load(); n > 0 {
+	if n := draining.received.Load(); n > 0 {
 		t.Errorf("%d requests were sent to the server that drains", n)
 	}
 }
--- a/internal/host/timers.go
+++ b/internal/host/timers.go
@@ -15,15 +15,15 @@
 	now  func() time.Duration
 	fire func(now time.Duration, token uint64) // called without mu
 
-	mu    sync.Mutex
-	queue timerQueue
-	timer *time.Timer
-	armed time.Duration // when the runtime timer fires; 0 while it does not run
-	ended bool
+	mu      sync.Mutex
+	queue   timerQueue
+	timer   *time.Timer
+	armed   time.Duration // when the runtime timer fires; 0 while it does not run
+	stopped bool
 }
 
 // timerStep is the least time between two rounds of calls.
-const timerStep = time.Millisecond
+const timerResolution = time.Millisecond
 
 type dueTimer struct {
 	at    time.Duration
@@ -38,7 +38,7 @@
 func (t *timers) set(delay time.Duration, token uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.ended {
+	if t.stopped {
 		return
 	}
 	heap.Push(&t.queue, dueTimer{t.now() + delay, token})
@@ -51,25 +51,25 @@
 		return
 	}
 	at := t.queue[0].at
-	if t.armed != 0 && t.armed <= at+timerStep {
+	if t.armed != 0 && t.armed <= at+timerResolution {
 		return // it fires soon enough
 	}
 	now := t.now()
-	wait := max(at-now, timerStep)
+	wait := max(at-now, timerResolution)
 	t.armed = now + wait
 	if t.timer == nil {
-		t.timer = time.AfterFunc(wait, t.round)
+		t.timer = time.AfterFunc(wait, t.fireDue)
 	} else {
 		t.timer.Reset(wait)
 	}
 }
 
 // round makes the calls that are due.
-func (t *timers) round() {
+func (t *timers) fireDue() {
 	t.mu.Lock()
 	var due []uint64
 	now := t.now()
-	for len(t.queue) > 0 && t.queue[0].at <= now && !t.ended {
+	for len(t.queue) > 0 && t.queue[0].at <= now && !t.stopped {
 		due = append(due, heap.Pop(&t.queue).(dueTimer).token)
 	}
 	t.armed = 0
@@ -79,16 +79,16 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.ended {
+	if !t.stopped {
 		t.arm()
 	}
 }
 
 // end drops all calls that are still to come.
-func (t *timers) end() {
+func (t *timers) stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ended, t.queue = true, nil
+	t.stopped, t.queue = true, nil
 	if t.timer != nil {
 		t.timer.Stop()
 	}
--- a/internal/host/timers_test.go
+++ b/internal/host/timers_test.go
@@ -27,7 +27,7 @@
 			close(all)
 		}
 	})
-	defer ts.end()
+	defer ts.stop()
 	mu.Lock()
 	for i := range n {
 		delay := time.Duration(i*7919%50) * time.Millisecond
@@ -54,7 +54,7 @@
 	start := time.Now()
 	first := make(chan uint64, 2)
 	ts := newTimers(func() time.Duration { return time.Since(start) }, func(_ time.Duration, token uint64) { first <- token })
-	defer ts.end()
+	defer ts.stop()
 	ts.set(time.Hour, 1)
 	ts.set(0, 2)
 	if token := <-first; token != 2 {
@@ -66,9 +66,9 @@
 	start := time.Now()
 	ts := newTimers(func() time.Duration { return time.Since(start) }, func(_ time.Duration, token uint64) { t.Errorf("call for %d", token) })
 	ts.set(5*time.Millisecond, 1)
-	ts.end()
+	ts.stop()
 	ts.set(0, 2)
-	ts.round()
+	ts.fireDue()
 }
 
 // TestACallMaySetATimer, as the balancer does from within one.
@@ -83,7 +83,7 @@
 		}
 		ts.set(0, token+1)
 	})
-	defer ts.end()
+	defer ts.stop()
 	ts.set(0, 1)
 	<-done
 }
--- a/internal/host/trace.go
+++ b/internal/host/trace.go
@@ -18,46 +18,46 @@
 )
 
 // traces says whether the lines are wanted; the fields of one cost more than it does.
-func (i *Instance) traces() bool { return i.log.Enabled(context.Background(), slog.LevelDebug) }
+func (i *Instance) tracing() bool { return i.log.Enabled(context.Background(), slog.LevelDebug) }
 
 func (i *Instance) traceAttempt(a *attempt, outcome balance.Outcome, now time.Duration) {
-	if !i.traces() {
+	if !i.tracing() {
 		return
 	}
 	i.log.Debug(TraceAttempt, "id", a.request.id, "n", a.number, "class", a.request.message.Class,
 		"backend", a.to.Server, "outcome", outcome.String(), "sent_ms", a.sent.Milliseconds(),
 		"took_ms", (now - a.sent).Milliseconds())
-	if a.begun && i.gate != nil {
-		i.log.Debug(TraceAct, "backend", a.to.Server, "at_us", a.asked.Microseconds(), "version", a.ground.Version, "leased", a.ground.Leased)
+	if a.dispatched && i.agreedRules != nil {
+		i.log.Debug(TraceAct, "backend", a.to.Server, "at_us", a.checkedAt.Microseconds(), "version", a.basis.Version, "leased", a.basis.Leased)
 	}
 }
 
 // unservedBy is who decided that a request is not served.
-type unservedBy string
+type unservedCause string
 
 // Those who decide so.
 const (
-	byBalancer  unservedBy = "balancer"     // no room, no time left, or its attempts failed
-	byDoor      unservedBy = "recovery"     // the proxy is on its way back from a start
-	byRules     unservedBy = "agreed rules" // its class is closed, or no act is allowed
-	byStaleList unservedBy = "stale list"   // the server list could not be confirmed for too long
-	byCaller    unservedBy = "caller's end" // the caller has gone
+	causeBalancer      unservedCause = "balancer"     // no room, no time left, or its attempts failed
+	causeAdmissionGate unservedCause = "recovery"     // the proxy is on its way back from a start
+	causeAgreedRules   unservedCause = "agreed rules" // its class is closed, or no act is allowed
+	causeStaleList     unservedCause = "stale list"   // the server list could not be confirmed for too long
+	causeCallerGone    unservedCause = "caller's end" // the caller has gone
 )
 
-func (i *Instance) traceUnserved(q *Request, v Verdict, by unservedBy) {
+func (i *Instance) traceUnserved(q *Request, v Verdict, cause unservedCause) {
 	if q.answered {
 		return
 	}
-	if by == byStaleList {
-		i.heldBack.Add(1)
+	if cause == causeStaleList {
+		i.staleListUnserved.Add(1)
 	}
-	if i.traces() {
-		i.log.Debug(TraceUnserved, "id", q.id, "class", q.message.Class, "refused", v == Refused, "attempts", len(q.attempts), "by", string(by))
+	if i.tracing() {
+		i.log.Debug(TraceUnserved, "id", q.id, "class", q.message.Class, "refused", v == Refused, "attempts", len(q.attempts), "by", string(cause))
 	}
 }
 
 func (i *Instance) traceList(kind balance.ListKind, entries []balance.Entry) {
-	if !i.traces() || kind == balance.Delta && len(entries) == 0 {
+	if !i.tracing() || kind == balance.Delta && len(entries) == 0 {
 		return
 	}
 	var up, draining, gone int
--- a/landscape/landscape.go
+++ b/landscape/landscape.go
@@ -81,55 +81,55 @@
 // chain. Findings come in the order of the descriptions, none that only follows from another: calls to what does
 // not exist and calls within a cycle are left out of the chains.
 func Check(apps []App, bound float64) ([]Finding, []Chain) {
-	c := &check{apps: apps, byName: map[string]int{}, routes: map[Place]*node{}}
-	c.names()
-	c.link()
-	c.cycles()
-	c.times()
-	chains := c.chains(bound)
-	slices.SortStableFunc(c.found, func(a, b Finding) int {
+	c := &checker{apps: apps, byName: map[string]int{}, routes: map[Place]*node{}}
+	c.checkNames()
+	c.resolveCalls()
+	c.checkCycles()
+	c.checkTimes()
+	chains := c.checkChains(bound)
+	slices.SortStableFunc(c.findings, func(a, b Finding) int {
 		return cmp.Or(a.Place.App-b.Place.App, a.Place.Route-b.Place.Route, a.Place.Call-b.Place.Call, int(a.Code-b.Code))
 	})
-	return c.found, chains
+	return c.findings, chains
 }
 
-type check struct {
-	apps   []App
-	byName map[string]int
-	routes map[Place]*node // by app and route
-	order  []*node
-	found  []Finding
+type checker struct {
+	apps     []App
+	byName   map[string]int
+	routes   map[Place]*node // by app and route
+	order    []*node
+	findings []Finding
 }
 
 // node is a route with its calls resolved.
 type node struct {
-	place Place
-	name  string
-	calls []*node // nil where a call leads nowhere
-	loops []bool  // whether a call lies on a cycle
+	place   Place
+	name    string
+	calls   []*node // nil where a call leads nowhere
+	inCycle []bool  // whether a call lies on a cycle
 
 	index, low int // of Tarjan's search; index 0 is not visited
 	onStack    bool
 	component  int
 
-	called bool    // by a route outside its own component
-	worst  float64 // attempts at the far end; 0 while unknown
-	next   int     // the call that leads there, or -1
+	called        bool    // by a route outside its own component
+	worstAttempts float64 // attempts at the far end; 0 while unknown
+	worstCall     int     // the call that leads there, or -1
 }
 
-func (c *check) find(f Finding) { c.found = append(c.found, f) }
+func (c *checker) add(f Finding) { c.findings = append(c.findings, f) }
 
-func (c *check) names() {
+func (c *checker) checkNames() {
 	listen := map[string]int{}
 	for i, a := range c.apps {
 		if other, taken := c.byName[a.Name]; taken {
-			c.find(Finding{Code: TwoNames, Place: Place{i, -1, -1}, Other: Place{other, -1, -1}})
+			c.add(Finding{Code: TwoNames, Place: Place{i, -1, -1}, Other: Place{other, -1, -1}})
 		} else {
 			c.byName[a.Name] = i
 		}
 		for _, address := range a.Listen {
 			if other, taken := listen[address]; taken && other != i {
-				c.find(Finding{Code: TwoListen, Place: Place{i, -1, -1}, Other: Place{other, -1, -1}})
+				c.add(Finding{Code: TwoListen, Place: Place{i, -1, -1}, Other: Place{other, -1, -1}})
 			} else {
 				listen[address] = i
 			}
@@ -137,7 +137,7 @@
 		names := map[string]int{}
 		for j, r := range a.Routes {
 			if other, taken := names[r.Name]; taken {
-				c.find(Finding{Code: TwoRoutes, Place: Place{i, j, -1}, Other: Place{i, other, -1}})
+				c.add(Finding{Code: TwoRoutes, Place: Place{i, j, -1}, Other: Place{i, other, -1}})
 			} else {
 				names[r.Name] = j
 			}
@@ -149,20 +149,20 @@
 }
 
 // link resolves the calls.
-func (c *check) link() {
+func (c *checker) resolveCalls() {
 	for _, n := range c.order {
 		calls := c.route(n).Calls
-		n.calls, n.loops = make([]*node, len(calls)), make([]bool, len(calls))
+		n.calls, n.inCycle = make([]*node, len(calls)), make([]bool, len(calls))
 		for k, call := range calls {
 			at := Place{n.place.App, n.place.Route, k}
 			app, known := c.byName[call.App]
 			if !known {
-				c.find(Finding{Code: NoApp, Place: at})
+				c.add(Finding{Code: NoApp, Place: at})
 				continue
 			}
 			route := slices.IndexFunc(c.apps[app].Routes, func(r Route) bool { return r.Name == call.Route })
 			if route < 0 {
-				c.find(Finding{Code: NoRoute, Place: at, Other: Place{app, -1, -1}})
+				c.add(Finding{Code: NoRoute, Place: at, Other: Place{app, -1, -1}})
 				continue
 			}
 			n.calls[k] = c.routes[Place{app, route, -1}]
@@ -170,11 +170,11 @@
 	}
 }
 
-func (c *check) route(n *node) *Route { return &c.apps[n.place.App].Routes[n.place.Route] }
+func (c *checker) route(n *node) *Route { return &c.apps[n.place.App].Routes[n.place.Route] }
 
 // cycles finds the strongly connected components (Tarjan), and in each one cycle to show. It keeps its own stack, so
 // that no chain of calls is too long for it.
-func (c *check) cycles() {
+func (c *checker) checkCycles() {
 	var stack []*node
 	index, component := 0, 0
 	type frame struct {
@@ -226,28 +226,28 @@
 			}
 			frames = frames[:len(frames)-1]
 			if len(frames) > 0 {
-				up := frames[len(frames)-1].n
-				up.low = min(up.low, n.low)
+				parent := frames[len(frames)-1].n
+				parent.low = min(parent.low, n.low)
 			}
 		}
 	}
-	shown := map[int]bool{}
+	reported := map[int]bool{}
 	for _, n := range c.order {
 		for k, m := range n.calls {
 			if m == nil || m.component != n.component {
 				continue
 			}
-			n.loops[k] = true
-			if !shown[n.component] {
-				shown[n.component] = true
-				c.find(Finding{Code: Cycle, Place: Place{n.place.App, n.place.Route, k}, Chain: c.cycle(n, m)})
+			n.inCycle[k] = true
+			if !reported[n.component] {
+				reported[n.component] = true
+				c.add(Finding{Code: Cycle, Place: Place{n.place.App, n.place.Route, k}, Chain: c.cycle(n, m)})
 			}
 		}
 	}
 }
 
 // cycle is the shortest way from n by its call to m back to n.
-func (c *check) cycle(n, m *node) []string {
+func (c *checker) cycle(n, m *node) []string {
 	from := map[*node]*node{m: n}
 	queue := []*node{m}
 	for len(queue) > 0 && from[n] == nil {
@@ -271,7 +271,7 @@
 }
 
 // times compares each call's time with those of the routes at both ends.
-func (c *check) times() {
+func (c *checker) checkTimes() {
 	for _, n := range c.order {
 		r := c.route(n)
 		var sum time.Duration
@@ -280,21 +280,21 @@
 			at := Place{n.place.App, n.place.Route, k}
 			if call.GiveUp > r.GiveUp {
 				over = true
-				c.find(Finding{Code: WaitsLonger, Place: at, Has: r.GiveUp, Needs: call.GiveUp})
+				c.add(Finding{Code: WaitsLonger, Place: at, Has: r.GiveUp, Needs: call.GiveUp})
 			}
-			if m := n.calls[k]; m != nil && !n.loops[k] && c.route(m).GiveUp > call.GiveUp {
-				c.find(Finding{Code: WorksLonger, Place: at, Other: m.place, Has: call.GiveUp, Needs: c.route(m).GiveUp})
+			if m := n.calls[k]; m != nil && !n.inCycle[k] && c.route(m).GiveUp > call.GiveUp {
+				c.add(Finding{Code: WorksLonger, Place: at, Other: m.place, Has: call.GiveUp, Needs: c.route(m).GiveUp})
 			}
-			sum = add(sum, call.GiveUp, max(call.Times, 1))
+			sum = addCapped(sum, call.GiveUp, max(call.Times, 1))
 		}
 		if !over && sum > r.GiveUp {
-			c.find(Finding{Code: NoTime, Place: n.place, Has: r.GiveUp, Needs: sum})
+			c.add(Finding{Code: NoTime, Place: n.place, Has: r.GiveUp, Needs: sum})
 		}
 	}
 }
 
 // add is sum + d times n, at most the longest duration.
-func add(sum, d time.Duration, n int) time.Duration {
+func addCapped(sum, d time.Duration, n int) time.Duration {
 	if d <= 0 {
 		return sum
 	}
@@ -306,19 +306,19 @@
 
 // chains computes what one request becomes at the far end of the worst chain from each route that no other calls.
 // Components come callees first, so one walk in their order is enough.
-func (c *check) chains(bound float64) []Chain {
+func (c *checker) checkChains(bound float64) []Chain {
 	byComponent := slices.Clone(c.order)
 	slices.SortStableFunc(byComponent, func(a, b *node) int { return a.component - b.component })
 	for _, n := range byComponent {
-		n.worst, n.next = 1, -1
+		n.worstAttempts, n.worstCall = 1, -1
 		for k, call := range c.route(n).Calls {
 			m := n.calls[k]
-			if m == nil || n.loops[k] {
+			if m == nil || n.inCycle[k] {
 				continue
 			}
 			m.called = true
-			if worst := float64(max(call.Attempts, 1)) * float64(max(call.Times, 1)) * m.worst; worst > n.worst || n.next < 0 {
-				n.worst, n.next = worst, k
+			if worst := float64(max(call.Attempts, 1)) * float64(max(call.Times, 1)) * m.worstAttempts; worst > n.worstAttempts || n.worstCall < 0 {
+				n.worstAttempts, n.worstCall = worst, k
 			}
 		}
 	}
@@ -327,14 +327,14 @@
 		if n.called {
 			continue // the chains that lead here tell of it
 		}
-		chain := Chain{Place: n.place, Attempts: n.worst, Path: []string{n.name}}
-		for at := n; at.next >= 0; {
-			at = at.calls[at.next]
+		chain := Chain{Place: n.place, Attempts: n.worstAttempts, Path: []string{n.name}}
+		for at := n; at.worstCall >= 0; {
+			at = at.calls[at.worstCall]
 			chain.Path = append(chain.Path, at.name)
 		}
 		chains = append(chains, chain)
-		if n.worst > bound {
-			c.find(Finding{Code: Multiplies, Place: n.place, Chain: chain.Path, Attempts: n.worst})
+		if n.worstAttempts > bound {
+			c.add(Finding{Code: Multiplies, Place: n.place, Chain: chain.Path, Attempts: n.worstAttempts})
 		}
 	}
 	return chains
--- a/route/overlap.go
+++ b/route/overlap.go
@@ -39,26 +39,26 @@
 		v variant
 	}
 	entries := make([]entry, len(routes))
-	same := map[string][]int{} // by the path's shape
+	byShape := map[string][]int{} // by the path's shape
 	for i, r := range routes {
 		p, err := ParsePattern(r.Path)
 		if err != nil {
 			continue
 		}
 		entries[i] = entry{p, r.variant(i)}
-		shape := shape(p)
-		same[shape] = append(same[shape], i)
+		shape := shapeOf(p)
+		byShape[shape] = append(byShape[shape], i)
 	}
 	var found []Overlap
-	for _, group := range same {
+	for _, group := range byShape {
 		for n, i := range group {
 			for _, j := range group[n+1:] {
 				a, b := &entries[i].v, &entries[j].v
-				if b.before(a) {
+				if b.precedes(a) {
 					a, b = b, a
 				}
 				if o, both := compare(a, b); both {
-					o.Example = method(a, b) + " " + example(entries[i].p, entries[i].p)
+					o.Example = commonMethod(a, b) + " " + examplePath(entries[i].p, entries[i].p)
 					found = append(found, o)
 				}
 			}
@@ -68,11 +68,11 @@
 		for i := range entries {
 			for j := range entries[:i] {
 				a, b := &entries[j], &entries[i]
-				if left := crosses(a.p, b.p); left != 0 && method(&a.v, &b.v) != "" && compatible(a.v.headers, b.v.headers) {
-					if left > 0 {
+				if order := crosses(a.p, b.p); order != 0 && commonMethod(&a.v, &b.v) != "" && compatible(a.v.headers, b.v.headers) {
+					if order > 0 {
 						a, b = b, a
 					}
-					found = append(found, Overlap{ByPath, a.v.index, b.v.index, method(&a.v, &b.v) + " " + example(a.p, b.p)})
+					found = append(found, Overlap{ByPath, a.v.index, b.v.index, commonMethod(&a.v, &b.v) + " " + examplePath(a.p, b.p)})
 				}
 			}
 		}
@@ -88,7 +88,7 @@
 
 // compare says how two routes with the same path overlap, the first of which is tried first.
 func compare(a, b *variant) (Overlap, bool) {
-	if method(a, b) == "" || !compatible(a.headers, b.headers) {
+	if commonMethod(a, b) == "" || !compatible(a.headers, b.headers) {
 		return Overlap{}, false
 	}
 	o := Overlap{Kind: ByOrder, First: a.index, Second: b.index}
@@ -132,7 +132,7 @@
 }
 
 // method is one that both routes take, or "".
-func method(a, b *variant) string {
+func commonMethod(a, b *variant) string {
 	switch {
 	case len(a.methods) == 0 && len(b.methods) == 0:
 		return "GET"
@@ -148,7 +148,7 @@
 }
 
 // shape is the same for patterns that differ only in their parameters' names.
-func shape(p Pattern) string {
+func shapeOf(p Pattern) string {
 	var s strings.Builder
 	for _, x := range p.Segments {
 		switch {
@@ -168,11 +168,11 @@
 func crosses(a, b Pattern) int {
 	var aNarrower, bNarrower bool
 	first := 0
-	narrower := func(who int) {
+	narrower := func(side int) {
 		if first == 0 {
-			first = who
+			first = side
 		}
-		if who < 0 {
+		if side < 0 {
 			aNarrower = true
 		} else {
 			bNarrower = true
@@ -188,14 +188,14 @@
 			return 0
 		case aEnds || bEnds:
 			// What still follows must be able to be nothing.
-			longer, who := b.Segments, -1
+			longer, side := b.Segments, -1
 			if bEnds {
-				longer, who = a.Segments, 1
+				longer, side = a.Segments, 1
 			}
 			if !longer[i].Rest {
 				return 0
 			}
-			narrower(who)
+			narrower(side)
 			if aNarrower && bNarrower {
 				return first
 			}
@@ -231,7 +231,7 @@
 }
 
 // example is a path that fits both patterns.
-func example(a, b Pattern) string {
+func examplePath(a, b Pattern) string {
 	var s strings.Builder
 	for i := range max(len(a.Segments), len(b.Segments)) {
 		part := ""
--- a/route/route.go
+++ b/route/route.go
@@ -64,32 +64,32 @@
 // ParsePattern takes a path pattern apart. The error is a *PatternError.
 func ParsePattern(path string) (Pattern, error) {
 	var p Pattern
-	wrong := func(at int, format string, v ...any) (Pattern, error) {
+	fail := func(at int, format string, v ...any) (Pattern, error) {
 		return Pattern{}, &PatternError{path, at, fmt.Sprintf(format, v...)}
 	}
 	if !strings.HasPrefix(path, "/") {
-		return wrong(0, "does not begin with a slash; write %q", "/"+path)
+		return fail(0, "does not begin with a slash; write %q", "/"+path)
 	}
 	if at := strings.IndexAny(path, "?#"); at >= 0 {
-		return wrong(at, "has a %q; a path ends before it, so leave out what follows", path[at:at+1])
+		return fail(at, "has a %q; a path ends before it, so leave out what follows", path[at:at+1])
 	}
 	names := map[string]bool{}
 	at := 1
 	for part := range strings.SplitSeq(path[1:], "/") {
 		switch {
 		case len(p.Segments) == MostSegments:
-			return wrong(at, "has over %d segments", MostSegments)
+			return fail(at, "has over %d segments", MostSegments)
 		case len(p.Segments) > 0 && p.Segments[len(p.Segments)-1].Rest:
-			return wrong(at, "goes on after {%s...}, which takes all that follows; make it the last", p.Segments[len(p.Segments)-1].Name)
+			return fail(at, "goes on after {%s...}, which takes all that follows; make it the last", p.Segments[len(p.Segments)-1].Name)
 		}
 		s, err := parseSegment(part)
 		switch {
 		case err != nil:
-			return wrong(at, "%v", err)
+			return fail(at, "%v", err)
 		case s.Name != "" && names[s.Name]:
-			return wrong(at, "names {%s} twice; name each parameter differently", s.Name)
+			return fail(at, "names {%s} twice; name each parameter differently", s.Name)
 		case part == "" && at < len(path):
-			return wrong(at, "has an empty segment; requests with one are turned away, so leave out the slash")
+			return fail(at, "has an empty segment; requests with one are turned away, so leave out the slash")
 		}
 		names[s.Name] = true
 		if path != "/" {
@@ -108,7 +108,7 @@
 			return Segment{}, fmt.Errorf("segment %q: a percent sign begins two hexadecimal digits; write %%25 for the sign itself", part)
 		case literal == "." || literal == "..":
 			return Segment{}, fmt.Errorf("segment %q: requests with one are turned away; write the path that it leads to", part)
-		case strings.ContainsAny(literal, "/\\") || dotted(literal):
+		case strings.ContainsAny(literal, "/\\") || isParameterizedDot(literal):
 			return Segment{}, fmt.Errorf("segment %q: requests that hide a slash or a dot segment are turned away, so nothing can fit it", part)
 		case strings.ContainsFunc(literal, func(r rune) bool { return r < ' ' || r == 0x7f }):
 			return Segment{}, fmt.Errorf("segment %q has a control character; leave it out", part)
@@ -134,10 +134,10 @@
 
 // node is what stands after the segments that lead to it.
 type node struct {
-	literal map[string]*node
-	one     *node // after a parameter
-	here    []variant
-	rest    []variant // of patterns that end in {rest...} here
+	literals  map[string]*node
+	param     *node // after a parameter
+	ending    []variant
+	wildcards []variant // of patterns that end in {rest...} here
 }
 
 // variant is one route of those that share a path.
@@ -180,7 +180,7 @@
 			fault(i, "path", "%v", err)
 		}
 		for _, m := range r.Methods {
-			if !token(m) {
+			if !isToken(m) {
 				fault(i, "methods", "%q is no method; write one like GET or POST", m)
 			}
 		}
@@ -189,7 +189,7 @@
 		}
 		v := r.variant(i)
 		for n, c := range v.headers {
-			if !token(c.Header) {
+			if !isToken(c.Header) {
 				fault(i, "headers", "%q is no header's name", r.Headers[n].Header)
 			}
 			if slices.ContainsFunc(v.headers[:n], func(o Condition) bool { return o.Header == c.Header }) {
@@ -209,33 +209,33 @@
 // add puts a variant at its pattern's place, and reports whether there was room.
 func (t *Table) add(p Pattern, v variant) bool {
 	n := &t.root
-	list := &n.here
+	list := &n.ending
 	for _, s := range p.Segments {
 		switch {
 		case s.Rest:
-			list = &n.rest
+			list = &n.wildcards
 			continue
 		case s.Name != "":
-			if n.one == nil {
-				n.one = &node{}
+			if n.param == nil {
+				n.param = &node{}
 			}
-			n = n.one
+			n = n.param
 		default:
-			if n.literal == nil {
-				n.literal = map[string]*node{}
+			if n.literals == nil {
+				n.literals = map[string]*node{}
 			}
-			if n.literal[s.Literal] == nil {
-				n.literal[s.Literal] = &node{}
+			if n.literals[s.Literal] == nil {
+				n.literals[s.Literal] = &node{}
 			}
-			n = n.literal[s.Literal]
+			n = n.literals[s.Literal]
 		}
-		list = &n.here
+		list = &n.ending
 	}
 	if len(*list) == MostVariants {
 		return false
 	}
 	at := len(*list)
-	for at > 0 && v.before(&(*list)[at-1]) {
+	for at > 0 && v.precedes(&(*list)[at-1]) {
 		at--
 	}
 	*list = slices.Insert(*list, at, v)
@@ -243,14 +243,14 @@
 }
 
 // before says whether a variant goes before one that was described earlier.
-func (v *variant) before(earlier *variant) bool {
+func (v *variant) precedes(earlier *variant) bool {
 	if len(v.headers) != len(earlier.headers) {
 		return len(v.headers) > len(earlier.headers)
 	}
-	return exact(v.headers) > exact(earlier.headers)
+	return countExact(v.headers) > countExact(earlier.headers)
 }
 
-func exact(headers []Condition) (n int) {
+func countExact(headers []Condition) (n int) {
 	for _, c := range headers {
 		if !c.Any {
 			n++
@@ -295,10 +295,10 @@
 // dot or empty segment, which some servers resolve and others keep, would let a request through on one route's terms
 // that the application takes for another's. The same holds for a slash or a NUL that is hidden by encoding.
 func (t *Table) Choose(r Request) Choice {
-	var room [16]string
-	segments, why := split(r.Path, room[:0])
-	if why != "" {
-		return Choice{Verdict: BadPath, Index: -1, Why: why}
+	var buffer [16]string
+	segments, reason := split(r.Path, buffer[:0])
+	if reason != "" {
+		return Choice{Verdict: BadPath, Index: -1, Why: reason}
 	}
 	c := Choice{Verdict: NoPath, Index: -1}
 	if t.root.choose(segments, &r, &c) {
@@ -315,16 +315,16 @@
 // choose walks the tree of patterns, each node at most once, since each has one depth.
 func (n *node) choose(segments []string, r *Request, c *Choice) bool {
 	if len(segments) == 0 {
-		return fit(n.here, r, c) || fit(n.rest, r, c)
+		return matchFirst(n.ending, r, c) || matchFirst(n.wildcards, r, c)
 	}
-	if next := n.literal[segments[0]]; next != nil && next.choose(segments[1:], r, c) {
+	if next := n.literals[segments[0]]; next != nil && next.choose(segments[1:], r, c) {
 		return true
 	}
-	return segments[0] != "" && n.one != nil && n.one.choose(segments[1:], r, c) || fit(n.rest, r, c)
+	return segments[0] != "" && n.param != nil && n.param.choose(segments[1:], r, c) || matchFirst(n.wildcards, r, c)
 }
 
 // fit looks for the first variant that fits, and otherwise notes how near the request came.
-func fit(list []variant, r *Request, c *Choice) bool {
+func matchFirst(list []variant, r *Request, c *Choice) bool {
 	for i := range list {
 		v := &list[i]
 		switch {
@@ -333,7 +333,7 @@
 				c.Verdict = NoMethod
 			}
 			c.Allow = append(c.Allow, v.methods...)
-		case !v.fits(r):
+		case !v.matches(r):
 			c.Verdict = NoHeaders
 		default:
 			*c = Choice{Verdict: Found, Index: v.index}
@@ -343,7 +343,7 @@
 	return false
 }
 
-func (v *variant) fits(r *Request) bool {
+func (v *variant) matches(r *Request) bool {
 	for _, c := range v.headers {
 		var values []string
 		if r.Header != nil {
@@ -358,7 +358,7 @@
 }
 
 // split takes a path apart into decoded segments, or says why it can't.
-func split(path string, segments []string) (_ []string, why string) {
+func split(path string, segments []string) (_ []string, reason string) {
 	if !strings.HasPrefix(path, "/") {
 		return nil, "it does not begin with a slash"
 	}
@@ -388,7 +388,7 @@
 			return nil, "it has a dot segment"
 		case strings.IndexByte(part, '\\') >= 0:
 			return nil, "it has a backslash"
-		case dotted(part):
+		case isParameterizedDot(part):
 			return nil, "it has a dot segment with parameters"
 		}
 		segments = append(segments, part)
@@ -397,12 +397,12 @@
 }
 
 // dotted says whether a segment is a dot segment with parameters, which some servers cut off before they resolve it.
-func dotted(part string) bool {
+func isParameterizedDot(part string) bool {
 	return strings.HasPrefix(part, ".;") || strings.HasPrefix(part, "..;")
 }
 
 // token says whether a text is a token (RFC 9110, section 5.6.2), as methods and headers' names are.
-func token(s string) bool {
+func isToken(s string) bool {
 	return s != "" && !strings.ContainsFunc(s, func(r rune) bool {
 		return !('a' <= r && r <= 'z' || 'A' <= r && r <= 'Z' || '0' <= r && r <= '9' || strings.ContainsRune("!#$%&'*+-.^_`|~", r))
 	})
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -213,7 +213,7 @@
 }
 
 // fits is the choice's meaning without a tree: whether one route fits, segment by segment.
-func fitsPattern(p Pattern, segments []string) bool {
+func matchesPattern(p Pattern, segments []string) bool {
 	for i, s := range p.Segments {
 		switch {
 		case s.Rest:
@@ -295,23 +295,23 @@
 		overlaps := Overlaps(routes)
 		for range 20 {
 			r := anyRequest.Draw(t, "request")
-			segments, why := split(r.Path, nil)
-			if why != "" {
-				t.Fatalf("%s: %s", r.Path, why)
+			segments, reason := split(r.Path, nil)
+			if reason != "" {
+				t.Fatalf("%s: %s", r.Path, reason)
 			}
-			var fitting []int
-			onPath := false
+			var matching []int
+			pathMatches := false
 			for i, x := range routes {
 				p, _ := ParsePattern(x.Path)
 				v := variant{methods: x.Methods, headers: x.Headers}
-				if fitsPattern(p, segments) {
-					onPath = true
-					if (len(x.Methods) == 0 || slices.Contains(x.Methods, r.Method)) && v.fits(&r) {
-						fitting = append(fitting, i)
+				if matchesPattern(p, segments) {
+					pathMatches = true
+					if (len(x.Methods) == 0 || slices.Contains(x.Methods, r.Method)) && v.matches(&r) {
+						matching = append(matching, i)
 					}
 				}
 			}
-			slices.SortStableFunc(fitting, func(i, j int) int {
+			slices.SortStableFunc(matching, func(i, j int) int {
 				p, _ := ParsePattern(routes[i].Path)
 				q, _ := ParsePattern(routes[j].Path)
 				if byPath := strings.Compare(rank(p), rank(q)); byPath != 0 {
@@ -319,25 +319,25 @@
 				}
 				x, y := variant{headers: routes[i].Headers}, variant{headers: routes[j].Headers}
 				switch {
-				case x.before(&y):
+				case x.precedes(&y):
 					return -1
-				case y.before(&x):
+				case y.precedes(&x):
 					return 1
 				}
 				return 0
 			})
 			got := c.Choose(r)
 			switch {
-			case len(fitting) == 0 && got.Verdict == Found, len(fitting) > 0 && (got.Verdict != Found || got.Index != fitting[0]):
-				t.Fatalf("%s %s: %+v, those that fit are %v", r.Method, r.Path, got, fitting)
-			case len(fitting) == 0 && (got.Verdict == NoPath) == onPath:
-				t.Fatalf("%s %s: %+v, though a route with the path: %v", r.Method, r.Path, got, onPath)
+			case len(matching) == 0 && got.Verdict == Found, len(matching) > 0 && (got.Verdict != Found || got.Index != matching[0]):
+				t.Fatalf("%s %s: %+v, those that fit are %v", r.Method, r.Path, got, matching)
+			case len(matching) == 0 && (got.Verdict == NoPath) == pathMatches:
+				t.Fatalf("%s %s: %+v, though a route with the path: %v", r.Method, r.Path, got, pathMatches)
 			}
 			for _, o := range overlaps {
 				if o.Kind == Shadowed && got.Index == o.Second {
 					t.Fatalf("%s %s: took %d, which is said to be shadowed by %d", r.Method, r.Path, o.Second, o.First)
 				}
-				if o.Kind != Shadowed && got.Index == o.Second && slices.Contains(fitting, o.First) {
+				if o.Kind != Shadowed && got.Index == o.Second && slices.Contains(matching, o.First) {
 					t.Fatalf("%s %s: took %d, said to go after %d, which fits too", r.Method, r.Path, o.Second, o.First)
 				}
 			}
@@ -347,10 +347,10 @@
 				continue
 			}
 			_, path, _ := strings.Cut(o.Example, " ")
-			segments, why := split(path, nil)
+			segments, reason := split(path, nil)
 			for _, i := range []int{o.First, o.Second} {
-				if p, _ := ParsePattern(routes[i].Path); why != "" || !fitsPattern(p, segments) {
-					t.Fatalf("overlap %+v: its example does not fit %s (%s)", o, routes[i].Path, why)
+				if p, _ := ParsePattern(routes[i].Path); reason != "" || !matchesPattern(p, segments) {
+					t.Fatalf("overlap %+v: its example does not fit %s (%s)", o, routes[i].Path, reason)
 				}
 			}
 		}
@@ -386,7 +386,7 @@
 		if len(faults) > 0 {
 			t.Fatalf("%q parses, but %v", path, faults[0])
 		}
-		fitting := example(p, p)
+		fitting := examplePath(p, p)
 		if got := c.Choose(Request{Method: "GET", Path: fitting}); got.Verdict != Found {
 			t.Errorf("%q does not fit its example %q: %+v", path, fitting, got)
 		}
