--- a/internal/host/attempt.go
+++ b/internal/host/attempt.go
@@ -152,7 +152,7 @@
 	if out {
 		return
 	}
-	f := Final{Verdict: Refused, Wait: retryAfter}
+	f := Final{Verdict: Refused, RetryAfter: retryAfter}
 	if ran {
 		f = Final{Verdict: Failed}
 	}
--- a/internal/host/request.go
+++ b/internal/host/request.go
@@ -20,9 +20,9 @@
 
 // Final is the one answer that a request gets.
 type Final struct {
-	Verdict Verdict
-	Reply   *backends.Reply // of a served request
-	Wait    time.Duration   // for how long a refused caller is asked to stay away; 0 for no advice
+	Verdict    Verdict
+	Reply      *backends.Reply // of a served request
+	RetryAfter time.Duration   // for how long a refused caller is asked to stay away; 0 for no advice
 }
 
 // Request is one request from its submission until it is answered and its last attempt has ended. Its life is
@@ -53,18 +53,18 @@
 	if i.admissionGate != nil {
 		if admitted, wait := i.admissionGate.Admit(class); !admitted {
 			i.traceUnserved(q, Refused, causeAdmissionGate)
-			q.answer(Final{Verdict: Refused, Wait: wait})
+			q.answer(Final{Verdict: Refused, RetryAfter: wait})
 			return q
 		}
 	}
 	if i.agreedRules != nil && !i.agreedRules.Open(class) {
 		i.traceUnserved(q, Refused, causeAgreedRules)
-		q.answer(Final{Verdict: Refused, Wait: i.rulesRetryAfter})
+		q.answer(Final{Verdict: Refused, RetryAfter: i.rulesRetryAfter})
 		return q
 	}
 	if i.serverList != nil && !i.serverList.Fresh() {
 		i.traceUnserved(q, Refused, causeStaleList)
-		q.answer(Final{Verdict: Refused, Wait: i.listRetryAfter})
+		q.answer(Final{Verdict: Refused, RetryAfter: i.listRetryAfter})
 		return q
 	}
 	i.requests[q.id] = q
@@ -130,7 +130,7 @@
 
 // Refuse answers a request so that trying again is harmless.
 func (i *Instance) Refuse(id string, wait time.Duration) {
-	i.answerByID(id, Final{Verdict: Refused, Wait: wait})
+	i.answerByID(id, Final{Verdict: Refused, RetryAfter: wait})
 }
 
 // Fail answers a request without a promise.
