--- a/internal/discovery/plan/model/discovery.go
+++ b/internal/discovery/plan/model/discovery.go
@@ -69,7 +69,7 @@
 		p.after(c.Hold, func() { p.notices.waitOver(p.now) })
 	}
 	p.nothingElse = p.nothingElse && (o.fate == Well || p.down != nil && o.fate.reachesNobody())
-	if !p.kept || c.Beside {
+	if !p.kept || c.Hedged {
 		p.dial(o)
 		return
 	}
@@ -111,7 +111,7 @@
 // serve has discovery take a call.
 func (p *play) serve(o *openCall) {
 	p.kept = true
-	p.at(o.begun+o.Wait, func() { p.deliver(o, func() { p.end(o, plan.TimedOut) }) })
+	p.at(o.begun+o.Timeout, func() { p.deliver(o, func() { p.end(o, plan.TimedOut) }) })
 	refuse := func() { p.deliver(o, func() { p.refuse(o) }) }
 	switch o.fate {
 	case Well, Lagged, Delayed, DialLate:
--- a/internal/discovery/plan/model/notice.go
+++ b/internal/discovery/plan/model/notice.go
@@ -133,7 +133,7 @@
 
 // called takes in a call, in time to go on with a watch or not.
 func (n *notices) called(o *openCall, now time.Duration) {
-	if o.GoesOn && now-n.lastWrite <= watchGap && n.course.Literal {
+	if o.ContinuesWatch && now-n.lastWrite <= watchGap && n.course.Literal {
 		n.between(now)
 	}
 	n.lastCall, n.failed = now, false
