--- a/internal/host/attempt.go
+++ b/internal/host/attempt.go
@@ -16,20 +16,20 @@
 	number     int
 	to         backends.Endpoint
 	sent       time.Duration
-	mayStartAt time.Duration // when the backend can have begun: sent, or when the request had all come
-	dispatched bool          // it was about to be written, so the backend may have it
-	neverRan   bool          // its outcome proves that it never ran
-	checkedAt  time.Duration // when the agreed rules let it go
-	basis      rules.Ground  // what that rested on
+	mayStartAt time.Duration // the earliest time at which the backend can have started: sent, or when the whole body had arrived
+	dispatched bool          // writing was allowed, so the backend may have received it
+	neverRan   bool          // the outcome proves that it never ran
+	checkedAt  time.Duration // when the agreed rules were last checked for it
+	basis      rules.Ground  // the basis of that check
 	deadline   time.Duration // when the proxy stops waiting
 	ctx        context.Context
 	cancel     context.CancelCauseFunc
 	timer      *time.Timer
 	ended      bool
-	streaming  bool // its answer is being passed on
+	streaming  bool // its answer is being streamed to the caller
 }
 
-// run carries an attempt out.
+// run executes an attempt.
 func (i *Instance) run(a *attempt) {
 	if !a.mayDial() {
 		i.finish(a, balance.Ignored, nil) // never sent
@@ -43,8 +43,8 @@
 	i.finish(a, outcome, r)
 }
 
-// mayDial says whether an attempt is still wanted before a connection is looked for: it may have waited for a worker, and
-// its request in the balancer's line before that.
+// mayDial reports whether a connection for an attempt is still needed. It may have waited for a worker, and its request may
+// have waited in the balancer's queue before that.
 func (a *attempt) mayDial() bool {
 	i := a.instance
 	i.mu.Lock()
@@ -52,19 +52,21 @@
 	return !i.closed && a.deadline > a.sent && i.maySend(a, i.now()) && i.callerWaiting(a.request)
 }
 
-// wanted says whether an attempt may still be sent for all that is known here; mu is held. The list or a hand may have taken its server
-// out since it was decided, or the servers that drop a repeat may have forgotten the first attempt.
+// maySend reports whether an attempt may still be sent, as far as this instance knows; mu is held. Since the attempt was
+// decided on, the server list or the operator may have taken its server out, or the servers that drop repeats may have
+// forgotten the first attempt.
 func (i *Instance) maySend(a *attempt, now time.Duration) bool {
 	return i.endpoints[a.to.Server] == a.to && !a.request.answered && a.ctx.Err() == nil &&
 		i.balancer.MayBegin(now, a.request.id, a.number)
 }
 
-// heldUp is how long a look at the list and the decision by it take at most in a process that runs.
+// stallThreshold bounds how long catching up with the server list and deciding by it take in a process that is not stalled.
 const stallThreshold = 100 * time.Millisecond
 
-// Begin says how long an attempt that is about to be written may take, and whether it is still wanted. All news of the list that have come
-// are taken in before; behind a hold-up there may be more.
-func (a *attempt) Begin() (remaining time.Duration, wanted bool) {
+// Begin returns the time that remains for an attempt that is about to be written, and whether it may still be sent. All
+// updates of the server list that have arrived are applied first. If that took longer than stallThreshold, the process may
+// have been stalled and more updates may have arrived, so they are applied and the check is made again.
+func (a *attempt) Begin() (remaining time.Duration, maySend bool) {
 	i := a.instance
 	if i.serverList == nil {
 		return a.checkSend()
@@ -72,14 +74,14 @@
 	for {
 		checkStart := i.now()
 		i.serverList.CatchUp(a.ctx)
-		remaining, wanted = a.checkSend()
-		if !wanted || i.now()-checkStart < stallThreshold {
-			return remaining, wanted
+		remaining, maySend = a.checkSend()
+		if !maySend || i.now()-checkStart < stallThreshold {
+			return remaining, maySend
 		}
 	}
 }
 
-// decide is Begin by what is known now.
+// checkSend makes the checks of Begin by what has been applied so far.
 func (a *attempt) checkSend() (time.Duration, bool) {
 	i := a.instance
 	i.mu.Lock()
@@ -94,7 +96,7 @@
 		wanted = i.channels.MayOpen(a.to.Server)
 	}
 	if wanted && i.serverList != nil && !i.serverList.Fresh() {
-		wanted = false // any of the servers may drain or be gone
+		wanted = false // any server may be draining or gone
 		i.abandon(a, i.listRetryAfter, causeStaleList)
 	}
 	if wanted && i.agreedRules != nil {
@@ -104,10 +106,11 @@
 	return remaining, wanted
 }
 
-// awaited says whether a request's caller still waits, and drops the request if not; mu is held. The caller's end of sending is read
-// by a goroutine of net/http's, which may come later than the send: in a process that was stopped for seconds, requests stand
-// in sockets whose callers are long gone, and have had their effect through another proxy. It asks the kernel and so holds
-// for any cause of a late read. It harms who ends its sending and still waits, which Drop's callers forbid anyway.
+// callerWaiting reports whether a request's caller still waits, and drops the request if not; mu is held. The end of the
+// caller's sending is read by a goroutine of net/http, possibly after the attempt is sent. In a process that was stopped for
+// seconds, sockets hold requests whose callers left long ago and whose effect another proxy has already caused. Asking the
+// kernel detects this whatever delayed the read. A caller that closes its sending side but still waits is treated as gone,
+// which the callers of Drop do anyway.
 func (i *Instance) callerWaiting(q *Request) bool {
 	if q.caller == nil || !q.caller.Gone() {
 		return true
@@ -118,8 +121,9 @@
 	return false
 }
 
-// allowed asks the agreed rules right before an attempt's first byte: the process may have been paused since it was decided. What
-// they forbid at any server is given up at once; mu is held.
+// allowedByRules checks the agreed rules right before an attempt's first byte is written, because the process may have been
+// paused since the attempt was decided on. If the rules forbid sending to any server, the request is abandoned at once; mu
+// is held.
 func (i *Instance) allowedByRules(a *attempt) bool {
 	repeat, _ := a.otherAttempts()
 	var decision rules.Ruling
@@ -129,13 +133,13 @@
 	case rules.Allowed:
 		return true
 	case rules.Banned:
-		return false // another server may do
+		return false // another server may be allowed
 	}
 	i.abandon(a, i.rulesRetryAfter, causeAgreedRules)
 	return false
 }
 
-// others says whether another attempt of the same request may have run, and whether one is still out; mu is held.
+// otherAttempts reports whether another attempt of the same request may have run, and whether one is outstanding; mu is held.
 func (a *attempt) otherAttempts() (mayHaveRun, outstanding bool) {
 	for _, b := range a.request.attempts {
 		mayHaveRun = mayHaveRun || b != a && b.dispatched && !b.neverRan
@@ -144,16 +148,17 @@
 	return mayHaveRun, outstanding
 }
 
-// giveUp ends the request of an attempt that may be sent to no server, harmlessly if nothing of it may have run. One that is still out
-// may serve it, and is waited for; mu is held.
+// abandon ends the request of an attempt that must not be sent to any server. The request is refused, which makes a retry
+// harmless, if no attempt of it may have run, and failed otherwise. If another attempt is outstanding, it may still serve the
+// request and is waited for; mu is held.
 func (i *Instance) abandon(a *attempt, retryAfter time.Duration, cause unservedCause) {
 	q := a.request
-	ran, out := a.otherAttempts()
-	if out {
+	mayHaveRun, outstanding := a.otherAttempts()
+	if outstanding {
 		return
 	}
 	f := Final{Verdict: Refused, RetryAfter: retryAfter}
-	if ran {
+	if mayHaveRun {
 		f = Final{Verdict: Failed}
 	}
 	i.traceUnserved(q, f.Verdict, cause)
@@ -161,7 +166,8 @@
 	i.balancer.Dropped(i.now(), q.id)
 }
 
-// Started passes on an answer that streams, and says whether somebody takes it. From here on no time ends the attempt.
+// Started passes on a streaming answer and reports whether the request still takes it. From then on the attempt has no
+// deadline.
 func (a *attempt) Started(r *backends.Reply) bool {
 	i := a.instance
 	i.mu.Lock()
@@ -175,7 +181,7 @@
 	return true
 }
 
-// end tells the balancer how an attempt ended, and first answers the request if that served it.
+// finish answers the request if the attempt served it, then reports the attempt's outcome to the balancer.
 func (i *Instance) finish(a *attempt, outcome balance.Outcome, r *backends.Reply) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -185,12 +191,12 @@
 	q := a.request
 	q.outstanding--
 	if outcome == balance.OK && r != nil && !q.answer(Final{Verdict: Served, Reply: r}) && r.Channel != nil {
-		r.Channel.Conn.Close() // nobody takes it any more
+		r.Channel.Conn.Close() // the request has been answered already
 	}
 	now := i.now()
 	latency := now - a.mayStartAt
 	if q.receiving {
-		latency = 0 // the backend has not had the time to do anything
+		latency = 0 // the backend cannot have started on an incomplete request
 	}
 	i.traceAttempt(a, outcome, now)
 	stream := q.message.Body.Stream()
@@ -201,7 +207,7 @@
 	i.removeIfDone(q)
 }
 
-// mostIdle workers are kept waiting for an attempt.
+// maxIdleWorkers is the number of workers that are kept waiting for an attempt.
 const maxIdleWorkers = 64
 
 // Send starts an attempt.
@@ -214,7 +220,7 @@
 	a.ctx, a.cancel = context.WithCancelCause(context.Background())
 	a.timer = time.AfterFunc(timeout, func() { i.expire(a) })
 	if q.receiving {
-		a.timer.Stop() // its time has not begun
+		a.timer.Stop() // the timeout counts from Received
 	}
 	q.attempts = append(q.attempts, a)
 	q.outstanding++
@@ -225,18 +231,18 @@
 	}
 }
 
-// expire ends an attempt whose time is over, unless its answer is being passed on.
+// expire cancels an attempt whose deadline has passed, unless its answer is being streamed.
 func (i *Instance) expire(a *attempt) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.now() < a.deadline || a.ended || a.streaming {
-		return // Received has set its time anew meanwhile
+		return // Received may have moved the deadline
 	}
 	a.cancel(backends.ErrTimedOut)
 }
 
-// worker carries an attempt out, and then others as they come. An attempt needs a stack that a new goroutine first
-// has to grow, so a few workers wait for the next one.
+// worker runs an attempt, and then others as they come. An attempt needs a deep stack, which a new goroutine first has to
+// grow, so up to maxIdleWorkers workers wait for the next attempt.
 func (i *Instance) worker(a *attempt) {
 	for {
 		i.run(a)
@@ -253,7 +259,7 @@
 	}
 }
 
-// Cancel stops waiting for an attempt.
+// Cancel cancels an attempt.
 func (i *Instance) Cancel(id string, attempt int) {
 	if q := i.requests[id]; q != nil && attempt < len(q.attempts) {
 		q.attempts[attempt].cancel(backends.ErrCanceled)
--- a/internal/host/byhand.go
+++ b/internal/host/byhand.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// ByHand takes a server out or puts it back, and reports whether a list has ever named it. Once it has returned from
-// taking one out, nothing new begins to go there: a send that is decided and not yet written asks again right before its
-// first byte.
+// SetBanned takes a server out on behalf of the operator or puts it back, and reports whether a list has ever named it.
+// Once a call that takes a server out has returned, nothing new is sent there: an attempt that is decided on and not yet
+// written is checked again right before its first byte.
 func (i *Instance) SetBanned(id string, banned bool) (known bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -21,7 +21,7 @@
 	case banned:
 		known = i.balancer.Suspend(now, id)
 	case agreed:
-		known = true // it stays out until that is lifted
+		known = true // it stays out until the agreed ban is lifted
 	default:
 		known = i.balancer.Resume(now, id)
 	}
@@ -30,25 +30,26 @@
 	} else if known && !already {
 		i.bannedSince[id] = now
 	}
-	i.updatePool() // what is held to a server that is out leads to a process that will be restarted
+	i.updatePool() // connections to a server that is out lead to a process that will be restarted
 	return known
 }
 
-// NoteByHand takes in which of the servers that Adopt has told to be out are so by hand.
+// RecordBans records which of the servers that Adopt has restored as banned were taken out by the operator.
 func (i *Instance) RecordBans(ids []string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.recordBans(i.now(), ids)
 }
 
-// noteByHand must be called with mu held.
+// recordBans must be called with mu held.
 func (i *Instance) recordBans(now time.Duration, ids []string) {
 	for _, id := range ids {
 		i.bannedSince[id] = now
 	}
 }
 
-// BanAll takes servers out by hand that were out before this start, listed since or not.
+// BanAll takes out the servers that the operator had taken out before this start, whether or not a list has named them
+// since.
 func (i *Instance) BanAll(ids []string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -61,7 +62,7 @@
 	i.updatePool()
 }
 
-// Banned are the servers that are out by hand, in order.
+// Banned returns the servers that the operator has taken out, sorted.
 func (i *Instance) Banned() []string {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/host/carry.go
+++ b/internal/host/carry.go
@@ -9,16 +9,16 @@
 	"brasswell/internal/clock"
 )
 
-// State is how an instance stands, for people.
+// State describes an instance for status pages.
 type State struct {
-	Now          time.Duration // of the clock that all times here are of
+	Now          time.Duration // the time by the instance's clock, on which all times here are based
 	Snapshot     balance.Carried
-	Since        map[string]time.Duration // when servers began to drain or were taken out by hand, as far as that was seen
-	InRoundRobin int                      // servers that turns go to
-	Unanswered   map[int]int              // requests that are not answered yet, by class
+	Since        map[string]time.Duration // when servers were first seen to drain or were taken out by the operator
+	InRoundRobin int                      // number of servers in the round robin
+	Unanswered   map[int]int              // number of unanswered requests by class
 }
 
-// State returns how the instance stands. It costs as much as there are servers and requests.
+// State returns the state of the instance. Its cost is proportional to the number of servers and requests.
 func (i *Instance) State() State {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -38,7 +38,7 @@
 	return s
 }
 
-// Carry returns what the balancer knows and where to dial the servers, for another instance to go on from.
+// Snapshot returns the balancer's state and the servers' addresses, for another instance to continue from.
 func (i *Instance) Snapshot() (balance.Carried, map[string]string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -49,24 +49,24 @@
 	return i.balancer.Carry(i.now()), addresses
 }
 
-// Clock is a reading of the clock that the instance's times are of, for another process that goes on from what Carry tells.
+// Clock reads the clock on which the instance's times are based, for another process that continues from a Snapshot.
 func (i *Instance) Clock() clock.Reading { return i.clock.Read() }
 
-// Adopt goes on from what an instance of another process of this machine knows, whose times are of a clock that was read as told; it is
-// for one that has taken nothing on yet.
+// Adopt continues from the state of an instance in another process on this machine; reading is that process's clock, on
+// which the times of the state are based. It must be called before the instance has accepted any request or list.
 func (i *Instance) Adopt(c balance.Carried, addresses map[string]string, reading clock.Reading) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	offset := i.clock.Read().Ahead(reading)
 	if offset.Abs() > time.Second {
-		i.log.Warn("the wall clock was stepped between the starts of both processes; times are taken over by the steady one", "by", offset)
+		i.log.Warn("the wall clock was stepped between the starts of the two processes; restored times are corrected by the monotonic clock", "by", offset)
 	}
 	c.Shift(offset)
 	i.adopt(c, addresses)
 	i.updatePool()
 }
 
-// adopt must be called with mu held, and keep after it.
+// adopt must be called with mu held, and updatePool after it.
 func (i *Instance) adopt(c balance.Carried, addresses map[string]string) {
 	for _, s := range c.Servers {
 		if address := addresses[s.Entry.ID]; s.Entry.State == balance.InService && address != "" {
@@ -76,8 +76,9 @@
 	i.balancer.Adopt(i.now(), c)
 }
 
-// Revive goes on from what was known before a start; it is for one that has taken nothing on yet. No start of a server before lost
-// is believed from then on: whoever ran before that is cold, whatever anybody says. 0 for any.
+// Restore continues from the state that was saved before a restart. It must be called before the instance has accepted any
+// request or list. From then on no earlier start time of a server than earliestStart is believed: a server that the list says
+// was started before counts as started at earliestStart, and is treated as cold accordingly. 0 accepts any start time.
 func (i *Instance) Restore(c balance.Carried, addresses map[string]string, earliestStart time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -89,7 +90,7 @@
 	i.updatePool()
 }
 
-// Births are when the servers in service were started, as far as that is believed.
+// StartTimes returns the start times of the servers in service, as corrected by earliestStart.
 func (i *Instance) StartTimes() (starts []time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -99,10 +100,11 @@
 	return starts
 }
 
-// carryStep servers are looked at for one time that the lock is held.
+// snapshotBatch is how many servers are copied each time that the lock is held.
 const snapshotBatch = 256
 
-// CarryInSteps returns what Carry does, not as of one moment, and holds up nothing that serves for longer than carryStep servers take.
+// SnapshotInBatches returns the same as Snapshot, but the parts are of different moments. It holds the lock no longer than it
+// takes to copy snapshotBatch servers, so that requests are not delayed for longer.
 func (i *Instance) SnapshotInBatches() (balance.Carried, map[string]string) {
 	i.mu.Lock()
 	c := i.balancer.CarryRest(i.now())
--- a/internal/host/crossing_test.go
+++ b/internal/host/crossing_test.go
@@ -19,7 +19,7 @@
 	"brasswell/internal/backends"
 )
 
-// server takes requests and does with each connection what the test says once one has come whole.
+// server counts requests and calls a function of the test with the connection of each one that has arrived whole.
 type server struct {
 	address  string
 	received atomic.Int32
@@ -60,21 +60,21 @@
 
 func serve(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") }
 
-// breakOff ends a connection as a process that dies does.
+// resetConn closes a connection with a reset, as when the server's process dies.
 func resetConn(c net.Conn) {
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-// waiter is a caller that goes when the test says so.
+// testCaller is a caller that counts as gone once the test sets the flag.
 type testCaller struct{ gone atomic.Bool }
 
 func (w *testCaller) Gone() bool { return w.gone.Load() }
 
-// crossing is an instance before two servers. Each connection that it opens is held until the test lets it come up.
+// fixture is an instance with test servers. Each connection that it opens waits until the test lets it be established.
 type fixture struct {
 	*Instance
-	dials chan chan struct{} // of each connection that is asked for, what lets it come up when closed
+	dials chan chan struct{} // one channel for each dial; closing it lets the connection be established
 	pool  *backends.Pool
 }
 
@@ -107,7 +107,7 @@
 
 func (c *fixture) close() { c.Close(); c.pool.Close() }
 
-// long is a request's time; nothing here may take that long.
+// requestTimeout is the timeout of requests. No test may take that long.
 const requestTimeout = 20 * time.Second
 
 func (c *fixture) submit(w Caller) *Request {
@@ -121,7 +121,7 @@
 	case v := <-c:
 		return v
 	case <-time.After(requestTimeout / 2):
-		t.Fatalf("%s did not come", what)
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
@@ -130,8 +130,9 @@
 	return balance.Class{Aim: requestTimeout, GiveUp: requestTimeout, Worth: 1, Effect: effect, Group: balance.GroupAll, Window: window}
 }
 
-// TestWindowEndsWhileAConnectionComesUp: the first attempt may have run; the second is decided within the window, and its
-// connection is up only behind its end. Nothing is written on it, and the request is given up at once.
+// TestWindowEndsWhileAConnectionComesUp guards against a repeat that is written after the deduplication window has ended. The
+// first attempt may have run; the second is decided on within the window, but its connection is established only after it.
+// Nothing may be written on that connection, and the request is abandoned at once.
 func TestWindowEndsWhileAConnectionComesUp(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	const window = 2 * time.Second
@@ -144,17 +145,18 @@
 	q := c.submit(&testCaller{})
 	close(await(t, "the first connection", c.dials))
 	second := await(t, "the second connection", c.dials)
-	time.Sleep(time.Until(start.Add(window + 50*time.Millisecond))) // until the window is over for certain
+	time.Sleep(time.Until(start.Add(window + 50*time.Millisecond))) // until the window has certainly ended
 	close(second)
-	if f := await(t, "the answer", q.Final()); f.Verdict != Refused { // all drop repeats: harmless
+	if f := await(t, "the answer", q.Final()); f.Verdict != Refused { // all servers drop repeats, so a retry is harmless
 		t.Errorf("verdict %v", f.Verdict)
 	}
 	if n := a.received.Load() + b.received.Load(); n != 1 {
-		t.Errorf("%d attempts were written, want the first alone", n)
+		t.Errorf("%d attempts were written, want only the first", n)
 	}
 }
 
-// TestWindowEndsWhileARepeatWaits is the same for a repeat that is held, since its servers can take none for now.
+// TestWindowEndsWhileARepeatWaits covers the end of the window for a repeat that the balancer holds because both servers were
+// taken out while the repeat's connection was being established.
 func TestWindowEndsWhileARepeatWaits(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a, b := newServer(t, resetConn), newServer(t, resetConn)
@@ -167,23 +169,23 @@
 	close(first)
 	second := await(t, "the second connection", c.dials)
 	c.SetBanned("a", true)
-	c.SetBanned("b", true) // whichever it goes to: it is taken out while its connection comes up
+	c.SetBanned("b", true) // whichever server the repeat is for is taken out while its connection is being established
 	close(second)
 	if f := await(t, "the answer", q.Final()); f.Verdict != Refused {
 		t.Errorf("verdict %v", f.Verdict)
 	}
 	if n := a.received.Load() + b.received.Load(); n != 1 {
-		t.Errorf("%d attempts were written, want the first alone", n)
+		t.Errorf("%d attempts were written, want only the first", n)
 	}
 }
 
-// TestNoDialForACallerThatHasGone: the caller goes while the first attempt is out, and its connection does not say so
-// here. No connection is asked for the next one.
+// TestNoDialForACallerThatHasGone checks that no connection is opened for the next attempt if the caller has gone during the
+// first one and only Gone reports it.
 func TestNoDialForACallerThatHasGone(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	w := &testCaller{}
-	leave := func(c net.Conn) { w.gone.Store(true); resetConn(c) }
-	a, b := newServer(t, leave), newServer(t, leave)
+	goneAndReset := func(c net.Conn) { w.gone.Store(true); resetConn(c) }
+	a, b := newServer(t, goneAndReset), newServer(t, goneAndReset)
 	defer a.close()
 	defer b.close()
 	c := newFixture(t, class(balance.Free, 0), a, b)
@@ -194,11 +196,12 @@
 		t.Errorf("verdict %v", f.Verdict)
 	}
 	if n := a.received.Load() + b.received.Load(); n != 1 || len(c.dials) != 0 {
-		t.Errorf("%d attempts written and %d more connections asked for, want 1 and none", n, len(c.dials))
+		t.Errorf("%d attempts written and %d more connections opened, want 1 and 0", n, len(c.dials))
 	}
 }
 
-// TestNothingIsSentForACallerThatWentWhileAConnectionCameUp.
+// TestNothingIsSentForACallerThatWentWhileAConnectionCameUp checks that nothing is written if the caller goes while the
+// attempt's connection is being established.
 func TestNothingIsSentForACallerThatWentWhileAConnectionCameUp(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	w := &testCaller{}
@@ -215,23 +218,23 @@
 	}
 }
 
-// TestUnsafeRepeats: a request that must never run twice is sent again only where the first was surely never written: not
-// behind a break, and never while one is out.
+// TestUnsafeRepeats checks that a request that must never run twice is sent again only if the first attempt certainly did not
+// run: after a refusal by the server, but not after a broken connection, a partial answer or an error.
 func TestUnsafeRepeats(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	turnAway := func(c net.Conn) {
 		io.WriteString(c, "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
 	}
-	half := func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"); resetConn(c) }
-	failed := func(c net.Conn) { io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n") }
+	partialAnswer := func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"); resetConn(c) }
+	serverError := func(c net.Conn) { io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n") }
 	for _, k := range []struct {
-		name    string
-		first   func(net.Conn)
-		took    int32
-		verdict Verdict
+		name     string
+		first    func(net.Conn)
+		attempts int32
+		verdict  Verdict
 	}{
-		{"turned away", turnAway, 2, Served}, {"broken off", resetConn, 1, Failed}, {"half an answer", half, 1, Failed},
-		{"an error", failed, 1, Failed},
+		{"turned away", turnAway, 2, Served}, {"broken off", resetConn, 1, Failed}, {"half an answer", partialAnswer, 1, Failed},
+		{"an error", serverError, 1, Failed},
 	} {
 		t.Run(k.name, func(t *testing.T) {
 			var count atomic.Int32
@@ -249,18 +252,19 @@
 			defer c.close()
 			q := c.submit(&testCaller{})
 			close(await(t, "the first connection", c.dials))
-			if k.took == 2 {
+			if k.attempts == 2 {
 				close(await(t, "the second connection", c.dials))
 			}
 			f := await(t, "the answer", q.Final())
-			if n := a.received.Load() + b.received.Load(); f.Verdict != k.verdict || n != k.took {
-				t.Errorf("verdict %v after %d attempts, want %v after %d", f.Verdict, n, k.verdict, k.took)
+			if n := a.received.Load() + b.received.Load(); f.Verdict != k.verdict || n != k.attempts {
+				t.Errorf("verdict %v after %d attempts, want %v after %d", f.Verdict, n, k.verdict, k.attempts)
 			}
 		})
 	}
 }
 
-// TestDrainWhileAConnectionComesUp: the list takes the server out between the decision and the first byte.
+// TestDrainWhileAConnectionComesUp guards against an attempt that is written to a draining server because the list update came
+// between the decision and the first byte.
 func TestDrainWhileAConnectionComesUp(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a, b := newServer(t, serve), newServer(t, serve)
@@ -284,11 +288,12 @@
 		drained, other = b, a
 	}
 	if drained.received.Load() != 0 || other.received.Load() != 1 {
-		t.Errorf("%d written to the one that drains, %d to the other", drained.received.Load(), other.received.Load())
+		t.Errorf("%d requests written to the draining server, %d to the other", drained.received.Load(), other.received.Load())
 	}
 }
 
-// TestReadyMeansThatItCanServe: with no list, with one of servers that all drain or are gone, and again once one is there.
+// TestReadyMeansThatItCanServe checks that an instance is not ready without a list or if all servers drain or are gone, and is
+// ready again once a server is in service.
 func TestReadyMeansThatItCanServe(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	c := newFixture(t, class(balance.Free, 0))
--- a/internal/host/fleet.go
+++ b/internal/host/fleet.go
@@ -9,13 +9,13 @@
 	"brasswell/internal/cluster/rules"
 )
 
-// LogParts is the line that says which part of what all proxies may do is this one's own.
+// LogFleetShares is the message of the log line with this proxy's shares of the limits that all proxies have together.
 const LogFleetShares = "fleet: parts"
 
-// LogNumber is the line that says by which own number this proxy cuts the list.
+// LogSubsetNumber is the message of the log line with the number by which this proxy selects its subset of the list.
 const LogSubsetNumber = "rules: number"
 
-// Agreed takes in which servers are out at all proxies, and which share of their quotas tenants have.
+// ApplyAgreed applies the agreed bans, which take servers out at all proxies, and the agreed share of tenants' quotas.
 func (i *Instance) ApplyAgreed(bans map[string]rules.Ban, quota float64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -34,7 +34,7 @@
 		}
 		applied := i.agreedBans[id]
 		delete(i.agreedBans, id)
-		if _, byHand := i.bannedSince[id]; applied && !byHand {
+		if _, banned := i.bannedSince[id]; applied && !banned {
 			i.balancer.Resume(now, id)
 		}
 	}
@@ -44,7 +44,7 @@
 	i.updatePool()
 }
 
-// applyAgreed tells the balancer of servers that are out, as soon as a list has named them; mu is held.
+// applyAgreedBans suspends the banned servers in the balancer as soon as a list has named them; mu is held.
 func (i *Instance) applyAgreedBans(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(i.agreedBans)) {
 		if !i.agreedBans[id] {
@@ -53,15 +53,15 @@
 	}
 }
 
-// SetPart tells the balancer which part of what the proxy may do is this instance's own, beside another at an upgrade.
-func (i *Instance) SetUpgradeShare(part float64) {
+// SetUpgradeShare sets the share of the proxy's limits that this instance has while two processes run during an upgrade.
+func (i *Instance) SetUpgradeShare(share float64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.upgradeShare = part
+	i.upgradeShare = share
 	i.updateShares()
 }
 
-// SetFleet tells the balancer which part of what all proxies may do is this proxy's own.
+// SetFleetShares sets this proxy's shares of the limits that all proxies have together.
 func (i *Instance) SetFleetShares(p parts.Parts) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -77,7 +77,7 @@
 	i.balancer.SetPart(i.upgradeShare*i.fleetShares.Hard, i.quotaShare*i.fleetShares.Soft)
 }
 
-// Renumber takes in this proxy's own number among so many that cut the list.
+// Renumber sets this proxy's number, from 0, among the total number of proxies that select subsets of the list.
 func (i *Instance) Renumber(self, total int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -1,4 +1,4 @@
-// Package host hosts one balancer: it feeds it events and carries its actions out. It decides nothing.
+// Package host runs one balancer: it passes events to the balancer and carries out its actions. It makes no decisions of its own.
 package host
 
 import (
@@ -16,19 +16,19 @@
 	"brasswell/internal/cluster/rules"
 )
 
-// Instance hosts one balancer. It is the balancer's Host: the calls come while mu is held, so none of them may
-// block or call back; what takes time runs in a goroutine of its own and comes back through an event.
+// Instance runs one balancer and implements balance.Host. The balancer calls its Host while mu is held, so those methods must
+// not block or call back. Work that takes time runs in its own goroutine and returns through an event.
 type Instance struct {
-	clock             clock.Steady // Unix time, as the list's start times are
+	clock             clock.Steady // Unix time, like the start times in the server list
 	backends          *backends.Pool
 	watch             func()        // starts a watch on the server list
-	channels          Channels      // nil where there are none
-	agreedRules       AgreedRules   // nil where no rules are agreed on
-	admissionGate     AdmissionGate // nil where all are let in
-	serverList        ServerList    // nil where the list that is held may always be acted on
+	channels          Channels      // nil if channels are not used
+	agreedRules       AgreedRules   // nil if there are no agreed rules
+	admissionGate     AdmissionGate // nil if all requests are admitted
+	serverList        ServerList    // nil if requests may always be sent by the current list
 	listRetryAfter    time.Duration
-	staleListUnserved atomic.Int64  // requests that were not sent for want of a fresh list
-	earliestStart     time.Duration // no start of a server before it is believed; 0 for any
+	staleListUnserved atomic.Int64  // requests that were not sent because the list was stale
+	earliestStart     time.Duration // start times of servers before it are not believed; 0 accepts any
 	rulesRetryAfter   time.Duration
 	log               *slog.Logger
 
@@ -36,93 +36,95 @@
 	balancer  *balance.Balancer
 	requests  map[string]*Request
 	lastID    uint64
-	endpoints map[string]backends.Endpoint // of each server that the list has in service
-	// When a listed server was first seen to drain, and when one that is out was taken out by hand; for people.
+	endpoints map[string]backends.Endpoint // of each server that is in service according to the list
+	// When a listed server was first seen to drain, and when the operator took a server out. The times are only for status pages.
 	drainingSince, bannedSince map[string]time.Duration
-	agreedBans                 map[string]bool // out by agreement; true once the balancer knows of it
-	quotaShare                 float64         // the agreed share of tenants' quotas
+	agreedBans                 map[string]bool // servers banned by agreement; true once the balancer has suspended them
+	quotaShare                 float64         // the agreed factor on tenants' quotas
 	closed                     bool
-	upgradeShare               float64     // beside another process of this proxy
-	fleetShares                parts.Parts // among all proxies
+	upgradeShare               float64     // while another process of this proxy runs
+	fleetShares                parts.Parts // of the limits of all proxies
 
 	timers      *timers
-	work        chan *attempt  // to workers that wait for some
-	idleWorkers atomic.Int32   // workers that wait, or are about to
-	stopping    chan struct{}  // closed when they are to end
-	workers     sync.WaitGroup // workers
+	work        chan *attempt  // to idle workers
+	idleWorkers atomic.Int32   // number of workers that wait for an attempt or are about to
+	stopping    chan struct{}  // closed to stop the idle workers
+	workers     sync.WaitGroup // running workers
 }
 
-// Channels is what an instance tells of its servers, and asks before a request for a channel goes to one. The calls come
-// while the instance is locked, so none of them may block or call back.
+// Channels receives the servers that an instance may use, and is asked before a request for a channel is sent to one. Its
+// methods are called while the instance is locked, so they must not block or call back.
 type Channels interface {
-	// Nodes names the servers that may be used now; others are to be left.
+	// SetNodes passes all listed servers in service. Channels to other servers, or to servers that are not usable, must move.
 	Nodes([]plan.Node)
-	// MayOpen says whether a request for a channel may go to a server now, and counts it.
+	// AllowUpgrade reports whether a request for a channel may be sent to a server now, and counts it if so.
 	MayOpen(server string) bool
 }
 
-// Gate says what the proxies of the fleet have agreed on. The calls come while the instance is locked, so none of them may block
-// or call back.
+// AgreedRules applies the rules that the proxies of the fleet have agreed on. Its methods are called while the instance is
+// locked, so they must not block or call back.
 type AgreedRules interface {
-	// Open says whether requests of a class are taken now.
+	// Open reports whether requests of a class are accepted now.
 	Open(class int) bool
-	// Rule says whether an attempt may be sent now, and on what that rests. again: an earlier one may have run.
+	// Rule decides whether an attempt may be sent now and returns the basis of the decision. again means that an earlier
+	// attempt of the request may have run.
 	Rule(server string, class int, again bool) (rules.Ruling, rules.Ground)
 }
 
-// Caller is who waits for a request's answer. Gone is asked while the instance is locked, so it may not block.
+// Caller is the client that waits for a request's answer. Gone is called while the instance is locked, so it must not block.
 type Caller interface {
-	// Gone says whether it has given the request up, also where nobody has read so from its connection yet.
+	// Gone reports whether the caller has given the request up, even if this has not been read from its connection yet.
 	Gone() bool
 }
 
-// Door says who is let in while a proxy comes back. The calls come while the instance is locked, so none of them may block or call
-// back.
+// AdmissionGate decides which requests are admitted while a proxy recovers after a start. Its methods are called while the
+// instance is locked, so they must not block or call back.
 type AdmissionGate interface {
-	// Admit says whether a request of a class is let in now, and if not, for how long its caller is asked to stay away; 0 for no advice.
+	// Admit reports whether a request of a class is admitted now. If not, wait is the delay after which the caller is asked to
+	// retry; 0 gives no advice.
 	Admit(class int) (ok bool, wait time.Duration)
-	// Ready says whether any are.
+	// Ready reports whether any requests are admitted.
 	Ready() bool
 }
 
-// ServerList says how far the server list can be relied on. Calls of Fresh and Ready come while the instance is locked, so they may not block
-// or call back.
+// ServerList reports how current the server list is. Fresh and Ready are called while the instance is locked, so they must
+// not block or call back.
 type ServerList interface {
-	// Fresh says whether the list that is held may be acted on now.
+	// Fresh reports whether requests may be sent by the current list.
 	Fresh() bool
-	// Ready says whether the process should be given requests.
+	// Ready reports whether the process should receive requests.
 	Ready() bool
-	// CatchUp waits until all news of the list that have come to this process are taken in, or ctx is done.
+	// CatchUp waits until all list updates that have arrived at this process are applied, or ctx is done.
 	CatchUp(ctx context.Context)
 }
 
-// SetServerList is for an instance that has taken nothing on yet. Callers whose requests are not sent for want of a fresh list are asked
-// to stay away for so long; 0 for no advice.
-func (i *Instance) SetServerList(l ServerList, wait time.Duration) {
+// SetServerList sets the ServerList. It must be called before the first list update or request. retryAfter is the delay after
+// which callers are asked to retry if their requests are refused because the list is stale; 0 gives no advice.
+func (i *Instance) SetServerList(l ServerList, retryAfter time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.serverList, i.listRetryAfter = l, wait
+	i.serverList, i.listRetryAfter = l, retryAfter
 }
 
-// HeldBack is how many requests were not sent for want of a fresh list.
+// StaleListUnserved returns how many requests were not sent because the list was stale.
 func (i *Instance) StaleListUnserved() int64 { return i.staleListUnserved.Load() }
 
-// SetDoor is for an instance that has taken nothing on yet.
-func (i *Instance) SetAdmissionGate(d AdmissionGate) {
+// SetAdmissionGate sets the AdmissionGate. It must be called before the first list update or request.
+func (i *Instance) SetAdmissionGate(g AdmissionGate) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.admissionGate = d
+	i.admissionGate = g
 }
 
-// SetGate is for an instance that has taken nothing on yet. Callers whose requests the agreed rules don't let in are asked to stay
-// away for so long; 0 for no advice.
-func (i *Instance) SetAgreedRules(g AgreedRules, wait time.Duration) {
+// SetAgreedRules sets the AgreedRules. It must be called before the first list update or request. retryAfter is the delay after
+// which callers are asked to retry if the rules do not allow their requests; 0 gives no advice.
+func (i *Instance) SetAgreedRules(r AgreedRules, retryAfter time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.agreedRules, i.rulesRetryAfter = g, wait
+	i.agreedRules, i.rulesRetryAfter = r, retryAfter
 }
 
-// SetChannels is for an instance that has taken nothing on yet.
+// SetChannels sets the Channels. It must be called before the first list update or request.
 func (i *Instance) SetChannels(c Channels) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -130,7 +132,7 @@
 	i.updateChannels()
 }
 
-// tellChannels is called with mu held whenever what may be used has changed.
+// updateChannels must be called with mu held whenever the set of usable servers has changed.
 func (i *Instance) updateChannels() {
 	if i.channels == nil {
 		return
@@ -142,7 +144,7 @@
 	i.channels.Nodes(nodes)
 }
 
-// New returns an instance that knows no servers yet. watch starts a watch on the server list; it must not block.
+// New returns an instance without servers. watch starts a watch on the server list and must not block.
 func New(settings balance.Settings, seed uint64, pool *backends.Pool, watch func(), log *slog.Logger) (*Instance, error) {
 	i := &Instance{
 		clock: clock.NewSteady(), backends: pool, watch: watch, log: log,
@@ -158,10 +160,10 @@
 
 func (i *Instance) now() time.Duration { return i.clock.Now() }
 
-// Now is the time by the clock that the instance's own times are of.
+// Now returns the time by the clock on which the instance's times are based.
 func (i *Instance) Now() time.Duration { return i.now() }
 
-// SetTimer asks for one Timer event. Timers are never withdrawn; none outlives the longest deadline by much.
+// SetTimer schedules one Timer event. Timers are never canceled; none runs much longer than the longest deadline.
 func (i *Instance) SetTimer(delay time.Duration, token uint64) {
 	i.timers.set(delay, token)
 }
@@ -177,11 +179,11 @@
 // Watch subscribes to the server list.
 func (i *Instance) Watch() { i.watch() }
 
-// Log writes a line for people.
+// Log writes a line for operators.
 func (i *Instance) Log(line string) { i.log.Info(line) }
 
-// Close ends the instance: it calls off what is out, fails what is open, and returns once no attempt runs. It is
-// for the end of a proxy, when nobody waits for an answer any more.
+// Close cancels outstanding attempts, fails open requests, and returns once no attempt runs. It is called when a proxy ends
+// and no caller waits for an answer any more.
 func (i *Instance) Close() {
 	i.mu.Lock()
 	if i.closed {
--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -8,7 +8,7 @@
 	"brasswell/internal/backends"
 )
 
-// Update gives the balancer what discovery says. addresses holds where to dial the entries' servers.
+// Update passes a list update from discovery to the balancer. addresses maps the IDs of the entries to dial addresses.
 func (i *Instance) Update(kind balance.ListKind, entries []balance.Entry, addresses map[string]string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -40,8 +40,8 @@
 	}
 }
 
-// keep tells the pool whose connections may be used again. It is called with mu held, so that two calls cannot pass
-// each other.
+// updatePool tells the connection pool which endpoints' connections may be reused. It is called with mu held, so that two
+// calls cannot overtake each other.
 func (i *Instance) updatePool() {
 	wanted := make(map[backends.Endpoint]bool, len(i.endpoints))
 	for id, to := range i.endpoints {
@@ -53,7 +53,7 @@
 	i.updateChannels()
 }
 
-// noteDrains remembers since when servers drain; mu is held.
+// recordDrains records when servers were first seen to drain; mu is held.
 func (i *Instance) recordDrains(kind balance.ListKind, entries []balance.Entry) {
 	before := i.drainingSince
 	if kind == balance.Full || kind == balance.Cached {
@@ -72,7 +72,7 @@
 	}
 }
 
-// Failing are those of some servers that are avoided now for what their answers were.
+// Ejected returns those of the given servers that the balancer has ejected because of the outcomes of their requests.
 func (i *Instance) Ejected(ids []string) (failing []string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -84,14 +84,15 @@
 	return failing
 }
 
-// Pool counts the servers in the list and those of them that are avoided.
+// CountServers returns the number of servers in the list and the number of them that are ejected or taken out.
 func (i *Instance) CountServers() (listed, avoided int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.balancer.Pool()
 }
 
-// Ready says whether there is a server to send to, by a list that was confirmed once or waited for long enough.
+// Ready reports whether there is a server to send to, the admission gate is ready, and the list has been confirmed once or
+// waited for long enough.
 func (i *Instance) Ready() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/host/request.go
+++ b/internal/host/request.go
@@ -8,40 +8,41 @@
 	"brasswell/internal/backends"
 )
 
-// Verdict is how a request is answered.
+// Verdict is the kind of a request's final answer.
 type Verdict int
 
 // The verdicts.
 const (
-	Failed Verdict = iota
-	Refused
+	Failed  Verdict = iota // the request may have had an effect
+	Refused                // trying again is harmless
 	Served
 )
 
-// Final is the one answer that a request gets.
+// Final is the single final answer to a request.
 type Final struct {
 	Verdict    Verdict
-	Reply      *backends.Reply // of a served request
-	RetryAfter time.Duration   // for how long a refused caller is asked to stay away; 0 for no advice
+	Reply      *backends.Reply // set for a served request
+	RetryAfter time.Duration   // the delay after which a refused caller is asked to retry; 0 gives no advice
 }
 
-// Request is one request from its submission until it is answered and its last attempt has ended. Its life is
-// bounded by its deadline: attempts time out by then, and the balancer answers what is left.
+// Request is one request from its submission until it is answered and its last attempt has ended. It does not outlive its
+// deadline: attempts time out by then, and the balancer answers a request that is still open.
 type Request struct {
 	id          string
 	message     *backends.Message
-	caller      Caller // nil where nothing can be known of it
+	caller      Caller // nil if the caller's connection is not tracked
 	attempts    []*attempt
 	outstanding int
 	answered    bool
-	receiving   bool       // its body still comes in
-	final       chan Final // takes exactly one, without blocking
+	receiving   bool       // its body is still arriving
+	final       chan Final // receives exactly one value and has room for it
 }
 
-// Submit hands a request to the balancer. Its clock starts here, when its last byte has been read, or with Received
-// if its body is a stream, which the caller fills. It has to be over within so much time, where that is above 0. The ids
-// are our own: callers may use theirs again, and the balancer takes a known id for one it already has. caller may be nil.
-func (i *Instance) Submit(caller Caller, m *backends.Message, class, tenant int, left, within time.Duration) *Request {
+// Submit passes a request to the balancer. remaining is the time until the caller gives up. It counts from this call, when the
+// last byte of the request has been read, or from Received if the body is a stream that is still being read. localBudget, if
+// above 0, is the time in which this process must finish the request. The instance assigns its own IDs, because callers may
+// reuse theirs and the balancer treats a request with a known ID as one that it already has. caller may be nil.
+func (i *Instance) Submit(caller Caller, m *backends.Message, class, tenant int, remaining, localBudget time.Duration) *Request {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.lastID++
@@ -51,9 +52,9 @@
 		return q
 	}
 	if i.admissionGate != nil {
-		if admitted, wait := i.admissionGate.Admit(class); !admitted {
+		if admitted, retryAfter := i.admissionGate.Admit(class); !admitted {
 			i.traceUnserved(q, Refused, causeAdmissionGate)
-			q.answer(Final{Verdict: Refused, RetryAfter: wait})
+			q.answer(Final{Verdict: Refused, RetryAfter: retryAfter})
 			return q
 		}
 	}
@@ -70,13 +71,13 @@
 	i.requests[q.id] = q
 	q.receiving = m.Body.Stream() != nil
 	i.balancer.Submit(i.now(), balance.Request{
-		ID: q.id, Class: class, Tenant: tenant, Left: left, Within: within, Arriving: q.receiving,
+		ID: q.id, Class: class, Tenant: tenant, Left: remaining, Within: localBudget, Arriving: q.receiving,
 	})
 	i.removeIfDone(q)
 	return q
 }
 
-// Received says that the last byte of a request's streamed body has come.
+// Received reports that the last byte of a request's streamed body has arrived.
 func (i *Instance) Received(q *Request) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -97,8 +98,8 @@
 	i.removeIfDone(q)
 }
 
-// Drop tells the balancer that a request's caller has gone: callers give a request up by closing the connection
-// or ending their sending on it. What is still out for it is called off.
+// Drop reports that a request's caller has gone. Callers give a request up by closing the connection or their sending side
+// of it. The balancer then cancels the request's outstanding attempts.
 func (i *Instance) Drop(q *Request) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -110,7 +111,7 @@
 	i.removeIfDone(q)
 }
 
-// answer decides a request's final answer; the first one stands.
+// answer sets a request's final answer and reports whether it did. Only the first call has an effect.
 func (q *Request) answer(f Final) bool {
 	if q.answered {
 		return false
@@ -120,7 +121,7 @@
 	return true
 }
 
-// tidy forgets a request that is over.
+// removeIfDone removes a request that is answered and has no outstanding attempt.
 func (i *Instance) removeIfDone(q *Request) {
 	if q.answered && q.outstanding == 0 {
 		delete(i.requests, q.id)
@@ -128,21 +129,21 @@
 	}
 }
 
-// Refuse answers a request so that trying again is harmless.
+// Refuse gives a request a final answer that lets its caller try again without harm.
 func (i *Instance) Refuse(id string, wait time.Duration) {
 	i.answerByID(id, Final{Verdict: Refused, RetryAfter: wait})
 }
 
-// Fail answers a request without a promise.
+// Fail gives a request a final answer without promising that a retry is harmless.
 func (i *Instance) Fail(id string) { i.answerByID(id, Final{Verdict: Failed}) }
 
 func (i *Instance) answerByID(id string, f Final) {
 	if q := i.requests[id]; q != nil {
 		i.traceUnserved(q, f.Verdict, causeBalancer)
 		q.answer(f)
-		i.removeIfDone(q) // a timer may have decided it, and nothing else comes for it then
+		i.removeIfDone(q) // if a timer caused the answer, no later event removes the request
 	}
 }
 
-// Final takes exactly one final answer; it never stays empty past the request's time.
+// Final returns the channel on which the single final answer is sent, at the latest when the request's time is over.
 func (q *Request) Final() <-chan Final { return q.final }
--- a/internal/host/serverlist_test.go
+++ b/internal/host/serverlist_test.go
@@ -13,11 +13,11 @@
 	"brasswell/balance"
 )
 
-// confirmedList is a list that the test confirms or not.
+// fakeServerList is a ServerList whose state the test sets.
 type fakeServerList struct {
 	stale    atomic.Bool
-	caughtUp chan struct{} // closed once its news are taken in; nil for none
-	catchUps chan struct{} // takes one each time that they are waited for
+	caughtUp chan struct{} // closed once its updates are applied; nil if there are none
+	catchUps chan struct{} // receives a value for each CatchUp that waits
 }
 
 func (l *fakeServerList) Fresh() bool { return !l.stale.Load() }
@@ -34,11 +34,11 @@
 	}
 }
 
-// listWait is what refused callers are told.
+// listWait is the retry delay for refused callers.
 const listWait = 300 * time.Millisecond
 
-// TestNothingIsSentByAStaleList: a request that comes while the list is stale is refused without a look at any server, and so is one
-// whose connection comes up after it has become so. Behind it requests are served again.
+// TestNothingIsSentByAStaleList checks that a request is refused if the list is stale when it arrives, or if the list becomes
+// stale before its connection is established. Once the list is confirmed again, requests are served.
 func TestNothingIsSentByAStaleList(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	s := newServer(t, serve)
@@ -50,27 +50,27 @@
 
 	list.stale.Store(true)
 	if got := await(t, "the answer", c.submit(nil).Final()); got.Verdict != Refused || got.RetryAfter != listWait {
-		t.Errorf("by a stale list: %+v", got)
+		t.Errorf("with a stale list: %+v", got)
 	}
 	list.stale.Store(false)
 	q := c.submit(nil)
-	up := await(t, "a connection that is asked for", c.dials)
+	up := await(t, "the dial", c.dials)
 	list.stale.Store(true)
 	close(up)
 	if got := await(t, "the answer", q.Final()); got.Verdict != Refused || got.RetryAfter != listWait {
-		t.Errorf("by a list that became stale before the write: %+v", got)
+		t.Errorf("with a list that became stale before the write: %+v", got)
 	}
 	if n := s.received.Load(); n > 0 {
-		t.Errorf("%d requests were sent by a stale list", n)
+		t.Errorf("%d requests were sent with a stale list", n)
 	}
 	list.stale.Store(false)
 	defer c.completeDials()()
 	if got := await(t, "the answer", c.submit(nil).Final()); got.Verdict != Served {
-		t.Errorf("by a list that is confirmed again: %+v", got)
+		t.Errorf("with a list that is confirmed again: %+v", got)
 	}
 }
 
-// letAllUp lets each connection come up at once, until the function that it returns is called.
+// completeDials lets each connection be established at once, until the returned function is called.
 func (c *fixture) completeDials() (end func()) {
 	stop := make(chan struct{})
 	var done sync.WaitGroup
@@ -90,7 +90,8 @@
 	}
 }
 
-// TestARepeatByAStaleListFails: an attempt that may have run is not repeated by a stale list, and its request cannot be refused harmlessly.
+// TestARepeatByAStaleListFails checks that an attempt that may have run is not repeated while the list is stale. The request then
+// fails, because a refusal would promise that a retry is harmless.
 func TestARepeatByAStaleListFails(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	list := &fakeServerList{}
@@ -111,8 +112,8 @@
 	}
 }
 
-// TestNothingIsSentBeforeNewsAreTakenIn guards against a process that was held up and sends to a server whose drain lies in its sockets: the
-// attempt waits, and goes elsewhere.
+// TestNothingIsSentBeforeNewsAreTakenIn guards against a process that was stalled and then sends to a server whose drain is still
+// unread in its sockets. The attempt must wait for the list updates and then go to another server.
 func TestNothingIsSentBeforeNewsAreTakenIn(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	draining, up := newServer(t, serve), newServer(t, serve)
@@ -124,13 +125,13 @@
 	c.SetServerList(list, listWait)
 	defer c.completeDials()()
 	q := c.submit(nil)
-	await(t, "an attempt that is about to be sent", list.catchUps)
+	await(t, "an attempt to catch up with the list", list.catchUps)
 	c.Update(balance.Full, []balance.Entry{{ID: "a", State: balance.Draining}, {ID: "b"}}, map[string]string{"a": draining.address, "b": up.address})
 	close(list.caughtUp)
 	if got := await(t, "the answer", q.Final()); got.Verdict != Served {
-		t.Errorf("behind the news: %+v", got)
+		t.Errorf("after the list update: %+v", got)
 	}
 	if n := draining.received.Load(); n > 0 {
-		t.Errorf("%d requests were sent to the server that drains", n)
+		t.Errorf("%d requests were sent to the draining server", n)
 	}
 }
--- a/internal/host/timers.go
+++ b/internal/host/timers.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// timers calls back at given times. One runtime timer serves them all, and those that are due together are called
-// together: a timer of the runtime's for each would cost an allocation, and a goroutine when it fires, several
-// times for each request, and nearly all of them fire long after their request is over.
+// timers calls back at given times. One runtime timer serves all of them, and timers that are due together are fired
+// together. A separate runtime timer for each would cost an allocation, and a goroutine when it fires, several times per
+// request, although nearly all timers fire long after their request is over.
 //
-// A call comes up to timerStep late. Nothing that the balancer times is finer than that.
+// A call may be up to timerResolution late. The balancer needs no finer resolution.
 type timers struct {
 	now  func() time.Duration
 	fire func(now time.Duration, token uint64) // called without mu
@@ -18,11 +18,11 @@
 	mu      sync.Mutex
 	queue   timerQueue
 	timer   *time.Timer
-	armed   time.Duration // when the runtime timer fires; 0 while it does not run
+	armed   time.Duration // when the runtime timer fires; 0 if it is not set
 	stopped bool
 }
 
-// timerStep is the least time between two rounds of calls.
+// timerResolution is the minimum delay of the runtime timer.
 const timerResolution = time.Millisecond
 
 type dueTimer struct {
@@ -34,7 +34,7 @@
 	return &timers{now: now, fire: fire}
 }
 
-// set asks for one call, after a delay.
+// set schedules one call after a delay.
 func (t *timers) set(delay time.Duration, token uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -52,7 +52,7 @@
 	}
 	at := t.queue[0].at
 	if t.armed != 0 && t.armed <= at+timerResolution {
-		return // it fires soon enough
+		return // already set for early enough
 	}
 	now := t.now()
 	wait := max(at-now, timerResolution)
@@ -64,7 +64,7 @@
 	}
 }
 
-// round makes the calls that are due.
+// fireDue makes the calls that are due, then sets the runtime timer again.
 func (t *timers) fireDue() {
 	t.mu.Lock()
 	var due []uint64
@@ -84,7 +84,7 @@
 	}
 }
 
-// end drops all calls that are still to come.
+// stop discards all pending calls.
 func (t *timers) stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,7 +94,7 @@
 	}
 }
 
-// timerQueue is a heap by time, and by age among equals.
+// timerQueue is a heap ordered by time, then by token.
 type timerQueue []dueTimer
 
 func (q timerQueue) Len() int { return len(q) }
--- a/internal/host/timers_test.go
+++ b/internal/host/timers_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestTimersCallInOrderOnce sets thousands, in no order, and waits for all calls.
+// TestTimersCallInOrderOnce sets thousands of timers in no order and checks that each is called once and not early.
 func TestTimersCallInOrderOnce(t *testing.T) {
 	const n = 5000
 	start := time.Now()
@@ -39,17 +39,17 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if early > 0 {
-		t.Errorf("%d calls came too early", early)
+		t.Errorf("%d calls were made too early", early)
 	}
 	slices.Sort(got)
 	for i, token := range got {
 		if token != uint64(i) {
-			t.Fatalf("call %d is for token %d: one is missing or came twice", i, token)
+			t.Fatalf("call %d is for token %d: a call is missing or was made twice", i, token)
 		}
 	}
 }
 
-// TestAnEarlierTimerIsNotHeldUp sets a far one first: the runtime timer must move.
+// TestAnEarlierTimerIsNotHeldUp sets a distant timer first; the runtime timer must then be moved for the earlier one.
 func TestAnEarlierTimerIsNotHeldUp(t *testing.T) {
 	start := time.Now()
 	first := make(chan uint64, 2)
@@ -58,7 +58,7 @@
 	ts.set(time.Hour, 1)
 	ts.set(0, 2)
 	if token := <-first; token != 2 {
-		t.Errorf("token %d came first", token)
+		t.Errorf("token %d was called first", token)
 	}
 }
 
@@ -71,7 +71,7 @@
 	ts.fireDue()
 }
 
-// TestACallMaySetATimer, as the balancer does from within one.
+// TestACallMaySetATimer sets timers from within a call, as the balancer does.
 func TestACallMaySetATimer(t *testing.T) {
 	start := time.Now()
 	done := make(chan struct{})
--- a/internal/host/trace.go
+++ b/internal/host/trace.go
@@ -8,16 +8,16 @@
 	"brasswell/balance"
 )
 
-// The lines that tell what one proxy did, at level debug. What many proxies do together shows in no single one: `brasswell
-// count` reads these lines from all of them. Their names and fields are read there, so a change here is one there.
+// Messages of the debug log lines that trace what one proxy did. No single proxy's log shows what many proxies do together,
+// so `brasswell count` reads these lines from all of them. It depends on their messages and fields: change both together.
 const (
-	TraceAttempt  = "attempt"  // one that has ended
-	TraceBasis    = "act"      // on what the sending of one that has ended rested
-	TraceUnserved = "unserved" // a request refused or failed
-	TraceList     = "list"     // news of the server list
+	TraceAttempt  = "attempt"  // an attempt that has ended
+	TraceBasis    = "act"      // the agreed rules by which an ended attempt was sent
+	TraceUnserved = "unserved" // a request that was refused or failed
+	TraceList     = "list"     // an update of the server list
 )
 
-// traces says whether the lines are wanted; the fields of one cost more than it does.
+// tracing reports whether trace lines are logged. The check costs less than building the fields of a line.
 func (i *Instance) tracing() bool { return i.log.Enabled(context.Background(), slog.LevelDebug) }
 
 func (i *Instance) traceAttempt(a *attempt, outcome balance.Outcome, now time.Duration) {
@@ -32,16 +32,16 @@
 	}
 }
 
-// unservedBy is who decided that a request is not served.
+// unservedCause names what decided that a request is not served.
 type unservedCause string
 
-// Those who decide so.
+// The causes of an unserved request.
 const (
-	causeBalancer      unservedCause = "balancer"     // no room, no time left, or its attempts failed
-	causeAdmissionGate unservedCause = "recovery"     // the proxy is on its way back from a start
-	causeAgreedRules   unservedCause = "agreed rules" // its class is closed, or no act is allowed
-	causeStaleList     unservedCause = "stale list"   // the server list could not be confirmed for too long
-	causeCallerGone    unservedCause = "caller's end" // the caller has gone
+	causeBalancer      unservedCause = "balancer"     // no capacity, no time left, or its attempts failed
+	causeAdmissionGate unservedCause = "recovery"     // the proxy admits only a part of the requests after a start
+	causeAgreedRules   unservedCause = "agreed rules" // its class is closed, or the rules allow no attempt
+	causeStaleList     unservedCause = "stale list"   // the server list was not confirmed for too long
+	causeCallerGone    unservedCause = "caller's end" // the caller gave the request up
 )
 
 func (i *Instance) traceUnserved(q *Request, v Verdict, cause unservedCause) {
