--- a/route/overlap.go
+++ b/route/overlap.go
@@ -5,41 +5,41 @@
 	"strings"
 )
 
-// Kind is how two routes overlap.
+// OverlapKind says how two routes overlap.
 type OverlapKind int
 
 // The kinds of overlap.
 const (
-	// Shadowed: the second is never taken; every request that fits it is the first's.
+	// Shadowed means that the second route is never chosen: every request that matches it matches the first.
 	Shadowed OverlapKind = iota
-	// ByOrder: some requests fit both, and only the order in the file decides.
+	// ByOrder means that some requests match both, and only the order of the routes in the file decides.
 	ByOrder
-	// ByPath: some requests fit both paths; the one with the literal further left takes them.
+	// ByPath means that some requests match both paths. The path with the literal further left takes them.
 	ByPath
 )
 
 func (k OverlapKind) String() string { return [...]string{"shadowed", "by order", "by path"}[k] }
 
-// Overlap is two routes that some requests fit both. First is the one that takes them.
+// Overlap is a pair of routes that some requests match both. First is the index of the route that takes such requests.
 type Overlap struct {
 	Kind          OverlapKind
 	First, Second int
-	Example       string // a request that fits both, as "METHOD /path"
+	Example       string // a request that matches both, as "METHOD /path"
 }
 
-// MostCrossed is how many routes are compared by path with each other; of a longer list, only routes with the same
-// path are.
+// MaxPathCompared is the maximum number of routes for which every pair is compared by path. In a longer list, only routes
+// with the same path are compared.
 const MaxPathCompared = 2000
 
-// Overlaps finds the routes that get in each other's way. The routes must be sound, as Compile says. A route that is
-// shadowed is not told of again for the same other route.
+// Overlaps finds pairs of routes that conflict. The routes must be valid according to Compile. Each pair is reported at most
+// once.
 func Overlaps(routes []Route) []Overlap {
 	type entry struct {
 		p Pattern
 		v variant
 	}
 	entries := make([]entry, len(routes))
-	byShape := map[string][]int{} // by the path's shape
+	byShape := map[string][]int{} // route indexes by the path's shape
 	for i, r := range routes {
 		p, err := ParsePattern(r.Path)
 		if err != nil {
@@ -86,7 +86,7 @@
 	return found
 }
 
-// compare says how two routes with the same path overlap, the first of which is tried first.
+// compare reports how two routes with the same path overlap. a is tried before b.
 func compare(a, b *variant) (Overlap, bool) {
 	if commonMethod(a, b) == "" || !compatible(a.headers, b.headers) {
 		return Overlap{}, false
@@ -97,17 +97,17 @@
 	case implied && covers(a.methods, b.methods):
 		o.Kind = Shadowed
 	case implies(a.headers, b.headers) && (!implied || covers(b.methods, a.methods)):
-		return Overlap{}, false // the narrower one goes first, as it is meant
+		return Overlap{}, false // the more specific route is tried first, as intended
 	}
 	return o, true
 }
 
-// covers says whether a list of methods has all of another.
+// covers reports whether the methods a include all of b. An empty list stands for every method.
 func covers(a, b []string) bool {
 	return len(a) == 0 || len(b) > 0 && !slices.ContainsFunc(b, func(m string) bool { return !slices.Contains(a, m) })
 }
 
-// implies says whether all requests that meet the conditions of a meet those of b.
+// implies reports whether all requests that meet the conditions a also meet the conditions b.
 func implies(a, b []Condition) bool {
 	for _, want := range b {
 		if !slices.ContainsFunc(a, func(c Condition) bool {
@@ -119,7 +119,7 @@
 	return true
 }
 
-// compatible says whether a request can meet both lists of conditions.
+// compatible reports whether a request can meet both lists of conditions.
 func compatible(a, b []Condition) bool {
 	for _, x := range a {
 		for _, y := range b {
@@ -131,7 +131,7 @@
 	return true
 }
 
-// method is one that both routes take, or "".
+// commonMethod returns a method that both routes accept, or "" if there is none.
 func commonMethod(a, b *variant) string {
 	switch {
 	case len(a.methods) == 0 && len(b.methods) == 0:
@@ -147,7 +147,7 @@
 	return ""
 }
 
-// shape is the same for patterns that differ only in their parameters' names.
+// shapeOf returns a key that is equal for patterns that differ only in the names of their parameters.
 func shapeOf(p Pattern) string {
 	var s strings.Builder
 	for _, x := range p.Segments {
@@ -163,8 +163,8 @@
 	return s.String()
 }
 
-// crosses says whether two paths fit some request both, each being narrower than the other somewhere: -1 if a goes
-// before b, 1 if b before a, and 0 if one is a part of the other, or nothing fits both.
+// crosses reports whether some path matches both patterns while each pattern is more specific than the other in some segment.
+// It returns -1 if a takes precedence, 1 if b does, and 0 if one pattern contains the other or no path matches both.
 func crosses(a, b Pattern) int {
 	var aNarrower, bNarrower bool
 	first := 0
@@ -187,7 +187,7 @@
 			}
 			return 0
 		case aEnds || bEnds:
-			// What still follows must be able to be nothing.
+			// The longer pattern must be able to end here.
 			longer, side := b.Segments, -1
 			if bEnds {
 				longer, side = a.Segments, 1
@@ -216,7 +216,7 @@
 		case x.Name != "" && y.Name != "":
 		case x.Name != "":
 			if y.Literal == "" {
-				return 0 // a parameter takes no empty segment
+				return 0 // a parameter does not match an empty segment
 			}
 			narrower(1)
 		case y.Name != "":
@@ -230,7 +230,7 @@
 	}
 }
 
-// example is a path that fits both patterns.
+// examplePath returns a path that matches both patterns.
 func examplePath(a, b Pattern) string {
 	var s strings.Builder
 	for i := range max(len(a.Segments), len(b.Segments)) {
@@ -255,7 +255,7 @@
 	return s.String()
 }
 
-// escape writes a literal so that split reads it back.
+// escape percent-encodes a literal so that split decodes it to the same text.
 func escape(literal string) string {
 	const hex = "0123456789ABCDEF"
 	var s strings.Builder
--- a/route/route.go
+++ b/route/route.go
@@ -1,11 +1,10 @@
-// Package route chooses which route of an application a request takes: by method, path and headers, and by nothing
-// else. It has no I/O and no clock. A table is compiled once; then choosing costs what the path's length asks for,
-// not what the number of routes does.
+// Package route matches requests to the routes of an application by method, path and headers only. It has no I/O and no
+// clock. A table is compiled once. The cost of a match then depends on the length of the path, not on the number of routes.
 //
-// Of several routes that fit a request, the path decides first: segment by segment from the left, a literal goes
-// before a {name} and that before a {rest...}. Of routes with the same path, the one with more header conditions
-// goes first, of these the one with more exact values, then the one that stands first. A route whose path fits and
-// whose method does not leaves the request to the next path that fits. A slash at the end makes another path.
+// If several routes match a request, the path decides first: segment by segment from the left, a literal takes precedence
+// over a {name}, and a {name} over a {rest...}. Of routes with the same path, the one with more header conditions takes
+// precedence, then the one with more exact values, then the one that is listed first. If a route matches the path but not
+// the method, the next matching path is tried. A trailing slash makes a different path.
 package route
 
 import (
@@ -17,15 +16,15 @@
 )
 
 const (
-	// MostSegments of a path, a pattern's or a request's. More is nobody's address.
+	// MaxSegments is the maximum number of segments of a pattern or a request path. Real addresses do not have more.
 	MaxSegments = 64
-	// MostVariants is how many routes may share one path: they are tried one after the other.
+	// MaxVariants is the maximum number of routes that share one path. They are tried one after the other.
 	MaxVariants = 32
-	// MostConditions is how many headers one route may ask for.
+	// MaxConditions is the maximum number of header conditions of a route.
 	MaxConditions = 8
 )
 
-// Condition is what a header must be: Value, or anything if Any is set. Names compare without regard to case
+// Condition requires that a header has the value Value, or any value if Any is set. Names are compared case-insensitively
 // (RFC 9110, section 5.1), values exactly.
 type Condition struct {
 	Header string
@@ -33,35 +32,35 @@
 	Any    bool
 }
 
-// Route is one route as it is described.
+// Route is one route of an application's description.
 type Route struct {
 	Name    string
-	Methods []string // none stands for every method
+	Methods []string // empty for every method
 	Path    string
 	Headers []Condition
 }
 
-// Pattern is a path pattern taken apart: literals, {name} for one segment, and {name...} for the rest, which may be
-// empty and stands last.
+// Pattern is a parsed path pattern. It consists of literals, {name} for one segment, and {name...} for all remaining
+// segments, if any; the latter must be last.
 type Pattern struct{ Segments []Segment }
 
 // Segment is one part of a pattern.
 type Segment struct {
 	Literal string // decoded
-	Name    string // of a parameter; "" for a literal
-	Rest    bool   // takes all that follows
+	Name    string // name of the parameter; "" for a literal
+	Rest    bool   // matches all remaining segments
 }
 
-// PatternError says what is wrong with a pattern, and the mend.
+// PatternError describes what is wrong with a pattern and how to fix it.
 type PatternError struct {
 	Path   string
-	Offset int // the byte at which it is wrong
+	Offset int // byte offset of the error in Path
 	Text   string
 }
 
 func (e *PatternError) Error() string { return fmt.Sprintf("path %q: %s", e.Path, e.Text) }
 
-// ParsePattern takes a path pattern apart. The error is a *PatternError.
+// ParsePattern parses a path pattern. The error is a *PatternError.
 func ParsePattern(path string) (Pattern, error) {
 	var p Pattern
 	fail := func(at int, format string, v ...any) (Pattern, error) {
@@ -71,25 +70,25 @@
 		return fail(0, "does not begin with a slash; write %q", "/"+path)
 	}
 	if at := strings.IndexAny(path, "?#"); at >= 0 {
-		return fail(at, "has a %q; a path ends before it, so leave out what follows", path[at:at+1])
+		return fail(at, "contains %q, which ends the path; remove it and what follows", path[at:at+1])
 	}
 	names := map[string]bool{}
 	at := 1
 	for part := range strings.SplitSeq(path[1:], "/") {
 		switch {
 		case len(p.Segments) == MaxSegments:
-			return fail(at, "has over %d segments", MaxSegments)
+			return fail(at, "has more than %d segments", MaxSegments)
 		case len(p.Segments) > 0 && p.Segments[len(p.Segments)-1].Rest:
-			return fail(at, "goes on after {%s...}, which takes all that follows; make it the last", p.Segments[len(p.Segments)-1].Name)
+			return fail(at, "continues after {%s...}, which matches all remaining segments; move it to the end", p.Segments[len(p.Segments)-1].Name)
 		}
 		s, err := parseSegment(part)
 		switch {
 		case err != nil:
 			return fail(at, "%v", err)
 		case s.Name != "" && names[s.Name]:
-			return fail(at, "names {%s} twice; name each parameter differently", s.Name)
+			return fail(at, "uses the name {%s} twice; give each parameter a different name", s.Name)
 		case part == "" && at < len(path):
-			return fail(at, "has an empty segment; requests with one are turned away, so leave out the slash")
+			return fail(at, "has an empty segment; requests with empty segments are rejected, so remove the slash")
 		}
 		names[s.Name] = true
 		if path != "/" {
@@ -101,53 +100,53 @@
 }
 
 func parseSegment(part string) (Segment, error) {
-	if !strings.ContainsAny(part, "{}") { // "" is what stands after a slash at the end
+	if !strings.ContainsAny(part, "{}") { // "" is the segment after a trailing slash
 		literal, err := url.PathUnescape(part)
 		switch {
 		case err != nil:
-			return Segment{}, fmt.Errorf("segment %q: a percent sign begins two hexadecimal digits; write %%25 for the sign itself", part)
+			return Segment{}, fmt.Errorf("segment %q: a percent sign must be followed by two hexadecimal digits; write %%25 for a literal percent sign", part)
 		case literal == "." || literal == "..":
-			return Segment{}, fmt.Errorf("segment %q: requests with one are turned away; write the path that it leads to", part)
+			return Segment{}, fmt.Errorf("segment %q: requests with dot segments are rejected; write the resolved path", part)
 		case strings.ContainsAny(literal, "/\\") || isParameterizedDot(literal):
-			return Segment{}, fmt.Errorf("segment %q: requests that hide a slash or a dot segment are turned away, so nothing can fit it", part)
+			return Segment{}, fmt.Errorf("segment %q: requests with an encoded slash or a disguised dot segment are rejected, so no request can match it", part)
 		case strings.ContainsFunc(literal, func(r rune) bool { return r < ' ' || r == 0x7f }):
-			return Segment{}, fmt.Errorf("segment %q has a control character; leave it out", part)
+			return Segment{}, fmt.Errorf("segment %q contains a control character; remove it", part)
 		}
 		return Segment{Literal: literal}, nil
 	}
 	name, found := strings.CutPrefix(part, "{")
 	name, closed := strings.CutSuffix(name, "}")
 	if !found || !closed {
-		return Segment{}, fmt.Errorf("segment %q is neither a literal nor a {name}; a parameter takes a whole segment", part)
+		return Segment{}, fmt.Errorf("segment %q is neither a literal nor a {name}; a parameter must be a whole segment", part)
 	}
 	name, rest := strings.CutSuffix(name, "...")
 	if name == "" || strings.ContainsFunc(name, func(r rune) bool {
 		return r != '_' && !('a' <= r && r <= 'z' || 'A' <= r && r <= 'Z' || '0' <= r && r <= '9')
 	}) {
-		return Segment{}, fmt.Errorf("segment %q: name the parameter with letters, digits and underscores", part)
+		return Segment{}, fmt.Errorf("segment %q: the parameter name must consist of letters, digits and underscores", part)
 	}
 	return Segment{Name: name, Rest: rest}, nil
 }
 
-// Table is a compiled list of routes. It is not changed after Compile and may be used by any number of goroutines.
+// Table is a compiled list of routes. It is immutable and safe for concurrent use.
 type Table struct{ root node }
 
-// node is what stands after the segments that lead to it.
+// node is a node of the tree of patterns. Each edge is one segment.
 type node struct {
 	literals  map[string]*node
-	param     *node // after a parameter
+	param     *node // child for a parameter
 	ending    []variant
-	wildcards []variant // of patterns that end in {rest...} here
+	wildcards []variant // of patterns whose next segment is {rest...}
 }
 
-// variant is one route of those that share a path.
+// variant is one of the routes that share a path.
 type variant struct {
 	index   int
 	methods []string
 	headers []Condition
 }
 
-// variant is the route without its path, with its headers' names as net/http writes them.
+// variant returns the route without its path and with canonical header names.
 func (r *Route) variant(index int) variant {
 	v := variant{index: index, methods: slices.Clone(r.Methods)}
 	for _, c := range r.Headers {
@@ -157,17 +156,17 @@
 	return v
 }
 
-// Error is what is wrong with one route of a table.
+// Error describes an error in one route.
 type Error struct {
-	Index int    // of the route
+	Index int    // index of the route
 	Field string // "path", "methods" or "headers"
 	Text  string
 }
 
 func (e *Error) Error() string { return fmt.Sprintf("route %d: %s: %s", e.Index, e.Field, e.Text) }
 
-// Compile builds a table. It returns every fault, in the order of the routes, and no table if there is one. What is
-// sound in itself but never taken is for Overlaps to tell.
+// Compile builds a table. It returns all errors in the order of the routes, and no table if there are any. It does not report
+// a valid route that can never be chosen; Overlaps does.
 func Compile(routes []Route) (*Table, []*Error) {
 	t := &Table{}
 	var faults []*Error
@@ -181,23 +180,23 @@
 		}
 		for _, m := range r.Methods {
 			if !isToken(m) {
-				fault(i, "methods", "%q is no method; write one like GET or POST", m)
+				fault(i, "methods", "%q is not a method; use one such as GET or POST", m)
 			}
 		}
 		if len(r.Headers) > MaxConditions {
-			fault(i, "headers", "%d conditions; %d at most", len(r.Headers), MaxConditions)
+			fault(i, "headers", "%d conditions; the maximum is %d", len(r.Headers), MaxConditions)
 		}
 		v := r.variant(i)
 		for n, c := range v.headers {
 			if !isToken(c.Header) {
-				fault(i, "headers", "%q is no header's name", r.Headers[n].Header)
+				fault(i, "headers", "%q is not a header name", r.Headers[n].Header)
 			}
 			if slices.ContainsFunc(v.headers[:n], func(o Condition) bool { return o.Header == c.Header }) {
-				fault(i, "headers", "%s is asked for twice; one value at a time can fit", c.Header)
+				fault(i, "headers", "%s has two conditions; a request can match only one of them", c.Header)
 			}
 		}
 		if err == nil && !t.add(p, v) {
-			fault(i, "path", "over %d routes share %s; give them paths of their own", MaxVariants, r.Path)
+			fault(i, "path", "more than %d routes share %s; give them different paths", MaxVariants, r.Path)
 		}
 	}
 	if len(faults) > 0 {
@@ -206,7 +205,7 @@
 	return t, nil
 }
 
-// add puts a variant at its pattern's place, and reports whether there was room.
+// add inserts a variant at its pattern's node. It returns false if the node already has MaxVariants variants.
 func (t *Table) add(p Pattern, v variant) bool {
 	n := &t.root
 	list := &n.ending
@@ -242,7 +241,7 @@
 	return true
 }
 
-// before says whether a variant goes before one that was described earlier.
+// precedes reports whether v takes precedence over a variant that was listed earlier.
 func (v *variant) precedes(earlier *variant) bool {
 	if len(v.headers) != len(earlier.headers) {
 		return len(v.headers) > len(earlier.headers)
@@ -259,41 +258,41 @@
 	return n
 }
 
-// Request is what the choice rests on. Path is as it came, encoded. Header gives a header's values by its canonical
-// name; nil stands for none.
+// Request is the input of Choose. Path is the encoded path as received. Header returns a header's values by its canonical
+// name; a nil Header stands for a request without headers.
 type Request struct {
 	Method string
 	Path   string
 	Header func(name string) []string
 }
 
-// Verdict says what came of a choice.
+// Verdict is the result of a choice.
 type Verdict int
 
 // The verdicts.
 const (
 	Found     Verdict = iota
-	NoPath            // no route has the path
-	NoMethod          // routes have the path, none the method (RFC 9110, section 15.5.6)
-	NoHeaders         // routes have the path and the method, none fits the headers
-	BadPath           // the path can be read in more than one way
+	NoPath            // no route matches the path
+	NoMethod          // routes match the path, but none the method (RFC 9110, section 15.5.6)
+	NoHeaders         // routes match the path and the method, but none the headers
+	BadPath           // the path is invalid or ambiguous
 )
 
 func (v Verdict) String() string {
 	return [...]string{"found", "no path", "no method", "no headers", "bad path"}[v]
 }
 
-// Choice is what a table says of a request.
+// Choice is the result of Choose.
 type Choice struct {
 	Verdict Verdict
-	Index   int      // of the route, if one was found
-	Allow   []string // the methods that the path has, sorted, if only the method does not fit
-	Reason  string   // what is wrong with a bad path
+	Index   int      // index of the route, or -1 if none was found
+	Allow   []string // sorted methods that the path allows, for NoMethod
+	Reason  string   // what is wrong with the path, for BadPath
 }
 
-// Choose finds a request's route. A path that others might read in another way is turned away, not guessed at: a
-// dot or empty segment, which some servers resolve and others keep, would let a request through on one route's terms
-// that the application takes for another's. The same holds for a slash or a NUL that is hidden by encoding.
+// Choose finds a request's route. It rejects a path that other servers might interpret differently. Some servers resolve a dot
+// segment or an empty segment and others keep it, so that a request could be handled by the rules of one route while the
+// application serves it as another. The same applies to an encoded slash, backslash or NUL.
 func (t *Table) Choose(r Request) Choice {
 	var buffer [16]string
 	segments, reason := split(r.Path, buffer[:0])
@@ -312,7 +311,7 @@
 	return c
 }
 
-// choose walks the tree of patterns, each node at most once, since each has one depth.
+// choose searches the tree of patterns. It visits each node at most once, because a node is reached by one path only.
 func (n *node) choose(segments []string, r *Request, c *Choice) bool {
 	if len(segments) == 0 {
 		return matchFirst(n.ending, r, c) || matchFirst(n.wildcards, r, c)
@@ -323,7 +322,7 @@
 	return segments[0] != "" && n.param != nil && n.param.choose(segments[1:], r, c) || matchFirst(n.wildcards, r, c)
 }
 
-// fit looks for the first variant that fits, and otherwise notes how near the request came.
+// matchFirst sets c to the first variant that matches. If none does, it records in c how much of the request matched.
 func matchFirst(list []variant, r *Request, c *Choice) bool {
 	for i := range list {
 		v := &list[i]
@@ -349,7 +348,7 @@
 		if r.Header != nil {
 			values = r.Header(c.Header)
 		}
-		// A header given twice fits no value: which of them counts, the application may see otherwise.
+		// A repeated header matches no exact value, because the application may use another one of its values.
 		if len(values) == 0 || !c.Any && (len(values) > 1 || values[0] != c.Value) {
 			return false
 		}
@@ -357,7 +356,7 @@
 	return true
 }
 
-// split takes a path apart into decoded segments, or says why it can't.
+// split appends the decoded segments of a path to segments, or returns the reason why the path is rejected.
 func split(path string, segments []string) (_ []string, reason string) {
 	if !strings.HasPrefix(path, "/") {
 		return nil, "it does not begin with a slash"
@@ -369,15 +368,15 @@
 		var part string
 		part, rest, more = strings.Cut(rest, "/")
 		if len(segments) == MaxSegments {
-			return nil, fmt.Sprintf("it has over %d segments", MaxSegments)
+			return nil, fmt.Sprintf("it has more than %d segments", MaxSegments)
 		}
 		if strings.IndexByte(part, '%') >= 0 {
 			decoded, err := url.PathUnescape(part)
 			if err != nil {
-				return nil, "a percent sign in it begins no two hexadecimal digits"
+				return nil, "a percent sign is not followed by two hexadecimal digits"
 			}
 			if strings.ContainsAny(decoded, "/\\\x00") {
-				return nil, "a slash, a backslash or a NUL is hidden in it by encoding"
+				return nil, "it has an encoded slash, backslash or NUL"
 			}
 			part = decoded
 		}
@@ -396,12 +395,13 @@
 	return segments, ""
 }
 
-// dotted says whether a segment is a dot segment with parameters, which some servers cut off before they resolve it.
+// isParameterizedDot reports whether a segment is a dot segment with parameters. Some servers remove the parameters before
+// they resolve the segment.
 func isParameterizedDot(part string) bool {
 	return strings.HasPrefix(part, ".;") || strings.HasPrefix(part, "..;")
 }
 
-// token says whether a text is a token (RFC 9110, section 5.6.2), as methods and headers' names are.
+// isToken reports whether s is a token (RFC 9110, section 5.6.2), as methods and header names are.
 func isToken(s string) bool {
 	return s != "" && !strings.ContainsFunc(s, func(r rune) bool {
 		return !('a' <= r && r <= 'z' || 'A' <= r && r <= 'Z' || '0' <= r && r <= '9' || strings.ContainsRune("!#$%&'*+-.^_`|~", r))
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -22,7 +22,7 @@
 	return func(name string) []string { return h[name] }
 }
 
-// catalogue is an application as a library has it.
+// catalogue has the routes of a library's catalogue application.
 var catalogue = []Route{
 	{Name: "home", Path: "/"},
 	{Name: "search", Methods: []string{"GET", "HEAD"}, Path: "/search"},
@@ -45,7 +45,7 @@
 	for _, x := range []struct {
 		method, path string
 		header       map[string][]string
-		want         string // the route's name, or the verdict and what goes with it
+		want         string // the route's name, or the verdict with its details
 	}{
 		{"GET", "/", nil, "home"},
 		{"DELETE", "/", nil, "home"},
@@ -84,11 +84,11 @@
 		{"GET", "/records/../search", nil, "bad path: it has a dot segment"},
 		{"GET", "/records/%2e%2E/search", nil, "bad path: it has a dot segment"},
 		{"GET", "/records/..;x/search", nil, "bad path: it has a dot segment with parameters"},
-		{"GET", "/records/1%2f2", nil, "bad path: a slash, a backslash or a NUL is hidden in it by encoding"},
-		{"GET", "/records/1%5c2", nil, "bad path: a slash, a backslash or a NUL is hidden in it by encoding"},
+		{"GET", "/records/1%2f2", nil, "bad path: it has an encoded slash, backslash or NUL"},
+		{"GET", "/records/1%5c2", nil, "bad path: it has an encoded slash, backslash or NUL"},
 		{"GET", `/records\12`, nil, "bad path: it has a backslash"},
-		{"GET", "/records/%zz", nil, "bad path: a percent sign in it begins no two hexadecimal digits"},
-		{"GET", strings.Repeat("/a", MaxSegments+1), nil, "bad path: it has over 64 segments"},
+		{"GET", "/records/%zz", nil, "bad path: a percent sign is not followed by two hexadecimal digits"},
+		{"GET", strings.Repeat("/a", MaxSegments+1), nil, "bad path: it has more than 64 segments"},
 		{"GET", strings.Repeat("/a", MaxSegments), nil, "no path"},
 	} {
 		got := c.Choose(Request{x.method, x.path, headers(x.header)})
@@ -146,31 +146,31 @@
 	_, faults := Compile(routes)
 	var got []string
 	for _, f := range faults {
-		if len(routes[f.Index].Headers) <= MaxConditions { // whose empty names are faults as well
+		if len(routes[f.Index].Headers) <= MaxConditions { // empty header names are errors as well
 			got = append(got, f.Error())
 		}
 	}
 	want := []string{
 		`route 0: path: path "a": does not begin with a slash; write "/a"`,
-		`route 1: path: path "/a?b": has a "?"; a path ends before it, so leave out what follows`,
-		`route 2: path: path "/a//b": has an empty segment; requests with one are turned away, so leave out the slash`,
-		`route 3: path: path "/{a}/{a}": names {a} twice; name each parameter differently`,
-		`route 4: path: path "/{a...}/b": goes on after {a...}, which takes all that follows; make it the last`,
-		`route 5: path: path "/{a": segment "{a" is neither a literal nor a {name}; a parameter takes a whole segment`,
-		`route 6: path: path "/a{b}": segment "a{b}" is neither a literal nor a {name}; a parameter takes a whole segment`,
-		`route 7: path: path "/{}": segment "{}": name the parameter with letters, digits and underscores`,
-		`route 8: path: path "/{a b}": segment "{a b}": name the parameter with letters, digits and underscores`,
-		`route 9: path: path "/%1": segment "%1": a percent sign begins two hexadecimal digits; write %25 for the sign itself`,
-		`route 10: path: path "/a%2fb": segment "a%2fb": requests that hide a slash or a dot segment are turned away, so nothing can fit it`,
-		`route 11: path: path "/..": segment "..": requests with one are turned away; write the path that it leads to`,
-		`route 12: path: path "/%2e": segment "%2e": requests with one are turned away; write the path that it leads to`,
-		`route 13: path: path "/..;a": segment "..;a": requests that hide a slash or a dot segment are turned away, so nothing can fit it`,
-		`route 14: path: path "/a%0a": segment "a%0a" has a control character; leave it out`,
-		`route 15: path: path "` + long + `": has over 64 segments`,
-		`route 16: methods: "PO ST" is no method; write one like GET or POST`,
-		`route 16: methods: "" is no method; write one like GET or POST`,
-		`route 17: headers: "X:" is no header's name`,
-		`route 17: headers: X-A is asked for twice; one value at a time can fit`,
+		`route 1: path: path "/a?b": contains "?", which ends the path; remove it and what follows`,
+		`route 2: path: path "/a//b": has an empty segment; requests with empty segments are rejected, so remove the slash`,
+		`route 3: path: path "/{a}/{a}": uses the name {a} twice; give each parameter a different name`,
+		`route 4: path: path "/{a...}/b": continues after {a...}, which matches all remaining segments; move it to the end`,
+		`route 5: path: path "/{a": segment "{a" is neither a literal nor a {name}; a parameter must be a whole segment`,
+		`route 6: path: path "/a{b}": segment "a{b}" is neither a literal nor a {name}; a parameter must be a whole segment`,
+		`route 7: path: path "/{}": segment "{}": the parameter name must consist of letters, digits and underscores`,
+		`route 8: path: path "/{a b}": segment "{a b}": the parameter name must consist of letters, digits and underscores`,
+		`route 9: path: path "/%1": segment "%1": a percent sign must be followed by two hexadecimal digits; write %25 for a literal percent sign`,
+		`route 10: path: path "/a%2fb": segment "a%2fb": requests with an encoded slash or a disguised dot segment are rejected, so no request can match it`,
+		`route 11: path: path "/..": segment "..": requests with dot segments are rejected; write the resolved path`,
+		`route 12: path: path "/%2e": segment "%2e": requests with dot segments are rejected; write the resolved path`,
+		`route 13: path: path "/..;a": segment "..;a": requests with an encoded slash or a disguised dot segment are rejected, so no request can match it`,
+		`route 14: path: path "/a%0a": segment "a%0a" contains a control character; remove it`,
+		`route 15: path: path "` + long + `": has more than 64 segments`,
+		`route 16: methods: "PO ST" is not a method; use one such as GET or POST`,
+		`route 16: methods: "" is not a method; use one such as GET or POST`,
+		`route 17: headers: "X:" is not a header name`,
+		`route 17: headers: X-A has two conditions; a request can match only one of them`,
 	}
 	if !slices.Equal(got, want) {
 		t.Errorf("got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
@@ -212,7 +212,7 @@
 	}
 }
 
-// fits is the choice's meaning without a tree: whether one route fits, segment by segment.
+// matchesPattern is a reference implementation without a tree: it matches one pattern segment by segment.
 func matchesPattern(p Pattern, segments []string) bool {
 	for i, s := range p.Segments {
 		switch {
@@ -225,7 +225,7 @@
 	return len(segments) == len(p.Segments)
 }
 
-// rank orders patterns that fit the same path: the smaller goes first.
+// rank orders patterns that match the same path: the smallest rank takes precedence.
 func rank(p Pattern) string {
 	var s strings.Builder
 	for _, x := range p.Segments {
@@ -282,9 +282,9 @@
 	})
 )
 
-// TestChoiceIsTheDescribedOne compares the tree with a plain walk over all routes, and the overlaps with what
-// requests meet: a route that is said to be shadowed is never taken, and where two routes fit with neither said to
-// overlap, the one taken is the narrower.
+// TestChoiceIsTheDescribedOne compares the tree with a linear search that sorts all matching routes by precedence, and the
+// reported overlaps with the choices for random requests: a shadowed route is never chosen, and the second route of another
+// overlap is not chosen if the first one matches too. The example of each such overlap must match both paths.
 func TestChoiceIsTheDescribedOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routes := rapid.SliceOfN(anyRoute, 1, 8).Draw(t, "routes")
@@ -329,16 +329,16 @@
 			got := c.Choose(r)
 			switch {
 			case len(matching) == 0 && got.Verdict == Found, len(matching) > 0 && (got.Verdict != Found || got.Index != matching[0]):
-				t.Fatalf("%s %s: %+v, those that fit are %v", r.Method, r.Path, got, matching)
+				t.Fatalf("%s %s: %+v, the matching routes are %v", r.Method, r.Path, got, matching)
 			case len(matching) == 0 && (got.Verdict == NoPath) == pathMatches:
-				t.Fatalf("%s %s: %+v, though a route with the path: %v", r.Method, r.Path, got, pathMatches)
+				t.Fatalf("%s %s: %+v, but some route matches the path: %v", r.Method, r.Path, got, pathMatches)
 			}
 			for _, o := range overlaps {
 				if o.Kind == Shadowed && got.Index == o.Second {
-					t.Fatalf("%s %s: took %d, which is said to be shadowed by %d", r.Method, r.Path, o.Second, o.First)
+					t.Fatalf("%s %s: chose %d, which is reported as shadowed by %d", r.Method, r.Path, o.Second, o.First)
 				}
 				if o.Kind != Shadowed && got.Index == o.Second && slices.Contains(matching, o.First) {
-					t.Fatalf("%s %s: took %d, said to go after %d, which fits too", r.Method, r.Path, o.Second, o.First)
+					t.Fatalf("%s %s: chose %d, reported to come after %d, which matches too", r.Method, r.Path, o.Second, o.First)
 				}
 			}
 		}
@@ -350,7 +350,7 @@
 			segments, reason := split(path, nil)
 			for _, i := range []int{o.First, o.Second} {
 				if p, _ := ParsePattern(routes[i].Path); reason != "" || !matchesPattern(p, segments) {
-					t.Fatalf("overlap %+v: its example does not fit %s (%s)", o, routes[i].Path, reason)
+					t.Fatalf("overlap %+v: its example does not match %s (%s)", o, routes[i].Path, reason)
 				}
 			}
 		}
@@ -366,12 +366,12 @@
 	f.Fuzz(func(t *testing.T, method, path string) {
 		got := c.Choose(Request{Method: method, Path: path})
 		if got.Verdict == Found && (strings.Contains(path, "//") || strings.Contains(path, "/../") || strings.Contains(path, `\`)) {
-			t.Errorf("%q took route %d", path, got.Index)
+			t.Errorf("%q matched route %d", path, got.Index)
 		}
 	})
 }
 
-// FuzzParsePattern: what parses can be fitted, by a path that its own example shows.
+// FuzzParsePattern checks that a pattern that parses compiles and matches its own example path.
 func FuzzParsePattern(f *testing.F) {
 	for _, r := range catalogue {
 		f.Add(r.Path)
@@ -384,16 +384,16 @@
 		}
 		c, faults := Compile([]Route{{Path: path}})
 		if len(faults) > 0 {
-			t.Fatalf("%q parses, but %v", path, faults[0])
+			t.Fatalf("%q parses, but does not compile: %v", path, faults[0])
 		}
-		fitting := examplePath(p, p)
-		if got := c.Choose(Request{Method: "GET", Path: fitting}); got.Verdict != Found {
-			t.Errorf("%q does not fit its example %q: %+v", path, fitting, got)
+		matching := examplePath(p, p)
+		if got := c.Choose(Request{Method: "GET", Path: matching}); got.Verdict != Found {
+			t.Errorf("%q does not match its example %q: %+v", path, matching, got)
 		}
 	})
 }
 
-// BenchmarkChoose shows that the cost follows the path, not the number of routes.
+// BenchmarkChoose shows that the cost depends on the path and not on the number of routes.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		routes := make([]Route, n)
@@ -413,7 +413,7 @@
 	}
 }
 
-// BenchmarkBacktrack is the dearest request that a table of this size can be asked: each literal leads on to nothing.
+// BenchmarkBacktrack measures the most expensive request for a table of this size: every branch is searched and none matches.
 func BenchmarkBacktrack(b *testing.B) {
 	var routes []Route
 	for i := range 64 {
