--- a/derive/derive.go
+++ b/derive/derive.go
@@ -1,9 +1,9 @@
-// Package derive turns a short description of an application into what its sidecar needs to know, with the reason for
-// each figure: whether a request may be repeated, within which window, how often, how long for, and what each service
-// that it calls may take of the sidecar. It has no I/O, and equal descriptions give equal answers.
+// Package derive computes a sidecar's settings from a short description of an application, with the reason for each figure:
+// whether a request may be repeated, within which window, how often and for how long, and which share of the sidecar's
+// resources each service that it calls may use. It has no I/O, and equal descriptions give equal results.
 //
-// What a route does decides its effect, never its name or its method alone: a route that writes is repeated only under
-// a key, and only where the servers that saw the key still remember it.
+// What a route reads and writes decides its effect, never its name or method alone. A route that writes is repeated only
+// with an idempotency key, and only while the servers that saw the key still remember it.
 package derive
 
 import (
@@ -16,7 +16,7 @@
 	"brasswell/balance"
 )
 
-// App is an application as its people describe it.
+// App is an application as its developers describe it.
 type App struct {
 	Name    string
 	Memory  int64 // bytes that the sidecar may use
@@ -29,53 +29,53 @@
 type Route struct {
 	Name    string
 	Methods []string
-	Reads   []string // what it looks at
-	Writes  []string // what it changes
-	Repeat  string   // what the people believe: "", "safe", "keyed" or "never"
+	Reads   []string // the data that it reads
+	Writes  []string // the data that it changes
+	Repeat  string   // what the developers declare about repeats: "", "safe", "keyed" or "never"
 	Key     string   // the header with the key under which repeats are dropped
-	Group   string   // which servers share what they know of keys: "all", "zone" or "cell"
+	Group   string   // which servers share the keys that they have seen: "all", "zone" or "cell"
 	Window  time.Duration
-	Wanted  time.Duration // an answer later than this is of no use
+	Wanted  time.Duration // an answer after this time has no value
 	GiveUp  time.Duration // how long a caller waits
-	Value   float64       // against the other routes; 0 for derived
-	Body    int64         // the longest body, bytes
-	Uses    []string      // services that it calls, one after the other
+	Value   float64       // relative to the other routes; 0 to derive it
+	Body    int64         // the longest request body in bytes
+	Uses    []string      // services that it calls, in sequence
 }
 
 // Service is another application that this one calls.
 type Service struct {
 	Name    string
-	Servers int // how many are listed; 0 where discovery names them
+	Servers int // number of listed servers; 0 if they come from discovery
 	Share   float64
 }
 
-// Finding is something wrong with a description. An error breaks a rule; a warning hurts.
+// Finding is a problem in a description. An error prevents a plan. A warning reports a harmful setting.
 type Finding struct {
 	Code    string
 	Warning bool
-	Route   int // by index, or -1
-	Service int // by index, or -1
+	Route   int // index, or -1
+	Service int // index, or -1
 	Field   string
 	Cause   string // what is wrong
-	Effect  string // what would happen in service
+	Effect  string // what would happen in operation
 	Fix     string
 }
 
-// Figure is one derived value and why it is so.
+// Figure is a derived value and its reason.
 type Figure struct {
 	Name, Value, Reason string
 }
 
-// Class is a route's class for the balancer.
+// Class is the balancer's class for a route.
 type Class struct {
 	Route        int
 	Class        balance.Class
 	Attempts     int
-	CallTimeouts []time.Duration // for each service that the route uses, how long its call may take
+	CallTimeouts []time.Duration // for each service that the route uses
 	Figures      []Figure
 }
 
-// Bulkhead is what one service may take of the sidecar, so that its failing starves no other.
+// Bulkhead limits the sidecar's resources that one service may use, so that its failure does not starve the others.
 type Bulkhead struct {
 	Service int
 	Sockets int
@@ -83,31 +83,31 @@
 	Figures []Figure
 }
 
-// Plan is what a sidecar needs.
+// Plan has the derived settings of a sidecar.
 type Plan struct {
 	Classes   []Class
 	Bulkheads []Bulkhead
 }
 
 const (
-	// mostAttempts of one request at one tier: with three, a server that fails one request in ten loses one in a
-	// thousand, and a fourth would add more load than answers.
+	// maxAttempts is the maximum number of attempts of a request at one tier. With three, a server that fails one request
+	// in ten loses one in a thousand. A fourth attempt would add more load than answers.
 	maxAttempts = 3
-	// ownShare of a route's time is kept for the application's own work; the calls share the rest.
+	// ownWorkShare is the share of a route's time for the application's own work. The calls divide the rest.
 	ownWorkShare = 0.2
-	// windowSlack of a window is not used: clocks and queues take their part.
+	// windowSlack is the share of a window that is not used, to allow for clock differences and queueing.
 	windowSlack = 0.1
-	// ingressShare of sockets and memory is for those who call the application.
+	// ingressShare is the share of sockets and memory for the callers of the application.
 	ingressShare = 0.5
-	// bodyShare of the callers' memory is for their bodies.
+	// bodyShare is the share of the callers' memory for their request bodies.
 	bodyShare = 0.25
-	// leastSockets of a service: fewer can't carry a request with a repeat.
+	// minSockets is the minimum number of sockets of a service. Fewer cannot carry a request with a repeat.
 	minSockets = 4
-	// LeastTime and MostTime bound every time that a description says.
+	// MinTime and MaxTime bound every time in a description.
 	MinTime, MaxTime = time.Millisecond, time.Hour
 )
 
-// Derive makes the plan. Where a finding is an error there is no plan.
+// Derive computes the plan. If any finding is an error, the plan is nil.
 func Derive(a App) (*Plan, []Finding) {
 	d := &deriver{app: a}
 	d.checkRoutes()
@@ -130,15 +130,15 @@
 	findings []Finding
 }
 
-func (d *deriver) addRouteFinding(i int, warning bool, code, field, cause, effect, mend string) {
-	d.findings = append(d.findings, Finding{code, warning, i, -1, field, cause, effect, mend})
+func (d *deriver) addRouteFinding(i int, warning bool, code, field, cause, effect, fix string) {
+	d.findings = append(d.findings, Finding{code, warning, i, -1, field, cause, effect, fix})
 }
 
-func (d *deriver) addServiceFinding(i int, warning bool, code, field, cause, effect, mend string) {
-	d.findings = append(d.findings, Finding{code, warning, -1, i, field, cause, effect, mend})
+func (d *deriver) addServiceFinding(i int, warning bool, code, field, cause, effect, fix string) {
+	d.findings = append(d.findings, Finding{code, warning, -1, i, field, cause, effect, fix})
 }
 
-// effect is what a route's deeds say of repeating it.
+// effect returns the effect of repeating a request, by what the route writes.
 func (r *Route) effect() balance.Effect {
 	switch {
 	case len(r.Writes) == 0:
@@ -162,7 +162,7 @@
 	writes := strings.Join(r.Writes, ", ")
 	if len(r.Reads) == 0 && len(r.Writes) == 0 {
 		d.addRouteFinding(i, false, "no-deed", "reads", "says neither what it reads nor what it writes",
-			"nobody could tell whether a request may be repeated", `add reads = [...] or writes = [...]`)
+			"it would be unknown whether a request may be repeated", `add reads = [...] or writes = [...]`)
 		return
 	}
 	if len(r.Writes) > 0 && r.Repeat == "safe" {
@@ -170,27 +170,27 @@
 			"after a time-out the same write would be made twice", `write repeat = "keyed" with key, group and window, or repeat = "never"`)
 	}
 	if r.Repeat == "keyed" && r.Key == "" {
-		d.addRouteFinding(i, false, "keyed-no-key", "key", "is to be repeated under a key and names no header for it",
-			"repeats could not be told from new requests", `add key = "Idempotency-Key"`)
+		d.addRouteFinding(i, false, "keyed-no-key", "key", "is to be repeated with a key, but names no header for the key",
+			"repeats could not be distinguished from new requests", `add key = "Idempotency-Key"`)
 	}
 	if r.effect() == balance.Guarded {
 		if r.Group == "" {
-			d.addRouteFinding(i, false, "keyed-no-group", "group", "has a key and does not say which servers share what they know of keys",
-				"a repeat could reach a server that never saw the key and write again", `add group = "zone" (or "cell", or "all" if every server knows)`)
+			d.addRouteFinding(i, false, "keyed-no-group", "group", "has a key, but does not say which servers share the keys that they have seen",
+				"a repeat could reach a server that never saw the key and write again", `add group = "zone" (or "cell", or "all" if all servers share them)`)
 		}
 		if r.Window <= 0 {
-			d.addRouteFinding(i, false, "keyed-no-window", "window", "has a key and does not say how long servers remember it",
-				"a late repeat would write again", `add window = "7s", as long as the servers keep keys`)
+			d.addRouteFinding(i, false, "keyed-no-window", "window", "has a key, but does not say how long servers remember it",
+				"a late repeat would write again", `add window = "7s", with the time for which the servers keep keys`)
 		}
 	}
 	if len(r.Writes) == 0 && (r.Key != "" || r.Repeat == "never") {
-		d.addRouteFinding(i, true, "reads-guarded", "repeat", "only reads, and is guarded against repeats",
-			"it is repeated less often than it might be, and fails more", "leave out key and repeat")
+		d.addRouteFinding(i, true, "reads-guarded", "repeat", "only reads, but is protected against repeats",
+			"it is repeated less often than possible and fails more often", "remove key and repeat")
 	}
 	for _, m := range r.Methods {
 		if len(r.Writes) > 0 && (m == "GET" || m == "HEAD") {
 			d.addRouteFinding(i, true, "get-writes", "methods", fmt.Sprintf("writes %s on %s", writes, m),
-				"browsers and caches on the way repeat it as they like (RFC 9110, section 9.2.1)", "make it a POST")
+				"browsers and caches may repeat it at any time (RFC 9110, section 9.2.1)", "use POST")
 		}
 	}
 }
@@ -203,28 +203,28 @@
 		v     time.Duration
 	}{{"wanted", r.Wanted}, {"give_up", r.GiveUp}, {"window", r.Window}} {
 		if x.field == "window" && (r.effect() != balance.Guarded || r.Window <= 0) {
-			continue // it has none, or that is told elsewhere
+			continue // it needs no window, or checkEffects reports the missing one
 		}
 		if x.v < MinTime || x.v > MaxTime {
 			valid = false
-			d.addRouteFinding(i, false, "time-range", x.field, fmt.Sprintf("is %v", x.v), "no request could be served by it",
+			d.addRouteFinding(i, false, "time-range", x.field, fmt.Sprintf("is %v", x.v), "no request could be served within it",
 				fmt.Sprintf("write a time from %v to %v", MinTime, MaxTime))
 		}
 	}
 	if valid && r.Wanted > r.GiveUp {
 		d.addRouteFinding(i, false, "wanted-over-give-up", "wanted", fmt.Sprintf("%v is over give_up, %v", r.Wanted, r.GiveUp),
-			"callers would have left before the answer is even late", "lower wanted or raise give_up")
+			"callers would have given up before an answer counts as late", "lower wanted or raise give_up")
 	}
 	if valid && r.effect() == balance.Guarded && r.Window > 0 && usableWindow(r.Window) < r.GiveUp {
-		d.addRouteFinding(i, true, "window-short", "window", fmt.Sprintf("%v is shorter than give_up, %v, and a tenth for slack", r.Window, r.GiveUp),
-			"a failure that shows late is not repeated and its caller gets an error", "keep keys for longer, or lower give_up")
+		d.addRouteFinding(i, true, "window-short", "window", fmt.Sprintf("%v less a tenth for slack is shorter than give_up, %v", r.Window, r.GiveUp),
+			"a failure that is detected late is not repeated and the caller gets an error", "keep keys for longer, or lower give_up")
 	}
 	if math.IsNaN(r.Value) || math.IsInf(r.Value, 0) || r.Value < 0 {
-		d.addRouteFinding(i, false, "worth-range", "worth", fmt.Sprintf("is %g", r.Value), "requests could not be ordered", "write a figure above 0, or none")
+		d.addRouteFinding(i, false, "worth-range", "worth", fmt.Sprintf("is %g", r.Value), "requests could not be ordered by worth", "write a number above 0, or remove it")
 	}
 	if bodies := ingressShare * bodyShare * float64(d.app.Memory); r.Body < 0 || bodies > 0 && float64(r.Body) > bodies {
-		d.addRouteFinding(i, false, "body-memory", "body", fmt.Sprintf("%d bytes, and %d are for all callers' bodies", r.Body, int64(bodies)),
-			"not one such request could be taken", "lower body or give the sidecar more memory")
+		d.addRouteFinding(i, false, "body-memory", "body", fmt.Sprintf("%d bytes, but %d are available for the bodies of all callers", r.Body, int64(bodies)),
+			"not even one such request could be accepted", "lower body or give the sidecar more memory")
 	}
 }
 
@@ -233,13 +233,13 @@
 	for _, name := range r.Uses {
 		at := slices.IndexFunc(d.app.Calls, func(s Service) bool { return s.Name == name })
 		if at < 0 {
-			d.addRouteFinding(i, false, "no-service", "uses", fmt.Sprintf("uses %q, which no [[calls]] names", name),
-				"its calls would have nowhere to go", "add a [[calls]] table with that name, or mend the name")
+			d.addRouteFinding(i, false, "no-service", "uses", fmt.Sprintf("uses %q, but no [[calls]] table has that name", name),
+				"its calls would have no destination", "add a [[calls]] table with that name, or correct the name")
 			continue
 		}
 		if s := d.app.Calls[at]; s.Servers == 1 && r.effect() == balance.Guarded && r.Group != "all" {
-			d.addRouteFinding(i, true, "one-server", "uses", fmt.Sprintf("is repeated under a key, and %s has one server", name),
-				"there is no other server of its group to repeat at", "list the other servers of the group")
+			d.addRouteFinding(i, true, "one-server", "uses", fmt.Sprintf("is repeated with a key, but %s has only one server", name),
+				"there is no other server in its group to send a repeat to", "list the other servers of the group")
 		}
 	}
 }
@@ -248,7 +248,7 @@
 	sum := 0.0
 	for i, s := range d.app.Calls {
 		if math.IsNaN(s.Share) || s.Share < 0 || s.Share > 1 {
-			d.addServiceFinding(i, false, "share-range", "share", fmt.Sprintf("is %g", s.Share), "its part could not be kept apart", "write a figure from 0 to 1, or none")
+			d.addServiceFinding(i, false, "share-range", "share", fmt.Sprintf("is %g", s.Share), "its share could not be reserved", "write a number from 0 to 1, or remove it")
 			continue
 		}
 		sum += s.Share
@@ -256,23 +256,23 @@
 			d.addServiceFinding(i, false, "no-servers", "servers", "the list is empty", "every call would fail", "list its servers, or name its discovery")
 		}
 		if !slices.ContainsFunc(d.app.Routes, func(r Route) bool { return slices.Contains(r.Uses, s.Name) }) {
-			d.addServiceFinding(i, true, "unused", "name", fmt.Sprintf("%q is used by no route", s.Name), "it keeps sockets that others need", "leave it out, or name it in a route's uses")
+			d.addServiceFinding(i, true, "unused", "name", fmt.Sprintf("%q is used by no route", s.Name), "it reserves sockets that others need", "remove it, or name it in a route's uses")
 		}
 	}
 	const rounding = 1e-9
 	if sum > 1+rounding {
-		d.addServiceFinding(0, false, "shares-over", "share", fmt.Sprintf("the shares add up to %.2f", sum), "one service's failing would starve another", "lower them to 1 in all")
+		d.addServiceFinding(0, false, "shares-over", "share", fmt.Sprintf("the shares add up to %.2f", sum), "the failure of one service would starve another", "lower them to a sum of 1")
 	}
 	if n := len(d.app.Calls); n > 0 && d.app.Sockets > 0 && d.sockets() < n*minSockets {
-		d.addServiceFinding(0, false, "sockets-short", "sockets", fmt.Sprintf("%d sockets, half of them for %d services", d.app.Sockets, n),
+		d.addServiceFinding(0, false, "sockets-short", "sockets", fmt.Sprintf("%d sockets, half of which are for %d services", d.app.Sockets, n),
 			"a service could not carry one request with its repeat", fmt.Sprintf("give the sidecar %d sockets", int(math.Ceil(float64(n*minSockets)/(1-ingressShare)))))
 	}
 }
 
-// sockets is how many are for the services together.
+// sockets returns the number of sockets for all services together.
 func (d *deriver) sockets() int { return int((1 - ingressShare) * float64(d.app.Sockets)) }
 
-// usable is the part of a window in which a repeat may still be sent.
+// usableWindow returns the part of a window in which a repeat may be sent.
 func usableWindow(window time.Duration) time.Duration {
 	return window - time.Duration(windowSlack*float64(window))
 }
@@ -285,28 +285,28 @@
 	}
 	switch c.Class.Effect {
 	case balance.Free:
-		addFigure("effect", "free", "it only reads %s: repeating it changes nothing", strings.Join(r.Reads, ", "))
+		addFigure("effect", "free", "it only reads %s, so repeating it changes nothing", strings.Join(r.Reads, ", "))
 	case balance.Guarded:
 		c.Class.Group = map[string]balance.Group{"all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell}[r.Group]
 		c.Class.Window = usableWindow(r.Window)
-		addFigure("effect", "guarded", "it writes %s, and servers of one group (%s) drop repeats with the same %s", strings.Join(r.Writes, ", "), r.Group, r.Key)
-		addFigure("window", c.Class.Window, "servers remember a key for %v; a tenth is left for clocks and queues", r.Window)
+		addFigure("effect", "guarded", "it writes %s, and the servers of one group (%s) drop repeats with the same %s", strings.Join(r.Writes, ", "), r.Group, r.Key)
+		addFigure("window", c.Class.Window, "servers remember a key for %v; a tenth is reserved for clock differences and queueing", r.Window)
 	case balance.SingleShot:
-		addFigure("effect", "single-shot", "it writes %s and has no key: a second send could write twice", strings.Join(r.Writes, ", "))
+		addFigure("effect", "single-shot", "it writes %s and has no key, so a second attempt could write twice", strings.Join(r.Writes, ", "))
 	}
 	if c.Class.Effect == balance.SingleShot {
-		addFigure("attempts", c.Attempts, "further ones only where the one before provably never ran")
+		addFigure("attempts", c.Attempts, "a further one is made only if the previous one provably never ran")
 	} else {
-		addFigure("attempts", c.Attempts, "a server that fails one request in ten then loses one in a thousand; the balancer's budget bounds them all")
+		addFigure("attempts", c.Attempts, "with these, a server that fails one request in ten loses one in a thousand; the balancer's retry budget limits all of them")
 	}
 	if c.Class.Worth == 0 {
 		switch c.Class.Effect {
 		case balance.Free:
 			c.Class.Worth = 1
-			addFigure("worth", 1, "what only reads can be asked again")
+			addFigure("worth", 1, "the default for a route that only reads, because its caller can ask again")
 		default:
 			c.Class.Worth = 2
-			addFigure("worth", 2, "what writes is worth more than what reads, while nothing else is said")
+			addFigure("worth", 2, "the default for a route that writes, higher than for a route that only reads")
 		}
 	}
 	if n := len(r.Uses); n > 0 {
@@ -314,13 +314,13 @@
 		for range n {
 			c.CallTimeouts = append(c.CallTimeouts, callTimeout)
 		}
-		addFigure("hops", callTimeout, "a fifth of %v is for its own work, and %d calls one after the other share the rest", r.GiveUp, n)
+		addFigure("hops", callTimeout, "a fifth of %v is for its own work, and %d calls in sequence divide the rest", r.GiveUp, n)
 	}
 	return c
 }
 
-// bulkhead divides what is left after the callers' part: leastSockets for each service, the rest as the shares say,
-// and evenly among those without one.
+// bulkhead divides what is left after the callers' share. Each service gets minSockets. The rest is divided according to the
+// configured shares, and evenly among the services without one.
 func (d *deriver) bulkhead(i int) Bulkhead {
 	assigned, unassigned := 0.0, 0
 	for _, s := range d.app.Calls {
@@ -329,7 +329,7 @@
 			unassigned++
 		}
 	}
-	share, reason := d.app.Calls[i].Share, "as its share says"
+	share, reason := d.app.Calls[i].Share, "according to its share"
 	if share == 0 {
 		share, reason = (1-assigned)/float64(unassigned), fmt.Sprintf("%d services without a share divide what the others leave", unassigned)
 	}
--- a/derive/derive_test.go
+++ b/derive/derive_test.go
@@ -14,7 +14,7 @@
 
 const s = time.Second
 
-// sound is a catalogue as a library has it.
+// validApp returns a valid description of a library's catalogue application.
 func validApp() App {
 	return App{
 		Name: "catalogue", Memory: 64 << 20, Sockets: 256,
@@ -41,15 +41,15 @@
 	hops := [][]time.Duration{{1600 * time.Millisecond}, {2 * s, 2 * s}, {2400 * time.Millisecond}}
 	for i, c := range p.Classes {
 		if c.Class != want[i] || !slices.Equal(c.CallTimeouts, hops[i]) {
-			t.Errorf("route %d: %+v with hops %v, want %+v with %v", i, c.Class, c.CallTimeouts, want[i], hops[i])
+			t.Errorf("route %d: %+v with call timeouts %v, want %+v with %v", i, c.Class, c.CallTimeouts, want[i], hops[i])
 		}
 		for _, f := range c.Figures {
 			if f.Reason == "" || f.Value == "" {
-				t.Errorf("route %d: %s has no reason", i, f.Name)
+				t.Errorf("route %d: figure %s has no reason", i, f.Name)
 			}
 		}
 	}
-	// Half of 256 less 4 for each of 3 is 116: a half and two quarters of it.
+	// Half of 256, less 4 for each of the 3 services, is 116. It is divided into a half and two quarters, plus 4 each.
 	for i, sockets := range []int{33, 62, 33} {
 		if p.Bulkheads[i].Sockets != sockets {
 			t.Errorf("service %d: %d sockets, want %d", i, p.Bulkheads[i].Sockets, sockets)
@@ -57,7 +57,7 @@
 	}
 }
 
-// TestFindings breaks the sound description in one place each; a near miss beside it must pass.
+// TestFindings breaks the valid description in one place at a time. A similar change that is just valid must pass.
 func TestFindings(t *testing.T) {
 	for _, x := range []struct {
 		code     string
@@ -96,23 +96,23 @@
 		}
 		for _, f := range found {
 			if f.Field == "" || f.Cause == "" || f.Effect == "" || f.Fix == "" {
-				t.Errorf("%s does not say enough: %+v", x.code, f)
+				t.Errorf("%s has an empty field: %+v", x.code, f)
 			}
 		}
 		a = validApp()
 		x.nearMiss(&a)
 		if _, found := Derive(a); len(found) > 0 {
-			t.Errorf("beside %s: %+v", x.code, found)
+			t.Errorf("near miss of %s: %+v", x.code, found)
 		}
 	}
 }
 
-// TestPlansKeepTheRules: whatever a description says, what writes is never free, no repeat outlives its window, calls
-// fit into their route's time, and the services together take no more than their half.
+// TestPlansKeepTheRules checks random descriptions: a route that writes is never idempotent, a repeat is never allowed beyond
+// the servers' window, calls fit into their route's time, and all services together get at most half of the resources.
 func TestPlansKeepTheRules(t *testing.T) {
 	plans := 0
 	rapid.Check(t, func(t *rapid.T) {
-		// Most of what is drawn is sound, or few descriptions would have a plan.
+		// Most drawn values are valid; otherwise few descriptions would have a plan.
 		usually := func(name string) bool { return rapid.IntRange(0, 30).Draw(t, name) > 0 }
 		names := []string{"a", "b", "c"}[:rapid.IntRange(0, 3).Draw(t, "services")]
 		words := func(name string, from []string) []string {
@@ -159,17 +159,17 @@
 		for i, c := range p.Classes {
 			r := a.Routes[i]
 			if len(r.Writes) > 0 && c.Class.Effect == balance.Free {
-				t.Fatalf("writes %s and is free", strings.Join(r.Writes, ", "))
+				t.Fatalf("a route that writes %s is idempotent", strings.Join(r.Writes, ", "))
 			}
 			if c.Class.Effect == balance.Guarded && (c.Class.Window <= 0 || c.Class.Window >= r.Window) {
-				t.Fatalf("a window of %v of the servers' %v", c.Class.Window, r.Window)
+				t.Fatalf("window %v with a server window of %v", c.Class.Window, r.Window)
 			}
 			var sum time.Duration
 			for _, h := range c.CallTimeouts {
 				sum += h
 			}
 			if sum > r.GiveUp {
-				t.Fatalf("calls of %v in %v", sum, r.GiveUp)
+				t.Fatalf("calls take %v of a route's %v", sum, r.GiveUp)
 			}
 			set := balance.Settings{Instances: 1, MaxAttempts: c.Attempts, Classes: []balance.Class{c.Class}}
 			if err := set.Validate(); err != nil {
@@ -185,7 +185,7 @@
 			}
 		}
 		if a.Sockets > 0 && 2*sockets > a.Sockets || memory > a.Memory/2+1 {
-			t.Fatalf("services take %d of %d sockets, %d of %d bytes", sockets, a.Sockets, memory, a.Memory)
+			t.Fatalf("services get %d of %d sockets and %d of %d bytes", sockets, a.Sockets, memory, a.Memory)
 		}
 	})
 	if plans < 5 {
