--- a/landscape/landscape.go
+++ b/landscape/landscape.go
@@ -1,6 +1,6 @@
-// Package landscape judges what applications that call each other do together: calls that lead back to where they began,
-// deadlines longer than the caller's, and attempts that multiply from tier to tier. It has no I/O; it takes what the
-// applications' descriptions say and names the places in them.
+// Package landscape checks applications that call each other as a whole. It finds call cycles, deadlines longer than the
+// caller's, and attempts that multiply from tier to tier. It has no I/O; its input is the applications' descriptions, and its
+// findings refer to locations in them.
 package landscape
 
 import (
@@ -13,43 +13,43 @@
 // App is one application.
 type App struct {
 	Name   string
-	Listen []string // addresses that it takes for itself
+	Listen []string // addresses that it listens on
 	Routes []Route
 }
 
 // Route is one route that an application serves.
 type Route struct {
 	Name   string
-	GiveUp time.Duration // how long it works on a request at most
-	Calls  []Call        // one after the other
+	GiveUp time.Duration // maximum time that it works on a request
+	Calls  []Call        // made in sequence
 }
 
-// Call is what a route asks of another application for one request.
+// Call is a call that a route makes to another application for one request.
 type Call struct {
 	App, Route string
-	GiveUp     time.Duration // how long the caller waits, over all attempts
-	Attempts   int           // at most
-	PerRequest int           // how often for one request, at most
+	GiveUp     time.Duration // how long the caller waits, including all attempts
+	Attempts   int           // maximum number
+	PerRequest int           // maximum number of calls for one request
 }
 
-// Place is where in the descriptions a finding lies, by index; -1 where it concerns no route or call.
+// Location is the location of a finding in the descriptions, by index. Route or Call is -1 if the finding concerns none.
 type Location struct{ App, Route, Call int }
 
-// Code is what is wrong.
+// Code is the kind of a finding.
 type Code int
 
-// The codes. The first group is wrong wherever it stands; NoTime and Multiplies need all chains.
+// The codes. CallsExceedTimeout depends on all calls of a route, and TooManyAttempts on whole chains of calls.
 const (
-	DuplicateApp         Code = iota // an application's name is taken
-	DuplicateRoute                   // a route's name is taken within its application
-	DuplicateAddress                 // an address is taken by another application
-	UnknownApp                       // a call to an application that no one provides
-	UnknownRoute                     // a call to a route that its application has not
-	Cycle                            // calls that lead back to their route
+	DuplicateApp         Code = iota // another application has the same name
+	DuplicateRoute                   // another route of the application has the same name
+	DuplicateAddress                 // another application listens on the same address
+	UnknownApp                       // a call to an application that is not described
+	UnknownRoute                     // a call to a route that the application does not have
+	Cycle                            // calls that lead back to the route that makes them
 	CallTimeoutTooLong               // a call may take longer than the route that makes it
-	CalleeTimeoutTooLong             // the called route works on when its caller has stopped waiting
-	CallsExceedTimeout               // calls one after the other take longer than their route has
-	TooManyAttempts                  // one request becomes more attempts than the bound
+	CalleeTimeoutTooLong             // the called route may keep working after its caller has stopped waiting
+	CallsExceedTimeout               // the calls in sequence may take longer than their route
+	TooManyAttempts                  // one request may cause more attempts than the bound
 )
 
 func (c Code) String() string {
@@ -58,28 +58,28 @@
 	}[c]
 }
 
-// Finding is one thing that is wrong.
+// Finding is a problem in the descriptions.
 type Finding struct {
 	Code          Code
 	Location      Location
-	OtherLocation Location // the other place, for what takes two
-	Chain         []string // "app/route" from the first to the last, for Cycle and Multiplies
-	// Has and Needs are the two times of a finding on deadlines.
+	OtherLocation Location // the second location, if the finding involves two
+	Chain         []string // "app/route" from the first to the last, for Cycle and TooManyAttempts
+	// Available and Required are the two times of a finding about deadlines.
 	Available, Required time.Duration
-	// Attempts is how many one request becomes, for Multiplies.
+	// Attempts is the number of attempts that one request may cause, for TooManyAttempts.
 	Attempts float64
 }
 
-// Chain is what one route leads to at worst.
+// Chain is the worst chain of calls from one route.
 type Chain struct {
 	Location Location
-	Attempts float64 // at the far end of the worst chain, for one request
+	Attempts float64 // attempts at the last route of the chain for one request
 	Path     []string
 }
 
-// Check judges all applications together. bound is how many attempts one request may become at the far end of a
-// chain. Findings come in the order of the descriptions, none that only follows from another: calls to what does
-// not exist and calls within a cycle are left out of the chains.
+// Check checks all applications together. bound is the maximum number of attempts that one request may cause at the last route
+// of a chain. Findings are in the order of the descriptions. To avoid findings that only follow from others, chains do not
+// include calls to applications or routes that do not exist, or calls within a cycle.
 func Check(apps []App, bound float64) ([]Finding, []Chain) {
 	c := &checker{apps: apps, byName: map[string]int{}, routes: map[Location]*node{}}
 	c.checkNames()
@@ -101,20 +101,20 @@
 	findings []Finding
 }
 
-// node is a route with its calls resolved.
+// node is a route with its resolved calls.
 type node struct {
 	place   Location
 	name    string
-	calls   []*node // nil where a call leads nowhere
-	inCycle []bool  // whether a call lies on a cycle
+	calls   []*node // nil if the called route does not exist
+	inCycle []bool  // whether the call is part of a cycle
 
-	index, low int // of Tarjan's search; index 0 is not visited
+	index, low int // of Tarjan's algorithm; index 0 means not visited
 	onStack    bool
 	component  int
 
-	called        bool    // by a route outside its own component
-	worstAttempts float64 // attempts at the far end; 0 while unknown
-	worstCall     int     // the call that leads there, or -1
+	called        bool    // by a route outside its component
+	worstAttempts float64 // attempts at the end of the worst chain; 0 if not computed yet
+	worstCall     int     // index of the first call of that chain, or -1
 }
 
 func (c *checker) add(f Finding) { c.findings = append(c.findings, f) }
@@ -148,7 +148,7 @@
 	}
 }
 
-// link resolves the calls.
+// resolveCalls links each call to the node of the called route.
 func (c *checker) resolveCalls() {
 	for _, n := range c.order {
 		calls := c.route(n).Calls
@@ -172,8 +172,8 @@
 
 func (c *checker) route(n *node) *Route { return &c.apps[n.place.App].Routes[n.place.Route] }
 
-// cycles finds the strongly connected components (Tarjan), and in each one cycle to show. It keeps its own stack, so
-// that no chain of calls is too long for it.
+// checkCycles finds the strongly connected components with Tarjan's algorithm and reports one cycle for each component that has
+// any. It uses an explicit stack, so the length of a chain of calls is not limited.
 func (c *checker) checkCycles() {
 	var stack []*node
 	index, component := 0, 0
@@ -200,7 +200,7 @@
 				switch {
 				case m == nil:
 				case m.index == 0:
-					f.k++ // gone on with after m
+					f.k++ // continue with the next call after m
 					frames = append(frames, frame{m, 0})
 					descended = true
 				case m.onStack:
@@ -246,7 +246,7 @@
 	}
 }
 
-// cycle is the shortest way from n by its call to m back to n.
+// cycle returns the shortest cycle that starts with the call from n to m.
 func (c *checker) cycle(n, m *node) []string {
 	from := map[*node]*node{m: n}
 	queue := []*node{m}
@@ -270,7 +270,7 @@
 	return append(append([]string{n.name}, path...), n.name)
 }
 
-// times compares each call's time with those of the routes at both ends.
+// checkTimes compares the timeout of each call with those of the calling and the called route.
 func (c *checker) checkTimes() {
 	for _, n := range c.order {
 		r := c.route(n)
@@ -293,7 +293,7 @@
 	}
 }
 
-// add is sum + d times n, at most the longest duration.
+// addCapped returns sum + d*n, capped at the longest duration.
 func addCapped(sum, d time.Duration, n int) time.Duration {
 	if d <= 0 {
 		return sum
@@ -304,8 +304,8 @@
 	return sum + d*time.Duration(n)
 }
 
-// chains computes what one request becomes at the far end of the worst chain from each route that no other calls.
-// Components come callees first, so one walk in their order is enough.
+// checkChains computes the worst chain from each route that no route outside its component calls. Components are numbered with
+// callees first, so a single pass in their order is enough.
 func (c *checker) checkChains(bound float64) []Chain {
 	byComponent := slices.Clone(c.order)
 	slices.SortStableFunc(byComponent, func(a, b *node) int { return a.component - b.component })
@@ -325,7 +325,7 @@
 	var chains []Chain
 	for _, n := range c.order {
 		if n.called {
-			continue // the chains that lead here tell of it
+			continue // the chains of its callers include it
 		}
 		chain := Chain{Location: n.place, Attempts: n.worstAttempts, Path: []string{n.name}}
 		for at := n; at.worstCall >= 0; {
--- a/landscape/landscape_test.go
+++ b/landscape/landscape_test.go
@@ -13,7 +13,7 @@
 
 const s = time.Second
 
-// app is an application with one route, "r", that makes the calls.
+// app returns an application with one route, "r", that makes the calls.
 func app(name string, giveUp time.Duration, calls ...Call) App {
 	return App{Name: name, Listen: []string{name + ":80"}, Routes: []Route{{"r", giveUp, calls}}}
 }
@@ -28,18 +28,18 @@
 		apps []App
 		want []Finding
 	}{
-		{"a sound chain", []App{app("a", 3*s, call("b", 2*s, 2)), app("b", 2*s, call("c", s, 2)), app("c", s)}, nil},
-		{"nobody", nil, nil},
+		{"a valid chain", []App{app("a", 3*s, call("b", 2*s, 2)), app("b", 2*s, call("c", s, 2)), app("c", s)}, nil},
+		{"no applications", nil, nil},
 		{"a name twice", []App{app("a", s), {Name: "a"}}, []Finding{{Code: DuplicateApp, Location: Location{1, -1, -1}, OtherLocation: Location{0, -1, -1}}}},
 		{"a route twice", []App{{Name: "a", Routes: []Route{{"r", s, nil}, {"r", s, nil}}}},
 			[]Finding{{Code: DuplicateRoute, Location: Location{0, 1, -1}, OtherLocation: Location{0, 0, -1}}}},
 		{"an address twice", []App{{Name: "a", Listen: []string{"x:1", "x:2"}}, {Name: "b", Listen: []string{"x:2"}}},
 			[]Finding{{Code: DuplicateAddress, Location: Location{1, -1, -1}, OtherLocation: Location{0, -1, -1}}}},
-		{"nobody provides it", []App{app("a", 3*s, call("b", s, 1))}, []Finding{{Code: UnknownApp, Location: Location{0, 0, 0}}}},
-		{"it has no such route", []App{app("a", 3*s, Call{App: "b", Route: "x", GiveUp: s}), app("b", s)},
+		{"unknown application", []App{app("a", 3*s, call("b", s, 1))}, []Finding{{Code: UnknownApp, Location: Location{0, 0, 0}}}},
+		{"unknown route", []App{app("a", 3*s, Call{App: "b", Route: "x", GiveUp: s}), app("b", s)},
 			[]Finding{{Code: UnknownRoute, Location: Location{0, 0, 0}, OtherLocation: Location{1, -1, -1}}}},
 		{"calls itself", []App{app("a", s, call("a", s, 1))}, []Finding{{Code: Cycle, Location: Location{0, 0, 0}, Chain: []string{"a/r", "a/r"}}}},
-		{"a cycle, told once, and no chain through it", []App{
+		{"a cycle is reported once and excluded from chains", []App{
 			app("z", 9*s, call("a", 3*s, 50)),
 			app("a", 3*s, call("b", 3*s, 9)), app("b", 3*s, call("c", 3*s, 9)), app("c", 3*s, call("a", 3*s, 9)),
 		}, []Finding{
@@ -55,15 +55,15 @@
 			{Name: "a", Routes: []Route{{"x", 3 * s, []Call{{"b", "y", s, 1, 1}}}, {"z", s, nil}}},
 			{Name: "b", Routes: []Route{{"y", s, []Call{{"a", "z", s, 1, 1}}}}},
 		}, nil},
-		{"waits longer than it has", []App{app("a", s, call("b", 2*s, 1)), app("b", 2*s)},
+		{"a call with a longer timeout than its route", []App{app("a", s, call("b", 2*s, 1)), app("b", 2*s)},
 			[]Finding{{Code: CallTimeoutTooLong, Location: Location{0, 0, 0}, Available: s, Required: 2 * s}}},
-		{"works on for nobody", []App{app("a", 3*s, call("b", s, 1)), app("b", 2*s)},
+		{"the called route outlasts its caller", []App{app("a", 3*s, call("b", s, 1)), app("b", 2*s)},
 			[]Finding{{Code: CalleeTimeoutTooLong, Location: Location{0, 0, 0}, OtherLocation: Location{1, 0, -1}, Available: s, Required: 2 * s}}},
-		{"two calls, one after the other", []App{app("a", 3*s, call("b", 2*s, 1), call("b", 2*s, 1)), app("b", 2*s)},
+		{"two calls in sequence", []App{app("a", 3*s, call("b", 2*s, 1), call("b", 2*s, 1)), app("b", 2*s)},
 			[]Finding{{Code: CallsExceedTimeout, Location: Location{0, 0, -1}, Available: 3 * s, Required: 4 * s}}},
 		{"a call that is made often", []App{app("a", 3*s, Call{"b", "r", s, 1, 4}), app("b", s)},
 			[]Finding{{Code: CallsExceedTimeout, Location: Location{0, 0, -1}, Available: 3 * s, Required: 4 * s}}},
-		{"a call made without end does not wrap round", []App{app("a", 3*s, Call{"b", "r", s, 1, 1 << 62}), app("b", s)},
+		{"a huge number of calls does not overflow", []App{app("a", 3*s, Call{"b", "r", s, 1, 1 << 62}), app("b", s)},
 			[]Finding{
 				{Code: CallsExceedTimeout, Location: Location{0, 0, -1}, Available: 3 * s, Required: 1<<63 - 1},
 				{Code: TooManyAttempts, Location: Location{0, 0, -1}, Chain: []string{"a/r", "b/r"}, Attempts: 1 << 62},
@@ -71,7 +71,7 @@
 		{"three at each of three tiers", []App{
 			app("a", 4*s, call("b", 3*s, 3)), app("b", 3*s, call("c", 2*s, 3), call("d", s, 1)), app("c", 2*s, call("d", s, 3)), app("d", s),
 		}, []Finding{{Code: TooManyAttempts, Location: Location{0, 0, -1}, Chain: []string{"a/r", "b/r", "c/r", "d/r"}, Attempts: 27}}},
-		{"told of the first of a chain only", []App{app("b", 3*s, call("c", 2*s, 20)), app("c", 2*s), app("a", 4*s, call("b", 3*s, 2))},
+		{"reported only for the first route of a chain", []App{app("b", 3*s, call("c", 2*s, 20)), app("c", 2*s), app("a", 4*s, call("b", 3*s, 2))},
 			[]Finding{{Code: TooManyAttempts, Location: Location{2, 0, -1}, Chain: []string{"a/r", "b/r", "c/r"}, Attempts: 40}}},
 	} {
 		got, _ := Check(x.apps, 12)
@@ -82,7 +82,7 @@
 	}
 }
 
-// TestLongChain: no chain is too long to be walked.
+// TestLongChain guards against a limit on the length of chains and cycles, such as recursion would have.
 func TestLongChain(t *testing.T) {
 	const n = 100_000
 	apps := make([]App, n)
@@ -98,11 +98,11 @@
 	}
 	apps[n-1].Routes[0].Calls = []Call{call("0", s, 1)}
 	if found, _ = Check(apps, 12); len(found) != 1 || found[0].Code != Cycle || len(found[0].Chain) != n+1 {
-		t.Fatalf("a ring of %d: %d findings", n, len(found))
+		t.Fatalf("a cycle of %d routes: %d findings", n, len(found))
 	}
 }
 
-// TestAgainstAPlainWalk compares cycles and chains with what a walk over every path finds, on small fleets.
+// TestAgainstAPlainWalk compares cycles and chains with an exhaustive search on small sets of applications.
 func TestAgainstAPlainWalk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 6).Draw(t, "apps")
@@ -115,7 +115,7 @@
 			}
 		}
 		found, chains := Check(apps, 1e9)
-		// reaches[i][j]: calls lead from i to j.
+		// reaches[i][j] says that calls lead from i to j.
 		var reaches [7][7]bool
 		for i, a := range apps {
 			for _, c := range a.Routes[0].Calls {
@@ -145,12 +145,12 @@
 			if f.Code == Cycle {
 				cycles++
 				if f.Chain[0] != f.Chain[len(f.Chain)-1] || len(f.Chain) < 2 {
-					t.Fatalf("no cycle: %v", f.Chain)
+					t.Fatalf("not a cycle: %v", f.Chain)
 				}
 			}
 		}
 		if cycles != components {
-			t.Fatalf("%d cycles told, %d are there: %+v", cycles, components, apps)
+			t.Fatalf("%d cycles reported, want %d: %+v", cycles, components, apps)
 		}
 		var walk func(i int) float64
 		walk = func(i int) float64 {
@@ -171,7 +171,7 @@
 	})
 }
 
-// BenchmarkCheck judges 200 applications of 20 routes in five tiers.
+// BenchmarkCheck checks 200 applications of 20 routes each in five tiers.
 func BenchmarkCheck(b *testing.B) {
 	apps := make([]App, 200)
 	for i := range apps {
