--- a/derive/derive.go
+++ b/derive/derive.go
@@ -175,11 +175,11 @@
 	}
 	if r.effect() == balance.Guarded {
 		if r.Group == "" {
-			d.addRouteFinding(i, false, "keyed-no-group", "group", "has a key, but does not say which servers share the keys that they have seen",
+			d.addRouteFinding(i, false, "keyed-no-group", "group", "has a key and does not say which servers share the keys that they have seen",
 				"a repeat could reach a server that never saw the key and write again", `add group = "zone" (or "cell", or "all" if all servers share them)`)
 		}
 		if r.Window <= 0 {
-			d.addRouteFinding(i, false, "keyed-no-window", "window", "has a key, but does not say how long servers remember it",
+			d.addRouteFinding(i, false, "keyed-no-window", "window", "has a key and does not say how long servers remember it",
 				"a late repeat would write again", `add window = "7s", with the time for which the servers keep keys`)
 		}
 	}
@@ -233,7 +233,7 @@
 	for _, name := range r.Uses {
 		at := slices.IndexFunc(d.app.Calls, func(s Service) bool { return s.Name == name })
 		if at < 0 {
-			d.addRouteFinding(i, false, "no-service", "uses", fmt.Sprintf("uses %q, but no [[calls]] table has that name", name),
+			d.addRouteFinding(i, false, "no-service", "uses", fmt.Sprintf("uses %q, which no [[calls]] names", name),
 				"its calls would have no destination", "add a [[calls]] table with that name, or correct the name")
 			continue
 		}
