--- a/derive/derive.go
+++ b/derive/derive.go
@@ -142,11 +142,11 @@
 func (r *Route) effect() balance.Effect {
 	switch {
 	case len(r.Writes) == 0:
-		return balance.Free
+		return balance.Idempotent
 	case r.Key != "":
-		return balance.Guarded
+		return balance.Deduplicated
 	}
-	return balance.SingleShot
+	return balance.AtMostOnce
 }
 
 func (d *deriver) checkRoutes() {
@@ -173,7 +173,7 @@
 		d.addRouteFinding(i, false, "keyed-no-key", "key", "is to be repeated with a key, but names no header for the key",
 			"repeats could not be distinguished from new requests", `add key = "Idempotency-Key"`)
 	}
-	if r.effect() == balance.Guarded {
+	if r.effect() == balance.Deduplicated {
 		if r.Group == "" {
 			d.addRouteFinding(i, false, "keyed-no-group", "group", "has a key and does not say which servers share the keys that they have seen",
 				"a repeat could reach a server that never saw the key and write again", `add group = "zone" (or "cell", or "all" if all servers share them)`)
@@ -202,7 +202,7 @@
 		field string
 		v     time.Duration
 	}{{"wanted", r.Wanted}, {"give_up", r.GiveUp}, {"window", r.Window}} {
-		if x.field == "window" && (r.effect() != balance.Guarded || r.Window <= 0) {
+		if x.field == "window" && (r.effect() != balance.Deduplicated || r.Window <= 0) {
 			continue // it needs no window, or checkEffects reports the missing one
 		}
 		if x.v < MinTime || x.v > MaxTime {
@@ -215,7 +215,7 @@
 		d.addRouteFinding(i, false, "wanted-over-give-up", "wanted", fmt.Sprintf("%v is over give_up, %v", r.Wanted, r.GiveUp),
 			"callers would have given up before an answer counts as late", "lower wanted or raise give_up")
 	}
-	if valid && r.effect() == balance.Guarded && r.Window > 0 && usableWindow(r.Window) < r.GiveUp {
+	if valid && r.effect() == balance.Deduplicated && r.Window > 0 && usableWindow(r.Window) < r.GiveUp {
 		d.addRouteFinding(i, true, "window-short", "window", fmt.Sprintf("%v less a tenth for slack is shorter than give_up, %v", r.Window, r.GiveUp),
 			"a failure that is detected late is not repeated and the caller gets an error", "keep keys for longer, or lower give_up")
 	}
@@ -237,7 +237,7 @@
 				"its calls would have no destination", "add a [[calls]] table with that name, or correct the name")
 			continue
 		}
-		if s := d.app.Calls[at]; s.Servers == 1 && r.effect() == balance.Guarded && r.Group != "all" {
+		if s := d.app.Calls[at]; s.Servers == 1 && r.effect() == balance.Deduplicated && r.Group != "all" {
 			d.addRouteFinding(i, true, "one-server", "uses", fmt.Sprintf("is repeated with a key, but %s has only one server", name),
 				"there is no other server in its group to send a repeat to", "list the other servers of the group")
 		}
@@ -279,33 +279,33 @@
 
 func (d *deriver) class(i int) Class {
 	r := &d.app.Routes[i]
-	c := Class{Route: i, Class: balance.Class{Aim: r.Wanted, GiveUp: r.GiveUp, Effect: r.effect(), Worth: r.Value}, Attempts: maxAttempts}
+	c := Class{Route: i, Class: balance.Class{Aim: r.Wanted, ClientTimeout: r.GiveUp, Effect: r.effect(), Value: r.Value}, Attempts: maxAttempts}
 	addFigure := func(name string, value any, format string, v ...any) {
 		c.Figures = append(c.Figures, Figure{name, fmt.Sprint(value), fmt.Sprintf(format, v...)})
 	}
 	switch c.Class.Effect {
-	case balance.Free:
+	case balance.Idempotent:
 		addFigure("effect", "free", "it only reads %s, so repeating it changes nothing", strings.Join(r.Reads, ", "))
-	case balance.Guarded:
-		c.Class.Group = map[string]balance.Group{"all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell}[r.Group]
-		c.Class.Window = usableWindow(r.Window)
+	case balance.Deduplicated:
+		c.Class.DedupScope = map[string]balance.DedupScope{"all": balance.DedupAll, "zone": balance.DedupZone, "cell": balance.DedupCell}[r.Group]
+		c.Class.DedupWindow = usableWindow(r.Window)
 		addFigure("effect", "guarded", "it writes %s, and the servers of one group (%s) drop repeats with the same %s", strings.Join(r.Writes, ", "), r.Group, r.Key)
-		addFigure("window", c.Class.Window, "servers remember a key for %v; a tenth is reserved for clock differences and queueing", r.Window)
-	case balance.SingleShot:
+		addFigure("window", c.Class.DedupWindow, "servers remember a key for %v; a tenth is reserved for clock differences and queueing", r.Window)
+	case balance.AtMostOnce:
 		addFigure("effect", "single-shot", "it writes %s and has no key, so a second attempt could write twice", strings.Join(r.Writes, ", "))
 	}
-	if c.Class.Effect == balance.SingleShot {
+	if c.Class.Effect == balance.AtMostOnce {
 		addFigure("attempts", c.Attempts, "a further one is made only if the previous one provably never ran")
 	} else {
 		addFigure("attempts", c.Attempts, "with these, a server that fails one request in ten loses one in a thousand; the balancer's retry budget limits all of them")
 	}
-	if c.Class.Worth == 0 {
+	if c.Class.Value == 0 {
 		switch c.Class.Effect {
-		case balance.Free:
-			c.Class.Worth = 1
+		case balance.Idempotent:
+			c.Class.Value = 1
 			addFigure("worth", 1, "the default for a route that only reads, because its caller can ask again")
 		default:
-			c.Class.Worth = 2
+			c.Class.Value = 2
 			addFigure("worth", 2, "the default for a route that writes, higher than for a route that only reads")
 		}
 	}
--- a/internal/discovery/plan/model/process.go
+++ b/internal/discovery/plan/model/process.go
@@ -31,7 +31,7 @@
 }
 
 // stopRunning begins a hold-up.
-func (p *play) stopRunning(h HoldUp) {
+func (p *play) stopRunning(h Stall) {
 	p.nothingElse = false
 	for _, o := range p.open {
 		o.clear = false
--- a/internal/host/attempt.go
+++ b/internal/host/attempt.go
@@ -57,7 +57,7 @@
 // forgotten the first attempt.
 func (i *Instance) maySend(a *attempt, now time.Duration) bool {
 	return i.endpoints[a.to.Server] == a.to && !a.request.answered && a.ctx.Err() == nil &&
-		i.balancer.MayBegin(now, a.request.id, a.number)
+		i.balancer.MayStart(now, a.request.id, a.number)
 }
 
 // stallThreshold bounds how long catching up with the server list and deciding by it take in a process that is not stalled.
@@ -93,7 +93,7 @@
 	}
 	wanted := i.maySend(a, now) && remaining > 0 && i.callerWaiting(a.request)
 	if wanted && a.request.message.Offer != nil {
-		wanted = i.channels.MayOpen(a.to.Server)
+		wanted = i.channels.AllowUpgrade(a.to.Server)
 	}
 	if wanted && i.serverList != nil && !i.serverList.Fresh() {
 		wanted = false // any server may be draining or gone
@@ -117,7 +117,7 @@
 	}
 	i.traceUnserved(q, Failed, causeCallerGone)
 	q.answer(Final{Verdict: Failed})
-	i.balancer.Dropped(i.now(), q.id)
+	i.balancer.ClientGone(i.now(), q.id)
 	return false
 }
 
@@ -163,7 +163,7 @@
 	}
 	i.traceUnserved(q, f.Verdict, cause)
 	q.answer(f)
-	i.balancer.Dropped(i.now(), q.id)
+	i.balancer.ClientGone(i.now(), q.id)
 }
 
 // Started passes on a streaming answer and reports whether the request still takes it. From then on the attempt has no
@@ -177,7 +177,7 @@
 	}
 	a.streaming = true
 	a.timer.Stop()
-	i.balancer.Started(i.now(), a.request.id, a.number)
+	i.balancer.ResponseStarted(i.now(), a.request.id, a.number)
 	return true
 }
 
@@ -187,7 +187,7 @@
 	defer i.mu.Unlock()
 	a.timer.Stop()
 	a.cancel(nil)
-	a.ended, a.neverRan = true, outcome.ProvesUnrun()
+	a.ended, a.neverRan = true, outcome.ProvesNotExecuted()
 	q := a.request
 	q.outstanding--
 	if outcome == balance.OK && r != nil && !q.answer(Final{Verdict: Served, Reply: r}) && r.Channel != nil {
@@ -202,7 +202,7 @@
 	stream := q.message.Body.Stream()
 	i.balancer.Result(now, balance.Result{
 		ID: q.id, Attempt: a.number, Outcome: outcome, Latency: latency, Finished: q.answered,
-		Spent: stream != nil && stream.EndAttempt(),
+		BodyConsumed: stream != nil && stream.EndAttempt(),
 	})
 	i.removeIfDone(q)
 }
--- a/internal/host/carry.go
+++ b/internal/host/carry.go
@@ -12,7 +12,7 @@
 // State describes an instance for status pages.
 type State struct {
 	Now          time.Duration // the time by the instance's clock, on which all times here are based
-	Snapshot     balance.Carried
+	Snapshot     balance.Snapshot
 	Since        map[string]time.Duration // when servers were first seen to drain or were taken out by the operator
 	InRoundRobin int                      // number of servers in the round robin
 	Unanswered   map[int]int              // number of unanswered requests by class
@@ -23,10 +23,10 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	s := State{Now: i.now(), Since: maps.Clone(i.drainingSince), Unanswered: map[int]int{}}
-	s.Snapshot = i.balancer.Carry(s.Now)
+	s.Snapshot = i.balancer.Snapshot(s.Now)
 	maps.Copy(s.Since, i.bannedSince)
 	for id := range i.endpoints {
-		if i.balancer.InTurns(id) {
+		if i.balancer.InRoundRobin(id) {
 			s.InRoundRobin++
 		}
 	}
@@ -39,14 +39,14 @@
 }
 
 // Snapshot returns the balancer's state and the servers' addresses, for another instance to continue from.
-func (i *Instance) Snapshot() (balance.Carried, map[string]string) {
+func (i *Instance) Snapshot() (balance.Snapshot, map[string]string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	addresses := make(map[string]string, len(i.endpoints))
 	for id, to := range i.endpoints {
 		addresses[id] = to.Address
 	}
-	return i.balancer.Carry(i.now()), addresses
+	return i.balancer.Snapshot(i.now()), addresses
 }
 
 // Clock reads the clock on which the instance's times are based, for another process that continues from a Snapshot.
@@ -54,32 +54,32 @@
 
 // Adopt continues from the state of an instance in another process on this machine; reading is that process's clock, on
 // which the times of the state are based. It must be called before the instance has accepted any request or list.
-func (i *Instance) Adopt(c balance.Carried, addresses map[string]string, reading clock.Reading) {
+func (i *Instance) Adopt(c balance.Snapshot, addresses map[string]string, reading clock.Reading) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	offset := i.clock.Read().Ahead(reading)
 	if offset.Abs() > time.Second {
 		i.log.Warn("the wall clock was stepped between the starts of the two processes; restored times are corrected by the monotonic clock", "by", offset)
 	}
-	c.Shift(offset)
+	c.ShiftTimes(offset)
 	i.adopt(c, addresses)
 	i.updatePool()
 }
 
 // adopt must be called with mu held, and updatePool after it.
-func (i *Instance) adopt(c balance.Carried, addresses map[string]string) {
+func (i *Instance) adopt(c balance.Snapshot, addresses map[string]string) {
 	for _, s := range c.Servers {
 		if address := addresses[s.Entry.ID]; s.Entry.State == balance.InService && address != "" {
 			i.endpoints[s.Entry.ID] = backends.Endpoint{Server: s.Entry.ID, Address: address, Boot: s.Entry.Boot}
 		}
 	}
-	i.balancer.Adopt(i.now(), c)
+	i.balancer.Restore(i.now(), c)
 }
 
 // Restore continues from the state that was saved before a restart. It must be called before the instance has accepted any
 // request or list. From then on no earlier start time of a server than earliestStart is believed: a server that the list says
 // was started before counts as started at earliestStart, and is treated as cold accordingly. 0 accepts any start time.
-func (i *Instance) Restore(c balance.Carried, addresses map[string]string, earliestStart time.Duration) {
+func (i *Instance) Restore(c balance.Snapshot, addresses map[string]string, earliestStart time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.earliestStart = earliestStart
@@ -105,17 +105,17 @@
 
 // SnapshotInBatches returns the same as Snapshot, but the parts are of different moments. It holds the lock no longer than it
 // takes to copy snapshotBatch servers, so that requests are not delayed for longer.
-func (i *Instance) SnapshotInBatches() (balance.Carried, map[string]string) {
+func (i *Instance) SnapshotInBatches() (balance.Snapshot, map[string]string) {
 	i.mu.Lock()
-	c := i.balancer.CarryRest(i.now())
-	ids := i.balancer.IDs()
+	c := i.balancer.SnapshotWithoutServers(i.now())
+	ids := i.balancer.ServerIDs()
 	i.mu.Unlock()
 	addresses := make(map[string]string, len(ids))
 	for len(ids) > 0 {
 		batch := ids[:min(len(ids), snapshotBatch)]
 		ids = ids[len(batch):]
 		i.mu.Lock()
-		c.Servers = i.balancer.CarryServers(c.Servers, batch)
+		c.Servers = i.balancer.AppendServerSnapshots(c.Servers, batch)
 		for _, id := range batch {
 			if to, listed := i.endpoints[id]; listed {
 				addresses[id] = to.Address
--- a/internal/host/crossing_test.go
+++ b/internal/host/crossing_test.go
@@ -127,7 +127,7 @@
 }
 
 func class(effect balance.Effect, window time.Duration) balance.Class {
-	return balance.Class{Aim: requestTimeout, GiveUp: requestTimeout, Worth: 1, Effect: effect, Group: balance.GroupAll, Window: window}
+	return balance.Class{Aim: requestTimeout, ClientTimeout: requestTimeout, Value: 1, Effect: effect, DedupScope: balance.DedupAll, DedupWindow: window}
 }
 
 // TestWindowEndsWhileAConnectionComesUp guards against a repeat that is written after the deduplication window has ended. The
@@ -139,7 +139,7 @@
 	a, b := newServer(t, resetConn), newServer(t, resetConn)
 	defer a.close()
 	defer b.close()
-	c := newFixture(t, class(balance.Guarded, window), a, b)
+	c := newFixture(t, class(balance.Deduplicated, window), a, b)
 	defer c.close()
 	start := time.Now()
 	q := c.submit(&testCaller{})
@@ -162,7 +162,7 @@
 	a, b := newServer(t, resetConn), newServer(t, resetConn)
 	defer a.close()
 	defer b.close()
-	c := newFixture(t, class(balance.Guarded, 2*time.Second), a, b)
+	c := newFixture(t, class(balance.Deduplicated, 2*time.Second), a, b)
 	defer c.close()
 	q := c.submit(&testCaller{})
 	first := await(t, "the first connection", c.dials)
@@ -188,7 +188,7 @@
 	a, b := newServer(t, goneAndReset), newServer(t, goneAndReset)
 	defer a.close()
 	defer b.close()
-	c := newFixture(t, class(balance.Free, 0), a, b)
+	c := newFixture(t, class(balance.Idempotent, 0), a, b)
 	defer c.close()
 	q := c.submit(w)
 	close(await(t, "the first connection", c.dials))
@@ -207,7 +207,7 @@
 	w := &testCaller{}
 	a := newServer(t, serve)
 	defer a.close()
-	c := newFixture(t, class(balance.Free, 0), a)
+	c := newFixture(t, class(balance.Idempotent, 0), a)
 	defer c.close()
 	q := c.submit(w)
 	up := await(t, "the connection", c.dials)
@@ -248,7 +248,7 @@
 			a, b := newServer(t, handle), newServer(t, handle)
 			defer a.close()
 			defer b.close()
-			c := newFixture(t, class(balance.SingleShot, 0), a, b)
+			c := newFixture(t, class(balance.AtMostOnce, 0), a, b)
 			defer c.close()
 			q := c.submit(&testCaller{})
 			close(await(t, "the first connection", c.dials))
@@ -270,7 +270,7 @@
 	a, b := newServer(t, serve), newServer(t, serve)
 	defer a.close()
 	defer b.close()
-	c := newFixture(t, class(balance.SingleShot, 0), a, b)
+	c := newFixture(t, class(balance.AtMostOnce, 0), a, b)
 	defer c.close()
 	q := c.submit(&testCaller{})
 	up := await(t, "the first connection", c.dials)
@@ -296,7 +296,7 @@
 // ready again once a server is in service.
 func TestReadyMeansThatItCanServe(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	c := newFixture(t, class(balance.Free, 0))
+	c := newFixture(t, class(balance.Idempotent, 0))
 	defer c.close()
 	up := []balance.Entry{{ID: "a"}}
 	for n, step := range []struct {
--- a/internal/host/fleet.go
+++ b/internal/host/fleet.go
@@ -74,7 +74,7 @@
 }
 
 func (i *Instance) updateShares() {
-	i.balancer.SetPart(i.upgradeShare*i.fleetShares.Hard, i.quotaShare*i.fleetShares.Soft)
+	i.balancer.SetShare(i.upgradeShare*i.fleetShares.Hard, i.quotaShare*i.fleetShares.Soft)
 }
 
 // Renumber sets this proxy's number, from 0, among the total number of proxies that select subsets of the list.
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -56,9 +56,9 @@
 // methods are called while the instance is locked, so they must not block or call back.
 type Channels interface {
 	// SetNodes passes all listed servers in service. Channels to other servers, or to servers that are not usable, must move.
-	Nodes([]plan.Node)
+	SetNodes([]plan.Node)
 	// AllowUpgrade reports whether a request for a channel may be sent to a server now, and counts it if so.
-	MayOpen(server string) bool
+	AllowUpgrade(server string) bool
 }
 
 // AgreedRules applies the rules that the proxies of the fleet have agreed on. Its methods are called while the instance is
@@ -139,9 +139,9 @@
 	}
 	nodes := make([]plan.Node, 0, len(i.endpoints))
 	for id, to := range i.endpoints {
-		nodes = append(nodes, plan.Node{ID: id, Boot: to.Boot, Usable: i.balancer.MaySend(id), InTurns: i.balancer.InTurns(id)})
+		nodes = append(nodes, plan.Node{ID: id, StartTime: to.Boot, Usable: i.balancer.MaySend(id), InRoundRobin: i.balancer.InRoundRobin(id)})
 	}
-	i.channels.Nodes(nodes)
+	i.channels.SetNodes(nodes)
 }
 
 // New returns an instance without servers. watch starts a watch on the server list and must not block.
--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -88,7 +88,7 @@
 func (i *Instance) CountServers() (listed, avoided int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.balancer.Pool()
+	return i.balancer.ServerCounts()
 }
 
 // Ready reports whether there is a server to send to, the admission gate is ready, and the list has been confirmed once or
--- a/internal/host/request.go
+++ b/internal/host/request.go
@@ -71,7 +71,7 @@
 	i.requests[q.id] = q
 	q.receiving = m.Body.Stream() != nil
 	i.balancer.Submit(i.now(), balance.Request{
-		ID: q.id, Class: class, Tenant: tenant, Left: remaining, Within: localBudget, Arriving: q.receiving,
+		ID: q.id, Class: class, Tenant: tenant, Remaining: remaining, LocalBudget: localBudget, BodyPending: q.receiving,
 	})
 	i.removeIfDone(q)
 	return q
@@ -94,7 +94,7 @@
 		a.mayStartAt, a.deadline = now, now+left
 		a.timer.Reset(left)
 	}
-	i.balancer.Received(now, q.id)
+	i.balancer.BodyReceived(now, q.id)
 	i.removeIfDone(q)
 }
 
@@ -107,7 +107,7 @@
 		return
 	}
 	q.answer(Final{Verdict: Failed})
-	i.balancer.Dropped(i.now(), q.id)
+	i.balancer.ClientGone(i.now(), q.id)
 	i.removeIfDone(q)
 }
 
--- a/internal/host/serverlist_test.go
+++ b/internal/host/serverlist_test.go
@@ -43,7 +43,7 @@
 	defer goleak.VerifyNone(t)
 	s := newServer(t, serve)
 	defer s.close()
-	c := newFixture(t, balance.Class{Aim: time.Second, GiveUp: requestTimeout}, s)
+	c := newFixture(t, balance.Class{Aim: time.Second, ClientTimeout: requestTimeout}, s)
 	defer c.close()
 	list := &fakeServerList{}
 	c.SetServerList(list, listWait)
@@ -100,7 +100,7 @@
 		resetConn(conn)
 	})
 	defer s.close()
-	c := newFixture(t, balance.Class{Aim: time.Second, GiveUp: requestTimeout}, s, s)
+	c := newFixture(t, balance.Class{Aim: time.Second, ClientTimeout: requestTimeout}, s, s)
 	defer c.close()
 	c.SetServerList(list, listWait)
 	defer c.completeDials()()
@@ -119,7 +119,7 @@
 	draining, up := newServer(t, serve), newServer(t, serve)
 	defer draining.close()
 	defer up.close()
-	c := newFixture(t, balance.Class{Aim: time.Second, GiveUp: requestTimeout}, draining)
+	c := newFixture(t, balance.Class{Aim: time.Second, ClientTimeout: requestTimeout}, draining)
 	defer c.close()
 	list := &fakeServerList{caughtUp: make(chan struct{}), catchUps: make(chan struct{}, 8)}
 	c.SetServerList(list, listWait)
--- a/internal/proxy/ending_test.go
+++ b/internal/proxy/ending_test.go
@@ -59,7 +59,7 @@
 	})
 	g, term, over := served(t, func(c *Config) {
 		for n := range c.Settings.Balancer.Classes {
-			c.Settings.Balancer.Classes[n].GiveUp = briefly
+			c.Settings.Balancer.Classes[n].ClientTimeout = briefly
 		}
 	}, entry("s1", hang.address, "up"))
 	between := g.dial().send(brief("between"))
@@ -147,7 +147,7 @@
 	}, entry("s1", b.address, "up"))
 	c := g.dial().send(head("a"))
 	await(t, "the head", read)
-	if busy := g.callers.Shut(); busy != 0 {
+	if busy := g.callers.Shutdown(); busy != 0 {
 		t.Fatalf("%d connections are busy", busy)
 	}
 	close(release)
