--- a/derive/derive.go
+++ b/derive/derive.go
@@ -1,6 +1,6 @@
-// Package derive computes a sidecar's settings from a short description of an application, with the reason for each figure:
-// whether a request may be repeated, within which window, how often and for how long, and which share of the sidecar's
-// resources each service that it calls may use. It has no I/O, and equal descriptions give equal results.
+// Package derive computes a sidecar's settings from a short description of an application, with the reason for each
+// figure: whether a request may be repeated, within which window, how often and for how long, and which share of the
+// sidecar's resources each service that it calls may use. It has no I/O, and equal descriptions give equal results.
 //
 // What a route reads and writes decides its effect, never its name or method alone. A route that writes is repeated only
 // with an idempotency key, and only while the servers that saw the key still remember it.
@@ -319,8 +319,8 @@
 	return c
 }
 
-// bulkhead divides what is left after the callers' share. Each service gets minSockets. The rest is divided according to the
-// configured shares, and evenly among the services without one.
+// bulkhead divides what is left after the callers' share. Each service gets minSockets. The rest is divided according
+// to the configured shares, and evenly among the services without one.
 func (d *deriver) bulkhead(i int) Bulkhead {
 	assigned, unassigned := 0.0, 0
 	for _, s := range d.app.Calls {
--- a/derive/derive_test.go
+++ b/derive/derive_test.go
@@ -107,8 +107,9 @@
 	}
 }
 
-// TestPlansKeepTheRules checks random descriptions: a route that writes is never idempotent, a repeat is never allowed beyond
-// the servers' window, calls fit into their route's time, and all services together get at most half of the resources.
+// TestPlansKeepTheRules checks random descriptions: a route that writes is never idempotent, a repeat is never allowed
+// beyond the servers' window, calls fit into their route's time, and all services together get at most half of the
+// resources.
 func TestPlansKeepTheRules(t *testing.T) {
 	plans := 0
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/host/attempt.go
+++ b/internal/host/attempt.go
@@ -16,7 +16,7 @@
 	number     int
 	to         backends.Endpoint
 	sent       time.Duration
-	mayStartAt time.Duration // the earliest time at which the backend can have started: sent, or when the whole body had arrived
+	mayStartAt time.Duration // when the backend can have started: sent, or when the whole body had arrived
 	dispatched bool          // writing was allowed, so the backend may have received it
 	neverRan   bool          // the outcome proves that it never ran
 	checkedAt  time.Duration // when the agreed rules were last checked for it
@@ -43,8 +43,8 @@
 	i.finish(a, outcome, r)
 }
 
-// mayDial reports whether a connection for an attempt is still needed. It may have waited for a worker, and its request may
-// have waited in the balancer's queue before that.
+// mayDial reports whether a connection for an attempt is still needed. It may have waited for a worker, and its request
+// may have waited in the balancer's queue before that.
 func (a *attempt) mayDial() bool {
 	i := a.instance
 	i.mu.Lock()
@@ -60,12 +60,13 @@
 		i.balancer.MayStart(now, a.request.id, a.number)
 }
 
-// stallThreshold bounds how long catching up with the server list and deciding by it take in a process that is not stalled.
+// stallThreshold bounds how long catching up with the server list and deciding by it take in a process that is not
+// stalled.
 const stallThreshold = 100 * time.Millisecond
 
 // Begin returns the time that remains for an attempt that is about to be written, and whether it may still be sent. All
-// updates of the server list that have arrived are applied first. If that took longer than stallThreshold, the process may
-// have been stalled and more updates may have arrived, so they are applied and the check is made again.
+// updates of the server list that have arrived are applied first. If that took longer than stallThreshold, the process
+// may have been stalled and more updates may have arrived, so they are applied and the check is made again.
 func (a *attempt) Begin() (remaining time.Duration, maySend bool) {
 	i := a.instance
 	if i.serverList == nil {
@@ -106,11 +107,11 @@
 	return remaining, wanted
 }
 
-// callerWaiting reports whether a request's caller still waits, and drops the request if not; mu is held. The end of the
-// caller's sending is read by a goroutine of net/http, possibly after the attempt is sent. In a process that was stopped for
-// seconds, sockets hold requests whose callers left long ago and whose effect another proxy has already caused. Asking the
-// kernel detects this whatever delayed the read. A caller that closes its sending side but still waits is treated as gone,
-// which the callers of Drop do anyway.
+// callerWaiting reports whether a request's caller still waits, and drops the request if not; mu is held. The end of
+// the caller's sending is read by a goroutine of net/http, possibly after the attempt is sent. In a process that was
+// stopped for seconds, sockets hold requests whose callers left long ago and whose effect another proxy has already
+// caused. Asking the kernel detects this whatever delayed the read. A caller that closes its sending side but still
+// waits is treated as gone, which the callers of Drop do anyway.
 func (i *Instance) callerWaiting(q *Request) bool {
 	if q.caller == nil || !q.caller.Gone() {
 		return true
@@ -121,9 +122,9 @@
 	return false
 }
 
-// allowedByRules checks the agreed rules right before an attempt's first byte is written, because the process may have been
-// paused since the attempt was decided on. If the rules forbid sending to any server, the request is abandoned at once; mu
-// is held.
+// allowedByRules checks the agreed rules right before an attempt's first byte is written, because the process may have
+// been paused since the attempt was decided on. If the rules forbid sending to any server, the request is abandoned at
+// once; mu is held.
 func (i *Instance) allowedByRules(a *attempt) bool {
 	repeat, _ := a.otherAttempts()
 	var decision rules.Ruling
@@ -139,7 +140,8 @@
 	return false
 }
 
-// otherAttempts reports whether another attempt of the same request may have run, and whether one is outstanding; mu is held.
+// otherAttempts reports whether another attempt of the same request may have run, and whether one is outstanding; mu is
+// held.
 func (a *attempt) otherAttempts() (mayHaveRun, outstanding bool) {
 	for _, b := range a.request.attempts {
 		mayHaveRun = mayHaveRun || b != a && b.dispatched && !b.neverRan
@@ -148,9 +150,9 @@
 	return mayHaveRun, outstanding
 }
 
-// abandon ends the request of an attempt that must not be sent to any server. The request is refused, which makes a retry
-// harmless, if no attempt of it may have run, and failed otherwise. If another attempt is outstanding, it may still serve the
-// request and is waited for; mu is held.
+// abandon ends the request of an attempt that must not be sent to any server. The request is refused, which makes a
+// retry harmless, if no attempt of it may have run, and failed otherwise. If another attempt is outstanding, it may
+// still serve the request and is waited for; mu is held.
 func (i *Instance) abandon(a *attempt, retryAfter time.Duration, cause unservedCause) {
 	q := a.request
 	mayHaveRun, outstanding := a.otherAttempts()
--- a/internal/host/carry.go
+++ b/internal/host/carry.go
@@ -76,9 +76,10 @@
 	i.balancer.Restore(i.now(), c)
 }
 
-// Restore continues from the state that was saved before a restart. It must be called before the instance has accepted any
-// request or list. From then on no earlier start time of a server than earliestStart is believed: a server that the list says
-// was started before counts as started at earliestStart, and is treated as cold accordingly. 0 accepts any start time.
+// Restore continues from the state that was saved before a restart. It must be called before the instance has accepted
+// any request or list. From then on no earlier start time of a server than earliestStart is believed: a server that the
+// list says was started before counts as started at earliestStart, and is treated as cold accordingly. 0 accepts any
+// start time.
 func (i *Instance) Restore(c balance.Snapshot, addresses map[string]string, earliestStart time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -103,8 +104,8 @@
 // snapshotBatch is how many servers are copied each time that the lock is held.
 const snapshotBatch = 256
 
-// SnapshotInBatches returns the same as Snapshot, but the parts are of different moments. It holds the lock no longer than it
-// takes to copy snapshotBatch servers, so that requests are not delayed for longer.
+// SnapshotInBatches returns the same as Snapshot, but the parts are of different moments. It holds the lock no longer
+// than it takes to copy snapshotBatch servers, so that requests are not delayed for longer.
 func (i *Instance) SnapshotInBatches() (balance.Snapshot, map[string]string) {
 	i.mu.Lock()
 	c := i.balancer.SnapshotWithoutServers(i.now())
--- a/internal/host/crossing_test.go
+++ b/internal/host/crossing_test.go
@@ -130,9 +130,9 @@
 	return balance.Class{Aim: requestTimeout, ClientTimeout: requestTimeout, Value: 1, Effect: effect, DedupScope: balance.DedupAll, DedupWindow: window}
 }
 
-// TestWindowEndsWhileAConnectionComesUp guards against a repeat that is written after the deduplication window has ended. The
-// first attempt may have run; the second is decided on within the window, but its connection is established only after it.
-// Nothing may be written on that connection, and the request is abandoned at once.
+// TestWindowEndsWhileAConnectionComesUp guards against a repeat that is written after the deduplication window has
+// ended. The first attempt may have run; the second is decided on within the window, but its connection is established
+// only after it. Nothing may be written on that connection, and the request is abandoned at once.
 func TestWindowEndsWhileAConnectionComesUp(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	const window = 2 * time.Second
@@ -155,8 +155,8 @@
 	}
 }
 
-// TestWindowEndsWhileARepeatWaits covers the end of the window for a repeat that the balancer holds because both servers were
-// taken out while the repeat's connection was being established.
+// TestWindowEndsWhileARepeatWaits covers the end of the window for a repeat that the balancer holds because both
+// servers were taken out while the repeat's connection was being established.
 func TestWindowEndsWhileARepeatWaits(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a, b := newServer(t, resetConn), newServer(t, resetConn)
@@ -179,8 +179,8 @@
 	}
 }
 
-// TestNoDialForACallerThatHasGone checks that no connection is opened for the next attempt if the caller has gone during the
-// first one and only Gone reports it.
+// TestNoDialForACallerThatHasGone checks that no connection is opened for the next attempt if the caller has gone
+// during the first one and only Gone reports it.
 func TestNoDialForACallerThatHasGone(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	w := &testCaller{}
@@ -218,8 +218,9 @@
 	}
 }
 
-// TestUnsafeRepeats checks that a request that must never run twice is sent again only if the first attempt certainly did not
-// run: after a refusal by the server, but not after a broken connection, a partial answer or an error.
+// TestUnsafeRepeats checks that a request that must never run twice is sent again only if the first attempt certainly
+// did not run: after a refusal by the server, but not after a broken connection, a partial answer or an error, and
+// never while an attempt is outstanding.
 func TestUnsafeRepeats(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	turnAway := func(c net.Conn) {
@@ -263,8 +264,8 @@
 	}
 }
 
-// TestDrainWhileAConnectionComesUp guards against an attempt that is written to a draining server because the list update came
-// between the decision and the first byte.
+// TestDrainWhileAConnectionComesUp guards against an attempt that is written to a draining server because the list
+// update came between the decision and the first byte.
 func TestDrainWhileAConnectionComesUp(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a, b := newServer(t, serve), newServer(t, serve)
@@ -292,8 +293,8 @@
 	}
 }
 
-// TestReadyMeansThatItCanServe checks that an instance is not ready without a list or if all servers drain or are gone, and is
-// ready again once a server is in service.
+// TestReadyMeansThatItCanServe checks that an instance is not ready without a list or if all servers drain or are gone,
+// and is ready again once a server is in service.
 func TestReadyMeansThatItCanServe(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	c := newFixture(t, class(balance.Idempotent, 0))
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -1,4 +1,5 @@
-// Package host runs one balancer: it passes events to the balancer and carries out its actions. It makes no decisions of its own.
+// Package host runs one balancer: it passes events to the balancer and carries out its actions. It makes no decisions
+// of its own.
 package host
 
 import (
@@ -16,8 +17,8 @@
 	"brasswell/internal/cluster/rules"
 )
 
-// Instance runs one balancer and implements balance.Host. The balancer calls its Host while mu is held, so those methods must
-// not block or call back. Work that takes time runs in its own goroutine and returns through an event.
+// Instance runs one balancer and implements balance.Host. The balancer calls its Host while mu is held, so those
+// methods must not block or call back. Work that takes time runs in its own goroutine and returns through an event.
 type Instance struct {
 	clock             clock.Steady // Unix time, like the start times in the server list
 	backends          *backends.Pool
@@ -37,7 +38,8 @@
 	requests  map[string]*Request
 	lastID    uint64
 	endpoints map[string]backends.Endpoint // of each server that is in service according to the list
-	// When a listed server was first seen to drain, and when the operator took a server out. The times are only for status pages.
+	// When a listed server was first seen to drain, and when the operator took a server out. The times are only for
+	// status pages.
 	drainingSince, bannedSince map[string]time.Duration
 	agreedBans                 map[string]bool // servers banned by agreement; true once the balancer has suspended them
 	quotaShare                 float64         // the agreed factor on tenants' quotas
@@ -55,14 +57,15 @@
 // Channels receives the servers that an instance may use, and is asked before a request for a channel is sent to one. Its
 // methods are called while the instance is locked, so they must not block or call back.
 type Channels interface {
-	// SetNodes passes all listed servers in service. Channels to other servers, or to servers that are not usable, must move.
+	// SetNodes passes all listed servers in service. Channels at other servers, or at servers that are not usable, must
+	// be moved.
 	SetNodes([]plan.Node)
 	// AllowUpgrade reports whether a request for a channel may be sent to a server now, and counts it if so.
 	AllowUpgrade(server string) bool
 }
 
-// AgreedRules applies the rules that the proxies of the fleet have agreed on. Its methods are called while the instance is
-// locked, so they must not block or call back.
+// AgreedRules applies the rules that the proxies of the fleet have agreed on. Its methods are called while the instance
+// is locked, so they must not block or call back.
 type AgreedRules interface {
 	// Open reports whether requests of a class are accepted now.
 	Open(class int) bool
@@ -71,24 +74,25 @@
 	Rule(server string, class int, again bool) (rules.Ruling, rules.Ground)
 }
 
-// Caller is the client that waits for a request's answer. Gone is called while the instance is locked, so it must not block.
+// Caller is the client that waits for a request's answer. Gone is called while the instance is locked, so it must not
+// block.
 type Caller interface {
 	// Gone reports whether the caller has given the request up, even if this has not been read from its connection yet.
 	Gone() bool
 }
 
-// AdmissionGate decides which requests are admitted while a proxy recovers after a start. Its methods are called while the
-// instance is locked, so they must not block or call back.
+// AdmissionGate decides which requests are admitted while a proxy recovers after a start. Its methods are called while
+// the instance is locked, so they must not block or call back.
 type AdmissionGate interface {
-	// Admit reports whether a request of a class is admitted now. If not, wait is the delay after which the caller is asked to
-	// retry; 0 gives no advice.
+	// Admit reports whether a request of a class is admitted now. If not, wait is the delay after which the caller is
+	// asked to retry; 0 gives no advice.
 	Admit(class int) (ok bool, wait time.Duration)
 	// Ready reports whether any requests are admitted.
 	Ready() bool
 }
 
-// ServerList reports how current the server list is. Fresh and Ready are called while the instance is locked, so they must
-// not block or call back.
+// ServerList reports how current the server list is. Fresh and Ready are called while the instance is locked, so they
+// must not block or call back.
 type ServerList interface {
 	// Fresh reports whether requests may be sent by the current list.
 	Fresh() bool
@@ -98,8 +102,8 @@
 	CatchUp(ctx context.Context)
 }
 
-// SetServerList sets the ServerList. It must be called before the first list update or request. retryAfter is the delay after
-// which callers are asked to retry if their requests are refused because the list is stale; 0 gives no advice.
+// SetServerList sets the ServerList. It must be called before the first list update or request. retryAfter is the delay
+// after which callers are asked to retry if their requests are refused because the list is stale; 0 gives no advice.
 func (i *Instance) SetServerList(l ServerList, retryAfter time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -116,8 +120,8 @@
 	i.admissionGate = g
 }
 
-// SetAgreedRules sets the AgreedRules. It must be called before the first list update or request. retryAfter is the delay after
-// which callers are asked to retry if the rules do not allow their requests; 0 gives no advice.
+// SetAgreedRules sets the AgreedRules. It must be called before the first list update or request. retryAfter is the
+// delay after which callers are asked to retry if the rules do not allow their requests; 0 gives no advice.
 func (i *Instance) SetAgreedRules(r AgreedRules, retryAfter time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -182,8 +186,8 @@
 // Log writes a line for operators.
 func (i *Instance) Log(line string) { i.log.Info(line) }
 
-// Close cancels outstanding attempts, fails open requests, and returns once no attempt runs. It is called when a proxy ends
-// and no caller waits for an answer any more.
+// Close cancels outstanding attempts, fails open requests, and returns once no attempt runs. It is called when a proxy
+// ends and no caller waits for an answer any more.
 func (i *Instance) Close() {
 	i.mu.Lock()
 	if i.closed {
--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -91,8 +91,8 @@
 	return i.balancer.ServerCounts()
 }
 
-// Ready reports whether there is a server to send to, the admission gate is ready, and the list has been confirmed once or
-// waited for long enough.
+// Ready reports whether there is a server to send to, the admission gate is ready, and the list has been confirmed once
+// or waited for long enough.
 func (i *Instance) Ready() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/host/request.go
+++ b/internal/host/request.go
@@ -38,10 +38,11 @@
 	final       chan Final // receives exactly one value and has room for it
 }
 
-// Submit passes a request to the balancer. remaining is the time until the caller gives up. It counts from this call, when the
-// last byte of the request has been read, or from Received if the body is a stream that is still being read. localBudget, if
-// above 0, is the time in which this process must finish the request. The instance assigns its own IDs, because callers may
-// reuse theirs and the balancer treats a request with a known ID as one that it already has. caller may be nil.
+// Submit passes a request to the balancer. remaining is the time until the caller gives up. It counts from this call,
+// when the last byte of the request has been read, or from Received if the body is a stream that is still being read.
+// localBudget, if above 0, is the time in which this process must finish the request. The instance assigns its own IDs,
+// because callers may reuse theirs and the balancer treats a request with a known ID as one that it already has. caller
+// may be nil.
 func (i *Instance) Submit(caller Caller, m *backends.Message, class, tenant int, remaining, localBudget time.Duration) *Request {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -98,8 +99,8 @@
 	i.removeIfDone(q)
 }
 
-// Drop reports that a request's caller has gone. Callers give a request up by closing the connection or their sending side
-// of it. The balancer then cancels the request's outstanding attempts.
+// Drop reports that a request's caller has gone. Callers give a request up by closing the connection or their sending
+// side of it. The balancer then cancels the request's outstanding attempts.
 func (i *Instance) Drop(q *Request) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/host/serverlist_test.go
+++ b/internal/host/serverlist_test.go
@@ -37,8 +37,8 @@
 // listWait is the retry delay for refused callers.
 const listWait = 300 * time.Millisecond
 
-// TestNothingIsSentByAStaleList checks that a request is refused if the list is stale when it arrives, or if the list becomes
-// stale before its connection is established. Once the list is confirmed again, requests are served.
+// TestNothingIsSentByAStaleList checks that a request is refused if the list is stale when it arrives, or if the list
+// becomes stale before its connection is established. Once the list is confirmed again, requests are served.
 func TestNothingIsSentByAStaleList(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	s := newServer(t, serve)
@@ -90,8 +90,8 @@
 	}
 }
 
-// TestARepeatByAStaleListFails checks that an attempt that may have run is not repeated while the list is stale. The request then
-// fails, because a refusal would promise that a retry is harmless.
+// TestARepeatByAStaleListFails checks that an attempt that may have run is not repeated while the list is stale. The
+// request then fails, because a refusal would promise that a retry is harmless.
 func TestARepeatByAStaleListFails(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	list := &fakeServerList{}
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestNothingIsSentBeforeNewsAreTakenIn guards against a process that was stalled and then sends to a server whose drain is still
-// unread in its sockets. The attempt must wait for the list updates and then go to another server.
+// TestNothingIsSentBeforeNewsAreTakenIn guards against a process that was stalled and then sends to a server whose
+// drain is still unread in its sockets. The attempt must wait for the list updates and then go to another server.
 func TestNothingIsSentBeforeNewsAreTakenIn(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	draining, up := newServer(t, serve), newServer(t, serve)
--- a/internal/host/trace.go
+++ b/internal/host/trace.go
@@ -8,8 +8,9 @@
 	"brasswell/balance"
 )
 
-// Messages of the debug log lines that trace what one proxy did. No single proxy's log shows what many proxies do together,
-// so `brasswell count` reads these lines from all of them. It depends on their messages and fields: change both together.
+// Messages of the debug log lines that trace what one proxy did. No single proxy's log shows what many proxies do
+// together, so `brasswell count` reads these lines from all of them. It depends on their messages and fields: change
+// both together.
 const (
 	TraceAttempt  = "attempt"  // an attempt that has ended
 	TraceBasis    = "act"      // the agreed rules by which an ended attempt was sent
--- a/landscape/landscape.go
+++ b/landscape/landscape.go
@@ -1,6 +1,6 @@
-// Package landscape checks applications that call each other as a whole. It finds call cycles, deadlines longer than the
-// caller's, and attempts that multiply from tier to tier. It has no I/O; its input is the applications' descriptions, and its
-// findings refer to locations in them.
+// Package landscape checks applications that call each other as a whole. It finds call cycles, deadlines longer than
+// the caller's, and attempts that multiply from tier to tier. It has no I/O; its input is the applications'
+// descriptions, and its findings refer to locations in them.
 package landscape
 
 import (
@@ -77,9 +77,9 @@
 	Path     []string
 }
 
-// Check checks all applications together. bound is the maximum number of attempts that one request may cause at the last route
-// of a chain. Findings are in the order of the descriptions. To avoid findings that only follow from others, chains do not
-// include calls to applications or routes that do not exist, or calls within a cycle.
+// Check checks all applications together. bound is the maximum number of attempts that one request may cause at the
+// last route of a chain. Findings are in the order of the descriptions. To avoid findings that only follow from others,
+// chains do not include calls to applications or routes that do not exist, or calls within a cycle.
 func Check(apps []App, bound float64) ([]Finding, []Chain) {
 	c := &checker{apps: apps, byName: map[string]int{}, routes: map[Location]*node{}}
 	c.checkNames()
@@ -172,8 +172,8 @@
 
 func (c *checker) route(n *node) *Route { return &c.apps[n.place.App].Routes[n.place.Route] }
 
-// checkCycles finds the strongly connected components with Tarjan's algorithm and reports one cycle for each component that has
-// any. It uses an explicit stack, so the length of a chain of calls is not limited.
+// checkCycles finds the strongly connected components with Tarjan's algorithm and reports one cycle for each component
+// that has any. It uses an explicit stack, so the length of a chain of calls is not limited.
 func (c *checker) checkCycles() {
 	var stack []*node
 	index, component := 0, 0
@@ -304,8 +304,8 @@
 	return sum + d*time.Duration(n)
 }
 
-// checkChains computes the worst chain from each route that no route outside its component calls. Components are numbered with
-// callees first, so a single pass in their order is enough.
+// checkChains computes the worst chain from each route that no route outside its component calls. Components are
+// numbered with callees first, so a single pass in their order is enough.
 func (c *checker) checkChains(bound float64) []Chain {
 	byComponent := slices.Clone(c.order)
 	slices.SortStableFunc(byComponent, func(a, b *node) int { return a.component - b.component })
--- a/route/overlap.go
+++ b/route/overlap.go
@@ -31,8 +31,8 @@
 // with the same path are compared.
 const MaxPathCompared = 2000
 
-// Overlaps finds pairs of routes that conflict. The routes must be valid according to Compile. Each pair is reported at most
-// once.
+// Overlaps finds pairs of routes that conflict. The routes must be valid according to Compile. Each pair is reported at
+// most once.
 func Overlaps(routes []Route) []Overlap {
 	type entry struct {
 		p Pattern
@@ -163,8 +163,9 @@
 	return s.String()
 }
 
-// crosses reports whether some path matches both patterns while each pattern is more specific than the other in some segment.
-// It returns -1 if a takes precedence, 1 if b does, and 0 if one pattern contains the other or no path matches both.
+// crosses reports whether some path matches both patterns while each pattern is more specific than the other in some
+// segment. It returns -1 if a takes precedence, 1 if b does, and 0 if one pattern contains the other or no path matches
+// both.
 func crosses(a, b Pattern) int {
 	var aNarrower, bNarrower bool
 	first := 0
--- a/route/route.go
+++ b/route/route.go
@@ -1,5 +1,6 @@
 // Package route matches requests to the routes of an application by method, path and headers only. It has no I/O and no
-// clock. A table is compiled once. The cost of a match then depends on the length of the path, not on the number of routes.
+// clock. A table is compiled once. The cost of a match then depends on the length of the path, not on the number of
+// routes.
 //
 // If several routes match a request, the path decides first: segment by segment from the left, a literal takes precedence
 // over a {name}, and a {name} over a {rest...}. Of routes with the same path, the one with more header conditions takes
@@ -165,8 +166,8 @@
 
 func (e *Error) Error() string { return fmt.Sprintf("route %d: %s: %s", e.Index, e.Field, e.Text) }
 
-// Compile builds a table. It returns all errors in the order of the routes, and no table if there are any. It does not report
-// a valid route that can never be chosen; Overlaps does.
+// Compile builds a table. It returns all errors in the order of the routes, and no table if there are any. It does not
+// report a valid route that can never be chosen; Overlaps does.
 func Compile(routes []Route) (*Table, []*Error) {
 	t := &Table{}
 	var faults []*Error
@@ -290,9 +291,9 @@
 	Reason  string   // what is wrong with the path, for BadPath
 }
 
-// Choose finds a request's route. It rejects a path that other servers might interpret differently. Some servers resolve a dot
-// segment or an empty segment and others keep it, so that a request could be handled by the rules of one route while the
-// application serves it as another. The same applies to an encoded slash, backslash or NUL.
+// Choose finds a request's route. It rejects a path that other servers might interpret differently. Some servers
+// resolve a dot segment or an empty segment and others keep it, so that a request could be handled by the rules of one
+// route while the application serves it as another. The same applies to an encoded slash, backslash or NUL.
 func (t *Table) Choose(r Request) Choice {
 	var buffer [16]string
 	segments, reason := split(r.Path, buffer[:0])
@@ -395,8 +396,8 @@
 	return segments, ""
 }
 
-// isParameterizedDot reports whether a segment is a dot segment with parameters. Some servers remove the parameters before
-// they resolve the segment.
+// isParameterizedDot reports whether a segment is a dot segment with parameters. Some servers remove the parameters
+// before they resolve the segment.
 func isParameterizedDot(part string) bool {
 	return strings.HasPrefix(part, ".;") || strings.HasPrefix(part, "..;")
 }
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -282,9 +282,9 @@
 	})
 )
 
-// TestChoiceIsTheDescribedOne compares the tree with a linear search that sorts all matching routes by precedence, and the
-// reported overlaps with the choices for random requests: a shadowed route is never chosen, and the second route of another
-// overlap is not chosen if the first one matches too. The example of each such overlap must match both paths.
+// TestChoiceIsTheDescribedOne compares the tree with a linear search that sorts all matching routes by precedence, and
+// the reported overlaps with the choices for random requests: a shadowed route is never chosen, and the second route of
+// another overlap is not chosen if the first one matches too. The example of each such overlap must match both paths.
 func TestChoiceIsTheDescribedOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		routes := rapid.SliceOfN(anyRoute, 1, 8).Draw(t, "routes")
@@ -413,7 +413,8 @@
 	}
 }
 
-// BenchmarkBacktrack measures the most expensive request for a table of this size: every branch is searched and none matches.
+// BenchmarkBacktrack measures the most expensive request for a table of this size: every branch is searched and none
+// matches.
 func BenchmarkBacktrack(b *testing.B) {
 	var routes []Route
 	for i := range 64 {
