--- a/route/overlap.go
+++ b/route/overlap.go
@@ -102,7 +102,7 @@
 	return o, true
 }
 
-// covers reports whether the methods a include all of b. An empty list stands for every method.
+// covers reports whether the methods a include all of b. An empty list means every method.
 func covers(a, b []string) bool {
 	return len(a) == 0 || len(b) > 0 && !slices.ContainsFunc(b, func(m string) bool { return !slices.Contains(a, m) })
 }
--- a/route/route.go
+++ b/route/route.go
@@ -260,7 +260,7 @@
 }
 
 // Request is the input of Choose. Path is the encoded path as received. Header returns a header's values by its canonical
-// name; a nil Header stands for a request without headers.
+// name; a nil Header means a request without headers.
 type Request struct {
 	Method string
 	Path   string
