--- a/internal/host/carry.go
+++ b/internal/host/carry.go
@@ -9,23 +9,23 @@
 	"brasswell/internal/clock"
 )
 
-// State is how an instance stands, for people.
+// State describes an instance for status pages.
 type State struct {
-	Now          time.Duration // of the clock that all times here are of
+	Now          time.Duration // the time by the instance's clock, on which all times here are based
 	Snapshot     balance.Snapshot
-	Since        map[string]time.Duration // when servers began to drain or were taken out by hand, as far as that was seen
-	InRoundRobin int                      // servers that turns go to
-	Unanswered   map[int]int              // requests that are not answered yet, by class
+	Since        map[string]time.Duration // when servers were first seen to drain or were taken out by the operator
+	InRoundRobin int                      // number of servers in the round robin
+	Unanswered   map[int]int              // number of unanswered requests by class
 }
 
-// State returns how the instance stands. It costs as much as there are servers and requests.
+// State returns the state of the instance. Its cost is proportional to the number of servers and requests.
 func (i *Instance) State() State {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	s := State{Now: i.now(), Since: maps.Clone(i.drains), Unanswered: map[int]int{}}
+	s := State{Now: i.now(), Since: maps.Clone(i.drainingSince), Unanswered: map[int]int{}}
 	s.Snapshot = i.balancer.Snapshot(s.Now)
-	maps.Copy(s.Since, i.byHand)
-	for id := range i.address {
+	maps.Copy(s.Since, i.bannedSince)
+	for id := range i.endpoints {
 		if i.balancer.InRoundRobin(id) {
 			s.InRoundRobin++
 		}
@@ -38,71 +38,74 @@
 	return s
 }
 
-// Carry returns what the balancer knows and where to dial the servers, for another instance to go on from.
+// Snapshot returns the balancer's state and the servers' addresses, for another instance to continue from.
 func (i *Instance) Snapshot() (balance.Snapshot, map[string]string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	addresses := make(map[string]string, len(i.address))
-	for id, to := range i.address {
+	addresses := make(map[string]string, len(i.endpoints))
+	for id, to := range i.endpoints {
 		addresses[id] = to.Address
 	}
 	return i.balancer.Snapshot(i.now()), addresses
 }
 
-// Clock is a reading of the clock that the instance's times are of, for another process that goes on from what Carry tells.
+// Clock reads the clock on which the instance's times are based, for another process that continues from a Snapshot.
 func (i *Instance) Clock() clock.Reading { return i.clock.Read() }
 
-// Adopt goes on from what an instance of another process of this machine knows, whose times are of a clock that was read as told; it is
-// for one that has taken nothing on yet.
-func (i *Instance) Adopt(c balance.Snapshot, addresses map[string]string, of clock.Reading) {
+// Adopt continues from the state of an instance in another process on this machine; reading is that process's clock, on
+// which the times of the state are based. It must be called before the instance has accepted any request or list.
+func (i *Instance) Adopt(c balance.Snapshot, addresses map[string]string, reading clock.Reading) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	ahead := i.clock.Read().Ahead(of)
-	if ahead.Abs() > time.Second {
-		i.log.Warn("the wall clock was stepped between the starts of both processes; times are taken over by the steady one", "by", ahead)
+	offset := i.clock.Read().Ahead(reading)
+	if offset.Abs() > time.Second {
+		i.log.Warn("the wall clock was stepped between the starts of the two processes; restored times are corrected by the monotonic clock", "by", offset)
 	}
-	c.ShiftTimes(ahead)
+	c.ShiftTimes(offset)
 	i.adopt(c, addresses)
-	i.keep()
+	i.updatePool()
 }
 
-// adopt must be called with mu held, and keep after it.
+// adopt must be called with mu held, and updatePool after it.
 func (i *Instance) adopt(c balance.Snapshot, addresses map[string]string) {
 	for _, s := range c.Servers {
 		if address := addresses[s.Entry.ID]; s.Entry.State == balance.InService && address != "" {
-			i.address[s.Entry.ID] = backends.Endpoint{Server: s.Entry.ID, Address: address, Boot: s.Entry.Boot}
+			i.endpoints[s.Entry.ID] = backends.Endpoint{Server: s.Entry.ID, Address: address, Boot: s.Entry.Boot}
 		}
 	}
 	i.balancer.Restore(i.now(), c)
 }
 
-// Revive goes on from what was known before a start; it is for one that has taken nothing on yet. No start of a server before lost
-// is believed from then on: whoever ran before that is cold, whatever anybody says. 0 for any.
-func (i *Instance) Restore(c balance.Snapshot, addresses map[string]string, lost time.Duration) {
+// Restore continues from the state that was saved before a restart. It must be called before the instance has accepted
+// any request or list. From then on no earlier start time of a server than earliestStart is believed: a server that the
+// list says was started before counts as started at earliestStart, and is treated as cold accordingly. 0 accepts any
+// start time.
+func (i *Instance) Restore(c balance.Snapshot, addresses map[string]string, earliestStart time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.lost = lost
+	i.earliestStart = earliestStart
 	i.adopt(c, addresses)
 	now := i.now()
-	i.noteByHand(now, c.Banned)
-	i.applyAgreed(now)
-	i.keep()
+	i.recordBans(now, c.Banned)
+	i.applyAgreedBans(now)
+	i.updatePool()
 }
 
-// Births are when the servers in service were started, as far as that is believed.
-func (i *Instance) StartTimes() (births []time.Duration) {
+// StartTimes returns the start times of the servers in service, as corrected by earliestStart.
+func (i *Instance) StartTimes() (starts []time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	for _, to := range i.address {
-		births = append(births, to.Boot)
+	for _, to := range i.endpoints {
+		starts = append(starts, to.Boot)
 	}
-	return births
+	return starts
 }
 
-// carryStep servers are looked at for one time that the lock is held.
-const carryStep = 256
+// snapshotBatch is how many servers are copied each time that the lock is held.
+const snapshotBatch = 256
 
-// CarryInSteps returns what Carry does, not as of one moment, and holds up nothing that serves for longer than carryStep servers take.
+// SnapshotInBatches returns the same as Snapshot, but the parts are of different moments. It holds the lock no longer
+// than it takes to copy snapshotBatch servers, so that requests are not delayed for longer.
 func (i *Instance) SnapshotInBatches() (balance.Snapshot, map[string]string) {
 	i.mu.Lock()
 	c := i.balancer.SnapshotWithoutServers(i.now())
@@ -110,12 +113,12 @@
 	i.mu.Unlock()
 	addresses := make(map[string]string, len(ids))
 	for len(ids) > 0 {
-		some := ids[:min(len(ids), carryStep)]
-		ids = ids[len(some):]
+		batch := ids[:min(len(ids), snapshotBatch)]
+		ids = ids[len(batch):]
 		i.mu.Lock()
-		c.Servers = i.balancer.AppendServerSnapshots(c.Servers, some)
-		for _, id := range some {
-			if to, listed := i.address[id]; listed {
+		c.Servers = i.balancer.AppendServerSnapshots(c.Servers, batch)
+		for _, id := range batch {
+			if to, listed := i.endpoints[id]; listed {
 				addresses[id] = to.Address
 			}
 		}
--- a/internal/host/fleet.go
+++ b/internal/host/fleet.go
@@ -9,13 +9,13 @@
 	"brasswell/internal/cluster/rules"
 )
 
-// LogParts is the line that says which part of what all proxies may do is this one's own.
+// LogFleetShares is the message of the log line with this proxy's shares of the limits that all proxies have together.
 const LogFleetShares = "fleet: parts"
 
-// LogNumber is the line that says by which own number this proxy cuts the list.
+// LogSubsetNumber is the message of the log line with the number by which this proxy selects its subset of the list.
 const LogSubsetNumber = "rules: number"
 
-// Agreed takes in which servers are out at all proxies, and which share of their quotas tenants have.
+// ApplyAgreed applies the agreed bans, which take servers out at all proxies, and the agreed share of tenants' quotas.
 func (i *Instance) ApplyAgreed(bans map[string]rules.Ban, quota float64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -24,65 +24,67 @@
 	}
 	now := i.now()
 	for id := range bans {
-		if _, already := i.agreed[id]; !already {
-			i.agreed[id] = false
+		if _, already := i.agreedBans[id]; !already {
+			i.agreedBans[id] = false
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(i.agreed)) {
+	for _, id := range slices.Sorted(maps.Keys(i.agreedBans)) {
 		if _, out := bans[id]; out {
 			continue
 		}
-		known := i.agreed[id]
-		delete(i.agreed, id)
-		if _, byHand := i.byHand[id]; known && !byHand {
+		applied := i.agreedBans[id]
+		delete(i.agreedBans, id)
+		if _, banned := i.bannedSince[id]; applied && !banned {
 			i.balancer.Resume(now, id)
 		}
 	}
-	i.applyAgreed(now)
-	i.quota = quota
-	i.setPart()
-	i.keep()
+	i.applyAgreedBans(now)
+	i.quotaShare = quota
+	i.updateShares()
+	i.updatePool()
 }
 
-// applyAgreed tells the balancer of servers that are out, as soon as a list has named them; mu is held.
-func (i *Instance) applyAgreed(now time.Duration) {
-	for _, id := range slices.Sorted(maps.Keys(i.agreed)) {
-		if !i.agreed[id] {
-			i.agreed[id] = i.balancer.Suspend(now, id)
+// applyAgreedBans suspends the banned servers in the balancer as soon as a list has named them; mu is held.
+func (i *Instance) applyAgreedBans(now time.Duration) {
+	for _, id := range slices.Sorted(maps.Keys(i.agreedBans)) {
+		if !i.agreedBans[id] {
+			i.agreedBans[id] = i.balancer.Suspend(now, id)
 		}
 	}
 }
 
-// SetPart tells the balancer which part of what the proxy may do is this instance's own, beside another at an upgrade.
-func (i *Instance) SetUpgradeShare(part float64) {
+// SetUpgradeShare sets the share of the proxy's limits that this instance has while two processes run during an upgrade.
+func (i *Instance) SetUpgradeShare(share float64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.part = part
-	i.setPart()
+	i.upgradeShare = share
+	i.updateShares()
 }
 
-// SetFleet tells the balancer which part of what all proxies may do is this proxy's own.
+// SetFleetShares sets this proxy's shares of the limits that all proxies have together.
 func (i *Instance) SetFleetShares(p parts.Parts) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if p == i.fleet || i.closed {
+	if p == i.fleetShares || i.closed {
 		return
 	}
-	i.fleet = p
-	i.setPart()
+	i.fleetShares = p
+	i.updateShares()
 	i.log.Info(LogFleetShares, "soft", p.Soft, "hard", p.Hard)
 }
 
-func (i *Instance) setPart() { i.balancer.SetShare(i.part*i.fleet.Hard, i.quota*i.fleet.Soft) }
+func (i *Instance) updateShares() {
+	i.balancer.SetShare(i.upgradeShare*i.fleetShares.Hard, i.quotaShare*i.fleetShares.Soft)
+}
 
-// Renumber takes in this proxy's own number among so many that cut the list.
-func (i *Instance) Renumber(self, of int) {
+// Renumber sets this proxy's number, from 0, among the total number of proxies that select subsets of the list.
+func (i *Instance) Renumber(self, total int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if was, among := i.balancer.Numbers(); i.closed || was == self && among == of {
+	if oldSelf, oldTotal := i.balancer.Numbers(); i.closed || oldSelf == self && oldTotal == total {
 		return
 	}
-	i.balancer.Renumber(i.now(), self, of)
-	i.tellChannels()
-	i.log.Info(LogSubsetNumber, "self", self, "of", of)
+	i.balancer.Renumber(i.now(), self, total)
+	i.updateChannels()
+	i.log.Info(LogSubsetNumber, "self", self, "of", total)
 }
--- a/internal/host/timers.go
+++ b/internal/host/timers.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// timers calls back at given times. One runtime timer serves them all, and those that are due together are called
-// together: a timer of the runtime's for each would cost an allocation, and a goroutine when it fires, several
-// times for each request, and nearly all of them fire long after their request is over.
+// timers calls back at given times. One runtime timer serves all of them, and timers that are due together are fired
+// together. A separate runtime timer for each would cost an allocation, and a goroutine when it fires, several times per
+// request, although nearly all timers fire long after their request is over.
 //
-// A call comes up to timerStep late. Nothing that the balancer times is finer than that.
+// A call may be up to timerResolution late. The balancer needs no finer resolution.
 type timers struct {
 	now  func() time.Duration
 	fire func(now time.Duration, token uint64) // called without mu
 
-	mu    sync.Mutex
-	queue timerQueue
-	timer *time.Timer
-	armed time.Duration // when the runtime timer fires; 0 while it does not run
-	ended bool
+	mu      sync.Mutex
+	queue   timerQueue
+	timer   *time.Timer
+	armed   time.Duration // when the runtime timer fires; 0 if it is not set
+	stopped bool
 }
 
-// timerStep is the least time between two rounds of calls.
-const timerStep = time.Millisecond
+// timerResolution is the minimum delay of the runtime timer.
+const timerResolution = time.Millisecond
 
 type dueTimer struct {
 	at    time.Duration
@@ -34,11 +34,11 @@
 	return &timers{now: now, fire: fire}
 }
 
-// set asks for one call, after a delay.
+// set schedules one call after a delay.
 func (t *timers) set(delay time.Duration, token uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.ended {
+	if t.stopped {
 		return
 	}
 	heap.Push(&t.queue, dueTimer{t.now() + delay, token})
@@ -51,25 +51,25 @@
 		return
 	}
 	at := t.queue[0].at
-	if t.armed != 0 && t.armed <= at+timerStep {
-		return // it fires soon enough
+	if t.armed != 0 && t.armed <= at+timerResolution {
+		return // already set for early enough
 	}
 	now := t.now()
-	wait := max(at-now, timerStep)
+	wait := max(at-now, timerResolution)
 	t.armed = now + wait
 	if t.timer == nil {
-		t.timer = time.AfterFunc(wait, t.round)
+		t.timer = time.AfterFunc(wait, t.fireDue)
 	} else {
 		t.timer.Reset(wait)
 	}
 }
 
-// round makes the calls that are due.
-func (t *timers) round() {
+// fireDue makes the calls that are due, then sets the runtime timer again.
+func (t *timers) fireDue() {
 	t.mu.Lock()
 	var due []uint64
 	now := t.now()
-	for len(t.queue) > 0 && t.queue[0].at <= now && !t.ended {
+	for len(t.queue) > 0 && t.queue[0].at <= now && !t.stopped {
 		due = append(due, heap.Pop(&t.queue).(dueTimer).token)
 	}
 	t.armed = 0
@@ -79,22 +79,22 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.ended {
+	if !t.stopped {
 		t.arm()
 	}
 }
 
-// end drops all calls that are still to come.
-func (t *timers) end() {
+// stop discards all pending calls.
+func (t *timers) stop() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.ended, t.queue = true, nil
+	t.stopped, t.queue = true, nil
 	if t.timer != nil {
 		t.timer.Stop()
 	}
 }
 
-// timerQueue is a heap by time, and by age among equals.
+// timerQueue is a heap ordered by time, then by token.
 type timerQueue []dueTimer
 
 func (q timerQueue) Len() int { return len(q) }
--- a/internal/host/trace.go
+++ b/internal/host/trace.go
@@ -8,56 +8,57 @@
 	"brasswell/balance"
 )
 
-// The lines that tell what one proxy did, at level debug. What many proxies do together shows in no single one: `brasswell
-// count` reads these lines from all of them. Their names and fields are read there, so a change here is one there.
+// Messages of the debug log lines that trace what one proxy did. No single proxy's log shows what many proxies do
+// together, so `brasswell count` reads these lines from all of them. It depends on their messages and fields: change
+// both together.
 const (
-	TraceAttempt  = "attempt"  // one that has ended
-	TraceBasis    = "act"      // on what the sending of one that has ended rested
-	TraceUnserved = "unserved" // a request refused or failed
-	TraceList     = "list"     // news of the server list
+	TraceAttempt  = "attempt"  // an attempt that has ended
+	TraceBasis    = "act"      // the agreed rules by which an ended attempt was sent
+	TraceUnserved = "unserved" // a request that was refused or failed
+	TraceList     = "list"     // an update of the server list
 )
 
-// traces says whether the lines are wanted; the fields of one cost more than it does.
-func (i *Instance) traces() bool { return i.log.Enabled(context.Background(), slog.LevelDebug) }
+// tracing reports whether trace lines are logged. The check costs less than building the fields of a line.
+func (i *Instance) tracing() bool { return i.log.Enabled(context.Background(), slog.LevelDebug) }
 
 func (i *Instance) traceAttempt(a *attempt, outcome balance.Outcome, now time.Duration) {
-	if !i.traces() {
+	if !i.tracing() {
 		return
 	}
 	i.log.Debug(TraceAttempt, "id", a.request.id, "n", a.number, "class", a.request.message.Class,
 		"backend", a.to.Server, "outcome", outcome.String(), "sent_ms", a.sent.Milliseconds(),
 		"took_ms", (now - a.sent).Milliseconds())
-	if a.begun && i.gate != nil {
-		i.log.Debug(TraceBasis, "backend", a.to.Server, "at_us", a.asked.Microseconds(), "version", a.ground.Version, "leased", a.ground.Leased)
+	if a.dispatched && i.agreedRules != nil {
+		i.log.Debug(TraceBasis, "backend", a.to.Server, "at_us", a.checkedAt.Microseconds(), "version", a.basis.Version, "leased", a.basis.Leased)
 	}
 }
 
-// unservedBy is who decided that a request is not served.
-type unservedBy string
+// unservedCause names what decided that a request is not served.
+type unservedCause string
 
-// Those who decide so.
+// The causes of an unserved request.
 const (
-	byBalancer  unservedBy = "balancer"     // no room, no time left, or its attempts failed
-	byDoor      unservedBy = "recovery"     // the proxy is on its way back from a start
-	byRules     unservedBy = "agreed rules" // its class is closed, or no act is allowed
-	byStaleList unservedBy = "stale list"   // the server list could not be confirmed for too long
-	byCaller    unservedBy = "caller's end" // the caller has gone
+	causeBalancer      unservedCause = "balancer"     // no capacity, no time left, or its attempts failed
+	causeAdmissionGate unservedCause = "recovery"     // the proxy admits only a part of the requests after a start
+	causeAgreedRules   unservedCause = "agreed rules" // its class is closed, or the rules allow no attempt
+	causeStaleList     unservedCause = "stale list"   // the server list was not confirmed for too long
+	causeCallerGone    unservedCause = "caller's end" // the caller gave the request up
 )
 
-func (i *Instance) traceUnserved(q *Request, v Verdict, by unservedBy) {
+func (i *Instance) traceUnserved(q *Request, v Verdict, cause unservedCause) {
 	if q.answered {
 		return
 	}
-	if by == byStaleList {
-		i.heldBack.Add(1)
+	if cause == causeStaleList {
+		i.staleListUnserved.Add(1)
 	}
-	if i.traces() {
-		i.log.Debug(TraceUnserved, "id", q.id, "class", q.message.Class, "refused", v == Refused, "attempts", len(q.attempts), "by", string(by))
+	if i.tracing() {
+		i.log.Debug(TraceUnserved, "id", q.id, "class", q.message.Class, "refused", v == Refused, "attempts", len(q.attempts), "by", string(cause))
 	}
 }
 
 func (i *Instance) traceList(kind balance.ListKind, entries []balance.Entry) {
-	if !i.traces() || kind == balance.Delta && len(entries) == 0 {
+	if !i.tracing() || kind == balance.Delta && len(entries) == 0 {
 		return
 	}
 	var up, draining, gone int
