--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,9 +1,9 @@
 // Package balance makes a load balancer's decisions for services that call services.
 //
-// This file holds the events and a request's way through them; the interface (settings, events, actions) is
-// in types.go, and what is decided on the way has a file each: which servers there are (list, hand), the own
-// subset of them (subset), whom turns skip (pick, health, cold), who is let in (admission, quota) and what is
-// sent again (retry).
+// This file handles events and the life cycle of a request. types.go defines the interface: settings, events
+// and actions. The other files make one kind of decision each: which servers exist (list, hand), this
+// instance's subset of them (subset), which of them are skipped (pick, health, room, cold), which requests
+// are admitted (admission, quota) and what is sent again (retry).
 package balance
 
 import (
@@ -16,75 +16,75 @@
 
 // attempt is one send of a request.
 type attempt struct {
-	s        *server
-	at       time.Duration
-	over     bool
-	canceled bool
-	unrun    bool // proven never to have run
-	unsent   bool // never sent, for want of something of ours
-	counted  bool // its server may be at work on it
-	judged   bool // its answer has begun, and what that tells has been learned
+	server      *server
+	sentAt      time.Duration
+	ended       bool
+	canceled    bool
+	notExecuted bool // proven never to have run
+	notSent     bool // never sent because this instance lacked a resource
+	counted     bool // has been counted as work of its server
+	recorded    bool // its outcome, or the start of its answer, is recorded
 }
 
-// request is one accepted request until its last attempt has ended.
+// request is an accepted request. It is kept until its last attempt has ended.
 type request struct {
 	Request
-	class    *Class
-	end      time.Duration // by when the final answer must be given
-	attempts []attempt
-	out      int
-	answered bool
-	started  bool          // its answer streams: it belongs to the client
-	spent    bool          // its body is no longer whole here
-	since    time.Duration // when it was submitted
-	held     bool
-	worth    float64
-	timers   []uint64  // set for it alone
-	few      [4]uint64 // room for most requests' timers
+	class        *Class
+	deadline     time.Duration // when the final answer is due
+	attempts     []attempt
+	outstanding  int
+	finished     bool
+	streaming    bool // its answer is being streamed to the client
+	bodyConsumed bool // its body is no longer complete here
+	submittedAt  time.Duration
+	queued       bool
+	value        float64
+	timers       []uint64  // set for this request only
+	timerBuffer  [4]uint64 // backs timers; large enough for most requests
 }
 
 // Balancer makes the decisions of one instance. It is not safe for concurrent use.
 type Balancer struct {
-	set  Settings
-	host Host
-	rng  *rand.PCG
+	settings Settings
+	host     Host
+	rng      *rand.PCG
 
-	servers  map[string]*server
-	banned   map[string]bool // the ids taken out by hand, listed or not
-	seen     *recent.Set     // the ids that a list has named
-	slots    []*server       // the list that is shuffled: sorted by id, places kept by keepSlots
-	order    []*server       // the round's shuffle, turned so that the own slice stands first
-	slice    int             // how many of order are the own slice
-	panicked bool            // the panic threshold is reached
-	active   []*server       // the slice, with a spare for each lost member
-	stuck    []*server       // those that are out and still have requests of ours
-	turn     int
+	servers      map[string]*server
+	banned       map[string]bool // IDs taken out by the operator, listed or not
+	seenIDs      *recent.Set     // IDs that a list has contained
+	slots        []*server       // the list that is shuffled: sorted by ID, positions kept by keepSlots
+	order        []*server       // the round's shuffle, rotated so that the own slice is first
+	sliceSize    int             // length of the own slice in order
+	panicMode    bool            // the panic threshold is reached
+	active       []*server       // the slice, with a spare for each lost member
+	excludedBusy []*server       // excluded servers that still have requests of ours in flight
+	nextIndex    int
 
-	requests map[string]*request
-	held     []*request // by worth for the time they take, then by age
-	holding  bool
-	inFlight int                 // requests with an attempt out
-	limit    float64             // how many of them are admitted
-	tail     []tail              // by class, the time after which an attempt is late for its class
-	cost     []estimate.Quantile // by class, a low quantile of its answers' seconds
-	mean     []estimate.Mean     // by class, its answers' mean seconds
-	base     []estimate.Mean     // by class, the same of attempts that met no crowd
-	patience []estimate.Majority // by class, how long a client's try may take
-	quota    []estimate.Bucket   // by tenant
-	retries  float64
-	part     float64       // of what an instance may do; less than 1 beside another at an upgrade
-	soft     float64       // of tenants' quotas, in the same way; over 1 where others are gone
-	numbers  [2]int        // the own one, and how many cut the list; see Renumber
-	served   estimate.Rate // requests answered in time by servers
-	warm     estimate.Rate // of these, what one warm member answers
-	newest   time.Duration // when the youngest of the attempts that were answered was sent
-	heard    time.Duration // when the last answer came
-	rooms    map[int]*room // by zone
+	requests          map[string]*request
+	queue             []*request // waiting requests, by value per expected time, then by age
+	dispatchScheduled bool
+	inFlight          int                 // attempts counted as work of a server
+	limit             float64             // how many of these are admitted
+	tail              []tail              // by class, the time after which an attempt is late for its class
+	cost              []estimate.Quantile // by class, a low quantile of its answer times in seconds
+	mean              []estimate.Mean     // by class, its mean answer time in seconds
+	baseline          []estimate.Mean     // by class, the same for attempts under little load
+	usualTimeout      []estimate.Majority // by class, how long most clients wait for a try
+	quota             []estimate.Bucket   // by tenant
+	retryBudget       float64
+	share             float64             // of an instance's limits; below 1 beside another at an upgrade
+	quotaShare        float64             // the same for tenants' quotas; above 1 if other instances are gone
+	position          [2]int              // own number, and how many instances divide the list; see Renumber
+	servedRate        estimate.Rate       // successful answers from servers
+	warmRate          estimate.Rate       // of these, the answers of one warm server
+	newestAnswered    time.Duration       // latest send time of an answered attempt
+	lastAnswer        time.Duration       // when any server last answered
+	zones             map[int]*zoneHealth // by zone
 
-	timers    map[uint64]func(now time.Duration)
-	lastTimer uint64
-	watchFail int
-	listedAt  time.Duration // when a list last told all that there was; 0 before the first
+	timers        map[uint64]func(now time.Duration)
+	lastTimer     uint64
+	watchFailures int
+	lastUpdate    time.Duration // when the list was last known to be complete; 0 before the first update
 }
 
 // New returns an instance that knows no servers yet. Equal settings, seed and events give equal actions.
@@ -93,237 +93,238 @@
 		return nil, err
 	}
 	return &Balancer{
-		set: settings, host: host, rng: rand.NewPCG(seed, 0), seen: recent.New(seenMost),
+		settings: settings, host: host, rng: rand.NewPCG(seed, 0), seenIDs: recent.New(maxSeenIDs),
 		servers: map[string]*server{}, banned: map[string]bool{}, requests: map[string]*request{},
-		timers: map[uint64]func(time.Duration){}, retries: retryBurst / 2, limit: limitFirst, part: 1,
-		rooms: map[int]*room{}, soft: 1, numbers: [2]int{settings.Self, settings.Instances},
+		timers: map[uint64]func(time.Duration){}, retryBudget: retryBurst / 2, limit: initialLimit, share: 1,
+		zones: map[int]*zoneHealth{}, quotaShare: 1, position: [2]int{settings.Self, settings.Instances},
 		cost: make([]estimate.Quantile, len(settings.Classes)), tail: make([]tail, len(settings.Classes)),
-		mean:     make([]estimate.Mean, len(settings.Classes)),
-		base:     make([]estimate.Mean, len(settings.Classes)),
-		patience: make([]estimate.Majority, len(settings.Classes)),
-		quota:    make([]estimate.Bucket, len(settings.Tenants)),
+		mean:         make([]estimate.Mean, len(settings.Classes)),
+		baseline:     make([]estimate.Mean, len(settings.Classes)),
+		usualTimeout: make([]estimate.Majority, len(settings.Classes)),
+		quota:        make([]estimate.Bucket, len(settings.Tenants)),
 	}, nil
 }
 
-// Submit takes a request on.
+// Submit accepts a request.
 func (b *Balancer) Submit(now time.Duration, r Request) {
 	if b.requests[r.ID] != nil {
 		return
 	}
-	if r.Class < 0 || r.Class >= len(b.set.Classes) {
-		b.host.Refuse(r.ID, 0) // no effect to fear, and no request may be lost
+	if r.Class < 0 || r.Class >= len(b.settings.Classes) {
+		b.host.Refuse(r.ID, 0) // it has not run, and no request may be lost
 		return
 	}
-	c := &b.set.Classes[r.Class]
-	q := &request{Request: r, class: c, end: now + r.Left, since: now}
+	c := &b.settings.Classes[r.Class]
+	q := &request{Request: r, class: c, deadline: now + r.Left, submittedAt: now}
 	if r.Within > 0 {
-		q.end = min(q.end, now+r.Within)
+		q.deadline = min(q.deadline, now+r.Within)
 	}
 	b.requests[r.ID] = q
-	useful := b.useful(now, q)
-	if r.Left <= 0 || useful <= 0 && b.load()+1 > nearLimit*b.room(now) {
-		// Its time is over, or it is a client's repeat that comes too late to earn anything where others
-		// want the room: sending it on would be waste.
-		b.answer(now, q)
+	useful := b.usefulTime(now, q)
+	if r.Left <= 0 || useful <= 0 && b.load()+1 > nearLimitShare*b.capacity(now) {
+		// Its time is over, or it is a client's repeat that is too late to earn anything while other requests
+		// need the capacity. Sending it would waste work.
+		b.finishUnserved(now, q)
 		return
 	}
-	q.worth = c.Worth * b.tenantWorth(now, r.Tenant)
-	b.retries = min(b.retries+retryRatio, retryBurst)
+	q.value = c.Worth * b.tenantValue(now, r.Tenant)
+	b.retryBudget = min(b.retryBudget+retryRatio, retryBurst)
 	if !q.Arriving {
-		b.afterFor(q, q.end-now, func(now time.Duration) { b.giveUp(now, q) })
+		b.scheduleFor(q, q.deadline-now, func(now time.Duration) { b.expire(now, q) })
 	}
-	b.hold(q)
-	b.retryHeld(now)
-	if q.held {
-		share := holdShare
+	b.enqueue(q)
+	b.dispatchQueued(now)
+	if q.queued {
+		share := maxQueueShare
 		if c.Effect == Free {
-			share = holdFree
+			share = maxQueueShareIdempotent
 		}
-		b.afterFor(q, min(time.Duration(share*float64(c.Aim)), r.Left/2), func(now time.Duration) {
-			if q.held && !q.answered {
-				b.answer(now, q)
+		b.scheduleFor(q, min(time.Duration(share*float64(c.Aim)), r.Left/2), func(now time.Duration) {
+			if q.queued && !q.finished {
+				b.finishUnserved(now, q)
 			}
 		})
-		b.keepHolding()
+		b.scheduleDispatch()
 	}
 }
 
 func (b *Balancer) send(now time.Duration, q *request, s *server) {
-	q.held = false
-	q.attempts = append(q.attempts, attempt{s: s, at: now})
-	q.out++
-	s.trial = s.ejected > 0
-	b.spendCold(now, s)
-	left := q.end - now
+	q.queued = false
+	q.attempts = append(q.attempts, attempt{server: s, sentAt: now})
+	q.outstanding++
+	s.probing = s.ejectedUntil > 0
+	b.spendColdToken(now, s)
+	timeout := q.deadline - now
 	if q.Arriving {
-		left = q.end - q.since
+		timeout = q.deadline - q.submittedAt
 	}
-	b.host.Send(q.ID, s.id, left)
+	b.host.Send(q.ID, s.id, timeout)
 	if !q.Arriving {
-		b.count(now, q, len(q.attempts)-1)
+		b.countInFlight(now, q, len(q.attempts)-1)
 	}
 }
 
-// count counts an attempt as work of its server, which has all of the request.
-func (b *Balancer) count(now time.Duration, q *request, index int) {
+// countInFlight counts an attempt as work of its server, which now has the whole request.
+func (b *Balancer) countInFlight(now time.Duration, q *request, index int) {
 	a := &q.attempts[index]
 	a.counted = true
-	a.s.track(now)
-	a.s.inFlight++
+	a.server.updateLoad(now)
+	a.server.inFlight++
 	b.inFlight++
 	if t := b.tail[q.Class]; t.known() {
 		wait := time.Duration(float64(t.Quantile) * float64(time.Second))
-		b.afterFor(q, wait, func(now time.Duration) { b.stalled(now, q, index) })
+		b.scheduleFor(q, wait, func(now time.Duration) { b.recordStall(now, q, index) })
 	}
 }
 
-// Result takes in how an attempt ended.
+// Result handles the end of an attempt.
 func (b *Balancer) Result(now time.Duration, r Result) {
 	q := b.requests[r.ID]
-	if q == nil || r.Attempt < 0 || r.Attempt >= len(q.attempts) || q.attempts[r.Attempt].over {
+	if q == nil || r.Attempt < 0 || r.Attempt >= len(q.attempts) || q.attempts[r.Attempt].ended {
 		return
 	}
 	a := &q.attempts[r.Attempt]
-	a.over, a.unrun, a.unsent = true, r.Outcome.ProvesUnrun(), r.Outcome == Ignored
-	q.out--
-	q.spent = q.spent || r.Spent
-	if !a.judged {
-		b.take(now, q, a, r)
+	a.ended, a.notExecuted, a.notSent = true, r.Outcome.ProvesUnrun(), r.Outcome == Ignored
+	q.outstanding--
+	q.bodyConsumed = q.bodyConsumed || r.Spent
+	if !a.recorded {
+		b.recordAnswer(now, q, a, r)
 	} else if r.Outcome != OK {
-		b.judge(now, a.s, r.Outcome, false)
+		b.recordOutcome(now, a.server, r.Outcome, false)
 	}
 	if r.Finished {
-		q.answered = true
+		q.finished = true
 	}
-	if !q.answered && !q.started && q.out == 0 {
+	if !q.finished && !q.streaming && q.outstanding == 0 {
 		switch {
 		case r.Outcome == Ignored:
-			b.tryLater(now, q)
+			b.retryUnsent(now, q)
 		case r.Outcome == Rejected:
-			b.finish(now, q, false) // it would be turned away elsewhere too
-		case q.spent:
-			b.answer(now, q)
+			b.finish(now, q, false) // other servers would reject it too
+		case q.bodyConsumed:
+			b.finishUnserved(now, q)
 		default:
-			b.tryAgain(now, q, a.unrun)
+			b.retryOrFinish(now, q, a.notExecuted)
 		}
 	} else if r.Finished {
-		b.cancelOut(q)
+		b.cancelOutstanding(q)
 	}
-	b.forget(q)
-	b.retryHeld(now)
+	b.release(q)
+	b.dispatchQueued(now)
 }
 
-// answer ends a request unserved: refused where that promise can be kept, failed otherwise.
-func (b *Balancer) answer(now time.Duration, q *request) { b.finish(now, q, q.refusable()) }
+// finishUnserved ends a request without a server's answer: refused if a retry by the client is safe, failed
+// otherwise.
+func (b *Balancer) finishUnserved(now time.Duration, q *request) { b.finish(now, q, q.refusable()) }
 
 func (b *Balancer) finish(now time.Duration, q *request, refuse bool) {
-	q.answered = true
+	q.finished = true
 	if refuse {
-		b.host.Refuse(q.ID, b.stayAway(now))
+		b.host.Refuse(q.ID, b.retryDelay(now))
 	} else {
 		b.host.Fail(q.ID)
 	}
-	b.cancelOut(q)
-	b.forget(q)
+	b.cancelOutstanding(q)
+	b.release(q)
 }
 
-// cancelOut calls off what is still out for a request that is over: its work would be waste.
-func (b *Balancer) cancelOut(q *request) {
+// cancelOutstanding cancels the outstanding attempts of a finished request, since their work would be wasted.
+func (b *Balancer) cancelOutstanding(q *request) {
 	for i := range q.attempts {
-		if a := &q.attempts[i]; !a.over && !a.canceled && b.set.CanCancel {
+		if a := &q.attempts[i]; !a.ended && !a.canceled && b.settings.CanCancel {
 			a.canceled = true
 			b.host.Cancel(q.ID, i)
 		}
 	}
 }
 
-// forget drops the record of a request that is over, once no attempt is out that must still be counted.
-func (b *Balancer) forget(q *request) {
-	if q.answered && q.out == 0 {
+// release drops the record of a finished request once no attempt is outstanding that must still be counted.
+func (b *Balancer) release(q *request) {
+	if q.finished && q.outstanding == 0 {
 		delete(b.requests, q.ID)
 		for _, token := range q.timers {
-			delete(b.timers, token) // which would hold its record until then
+			delete(b.timers, token) // a pending timer would keep the record in memory
 		}
 	}
 }
 
-// take takes in what an attempt's outcome tells of its class and its server.
-func (b *Balancer) take(now time.Duration, q *request, a *attempt, r Result) {
-	a.judged = true
+// recordAnswer applies an attempt's outcome to the estimates of its class and the health of its server.
+func (b *Balancer) recordAnswer(now time.Duration, q *request, a *attempt, r Result) {
+	a.recorded = true
 	if a.counted {
-		a.s.track(now)
-		a.s.inFlight--
+		a.server.updateLoad(now)
+		a.server.inFlight--
 	}
-	b.learn(now, q, a.s, r)
+	b.updateEstimates(now, q, a.server, r)
 	if a.counted {
 		b.inFlight--
 	}
 	switch r.Outcome {
 	case OK, Failed, QueueFull, Rejected:
-		a.s.answered = now
-		b.newest, b.heard = max(b.newest, a.at), now
-		b.backAgain(now, a.s)
+		a.server.lastAnswer = now
+		b.newestAnswered, b.lastAnswer = max(b.newestAnswered, a.sentAt), now
+		b.recordResponsive(now, a.server)
 	}
-	b.judge(now, a.s, r.Outcome, b.overdue(q, a.s, r))
+	b.recordOutcome(now, a.server, r.Outcome, b.overdue(q, a.server, r))
 }
 
-// Started takes in that the answer to a request has begun to stream: no further send, no deadline. The time
-// of its first byte is what tells how busy the server is; its last one depends on who reads it.
+// ResponseStarted handles the start of a streamed answer: there is no further send and no deadline. The time
+// of the first byte shows how busy the server is; the time of the last byte depends on the reader.
 func (b *Balancer) Started(now time.Duration, id string, attempt int) {
 	q := b.requests[id]
-	if q == nil || attempt < 0 || attempt >= len(q.attempts) || q.attempts[attempt].over || q.started {
+	if q == nil || attempt < 0 || attempt >= len(q.attempts) || q.attempts[attempt].ended || q.streaming {
 		return
 	}
-	q.started = true
+	q.streaming = true
 	a := &q.attempts[attempt]
-	b.take(now, q, a, Result{ID: id, Attempt: attempt, Outcome: OK, Latency: now - a.at})
-	b.retryHeld(now)
+	b.recordAnswer(now, q, a, Result{ID: id, Attempt: attempt, Outcome: OK, Latency: now - a.sentAt})
+	b.dispatchQueued(now)
 }
 
-// Received takes in that the last byte of a request that was arriving has come. Its time counts from now, and
-// so does that of its server, which has not begun before.
+// BodyReceived handles the last byte of a pending body. The request's time starts now, and so does its
+// server's time, because the server could not start work earlier.
 func (b *Balancer) Received(now time.Duration, id string) {
 	q := b.requests[id]
 	if q == nil || !q.Arriving {
 		return
 	}
 	q.Arriving = false
-	q.end += now - q.since
-	b.afterFor(q, q.end-now, func(now time.Duration) { b.giveUp(now, q) })
+	q.deadline += now - q.submittedAt
+	b.scheduleFor(q, q.deadline-now, func(now time.Duration) { b.expire(now, q) })
 	for i := range q.attempts {
-		if a := &q.attempts[i]; !a.over && !a.judged {
-			a.at = now
-			b.count(now, q, i)
+		if a := &q.attempts[i]; !a.ended && !a.recorded {
+			a.sentAt = now
+			b.countInFlight(now, q, i)
 		}
 	}
 }
 
-// Dropped takes in that the client has gone. What is out for it would run for nobody.
+// ClientGone handles a client that has disconnected. Its outstanding attempts would serve nobody.
 func (b *Balancer) Dropped(now time.Duration, id string) {
 	if q := b.requests[id]; q != nil {
-		q.answered = true
-		b.cancelOut(q)
-		b.forget(q)
+		q.finished = true
+		b.cancelOutstanding(q)
+		b.release(q)
 	}
 }
 
-// after calls f once the delay has passed.
-func (b *Balancer) after(delay time.Duration, f func(now time.Duration)) {
+// schedule calls f after the delay.
+func (b *Balancer) schedule(delay time.Duration, f func(now time.Duration)) {
 	b.lastTimer++
 	b.timers[b.lastTimer] = f
 	b.host.SetTimer(max(delay, 0), b.lastTimer)
 }
 
-// afterFor is after for what concerns one request alone: nothing is called once its record is forgotten.
-func (b *Balancer) afterFor(q *request, delay time.Duration, f func(now time.Duration)) {
-	b.after(delay, f)
+// scheduleFor is like schedule, for a single request: f is not called after the request's record is released.
+func (b *Balancer) scheduleFor(q *request, delay time.Duration, f func(now time.Duration)) {
+	b.schedule(delay, f)
 	if q.timers == nil {
-		q.timers = q.few[:0]
+		q.timers = q.timerBuffer[:0]
 	}
 	q.timers = append(q.timers, b.lastTimer)
 }
 
-// Timer takes in that a timer has come due.
+// Timer handles a timer that has expired.
 func (b *Balancer) Timer(now time.Duration, token uint64) {
 	if f := b.timers[token]; f != nil {
 		delete(b.timers, token)
@@ -331,13 +332,13 @@
 	}
 }
 
-// giveUp gives the final answer that is due when the client stops waiting.
-func (b *Balancer) giveUp(now time.Duration, q *request) {
-	if !q.answered && !q.started {
-		// Too late to be of use: a refusal would invite the client to spend more on it.
+// expire gives the final answer that is due when the client stops waiting.
+func (b *Balancer) expire(now time.Duration, q *request) {
+	if !q.finished && !q.streaming {
+		// An answer is no longer useful. A refusal would invite the client to spend more on this request.
 		b.finish(now, q, false)
 	}
 }
 
-// random is uniform in [0, 1) from the instance's own seed.
+// random returns a uniform number in [0, 1) from the instance's own generator.
 func (b *Balancer) random() float64 { return float64(b.rng.Uint64()>>11) / (1 << 53) }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -20,11 +20,11 @@
 	token uint64
 }
 
-// timers is what a test's host has been asked to ring.
+// timers are the timers that a test's host was asked to set.
 type timers []timer
 
-// ring rings every timer due up to the given time, in order; the clock goes along, and stands at that time then.
-func (ts *timers) ring(b *Balancer, now *time.Duration, to time.Duration) {
+// fire fires every timer due up to the given time, in order, and moves the clock along and up to that time.
+func (ts *timers) fire(b *Balancer, now *time.Duration, to time.Duration) {
 	for {
 		next := -1
 		for i, t := range *ts {
@@ -43,8 +43,8 @@
 	}
 }
 
-// fake is a host that records actions on a hand-set clock.
-type fake struct {
+// fakeHost is a host that records actions on a manually set clock.
+type fakeHost struct {
 	t       testing.TB
 	now     time.Duration
 	b       *Balancer
@@ -55,33 +55,33 @@
 	actions []string
 	watches int
 	logs    []string
-	waits   []time.Duration // with each refusal
+	waits   []time.Duration // of each refusal
 }
 
-func (f *fake) note(format string, v ...any) {
+func (f *fakeHost) note(format string, v ...any) {
 	f.actions = append(f.actions, fmt.Sprintf("%v ", f.now)+fmt.Sprintf(format, v...))
 }
 
-func (f *fake) Send(id, server string, timeout time.Duration) {
+func (f *fakeHost) Send(id, server string, timeout time.Duration) {
 	if f.final[id] != "" || f.ended[id] {
 		f.t.Errorf("%v: %s sent after its end", f.now, id)
 	}
 	f.sent[id] = append(f.sent[id], server)
 	f.note("send %s %s %v", id, server, timeout)
 }
-func (f *fake) Refuse(id string, wait time.Duration) {
+func (f *fakeHost) Refuse(id string, wait time.Duration) {
 	f.waits = append(f.waits, wait)
 	f.finish(id, "refused")
 }
-func (f *fake) Fail(id string)                { f.finish(id, "failed") }
-func (f *fake) Cancel(id string, attempt int) { f.note("cancel %s %d", id, attempt) }
-func (f *fake) Watch()                        { f.watches++; f.note("watch") }
-func (f *fake) Log(line string)               { f.logs = append(f.logs, line) }
-func (f *fake) SetTimer(d time.Duration, token uint64) {
+func (f *fakeHost) Fail(id string)                { f.finish(id, "failed") }
+func (f *fakeHost) Cancel(id string, attempt int) { f.note("cancel %s %d", id, attempt) }
+func (f *fakeHost) Watch()                        { f.watches++; f.note("watch") }
+func (f *fakeHost) Log(line string)               { f.logs = append(f.logs, line) }
+func (f *fakeHost) SetTimer(d time.Duration, token uint64) {
 	f.timers = append(f.timers, timer{f.now + d, token})
 }
 
-func (f *fake) finish(id, how string) {
+func (f *fakeHost) finish(id, how string) {
 	if f.final[id] != "" || f.ended[id] {
 		f.t.Errorf("%v: second final answer for %s", f.now, id)
 	}
@@ -89,14 +89,14 @@
 	f.note("%s %s", how, id)
 }
 
-// advance rings every timer due up to the given time, in order.
-func (f *fake) advance(to time.Duration) { f.timers.ring(f.b, &f.now, to) }
+// advance fires every timer due up to the given time, in order.
+func (f *fakeHost) advance(to time.Duration) { f.timers.fire(f.b, &f.now, to) }
 
-func (f *fake) submit(id string, class int) {
-	f.b.Submit(f.now, Request{ID: id, Class: class, Left: f.b.set.Classes[class].GiveUp})
+func (f *fakeHost) submit(id string, class int) {
+	f.b.Submit(f.now, Request{ID: id, Class: class, Left: f.b.settings.Classes[class].GiveUp})
 }
 
-func (f *fake) result(id string, attempt int, o Outcome) {
+func (f *fakeHost) result(id string, attempt int, o Outcome) {
 	if o == OK {
 		f.ended[id] = true
 	}
@@ -117,9 +117,9 @@
 	}
 }
 
-func newFake(t testing.TB, set Settings, servers []Entry) *fake {
+func newFakeHost(t testing.TB, set Settings, servers []Entry) *fakeHost {
 	t.Helper()
-	f := &fake{t: t, now: time.Hour, sent: map[string][]string{}, final: map[string]string{}, ended: map[string]bool{}}
+	f := &fakeHost{t: t, now: time.Hour, sent: map[string][]string{}, final: map[string]string{}, ended: map[string]bool{}}
 	b, err := New(set, 7, f)
 	if err != nil {
 		t.Fatal(err)
@@ -131,7 +131,7 @@
 	return f
 }
 
-func fleet(n int) []Entry {
+func testServers(n int) []Entry {
 	list := make([]Entry, n)
 	for i := range list {
 		list[i] = Entry{ID: fmt.Sprintf("s%03d", i), Zone: i % 2, Cell: i % 4}
@@ -150,7 +150,7 @@
 			for self := range c.instances {
 				set := testSettings()
 				set.Self, set.Instances = self, c.instances
-				b := newFake(t, set, fleet(c.servers)).b
+				b := newFakeHost(t, set, testServers(c.servers)).b
 				round := self / count
 				if seen[round] == nil {
 					seen[round] = map[string]int{}
@@ -181,9 +181,9 @@
 	}
 }
 
-// TestShuffleIsFixed pins the cut: instances built by different releases must agree on it.
+// TestShuffleIsFixed pins the shuffle: instances built from different releases must agree on it.
 func TestShuffleIsFixed(t *testing.T) {
-	b := newFake(t, testSettings(), fleet(8)).b
+	b := newFakeHost(t, testSettings(), testServers(8)).b
 	got := []string{}
 	for _, s := range shuffled(b.slots, 3) {
 		got = append(got, s.id)
@@ -194,8 +194,8 @@
 	}
 }
 
-func TestEvenTurnsAndSkips(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(6))
+func TestRoundRobinSkipsDrainingServers(t *testing.T) {
+	f := newFakeHost(t, testSettings(), testServers(6))
 	f.b.Update(f.now, Delta, []Entry{{ID: "s002", State: Draining}})
 	count := map[string]int{}
 	for i := range 50 {
@@ -211,13 +211,13 @@
 			want = 0
 		}
 		if count[s.id] != want {
-			t.Errorf("%s got %d turns, want %d", s.id, count[s.id], want)
+			t.Errorf("%s got %d requests, want %d", s.id, count[s.id], want)
 		}
 	}
 }
 
-func TestSlowMemberMissesTurns(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(4))
+func TestSlowMemberGetsFewerRequests(t *testing.T) {
+	f := newFakeHost(t, testSettings(), testServers(4))
 	count := map[string]int{}
 	for i := range 400 {
 		id := fmt.Sprint("r", i)
@@ -233,11 +233,11 @@
 		f.result(id, 0, OK)
 	}
 	if count["s001"]*2 > count["s000"] {
-		t.Errorf("the slow member got %d turns, its peer %d", count["s001"], count["s000"])
+		t.Errorf("the slow member got %d requests, its peer %d", count["s001"], count["s000"])
 	}
 }
 
-// TestEffects plays one outcome of the first attempt for each class and says what may follow.
+// TestEffects runs one outcome of the first attempt for each class and checks what may follow.
 func TestEffects(t *testing.T) {
 	const free, zone, single, cell, all = 0, 1, 2, 3, 4
 	for _, c := range []struct {
@@ -256,8 +256,8 @@
 		{single, ConnectError, func(a, b Entry) bool { return true }, ""},
 	} {
 		t.Run(fmt.Sprint(c.class, c.outcome), func(t *testing.T) {
-			servers := fleet(40)
-			f := newFake(t, testSettings(), servers)
+			servers := testServers(40)
+			f := newFakeHost(t, testSettings(), servers)
 			byID := map[string]Entry{}
 			for _, e := range servers {
 				byID[e.ID] = e
@@ -280,7 +280,7 @@
 func TestWindowEndsRepeats(t *testing.T) {
 	set := testSettings()
 	set.Layer = 1 // no early end at the aim
-	f := newFake(t, set, fleet(8))
+	f := newFakeHost(t, set, testServers(8))
 	f.submit("r", 1)
 	f.advance(f.now + time.Second)
 	f.result("r", 0, Failed)
@@ -289,26 +289,26 @@
 	}
 }
 
-func TestNoServerHoldsThenAnswers(t *testing.T) {
-	f := newFake(t, testSettings(), []Entry{})
+func TestRequestsWaitForAServer(t *testing.T) {
+	f := newFakeHost(t, testSettings(), []Entry{})
 	f.submit("r", 2)
 	f.advance(f.now + 100*ms)
 	if f.final["r"] != "" {
-		t.Fatal("answered at once, not held")
+		t.Fatal("answered at once, not queued")
 	}
 	f.advance(f.now + 2*time.Second)
 	if f.final["r"] != "refused" {
 		t.Fatalf("final %q", f.final["r"])
 	}
 	f.submit("q", 2)
-	f.b.Update(f.now, Full, fleet(2))
+	f.b.Update(f.now, Full, testServers(2))
 	if len(f.sent["q"]) != 1 {
-		t.Fatal("a held request was not sent when a server came")
+		t.Fatal("a queued request was not sent when a server was listed")
 	}
 }
 
 func TestAnswerIsDueAtTheDeadline(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(4))
+	f := newFakeHost(t, testSettings(), testServers(4))
 	start := f.now
 	f.submit("free", 0)
 	f.submit("single", 2)
@@ -320,14 +320,14 @@
 	if f.final["free"] == "" {
 		t.Fatal("no answer at the deadline")
 	}
-	f.result("free", 0, TimedOut) // comes later; must be harmless
+	f.result("free", 0, TimedOut) // arrives later; must be harmless
 	if len(f.b.requests) != 1 {
-		t.Fatalf("%d records left, want the one whose attempt is out", len(f.b.requests))
+		t.Fatalf("%d records left, want the one whose attempt is outstanding", len(f.b.requests))
 	}
 }
 
-func TestTriesGiveUp(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(8))
+func TestAttemptsAreLimited(t *testing.T) {
+	f := newFakeHost(t, testSettings(), testServers(8))
 	f.submit("r", 0)
 	for i := 0; f.final["r"] == ""; i++ {
 		if i >= 4 {
@@ -338,14 +338,14 @@
 	seen := map[string]bool{}
 	for _, s := range f.sent["r"] {
 		if seen[s] {
-			t.Errorf("went back to %s", s)
+			t.Errorf("sent to %s again", s)
 		}
 		seen[s] = true
 	}
 }
 
-func TestFailingMemberIsEjectedAndTried(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(6))
+func TestFailingMemberIsEjectedAndProbed(t *testing.T) {
+	f := newFakeHost(t, testSettings(), testServers(6))
 	bad := f.b.servers["s003"]
 	sent := func(n int) (count int) {
 		for range n {
@@ -362,17 +362,17 @@
 		return count
 	}
 	sent(18)
-	if bad.ejected == 0 {
+	if bad.ejectedUntil == 0 {
 		t.Fatal("not ejected after three failures")
 	}
 	if n := sent(30); n != 0 {
 		t.Fatalf("%d requests while ejected", n)
 	}
-	f.advance(bad.ejected)
+	f.advance(bad.ejectedUntil)
 	if n := sent(30); n != 1 {
 		t.Fatalf("%d trial requests, want 1", n)
 	}
-	f.advance(bad.ejected)
+	f.advance(bad.ejectedUntil)
 	f.submit("ok", 2)
 	for f.sent["ok"][0] != "s003" {
 		f.result("ok", 0, OK)
@@ -381,13 +381,13 @@
 		f.submit("ok", 2)
 	}
 	f.result("ok", 0, OK)
-	if bad.ejected != 0 {
+	if bad.ejectedUntil != 0 {
 		t.Fatal("the trial succeeded, yet it stays ejected")
 	}
 }
 
 func TestPanicThreshold(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(6))
+	f := newFakeHost(t, testSettings(), testServers(6))
 	for i := range 60 {
 		id := fmt.Sprint("r", i)
 		f.submit(id, 2)
@@ -397,7 +397,7 @@
 	}
 	out := 0
 	for _, s := range f.b.slots {
-		if s.ejected > 0 {
+		if s.ejectedUntil > 0 {
 			out++
 		}
 	}
@@ -407,7 +407,7 @@
 }
 
 func TestColdServerGetsItsShare(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(5))
+	f := newFakeHost(t, testSettings(), testServers(5))
 	run := func(n int) (cold int) {
 		for range n {
 			id := fmt.Sprint("r", len(f.sent))
@@ -428,11 +428,11 @@
 	}
 }
 
-func TestAdmissionPrefersWorth(t *testing.T) {
+func TestAdmissionPrefersValue(t *testing.T) {
 	set := testSettings()
-	f := newFake(t, set, fleet(4))
-	f.b.limit = limitLeast
-	for i := range int(limitLeast) {
+	f := newFakeHost(t, set, testServers(4))
+	f.b.limit = minLimit
+	for i := range int(minLimit) {
 		f.submit(fmt.Sprint("r", i), 0)
 	}
 	f.submit("cheap", 0)
@@ -442,16 +442,16 @@
 	}
 	f.result("r0", 0, OK)
 	if len(f.sent["dear"]) != 1 || len(f.sent["cheap"]) != 0 {
-		t.Fatal("the room went to the request of less worth")
+		t.Fatal("the capacity went to the request of lower value")
 	}
 	f.advance(f.now + time.Second)
 	if f.final["cheap"] != "refused" {
-		t.Fatalf("held too long: %q", f.final["cheap"])
+		t.Fatalf("queued too long: %q", f.final["cheap"])
 	}
 }
 
 func TestLateRepeatIsRefusedNearTheLimit(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(4))
+	f := newFakeHost(t, testSettings(), testServers(4))
 	f.b.Submit(f.now, Request{ID: "usual", Class: 2, Left: 1200 * ms})
 	f.result("usual", 0, OK)
 	f.b.Submit(f.now, Request{ID: "first", Class: 2, Left: 1200 * ms})
@@ -467,7 +467,7 @@
 }
 
 func TestExpiredRequestIsRefusedAtOnce(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(4))
+	f := newFakeHost(t, testSettings(), testServers(4))
 	f.b.Submit(f.now, Request{ID: "r", Class: 2, Left: 0})
 	if len(f.sent["r"]) != 0 || f.final["r"] != "refused" {
 		t.Fatalf("sent %v, final %q", f.sent["r"], f.final["r"])
@@ -477,8 +477,8 @@
 func TestWatchBacksOff(t *testing.T) {
 	set := testSettings()
 	set.AskForList = true
-	f := newFake(t, set, nil)
-	f.b.Update(f.now, Cached, fleet(4))
+	f := newFakeHost(t, set, nil)
+	f.b.Update(f.now, Cached, testServers(4))
 	for i := range 8 {
 		start := f.now
 		f.advance(start + set.AskEvery/2)
@@ -487,7 +487,7 @@
 		}
 		f.b.Update(f.now, ListFailed, nil)
 	}
-	f.b.Update(f.now, Full, fleet(4))
+	f.b.Update(f.now, Full, testServers(4))
 	before := f.watches
 	f.advance(f.now + set.AskEvery/2)
 	f.advance(f.now + time.Minute)
@@ -496,8 +496,8 @@
 	}
 }
 
-func TestUnknownThingsAreIgnored(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(4))
+func TestUnknownRequestsAndTimersAreIgnored(t *testing.T) {
+	f := newFakeHost(t, testSettings(), testServers(4))
 	f.b.Result(f.now, Result{ID: "nobody", Outcome: OK, Finished: true})
 	f.b.Dropped(f.now, "nobody")
 	f.b.Started(f.now, "nobody", 0)
@@ -518,7 +518,7 @@
 	}
 }
 
-func TestSettingsThatCannotBe(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"no classes":     func(s *Settings) { s.Classes = nil },
 		"own number":     func(s *Settings) { s.Self = 1 },
@@ -528,45 +528,46 @@
 	} {
 		s := testSettings()
 		spoil(&s)
-		if _, err := New(s, 1, &fake{}); err == nil {
+		if _, err := New(s, 1, &fakeHost{}); err == nil {
 			t.Errorf("%s: accepted", name)
 		}
 	}
 }
 
-// TestRandomDays feeds legal random events and holds the instance to the four rules.
-func TestRandomDays(t *testing.T) {
-	longDay(t)
+// TestRandomEvents runs valid random events and checks that each request gets an answer in time, that effects stay
+// within their class, that only servers in service receive requests, and that equal events give equal actions.
+func TestRandomEvents(t *testing.T) {
+	skipUnderRace(t)
 	t.Parallel()
 	for seed := range uint64(30) {
-		if a, b := randomDay(t, seed), randomDay(t, seed); !slices.Equal(a, b) {
+		if a, b := runRandomEvents(t, seed), runRandomEvents(t, seed); !slices.Equal(a, b) {
 			t.Fatalf("seed %d: the same events gave other actions", seed)
 		}
 	}
 }
 
-func randomDay(t *testing.T, seed uint64) []string {
+func runRandomEvents(t *testing.T, seed uint64) []string {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set := testSettings()
 	set.Instances, set.Self = 1+rng.IntN(9), 0
 	set.AskForList = seed%2 == 0
 	set.Layer = int(seed % 3)
-	list := fleet(3 + rng.IntN(40))
-	f := newFake(t, set, list)
+	list := testServers(3 + rng.IntN(40))
+	f := newFakeHost(t, set, list)
 	byID := map[string]*Entry{}
 	for i := range list {
 		byID[list[i].ID] = &list[i]
 	}
-	type open struct {
+	type openRequest struct {
 		class int
 		due   time.Duration
 		outs  []Outcome
 		done  []bool
 	}
-	reqs := map[string]*open{}
+	reqs := map[string]*openRequest{}
 	ids := []string{}
 	seen := 0
-	check := func() { // against what is so when it is done: a list that comes right after it changes that
+	check := func() { // against the state at the time of an action, which the next list may change
 		for _, line := range f.actions[seen:] {
 			word := strings.Fields(line)
 			if word[1] == "send" {
@@ -605,7 +606,7 @@
 		case k < 8:
 			id := fmt.Sprint("r", step)
 			class := rng.IntN(len(set.Classes))
-			reqs[id] = &open{class: class, due: f.now + set.Classes[class].GiveUp}
+			reqs[id] = &openRequest{class: class, due: f.now + set.Classes[class].GiveUp}
 			ids = append(ids, id)
 			f.submit(id, class)
 		case k < 18 && len(ids) > 0:
@@ -641,11 +642,13 @@
 	return f.actions
 }
 
-// mostLines is how long a file of decisions may be. (There was a limit of 1,200 lines on all of them, which no longer holds.)
-const mostLines = 350
+// maxPolicyLines bounds the length of a policy file. An earlier limit of 1,200 lines on all of them together no
+// longer applies.
+const maxPolicyLines = 350
 
-// TestModuleKeepsItsSize holds each file that the deploy file names as policy to a limit, and names those that it should name and does not.
-func TestModuleKeepsItsSize(t *testing.T) {
+// TestPolicyFileSizes bounds each file that the deploy file names as policy, and reports the files that it should
+// name and does not.
+func TestPolicyFileSizes(t *testing.T) {
 	text, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -660,7 +663,7 @@
 	}
 	for _, file := range files {
 		if strings.HasSuffix(file, "_test.go") || file == "types.go" || file == "carry.go" {
-			continue // the tests decide nothing, nor do the interface and what moves state
+			continue // tests, the interface and the snapshot code make no decisions
 		}
 		if !slices.Contains(deploy.Policy, "balance/"+file) {
 			t.Errorf("%s is not named as policy", file)
@@ -679,8 +682,8 @@
 				t.Errorf("%s: a line of %d characters: %s", file, len(line), line)
 			}
 		}
-		if lines > mostLines {
-			t.Errorf("%s: %d lines, at most %d", file, lines, mostLines)
+		if lines > maxPolicyLines {
+			t.Errorf("%s: %d lines, at most %d", file, lines, maxPolicyLines)
 		}
 	}
 }
@@ -688,11 +691,11 @@
 func TestSwappedIDKeepsTheOtherSubsets(t *testing.T) {
 	set := testSettings()
 	set.Instances = 5
-	f := newFake(t, set, fleet(40))
+	f := newFakeHost(t, set, testServers(40))
 	before := slices.Clone(f.b.order)
-	f.b.Update(f.now, Delta, []Entry{{ID: "a-new"}}) // sorts first: a cut anew would shift all
+	f.b.Update(f.now, Delta, []Entry{{ID: "a-new"}}) // sorts first: sorting again would shift all
 	if !slices.Equal(before, f.b.order) {
-		t.Fatal("a newcomer that replaces nobody reshuffled at once")
+		t.Fatal("a new server that replaces none reshuffled the list at once")
 	}
 	f.b.Update(f.now, Delta, []Entry{{ID: "s020", State: Draining}})
 	for i, s := range f.b.order {
@@ -701,13 +704,13 @@
 			want = "a-new"
 		}
 		if s.id != want {
-			t.Fatalf("place %d went from %s to %s", i, before[i].id, s.id)
+			t.Fatalf("position %d changed from %s to %s", i, before[i].id, s.id)
 		}
 	}
 }
 
 func TestCrashedServerKeepsItsPlace(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(40))
+	f := newFakeHost(t, testSettings(), testServers(40))
 	before := slices.Clone(f.b.order)
 	f.b.Update(f.now, Delta, []Entry{{ID: "s004", State: Gone}})
 	f.b.Update(f.now, Delta, []Entry{{ID: "s004", Boot: f.now}})
@@ -716,26 +719,26 @@
 	}
 }
 
-func TestNewcomersAreTakenInAfterTheWarmUp(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(10))
+func TestNewServersJoinAfterTheWarmUp(t *testing.T) {
+	f := newFakeHost(t, testSettings(), testServers(10))
 	f.b.Update(f.now, Delta, []Entry{{ID: "extra"}})
-	f.advance(f.now + f.b.set.WarmUp)
+	f.advance(f.now + f.b.settings.WarmUp)
 	if len(f.b.order) != 11 || f.b.slots[0].id != "extra" {
-		t.Fatalf("%d servers in the list, want 11 sorted anew", len(f.b.order))
+		t.Fatalf("%d servers in the list, want 11 sorted again", len(f.b.order))
 	}
 }
 
 func TestListShrinksWhenMostPlacesAreEmpty(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(10))
-	f.b.Update(f.now, Full, fleet(4))
+	f := newFakeHost(t, testSettings(), testServers(10))
+	f.b.Update(f.now, Full, testServers(4))
 	if len(f.b.order) != 4 {
-		t.Fatalf("%d places for 4 servers", len(f.b.order))
+		t.Fatalf("%d positions for 4 servers", len(f.b.order))
 	}
 }
 
 func TestStalledServerIsEjected(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(6))
-	knowTail(f)
+	f := newFakeHost(t, testSettings(), testServers(6))
+	learnTail(f)
 	for i := range 18 {
 		id := fmt.Sprint("r", i)
 		f.submit(id, 0)
@@ -743,8 +746,8 @@
 			f.result(id, 0, OK)
 		}
 	}
-	f.advance(f.now + 10*ms + 3*stallStep)
-	if f.b.servers["s005"].ejected == 0 {
+	f.advance(f.now + 10*ms + 3*stallInterval)
+	if f.b.servers["s005"].ejectedUntil == 0 {
 		t.Fatal("the silent server is not ejected")
 	}
 	if !slices.Contains(f.logs, "ejected s005") {
@@ -752,9 +755,9 @@
 	}
 }
 
-func TestLogsAListOutOfReachAndAPanic(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(2))
-	for range watchWarn {
+func TestLogsFailedWatchesAndPanicThreshold(t *testing.T) {
+	f := newFakeHost(t, testSettings(), testServers(2))
+	for range watchFailuresLogged {
 		f.b.Update(f.now, ListFailed, nil)
 	}
 	for i := range 20 {
@@ -771,11 +774,11 @@
 	}
 }
 
-func TestOverQuotaTenantWaitsBehind(t *testing.T) {
+func TestOverQuotaTenantHasLowerPriority(t *testing.T) {
 	set := testSettings()
 	set.Tenants = []Tenant{{QuotaPerSecond: 1}, {QuotaPerSecond: 100}}
 	set.OverShareWorth = 0.05
-	f := newFake(t, set, fleet(4))
+	f := newFakeHost(t, set, testServers(4))
 	send := func(id string, tenant int) {
 		f.b.Submit(f.now, Request{ID: id, Class: 0, Tenant: tenant, Left: time.Second})
 	}
@@ -791,17 +794,17 @@
 	}
 }
 
-// TestAllColdAtOnce restarts the whole fleet: what is sent within the rule's window, repeats included, stays
-// within what cold servers of one instance's own measure can do.
+// TestAllColdAtOnce restarts all servers: sends within the window of the overload rule, repeats included, stay within
+// what cold servers can do by the measure of one instance.
 func TestAllColdAtOnce(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(5))
-	for i := range 1000 { // 100 a second, 20 a member
+	f := newFakeHost(t, testSettings(), testServers(5))
+	for i := range 1000 { // 100 per second, 20 per member
 		id := fmt.Sprint("r", i)
 		f.submit(id, 0)
 		f.advance(f.now + 10*ms)
 		f.result(id, 0, OK)
 	}
-	cold := fleet(5)
+	cold := testServers(5)
 	for i := range cold {
 		cold[i].Boot = f.now
 	}
@@ -811,7 +814,7 @@
 		id := fmt.Sprint("c", i)
 		f.submit(id, 0)
 		f.advance(f.now + 10*ms)
-		for j := range i + 1 { // held ones go out later
+		for j := range i + 1 { // queued ones are sent later
 			id := fmt.Sprint("c", j)
 			for ; answered[id] < len(f.sent[id]); answered[id]++ {
 				sent[f.sent[id][answered[id]]]++
@@ -820,21 +823,21 @@
 		}
 	}
 	for id, n := range sent {
-		// At 30 to 37% of 20 a second at most 8, and one saved up.
+		// At 30 to 37% of 20 per second at most 8, plus one that was saved up.
 		if n > 9 {
-			t.Errorf("cold %s was sent %d in its first second", id, n)
+			t.Errorf("cold %s was sent %d requests in its first second", id, n)
 		}
 	}
 	if len(sent) == 0 {
-		t.Error("nothing is sent to a fleet that is all cold")
+		t.Error("nothing is sent when all servers are cold")
 	}
 }
 
-func TestOwnShortageSpendsNoRetry(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(4))
-	before := f.b.retries
+func TestLocalShortageSpendsNoRetry(t *testing.T) {
+	f := newFakeHost(t, testSettings(), testServers(4))
+	before := f.b.retryBudget
 	f.submit("r", 2)
-	for i := range f.b.set.MaxAttempts {
+	for i := range f.b.settings.MaxAttempts {
 		if len(f.sent["r"]) != i+1 {
 			t.Fatalf("%d sends after %d shortages", len(f.sent["r"]), i)
 		}
@@ -842,18 +845,18 @@
 		if len(f.sent["r"]) != i+1 {
 			t.Fatal("sent again at once, into the same shortage")
 		}
-		f.advance(f.now + holdStep)
+		f.advance(f.now + dispatchInterval)
 	}
 	if f.final["r"] != "refused" {
 		t.Fatalf("final %q: it never ran", f.final["r"])
 	}
-	if f.b.retries < before {
-		t.Errorf("the budget went from %v to %v", before, f.b.retries)
+	if f.b.retryBudget < before {
+		t.Errorf("the budget went from %v to %v", before, f.b.retryBudget)
 	}
 }
 
-func TestRejectedRequestBlamesNoServer(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(4))
+func TestRejectedRequestIsNotAServerFailure(t *testing.T) {
+	f := newFakeHost(t, testSettings(), testServers(4))
 	for i := range 40 {
 		id := fmt.Sprint("r", i)
 		f.submit(id, 0)
@@ -863,14 +866,14 @@
 		}
 	}
 	for _, s := range f.b.slots {
-		if s.ejected > 0 || s.failRate > 0 {
-			t.Errorf("%s is blamed", s.id)
+		if s.ejectedUntil > 0 || s.failRate > 0 {
+			t.Errorf("%s has failures on record", s.id)
 		}
 	}
 }
 
-func TestDroppedRequestIsCalledOff(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(4))
+func TestAbandonedRequestIsCanceled(t *testing.T) {
+	f := newFakeHost(t, testSettings(), testServers(4))
 	f.submit("r", 0)
 	f.b.Dropped(f.now, "r")
 	if !slices.ContainsFunc(f.actions, func(a string) bool { return strings.HasSuffix(a, " cancel r 0") }) {
@@ -878,17 +881,18 @@
 	}
 }
 
-// TestPatienceTellsAge: near the limit, a try with its class's usual patience waits for room, since it may be a
-// first one; a last try, longer or shorter, is as old as it is short of its client's whole patience.
-func TestPatienceTellsAge(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(4))
+// TestTimeoutIndicatesRequestAge: near the limit, a try with its class's usual time waits for capacity, since it may
+// be a first one. A last try, whether its time is longer or shorter, is as old as its time is short of the client's
+// whole time.
+func TestTimeoutIndicatesRequestAge(t *testing.T) {
+	f := newFakeHost(t, testSettings(), testServers(4))
 	for i := range 20 {
 		id := fmt.Sprint("usual", i)
 		f.b.Submit(f.now, Request{ID: id, Class: 2, Left: 900 * ms})
 		f.result(id, 0, OK)
 	}
-	f.b.limit = limitLeast
-	for i := range int(limitLeast) {
+	f.b.limit = minLimit
+	for i := range int(minLimit) {
 		f.b.Submit(f.now, Request{ID: fmt.Sprint("full", i), Class: 2, Left: 900 * ms})
 	}
 	for _, c := range []struct {
@@ -910,12 +914,13 @@
 	}
 }
 
-// answers plays n answers, each while crowd requests are out, and returns the limit's lowest and last value.
-func answers(f *fake, n, crowd int, took func(i int, server string) time.Duration) (lowest, last float64) {
+// runAnswers runs n answers, each while crowd requests are outstanding, and returns the limit's lowest and last
+// value.
+func runAnswers(f *fakeHost, n, crowd int, took func(i int, server string) time.Duration) (lowest, last float64) {
 	lowest = f.b.limit
 	var out []string
 	for i := range n {
-		for len(out) < crowd && (f.b.set.Layer > 0 || f.b.load()+1 <= f.b.room(f.now)) {
+		for len(out) < crowd && (f.b.settings.Layer > 0 || f.b.load()+1 <= f.b.capacity(f.now)) {
 			id := fmt.Sprint("q", f.now, i, len(out))
 			f.submit(id, 0)
 			out = append(out, id)
@@ -931,54 +936,56 @@
 	return lowest, f.b.limit
 }
 
-// TestLimitFollowsTheTarget: it grows under the target, falls over it, and stays where answers take it.
+// TestLimitFollowsTheTarget: the limit rises while answers are under the target, falls while they are over it, and
+// settles where answers meet it.
 func TestLimitFollowsTheTarget(t *testing.T) {
 	aim := testSettings().Classes[0].Aim
 	target := time.Duration(targetShare * float64(aim))
-	f := newFake(t, testSettings(), fleet(8))
-	if _, last := answers(f, 2000, 500, func(int, string) time.Duration { return target / 2 }); last < 400 {
-		t.Errorf("answers in half the target: the limit is %.0f, want what is asked for", last)
+	f := newFakeHost(t, testSettings(), testServers(8))
+	if _, last := runAnswers(f, 2000, 500, func(int, string) time.Duration { return target / 2 }); last < 400 {
+		t.Errorf("answers in half the target: the limit is %.0f, want at least 400", last)
 	}
-	f = newFake(t, testSettings(), fleet(8))
-	if _, last := answers(f, 2000, 500, func(int, string) time.Duration { return target }); last < limitFirst-1 || last > limitFirst+1 {
-		t.Errorf("answers at the target: the limit is %.0f, want %.0f", last, limitFirst)
+	f = newFakeHost(t, testSettings(), testServers(8))
+	if _, last := runAnswers(f, 2000, 500, func(int, string) time.Duration { return target }); last < initialLimit-1 || last > initialLimit+1 {
+		t.Errorf("answers at the target: the limit is %.0f, want %.0f", last, initialLimit)
 	}
-	// Servers that work on 20 requests at a time: their answers take longer the more are out.
-	f = newFake(t, testSettings(), fleet(8))
-	if _, last := answers(f, 4000, 500, func(int, string) time.Duration {
+	// With servers that work on 20 requests at a time, answers take longer the more requests are in flight.
+	f = newFakeHost(t, testSettings(), testServers(8))
+	if _, last := runAnswers(f, 4000, 500, func(int, string) time.Duration {
 		return time.Duration(float64(target) * float64(f.b.inFlight) / 20)
 	}); last < 18 || last > 23 {
-		t.Errorf("a fleet that reaches its target at 20 in flight: the limit is %.1f", last)
+		t.Errorf("servers that reach the target at 20 in flight: the limit is %.1f", last)
 	}
 }
 
-// TestLimitRisesWhereTheAimIsShort: answers that take longer than the target however few are out are no crowd.
-// The limit falls until that is seen and then rises to what is asked for.
-func TestLimitRisesWhereTheAimIsShort(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(8))
-	took := time.Duration(1.5 * targetShare * float64(f.b.set.Classes[0].Aim))
-	lowest, last := answers(f, 3000, 100, func(int, string) time.Duration { return took })
+// TestLimitRisesWhenTheTargetIsUnreachable: answers that take longer than the target however few requests are in
+// flight are no sign of load. The limit falls until that is known, and then rises to the demand.
+func TestLimitRisesWhenTheTargetIsUnreachable(t *testing.T) {
+	f := newFakeHost(t, testSettings(), testServers(8))
+	took := time.Duration(1.5 * targetShare * float64(f.b.settings.Classes[0].Aim))
+	lowest, last := runAnswers(f, 3000, 100, func(int, string) time.Duration { return took })
 	if lowest > 10 || last < 95 {
 		t.Errorf("the limit fell to %.0f and is %.0f at last, want 100", lowest, last)
 	}
 }
 
-// TestUnusedLimitIsTakenBack: what nothing has tried is not there when a surge comes.
-func TestUnusedLimitIsTakenBack(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(8))
-	if _, last := answers(f, 1000, 5, func(int, string) time.Duration { return 10 * ms }); last > limitIdle {
+// TestUnusedLimitShrinks: a limit that nothing has tried is no longer there when a surge comes.
+func TestUnusedLimitShrinks(t *testing.T) {
+	f := newFakeHost(t, testSettings(), testServers(8))
+	if _, last := runAnswers(f, 1000, 5, func(int, string) time.Duration { return 10 * ms }); last > idleLimit {
 		t.Errorf("5 in flight: the limit is %.0f", last)
 	}
-	f = newFake(t, testSettings(), fleet(8))
-	if _, last := answers(f, 5000, 30, func(int, string) time.Duration { return 10 * ms }); last < 45 || last > limitFirst+1 {
+	f = newFakeHost(t, testSettings(), testServers(8))
+	if _, last := runAnswers(f, 5000, 30, func(int, string) time.Duration { return 10 * ms }); last < 45 || last > initialLimit+1 {
 		t.Errorf("30 in flight: the limit is %.0f", last)
 	}
 }
 
-// TestSlowServerIsNotClearedByItsAnswers: a server that takes far longer than its peers is ejected for what stays
-// out, though it answers in between; a trial that is as slow keeps it out, a quick one brings it back.
+// TestSlowServerIsNotClearedByItsAnswers: a server that takes far longer than its peers is ejected for its
+// outstanding attempts, though it answers others meanwhile. A trial that is as slow keeps it ejected, and a fast
+// trial brings it back.
 func TestSlowServerIsNotClearedByItsAnswers(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(6))
+	f := newFakeHost(t, testSettings(), testServers(6))
 	slow := f.b.slots[2]
 	took := func(s string, slowTakes time.Duration) time.Duration {
 		if s == slow.id {
@@ -987,14 +994,14 @@
 		return 20 * ms
 	}
 	n := 0
-	type out struct {
+	type pendingRequest struct {
 		id string
 		at time.Duration
 		d  time.Duration
 	}
-	var outs []out
-	// play lets a request come each 5 ms and returns how many the slow server got.
-	play := func(long, slowTakes time.Duration) (toSlow int) {
+	var outs []pendingRequest
+	// runFor submits a request every 5 ms and returns how many the slow server got.
+	runFor := func(long, slowTakes time.Duration) (toSlow int) {
 		for until := f.now + long; f.now < until; {
 			n++
 			id := fmt.Sprint("p", n)
@@ -1002,7 +1009,7 @@
 			if f.sent[id][0] == slow.id {
 				toSlow++
 			}
-			outs = append(outs, out{id, f.now, took(f.sent[id][0], slowTakes)})
+			outs = append(outs, pendingRequest{id, f.now, took(f.sent[id][0], slowTakes)})
 			f.advance(f.now + 5*ms)
 			kept := outs[:0]
 			for _, o := range outs {
@@ -1017,23 +1024,23 @@
 		}
 		return toSlow
 	}
-	play(time.Second, 20*ms)
+	runFor(time.Second, 20*ms)
 	if slow.ejections > 0 {
 		t.Fatal("ejected while it is as quick as the others")
 	}
-	// Of 2,000 requests, 333 would be its even part.
-	if got := play(10*time.Second, 300*ms); got > 20 {
+	// Of 2,000 requests, 333 would be its even share.
+	if got := runFor(10*time.Second, 300*ms); got > 20 {
 		t.Fatalf("%d of 2000 requests went to the slow server", got)
 	}
-	play(ejectMost+time.Second, 20*ms) // the longest that it can be out
-	if got := play(10*time.Second, 20*ms); got < 250 {
+	runFor(maxEjection+time.Second, 20*ms) // the longest ejection
+	if got := runFor(10*time.Second, 20*ms); got < 250 {
 		t.Fatalf("%d of 2000 requests went to the server after it was slow", got)
 	}
 }
 
-// TestFirstAnswersTellNoTail: an instance that has just started takes no server for stalled.
-func TestFirstAnswersTellNoTail(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(6))
+// TestFirstAnswersDoNotSetTheTail: an instance that has just started takes no server for stalled.
+func TestFirstAnswersDoNotSetTheTail(t *testing.T) {
+	f := newFakeHost(t, testSettings(), testServers(6))
 	f.submit("quick", 0)
 	f.advance(f.now + ms)
 	f.result("quick", 0, OK)
@@ -1042,15 +1049,16 @@
 	}
 	f.advance(f.now + 500*ms)
 	for _, s := range f.b.slots {
-		if s.ejected > 0 {
+		if s.ejectedUntil > 0 {
 			t.Errorf("%s is ejected", s.id)
 		}
 	}
 }
 
-// TestBoastersDoNotAgeTheOthers: callers who claim to wait long, served or not, leave first tries first tries.
-func TestBoastersDoNotAgeTheOthers(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(4))
+// TestLongTimeoutsDoNotAffectOtherClients: callers that claim a long timeout, served or not, do not make the first
+// tries of others look like late tries.
+func TestLongTimeoutsDoNotAffectOtherClients(t *testing.T) {
+	f := newFakeHost(t, testSettings(), testServers(4))
 	for i := range 200 {
 		id, left := fmt.Sprint("r", i), time.Second
 		if i%10 == 0 {
@@ -1068,16 +1076,16 @@
 	}
 }
 
-func TestRefusalTellsHowLongToStayAway(t *testing.T) {
+func TestRefusalCarriesARetryDelay(t *testing.T) {
 	set := testSettings()
-	f := newFake(t, set, []Entry{})
+	f := newFakeHost(t, set, []Entry{})
 	f.submit("r", 2)
 	f.advance(f.now + set.Classes[2].GiveUp)
 	if len(f.waits) != 1 || f.waits[0] != 0 {
-		t.Fatalf("waits %v where callers are not to be told", f.waits)
+		t.Fatalf("waits %v, want one of 0", f.waits)
 	}
 	set.RetryAfter, set.MaxRetryAfter = true, 2*time.Second
-	f = newFake(t, set, []Entry{})
+	f = newFakeHost(t, set, []Entry{})
 	f.submit("r", 2)
 	f.advance(f.now + set.Classes[2].GiveUp)
 	if len(f.waits) != 1 || f.waits[0] <= 0 || f.waits[0] > set.MaxRetryAfter {
@@ -1085,10 +1093,10 @@
 	}
 }
 
-// TestNaturalTailLeavesTheLimit: a fleet whose answers are late now and then, however few are in flight, keeps
-// its admission limit through a crowd that makes no more of them late.
-func TestNaturalTailLeavesTheLimit(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(8))
+// TestLongTailDoesNotReduceTheLimit: some answers are late however few requests are in flight. The admission limit
+// must survive a higher load that makes no more of them late.
+func TestLongTailDoesNotReduceTheLimit(t *testing.T) {
+	f := newFakeHost(t, testSettings(), testServers(8))
 	n := 0
 	round := func(crowd int) {
 		ids := make([]string, crowd)
@@ -1117,45 +1125,46 @@
 	}
 }
 
-// TestSickServerLeavesTheLimit: of eight servers one takes four times the target and the others nearly the target.
-// What it takes away would be more than they give.
-func TestSickServerLeavesTheLimit(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(8))
-	target := time.Duration(targetShare * float64(f.b.set.Classes[0].Aim))
-	_, last := answers(f, 2000, 500, func(_ int, server string) time.Duration {
+// TestSlowServerDoesNotReduceTheLimit: one of eight servers takes four times the target, and the others nearly the
+// target. The slow server's answers would lower the limit by more than the others' answers raise it.
+func TestSlowServerDoesNotReduceTheLimit(t *testing.T) {
+	f := newFakeHost(t, testSettings(), testServers(8))
+	target := time.Duration(targetShare * float64(f.b.settings.Classes[0].Aim))
+	_, last := runAnswers(f, 2000, 500, func(_ int, server string) time.Duration {
 		if server == "s003" {
 			return 4 * target
 		}
 		return target * 95 / 100
 	})
-	if last < limitFirst-5 {
+	if last < initialLimit-5 {
 		t.Fatalf("the limit fell to %v", last)
 	}
 }
 
-// TestAServerThatAnswersIsNotStalled: some of its attempts stay out long, but it goes on answering others.
+// TestAServerThatAnswersIsNotStalled: some attempts at a server are outstanding for long, but it keeps answering
+// others.
 func TestAServerThatAnswersIsNotStalled(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(6))
-	knowTail(f)
+	f := newFakeHost(t, testSettings(), testServers(6))
+	learnTail(f)
 	for i := range 60 {
 		id := fmt.Sprint("r", i)
 		f.submit(id, 0)
-		if i%2 == 0 || f.sent[id][0] != "s005" { // every second of s005 stays out
+		if i%2 == 0 || f.sent[id][0] != "s005" { // every second attempt at s005 stays unanswered
 			f.result(id, 0, OK)
 		}
 		f.advance(f.now + 20*ms)
 	}
-	if s := f.b.servers["s005"]; s.ejected > 0 || s.ejections > 0 {
+	if s := f.b.servers["s005"]; s.ejectedUntil > 0 || s.ejections > 0 {
 		t.Error("a server that answers is ejected")
 	}
 }
 
-// TestASickServerThatAnswersIsStalled: three attempts stay out at a server that answers a fourth. That clears it
-// unless it is known to be far slower than its peers.
-func TestASickServerThatAnswersIsStalled(t *testing.T) {
+// TestASlowServerThatAnswersIsStalled: three attempts are outstanding at a server that answers a fourth. The answer
+// clears the server unless it is known to be far slower than its peers.
+func TestASlowServerThatAnswersIsStalled(t *testing.T) {
 	for slowness, ejections := range map[float64]int{0: 0, 3: 1} {
-		f := newFake(t, testSettings(), fleet(6))
-		knowTail(f)
+		f := newFakeHost(t, testSettings(), testServers(6))
+		learnTail(f)
 		s, at := f.b.servers["s005"], 0
 		for i := range 30 {
 			id := fmt.Sprint("r", i)
@@ -1170,7 +1179,7 @@
 		if at < 4 {
 			t.Fatalf("%d requests reached %s", at, s.id)
 		}
-		s.slow = slowness
+		s.slowness = slowness
 		f.advance(f.now + 400*ms)
 		if s.ejections != ejections {
 			t.Errorf("slowness %g: %d ejections, want %d", slowness, s.ejections, ejections)
@@ -1178,10 +1187,11 @@
 	}
 }
 
-// TestAPauseOfOursEjectsNobody: many attempts are out at all servers, and for a while nothing is heard of any.
-func TestAPauseOfOursEjectsNobody(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(6))
-	knowTail(f)
+// TestAPauseOfThisProcessEjectsNoServer: many attempts are outstanding at all servers, and for a while no server
+// answers.
+func TestAPauseOfThisProcessEjectsNoServer(t *testing.T) {
+	f := newFakeHost(t, testSettings(), testServers(6))
+	learnTail(f)
 	for i := range 60 {
 		f.submit(fmt.Sprint("r", i), 0)
 	}
@@ -1192,26 +1202,27 @@
 		}
 	}
 	for id, s := range f.b.servers {
-		if s.ejected > 0 || s.ejections > 0 {
+		if s.ejectedUntil > 0 || s.ejections > 0 {
 			t.Errorf("%s is ejected for a pause that all share", id)
 		}
 	}
 }
 
-// drive submits a request each gap, of which every server answers after 5 ms but s005, which while silent says so
-// answers nothing; what is out for too long times out. It ends when until says so.
-func drive(f *fake, gap time.Duration, silent func() bool, until func() bool) (sent int) {
-	type out struct {
+// runWithSilentServer submits a request every gap. Every server answers after 5 ms, except s005, which answers
+// nothing while silent reports true; its attempts time out after 2 s. The run ends when until reports true. It
+// returns how many attempts met the silent server.
+func runWithSilentServer(f *fakeHost, gap time.Duration, silent func() bool, until func() bool) (sent int) {
+	type pendingAttempt struct {
 		id  string
 		n   int
 		due time.Duration
 		o   Outcome
 	}
-	var outs []out
+	var outs []pendingAttempt
 	seen := map[string]int{}
 	look := func(id string) {
 		for n := seen[id]; n < len(f.sent[id]); n++ {
-			o := out{id, n, f.now + 5*ms, OK}
+			o := pendingAttempt{id, n, f.now + 5*ms, OK}
 			if f.sent[id][n] == "s005" && silent() {
 				o.due, o.o = f.now+2*time.Second, TimedOut
 				sent++
@@ -1239,41 +1250,41 @@
 	return sent
 }
 
-// TestOnePauseOfAServerCountsOnce: at a high rate dozens of its attempts meet it.
+// TestOnePauseOfAServerCountsOnce: at a high rate, dozens of attempts meet one pause of their server.
 func TestOnePauseOfAServerCountsOnce(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(6))
-	knowTail(f)
+	f := newFakeHost(t, testSettings(), testServers(6))
+	learnTail(f)
 	start := f.now
 	silent := func() bool { return f.now-start >= 100*ms && f.now-start < 130*ms }
-	sent := drive(f, ms/5, silent, func() bool { return f.now-start >= 160*ms })
+	sent := runWithSilentServer(f, ms/5, silent, func() bool { return f.now-start >= 160*ms })
 	if s := f.b.servers["s005"]; sent < 3 || s.ejections > 0 {
 		t.Errorf("%d attempts in one pause of 30 ms, %d ejections", sent, s.ejections)
 	}
 }
 
-// TestSilentServerIsFoundAtAnyRate, at 10 requests a second and at 5,000. The limits are what the rule before took,
-// which counted every attempt, and three steps.
+// TestSilentServerIsFoundAtAnyRate checks rates from 10 to 5,000 requests per second. The limits are the times of an
+// earlier rule, which counted every attempt, plus three stall intervals.
 func TestSilentServerIsFoundAtAnyRate(t *testing.T) {
 	for gap, limit := range map[time.Duration]time.Duration{
 		100 * ms: 6011 * ms, 10 * ms: 3561 * ms, ms: 26 * ms, ms / 5: 14 * ms,
 	} {
-		f := newFake(t, testSettings(), fleet(6))
-		knowTail(f)
+		f := newFakeHost(t, testSettings(), testServers(6))
+		learnTail(f)
 		start := f.now
-		sent := drive(f, gap, func() bool { return f.now-start >= time.Second }, func() bool {
+		sent := runWithSilentServer(f, gap, func() bool { return f.now-start >= time.Second }, func() bool {
 			return f.b.servers["s005"].ejections > 0 || f.now-start > 30*time.Second
 		})
 		took := f.now - start - time.Second
 		t.Logf("a request in %v: found after %v and %d attempts", gap, took, sent)
-		if took > limit+3*stallStep {
-			t.Errorf("a request in %v: found after %v, want %v at most", gap, took, limit+3*stallStep)
+		if took > limit+3*stallInterval {
+			t.Errorf("a request in %v: found after %v, want %v at most", gap, took, limit+3*stallInterval)
 		}
 	}
 }
 
-// knowTail lets the module learn what a request takes, 10 ms, and forget the load.
-func knowTail(f *fake) {
-	for i := range tailSeen {
+// learnTail lets the module learn that a request takes 10 ms, and forget the load.
+func learnTail(f *fakeHost) {
+	for i := range minTailSamples {
 		id := fmt.Sprint("known", i)
 		f.submit(id, 0)
 		f.advance(f.now + 10*ms)
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// idleHost carries nothing out and keeps nothing but the last send.
-type idleHost struct{ sent int }
+// discardHost carries out nothing and only counts the sends.
+type discardHost struct{ sent int }
 
-func (h *idleHost) Send(string, string, time.Duration) { h.sent++ }
-func (*idleHost) Refuse(string, time.Duration)         {}
-func (*idleHost) Fail(string)                          {}
-func (*idleHost) Cancel(string, int)                   {}
-func (*idleHost) SetTimer(time.Duration, uint64)       {}
-func (*idleHost) Watch()                               {}
-func (*idleHost) Log(string)                           {}
+func (h *discardHost) Send(string, string, time.Duration) { h.sent++ }
+func (*discardHost) Refuse(string, time.Duration)         {}
+func (*discardHost) Fail(string)                          {}
+func (*discardHost) Cancel(string, int)                   {}
+func (*discardHost) SetTimer(time.Duration, uint64)       {}
+func (*discardHost) Watch()                               {}
+func (*discardHost) Log(string)                           {}
 
-// BenchmarkRequest is all that the module does for one request: its submission, one send and its outcome. It must not
-// grow with the list.
+// BenchmarkRequest measures all that the module does for one request: its submission, one send and its result. The cost
+// must not grow with the list.
 //
 //	go test ./balance -run - -bench Request
 func BenchmarkRequest(b *testing.B) {
@@ -26,13 +26,13 @@
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			set := testSettings()
 			set.Instances = max(servers/2, 1)
-			h := &idleHost{}
+			h := &discardHost{}
 			bal, err := New(set, 1, h)
 			if err != nil {
 				b.Fatal(err)
 			}
 			now := time.Hour
-			bal.Update(now, Full, fleet(servers))
+			bal.Update(now, Full, testServers(servers))
 			ids := make([]string, 1<<12)
 			for i := range ids {
 				ids[i] = fmt.Sprint("r", i)
--- a/balance/carry.go
+++ b/balance/carry.go
@@ -7,26 +7,26 @@
 	"brasswell/internal/estimate"
 )
 
-// Carried is what one instance leaves to the next at an upgrade, so that both together act like one. It holds no
-// requests: whoever took one answers it. Times are of the clock that both share.
+// Snapshot is the state that one instance leaves to the next at an upgrade, so that both together act like one. It
+// contains no requests: the instance that accepted a request answers it. Times are on the clock that both share.
 type Carried struct {
 	Servers  []CarriedServer
-	Slots    []string // ids in the order that the shuffle starts from
-	Banned   []string // by hand, listed or not
-	Seen     []string // ids that a list has named
+	Slots    []string // IDs in the order in which the shuffle starts
+	Banned   []string // IDs taken out by the operator, listed or not
+	Seen     []string // IDs that a list has contained
 	Limit    float64
 	Retries  float64
 	Classes  []CarriedClass
 	Quota    []float64
-	Served   float64 // answers a second
-	Warm     float64 // of these, a warm member's
+	Served   float64 // successful answers per second
+	Warm     float64 // of these, the answers of one warm server
 	ServedAt time.Duration
 }
 
-// CarriedServer is one server's entry and health.
+// ServerSnapshot is one server's entry and health.
 type CarriedServer struct {
 	Entry      Entry
-	Told       time.Duration // when the list says that it started; 0 for what the entry has
+	Told       time.Duration // start time that the list reported; 0 if it is Entry.Boot
 	Listed     time.Duration
 	Resumed    time.Duration
 	FailRun    int
@@ -39,7 +39,7 @@
 	ColdAt     time.Duration
 }
 
-// CarriedClass is what has been learned of one class.
+// ClassSnapshot holds the estimates of one class.
 type CarriedClass struct {
 	Cost, Tail, Mean, Base float64
 	TailSeen               int
@@ -47,33 +47,33 @@
 	Votes                  int
 }
 
-// Carry returns what the next instance is to know.
+// Snapshot returns the state for the next instance.
 func (b *Balancer) Carry(now time.Duration) Carried {
 	c := b.CarryRest(now)
 	for _, s := range b.servers {
-		c.Servers = append(c.Servers, s.carry())
+		c.Servers = append(c.Servers, s.snapshot())
 	}
 	return c
 }
 
-// Shift moves all times that are of the clock of the instance that was carried by so much. When a server started is such a time only where
-// the list's word was not believed.
-func (c *Carried) Shift(by time.Duration) {
-	c.ServedAt += by
+// ShiftTimes moves all times that are on the previous instance's clock by offset. A server's start time is on that
+// clock only if the list's value was not believed.
+func (c *Carried) Shift(offset time.Duration) {
+	c.ServedAt += offset
 	for i := range c.Servers {
 		s := &c.Servers[i]
 		if s.Told != 0 && s.Told != s.Entry.Boot {
-			s.Entry.Boot += by
+			s.Entry.Boot += offset
 		}
 		for _, at := range []*time.Duration{&s.Listed, &s.Resumed, &s.Ejected, &s.ColdAt} {
 			if *at != 0 {
-				*at += by
+				*at += offset
 			}
 		}
 	}
 }
 
-// IDs are those of all servers that are kept in mind, in no order.
+// ServerIDs returns the IDs of all known servers, in no particular order.
 func (b *Balancer) IDs() []string {
 	ids := make([]string, 0, len(b.servers))
 	for id := range b.servers {
@@ -82,29 +82,29 @@
 	return ids
 }
 
-// CarryServers appends some servers' part of what Carry returns, so that it can be taken in small steps. Those that are gone are
-// left out.
+// AppendServerSnapshots appends the snapshots of some servers, so that a Snapshot can be taken in small steps. It
+// leaves out servers that are gone.
 func (b *Balancer) CarryServers(to []CarriedServer, ids []string) []CarriedServer {
 	for _, id := range ids {
 		if s := b.servers[id]; s != nil {
-			to = append(to, s.carry())
+			to = append(to, s.snapshot())
 		}
 	}
 	return to
 }
 
-func (s *server) carry() CarriedServer {
+func (s *server) snapshot() CarriedServer {
 	return CarriedServer{
-		Entry: s.entry, Told: s.told, Listed: s.listed, Resumed: s.resumed, FailRun: s.failRun, FailRate: s.failRate,
-		Ejected: s.ejected, Ejections: s.ejections, Slow: s.slow, Load: s.load,
-		ColdTokens: s.coldTokens, ColdAt: s.coldAt,
+		Entry: s.entry, Told: s.reportedBoot, Listed: s.firstListed, Resumed: s.resumedAt, FailRun: s.failStreak, FailRate: s.failRate,
+		Ejected: s.ejectedUntil, Ejections: s.ejections, Slow: s.slowness, Load: s.load,
+		ColdTokens: s.coldTokens, ColdAt: s.coldUpdated,
 	}
 }
 
-// CarryRest is what Carry returns but for the servers.
+// SnapshotWithoutServers returns what Snapshot returns, except the servers.
 func (b *Balancer) CarryRest(now time.Duration) Carried {
 	c := Carried{
-		Seen: b.seen.All(), Limit: b.limit, Retries: b.retries, Served: b.served.At(now, rateMemory), Warm: b.warm.At(now, rateMemory), ServedAt: now,
+		Seen: b.seenIDs.All(), Limit: b.limit, Retries: b.retryBudget, Served: b.servedRate.At(now, rateTimeConstant), Warm: b.warmRate.At(now, rateTimeConstant), ServedAt: now,
 	}
 	for id := range b.banned {
 		c.Banned = append(c.Banned, id)
@@ -112,11 +112,11 @@
 	for _, s := range b.slots {
 		c.Slots = append(c.Slots, s.id)
 	}
-	for i := range b.set.Classes {
+	for i := range b.settings.Classes {
 		c.Classes = append(c.Classes, CarriedClass{
-			Cost: float64(b.cost[i]), Tail: float64(b.tail[i].Quantile), TailSeen: b.tail[i].seen,
-			Mean: float64(b.mean[i]), Base: float64(b.base[i]),
-			Patience: b.patience[i].Value, Votes: b.patience[i].Votes,
+			Cost: float64(b.cost[i]), Tail: float64(b.tail[i].Quantile), TailSeen: b.tail[i].samples,
+			Mean: float64(b.mean[i]), Base: float64(b.baseline[i]),
+			Patience: b.usualTimeout[i].Value, Votes: b.usualTimeout[i].Votes,
 		})
 	}
 	for _, q := range b.quota {
@@ -125,21 +125,21 @@
 	return c
 }
 
-// Adopt makes an instance that has taken nothing on yet go on where another is. What does not fit its settings, from
-// another version's file, is left at its start.
+// Restore makes an instance that has not taken any request yet continue from the snapshot of another one. Parts that
+// do not match its settings, such as those from a file of another version, keep their initial values.
 func (b *Balancer) Adopt(now time.Duration, c Carried) {
 	for _, id := range c.Seen {
-		b.seen.Add(id)
+		b.seenIDs.Add(id)
 	}
 	for _, id := range c.Banned {
 		b.banned[id] = true
 	}
 	for _, k := range c.Servers {
-		b.seen.Add(k.Entry.ID)
+		b.seenIDs.Add(k.Entry.ID)
 		b.servers[k.Entry.ID] = &server{
-			id: k.Entry.ID, entry: k.Entry, told: cmp.Or(k.Told, k.Entry.Boot), listed: k.Listed, banned: b.banned[k.Entry.ID], resumed: k.Resumed,
-			failRun: k.FailRun, failRate: k.FailRate, ejected: k.Ejected, ejections: k.Ejections, slow: k.Slow,
-			load: k.Load, loadAt: now, coldTokens: k.ColdTokens, coldAt: k.ColdAt,
+			id: k.Entry.ID, entry: k.Entry, reportedBoot: cmp.Or(k.Told, k.Entry.Boot), firstListed: k.Listed, banned: b.banned[k.Entry.ID], resumedAt: k.Resumed,
+			failStreak: k.FailRun, failRate: k.FailRate, ejectedUntil: k.Ejected, ejections: k.Ejections, slowness: k.Slow,
+			load: k.Load, loadUpdated: now, coldTokens: k.ColdTokens, coldUpdated: k.ColdAt,
 		}
 	}
 	for _, id := range c.Slots {
@@ -147,15 +147,15 @@
 			b.slots = append(b.slots, s)
 		}
 	}
-	b.limit = max(c.Limit, limitLeast)
-	b.retries = min(max(c.Retries, 0), retryBurst)
-	b.served = estimate.Rate{PerSecond: max(c.Served, 0), Last: c.ServedAt}
-	b.warm = estimate.Rate{PerSecond: max(c.Warm, 0), Last: c.ServedAt}
-	if len(c.Classes) == len(b.set.Classes) {
+	b.limit = max(c.Limit, minLimit)
+	b.retryBudget = min(max(c.Retries, 0), retryBurst)
+	b.servedRate = estimate.Rate{PerSecond: max(c.Served, 0), Last: c.ServedAt}
+	b.warmRate = estimate.Rate{PerSecond: max(c.Warm, 0), Last: c.ServedAt}
+	if len(c.Classes) == len(b.settings.Classes) {
 		for i, k := range c.Classes {
-			b.cost[i], b.mean[i], b.base[i] = estimate.Quantile(k.Cost), estimate.Mean(k.Mean), estimate.Mean(k.Base)
+			b.cost[i], b.mean[i], b.baseline[i] = estimate.Quantile(k.Cost), estimate.Mean(k.Mean), estimate.Mean(k.Base)
 			b.tail[i] = tail{estimate.Quantile(k.Tail), k.TailSeen}
-			b.patience[i] = estimate.Majority{Value: k.Patience, Votes: k.Votes}
+			b.usualTimeout[i] = estimate.Majority{Value: k.Patience, Votes: k.Votes}
 		}
 	}
 	if len(c.Quota) == len(b.quota) {
@@ -163,37 +163,40 @@
 			b.quota[i] = estimate.Bucket{Tokens: tokens, Last: now, Known: true}
 		}
 	}
-	b.cut(now)
-	b.watchSoon()
+	b.resubset(now)
+	b.scheduleWatch()
 }
 
-// SetPart tells an instance which part of what it may do by itself is its own: less than 1 beside another that cuts the
-// same slice, or where there are more instances than was said. soft is the same for tenants' quotas, and may be over 1.
-func (b *Balancer) SetPart(part, soft float64) { b.part, b.soft = part, soft }
+// SetShare sets the share of its own limits that an instance may use: below 1 beside another instance that uses the
+// same slice, or if there are more instances than configured. quotaShare is the same for tenants' quotas, and may be
+// above 1.
+func (b *Balancer) SetPart(share, quotaShare float64) { b.share, b.quotaShare = share, quotaShare }
 
-// Renumber gives an instance another own number, of so many instances that cut the list now, where others have died or come back.
-// Its share of what all may do stays cut for Settings.Instances. Numbers that make no sense change nothing.
+// Renumber sets the instance's own number and how many instances divide the list now, after others have died or come
+// back. Its share of what all instances may do together remains one of Settings.Instances. Numbers that are out of
+// range change nothing.
 func (b *Balancer) Renumber(now time.Duration, self, instances int) {
-	if next := [2]int{self, instances}; self >= 0 && self < instances && next != b.numbers {
-		b.numbers = next
-		b.cut(now)
-		b.retryHeld(now)
+	if next := [2]int{self, instances}; self >= 0 && self < instances && next != b.position {
+		b.position = next
+		b.resubset(now)
+		b.dispatchQueued(now)
 	}
 }
 
-// Numbers are the own number and how many instances cut the list.
-func (b *Balancer) Numbers() (self, instances int) { return b.numbers[0], b.numbers[1] }
+// Numbers returns the own number and how many instances divide the list.
+func (b *Balancer) Numbers() (self, instances int) { return b.position[0], b.position[1] }
 
-// Ejected says whether a server is avoided now for what became of requests to it.
+// Ejected reports whether a server is ejected now because requests to it failed.
 func (b *Balancer) Ejected(id string) bool {
 	s := b.servers[id]
-	return s != nil && s.ejected > 0
+	return s != nil && s.ejectedUntil > 0
 }
 
-// Ban takes servers out by hand that another instance has taken out, whether a list has named them here or not.
+// Ban takes out servers that the operator took out at another instance, whether or not a list has contained them
+// here.
 func (b *Balancer) Ban(now time.Duration, ids []string) {
 	for _, id := range ids {
-		b.seen.Add(id)
+		b.seenIDs.Add(id)
 		b.Suspend(now, id)
 	}
 }
--- a/balance/carry_test.go
+++ b/balance/carry_test.go
@@ -10,13 +10,13 @@
 	"brasswell/internal/estimate"
 )
 
-// TestAdoptedInstanceGoesOnWhereTheOtherIs holds what a second instance decides against what the first does: same
-// subset and order, same bans, same ejections, same limit, and no cold start for what is warm.
-func TestAdoptedInstanceGoesOnWhereTheOtherIs(t *testing.T) {
+// TestRestoredInstanceMatchesItsPredecessor compares the decisions of a restored instance with those of the first
+// one: same subset and order, same bans, same ejections, same limit, and no cold start for servers that are warm.
+func TestRestoredInstanceMatchesItsPredecessor(t *testing.T) {
 	set := testSettings()
 	set.Instances = 4
 	set.Tenants = []Tenant{{QuotaPerSecond: 100}}
-	f := newFake(t, set, fleet(40))
+	f := newFakeHost(t, set, testServers(40))
 	f.serve("a", 300, 10*ms)
 	f.b.Update(f.now, Delta, []Entry{{ID: "a-new"}, {ID: "s004", State: Gone}, {ID: "s005", State: Draining}})
 	f.b.Suspend(f.now, f.b.order[0].id)
@@ -25,7 +25,7 @@
 	f.b.Update(f.now, Delta, []Entry{{ID: f.b.order[2].id, Boot: f.now}})
 	f.serve("b", 100, 10*ms)
 
-	g := newFake(t, set, nil)
+	g := newFakeHost(t, set, nil)
 	g.now = f.now
 	g.b.Adopt(g.now, f.b.Carry(f.now))
 	ids := func(b *Balancer) (list []string) {
@@ -35,7 +35,7 @@
 		return list
 	}
 	if got, want := ids(g.b), ids(f.b); !slices.Equal(got, want) {
-		t.Errorf("subset %v, the other's %v", got, want)
+		t.Errorf("subset %v, want %v", got, want)
 	}
 	for _, id := range []string{f.b.order[0].id, "s004", "s005"} {
 		if g.b.MaySend(id) {
@@ -43,78 +43,79 @@
 		}
 	}
 	if !g.b.Resume(g.now, "s004") {
-		t.Error("s004 was listed once, and is not known any more")
+		t.Error("s004 was listed once, but is not known any more")
 	}
 	if one, two := f.b.coldShare(f.now, f.b.order[2]), g.b.coldShare(g.now, g.b.order[2]); one != two || one >= 1 {
-		t.Errorf("cold share %v, the other's %v", two, one)
+		t.Errorf("cold share %v, want %v below 1", two, one)
 	}
 	if g.b.limit != f.b.limit || !reflect.DeepEqual(g.b.tail, f.b.tail) || !reflect.DeepEqual(g.b.mean, f.b.mean) {
-		t.Error("the limit or the learned times differ")
+		t.Error("the limit or the estimates differ")
 	}
 	listed, avoided := f.b.Pool()
 	if l, a := g.b.Pool(); l != listed || a != avoided {
-		t.Errorf("%d listed, %d avoided; the other has %d and %d", l, a, listed, avoided)
+		t.Errorf("%d listed, %d avoided; want %d and %d", l, a, listed, avoided)
 	}
 	went := g.serve("c", 200, 10*ms)
 	if went[f.b.order[0].id]+went["s005"] > 0 || len(went) < 5 {
-		t.Errorf("went to %v", went)
+		t.Errorf("requests went to %v", went)
 	}
 }
 
-// TestColdBudgetIsOneForBoth runs two instances side by side on halves of the traffic: a cold server gets no more from
-// both than from one alone.
-func TestColdBudgetIsOneForBoth(t *testing.T) {
+// TestColdBudgetIsSharedDuringAnUpgrade runs two instances side by side, each with half of the traffic: a cold server
+// receives no more from both than from one alone.
+func TestColdBudgetIsSharedDuringAnUpgrade(t *testing.T) {
 	cold := func(parts []float64) (sends int) {
-		f := newFake(t, testSettings(), fleet(8))
+		f := newFakeHost(t, testSettings(), testServers(8))
 		f.serve("a", 500, 10*ms)
 		f.b.Update(f.now, Delta, []Entry{{ID: "s003", Boot: f.now}})
 		f.b.servers["s003"].coldTokens = 1
 		carried := f.b.Carry(f.now)
 		for i, part := range parts {
-			g := newFake(t, testSettings(), nil)
+			g := newFakeHost(t, testSettings(), nil)
 			g.now = f.now
 			g.b.Adopt(g.now, carried)
 			g.b.SetPart(part, 1)
 			if i > 0 {
 				g.b.servers["s003"].coldTokens = 0
 			}
-			// What has been carried fades as fast as the own traffic replaces it.
+			// The restored rate decays as fast as the instance's own traffic replaces it.
 			sends += g.serve("b", 200/len(parts), time.Duration(10*len(parts))*ms)["s003"]
 		}
 		return sends
 	}
 	alone, both := cold([]float64{1}), cold([]float64{0.5, 0.5})
 	if alone == 0 || both > alone+1 {
-		t.Errorf("%d sends by one, %d by two", alone, both)
+		t.Errorf("%d sends by one instance, %d by two", alone, both)
 	}
 }
 
-// TestAdoptTakesWhatFits hands over from other settings: more classes, no tenants.
-func TestAdoptTakesWhatFits(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(8))
+// TestRestoreSkipsMismatchedSettings restores a snapshot from other settings, with more classes and no tenants.
+func TestRestoreSkipsMismatchedSettings(t *testing.T) {
+	f := newFakeHost(t, testSettings(), testServers(8))
 	f.serve("a", 100, 10*ms)
 	c := f.b.Carry(f.now)
 	set := testSettings()
 	set.Classes = set.Classes[:2]
 	set.Tenants = []Tenant{{QuotaPerSecond: 100}}
-	g := newFake(t, set, nil)
+	g := newFakeHost(t, set, nil)
 	g.now = f.now
 	c.Limit, c.Retries, c.Served = -5, 1e9, -1
 	c.Slots = append(c.Slots, "nobody")
 	g.b.Adopt(g.now, c)
 	if went := g.serve("b", 100, 10*ms); len(went) != 8 {
-		t.Errorf("went to %v", went)
+		t.Errorf("requests went to %v", went)
 	}
 }
 
-// TestSoftPartScalesQuotas: a tenant's quota follows the soft part, and the cold budget's part does not touch it.
-func TestSoftPartScalesQuotas(t *testing.T) {
+// TestQuotaShareScalesQuotas: a tenant's quota follows the quota share, and the share of cold budgets does not change
+// it.
+func TestQuotaShareScalesQuotas(t *testing.T) {
 	within := func(part, soft float64) (n int) {
 		set := Settings{Instances: 2, Tenants: []Tenant{{QuotaPerSecond: 100}}, OverShareWorth: 0.1}
-		b := &Balancer{set: set, quota: make([]estimate.Bucket, 1)}
+		b := &Balancer{settings: set, quota: make([]estimate.Bucket, 1)}
 		b.SetPart(part, soft)
 		for i := range 4000 {
-			if b.tenantWorth(time.Duration(i)*10*time.Millisecond, 0) == 1 {
+			if b.tenantValue(time.Duration(i)*10*time.Millisecond, 0) == 1 {
 				n++
 			}
 		}
@@ -125,13 +126,13 @@
 		t.Errorf("%d within the quota, %d with half of it", whole, half)
 	}
 	if other := within(0.3, 1); other != whole {
-		t.Errorf("%d within the quota, %d with another hard part", whole, other)
+		t.Errorf("%d within the quota, %d with another share of cold budgets", whole, other)
 	}
 }
 
-// BenchmarkCarry is what one instance knows of 10,000 servers: as a whole, and the steps that it can be taken in.
-func BenchmarkCarry(b *testing.B) {
-	f := newFake(b, testSettings(), fleet(10_000))
+// BenchmarkSnapshot measures a snapshot of 10,000 servers, as a whole and in the steps that it can be taken in.
+func BenchmarkSnapshot(b *testing.B) {
+	f := newFakeHost(b, testSettings(), testServers(10_000))
 	b.Run("whole", func(b *testing.B) {
 		for b.Loop() {
 			f.b.Carry(f.now)
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -5,63 +5,67 @@
 	"time"
 )
 
-// coldRoom of the multiple that fells a cold server is used, and no less than what it is sure to serve;
-// coldLeast sends in FallTime are borne by any, and used where nobody tells the pace.
-const coldRoom, coldLeast = 0.5, 1.0
+// A cold server is sent coldBudgetShare of the multiple that overloads it, and no less than what it can
+// certainly serve. Any cold server can take minColdSends in OverloadTime, which is used while the rate of
+// warm servers is not known.
+const coldBudgetShare, minColdSends = 0.5, 1.0
 
-// newsDelay is how long after a server's start the list may be the first to name it.
-const newsDelay = 10 * time.Second
+// maxListDelay is how long after a server's start the list may first contain it.
+const maxListDelay = 10 * time.Second
 
-// believedBoot is when a server was started that a list has news of. The list's word goes by another clock
-// than this machine's, which may be off: a start is no later than its news, nor much earlier than the list
-// before that.
-func (b *Balancer) believedBoot(now, told time.Duration) time.Duration {
-	if told <= 0 {
-		return told
+// plausibleBoot returns the start time to use for a server that the list reports as started. The reported
+// time is on another clock than this machine's, which may be off: a start is no later than its report, and
+// not much earlier than the list before that.
+func (b *Balancer) plausibleBoot(now, reported time.Duration) time.Duration {
+	if reported <= 0 {
+		return reported
 	}
-	if b.listedAt > 0 {
-		told = max(told, b.listedAt-newsDelay)
+	if b.lastUpdate > 0 {
+		reported = max(reported, b.lastUpdate-maxListDelay)
 	}
-	return min(told, now)
+	return min(reported, now)
 }
 
-// coldShare is the part of its full capacity that a server can be counted on to have.
+// coldShare returns the share of its full capacity that a server can be expected to have.
 func (b *Balancer) coldShare(now time.Duration, s *server) float64 {
-	boot := max(s.entry.Boot, s.resumed)
+	boot := max(s.entry.Boot, s.resumedAt)
 	age := now - boot
-	if boot <= 0 || age >= b.set.WarmUp {
+	if boot <= 0 || age >= b.settings.WarmUp {
 		return 1
 	}
-	return b.set.ColdFrom + (1-b.set.ColdFrom)*float64(max(age, 0))/float64(b.set.WarmUp)
+	return b.settings.ColdFrom + (1-b.settings.ColdFrom)*float64(max(age, 0))/float64(b.settings.WarmUp)
 }
 
-// coldAllows keeps a cold server standing. All instances together may send it FallMultiple times its present
-// capacity; each keeps to its own part of coldRoom of that: what a warm member serves it on average, times
-// the cold share (what is sent would be no guide under overload). Only the slice's own members are warmed up:
-// as a spare, a cold server would hear from instances that its budget does not count on.
-func (b *Balancer) coldAllows(now time.Duration, s *server) bool {
+// coldBudgetAllows protects a cold server from overload. All instances together may send it OverloadMultiple
+// times its present capacity. Each instance keeps to its own part of coldBudgetShare of that: what a warm
+// server answers on average, times the cold share. (The rate of sends would mislead under overload.) Only
+// members of the own slice are warmed up: as a spare, a cold server would receive requests from instances
+// that its budget does not account for.
+func (b *Balancer) coldBudgetAllows(now time.Duration, s *server) bool {
 	share := b.coldShare(now, s)
 	if share >= 1 {
 		return true
 	}
-	if !slices.Contains(b.order[:b.slice], s) {
+	if !slices.Contains(b.order[:b.sliceSize], s) {
 		return false
 	}
-	perSecond := max(coldRoom*b.set.FallMultiple, 1) * b.warm.At(now, rateMemory) * share
-	holders := max(float64(b.numbers[1]*b.slice)/float64(len(b.order)), 1)
-	perSecond = b.part * max(perSecond, coldLeast/max(b.set.FallTime.Seconds(), minCost)/holders)
-	s.coldTokens = min(s.coldTokens+perSecond*(now-s.coldAt).Seconds(), 1)
-	s.coldAt = now
+	perSecond := max(coldBudgetShare*b.settings.FallMultiple, 1) *
+		b.warmRate.At(now, rateTimeConstant) * share
+	holders := max(float64(b.position[1]*b.sliceSize)/float64(len(b.order)), 1)
+	perSecond = b.share * max(perSecond, minColdSends/max(b.settings.FallTime.Seconds(), minCost)/holders)
+	s.coldTokens = min(s.coldTokens+perSecond*(now-s.coldUpdated).Seconds(), 1)
+	s.coldUpdated = now
 	return s.coldTokens >= 1
 }
 
-// notePerWarm counts an answer for the rate of one warm member. To divide by all members would cut the cold
-// ones' budget with each that is gone; to divide by the warm alone would give all what the last one serves.
-func (b *Balancer) notePerWarm(now time.Duration) {
-	b.warm.Add(now, 1/max(b.standing(now, b.active), 1), rateMemory)
+// recordWarmAnswer counts an answer toward the rate of one warm server. Dividing by all members would reduce
+// the budget of cold ones with each member that is gone. Dividing by the warm ones alone would give every
+// cold server the rate of the last warm one.
+func (b *Balancer) recordWarmAnswer(now time.Duration) {
+	b.warmRate.Add(now, 1/max(b.effectiveServers(now, b.active), 1), rateTimeConstant)
 }
 
-func (b *Balancer) spendCold(now time.Duration, s *server) {
+func (b *Balancer) spendColdToken(now time.Duration, s *server) {
 	if b.coldShare(now, s) < 1 {
 		s.coldTokens--
 	}
--- a/balance/hand.go
+++ b/balance/hand.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// seenMost bounds how many ids of servers are remembered as listed once; ids are ever new.
-const seenMost = 4096
+// maxSeenIDs bounds how many server IDs are remembered as listed before. New IDs never stop coming.
+const maxSeenIDs = 4096
 
-// Suspend takes a server out by hand: nothing new goes there until Resume, whatever the list says of that id
-// meanwhile, also once it has been removed and comes again. It reports whether a list has ever named the
-// server; one that is out already stays so.
+// Suspend takes a server out on the operator's behalf: it receives nothing new until Resume, whatever the
+// list says about its ID meanwhile, even if the server is removed and listed again. Suspend reports whether a
+// list has ever contained the server. A suspended server stays suspended.
 func (b *Balancer) Suspend(now time.Duration, id string) bool {
 	if !b.everListed(id) {
 		return false
@@ -16,13 +16,14 @@
 	if s := b.servers[id]; s != nil && !s.banned {
 		s.banned = true
 		b.host.Log("taken out by hand: " + id)
-		b.refresh()
+		b.rebuildActive()
 	}
 	return true
 }
 
-// Resume puts a server back. It was restarted meanwhile, maybe with no news of it, so it counts as cold from
-// now on, and what it did before counts for nothing. A server that is not out stays as it is.
+// Resume ends the suspension of a server. It may have been restarted meanwhile without a report in the list,
+// so it counts as cold from now on and its earlier failures do not count. A server that is not suspended
+// stays as it is. Resume reports whether a list has ever contained the server.
 func (b *Balancer) Resume(now time.Duration, id string) bool {
 	if !b.everListed(id) {
 		return false
@@ -32,49 +33,51 @@
 	}
 	delete(b.banned, id)
 	if s := b.servers[id]; s != nil {
-		s.banned, s.resumed = false, now
-		// A part of a send is free, at random: all instances may put it back at once, and must not meet.
-		s.coldAt, s.coldTokens = now, b.random()
-		s.forgive()
-		s.slow = 0
+		s.banned, s.resumedAt = false, now
+		// Start with a random part of a token: all instances may resume the server at once, and their first
+		// sends must not coincide.
+		s.coldUpdated, s.coldTokens = now, b.random()
+		s.clearFailures()
+		s.slowness = 0
 		b.host.Log("put back by hand: " + id)
-		b.refresh()
-		b.retryHeld(now)
+		b.rebuildActive()
+		b.dispatchQueued(now)
 	}
 	return true
 }
 
 func (b *Balancer) everListed(id string) bool {
-	return b.seen.Has(id) || b.servers[id] != nil || b.banned[id]
+	return b.seenIDs.Has(id) || b.servers[id] != nil || b.banned[id]
 }
 
-// MaySend says whether something new may begin to go to a server now.
+// MaySend reports whether a new request may be sent to a server now.
 func (b *Balancer) MaySend(id string) bool {
 	s := b.servers[id]
 	return s != nil && s.usable()
 }
 
-// Pool counts the servers in the list, and those of them that are avoided now by hand or for their failures.
+// ServerCounts returns how many servers are listed, and how many of those are avoided now because the
+// operator took them out or because of their failures.
 func (b *Balancer) Pool() (listed, avoided int) {
 	for _, s := range b.servers {
 		if s.entry.State == Gone {
 			continue
 		}
 		listed++
-		if s.banned || s.ejected > 0 {
+		if s.banned || s.ejectedUntil > 0 {
 			avoided++
 		}
 	}
 	return listed, avoided
 }
 
-// usable says whether anything new may go to a server at all.
+// usable reports whether new requests may be sent to a server at all.
 func (s *server) usable() bool { return s.entry.State == InService && !s.banned }
 
-// out says whether turns pass over a member, so that a spare serves in its place.
-func (s *server) out() bool { return !s.usable() || s.ejected > 0 }
+// excluded reports whether round robin skips a member, so that a spare serves in its place.
+func (s *server) excluded() bool { return !s.usable() || s.ejectedUntil > 0 }
 
-// forgive forgets a server's failures.
-func (s *server) forgive() {
-	s.failRun, s.failRate, s.ejected, s.ejections, s.away = 0, 0, 0, 0, false
+// clearFailures resets a server's record of failures.
+func (s *server) clearFailures() {
+	s.failStreak, s.failRate, s.ejectedUntil, s.ejections, s.unreachable = 0, 0, 0, 0, false
 }
--- a/balance/health.go
+++ b/balance/health.go
@@ -3,143 +3,148 @@
 import "time"
 
 const (
-	// A server's slowness is its answers' time over their classes' means, counted up to slowMost. Of a server
-	// over its peers' by sickMargin, late answers do not move the limit, and those over overdueMost means do
-	// not clear it.
-	slowMost, slowStep, sickMargin = 4.0, 0.1, 0.5
-	overdueMost                    = 2.0
-	// A member is ejected after ejectRun failures in a row, or when failMemory-smoothed failures pass
-	// ejectShare; for ejectBase at first, doubling to ejectMost. A single trial request lets it back.
-	ejectRun   = 3
-	ejectShare = 0.5
-	failMemory = 0.15
-	ejectBase  = 2 * time.Second
-	ejectMost  = 16 * time.Second
-	// stallStep is how long apart attempts that stay out too long count against their server.
-	stallStep = 50 * time.Millisecond
-	// panicShare of the slice stays whatever its members' failures: if so many look bad, the cause is shared.
-	// An answer within hearing shows that the network is well.
-	panicShare = 0.5
-	hearing    = 500 * time.Millisecond
+	// A server's slowness is the ratio of its answer times to its classes' means, counted up to maxSlowness.
+	// If a server exceeds its peers' slowness by slowMargin, its late answers do not move the limit, and its
+	// answers over overdueRatio means do not clear its failures.
+	maxSlowness, slownessStep, slowMargin = 4.0, 0.1, 0.5
+	overdueRatio                          = 2.0
+	// A member is ejected after ejectAfterFailures failures in a row, or when its failure rate, smoothed by
+	// failRateStep, exceeds ejectFailRate. The ejection lasts minEjection at first, doubling up to
+	// maxEjection. A single trial request that succeeds ends it.
+	ejectAfterFailures = 3
+	ejectFailRate      = 0.5
+	failRateStep       = 0.15
+	minEjection        = 2 * time.Second
+	maxEjection        = 16 * time.Second
+	// stallInterval is the shortest time between two attempts that count against their server for taking too
+	// long.
+	stallInterval = 50 * time.Millisecond
+	// panicThreshold of the slice stays in use whatever its members' failures: if so many members fail, they
+	// share the cause. An answer within recentAnswer shows that the network works.
+	panicThreshold = 0.5
+	recentAnswer   = 500 * time.Millisecond
 )
 
-// sick says whether a server takes much longer than its peers: then the cause is its own, and no crowd.
-func (b *Balancer) sick(s *server) bool {
+// slowerThanPeers reports whether a server takes much longer than its peers. In that case the cause is the
+// server itself, not the load.
+func (b *Balancer) slowerThanPeers(s *server) bool {
 	sum := 0.0
 	for _, m := range b.active {
-		sum += m.slow
+		sum += m.slowness
 	}
-	return s.slow > sum/float64(max(len(b.active), 1))+sickMargin
+	return s.slowness > sum/float64(max(len(b.active), 1))+slowMargin
 }
 
-// sound says whether a server is not ejected, or may now have its single trial request.
-func (b *Balancer) sound(now time.Duration, s *server) bool {
-	return s.ejected == 0 || now >= s.ejected && !s.trial
+// notEjected reports whether a server is not ejected, or may now receive its single trial request.
+func (b *Balancer) notEjected(now time.Duration, s *server) bool {
+	return s.ejectedUntil == 0 || now >= s.ejectedUntil && !s.probing
 }
 
-// overdue says whether a server answered far too late for the request's class, and is slower than its peers:
-// such an answer does not clear it.
+// overdue reports whether a server answered far too late for the request's class and is slower than its
+// peers. Such an answer does not clear its failures.
 func (b *Balancer) overdue(q *request, s *server, r Result) bool {
-	return r.Outcome == OK && r.Latency.Seconds() > overdueMost*float64(b.mean[q.Class]) && b.sick(s)
+	return r.Outcome == OK && r.Latency.Seconds() > overdueRatio*float64(b.mean[q.Class]) &&
+		b.slowerThanPeers(s)
 }
 
-// judge learns a server's health from an outcome: errors, time-outs and refusals count as failures.
-func (b *Balancer) judge(now time.Duration, s *server, o Outcome, overdue bool) {
+// recordOutcome updates a server's health with an outcome. Errors, timeouts and refusals count as failures.
+func (b *Balancer) recordOutcome(now time.Duration, s *server, o Outcome, overdue bool) {
 	failed := 0.0
 	switch o {
 	case Canceled, Ignored, Rejected:
-		s.trial = false
+		s.probing = false
 		return
 	case OK:
-		b.served.Add(now, 1, rateMemory)
-		b.notePerWarm(now)
+		b.servedRate.Add(now, 1, rateTimeConstant)
+		b.recordWarmAnswer(now)
 		if overdue {
-			s.trial = false
-			if s.ejected > 0 {
+			s.probing = false
+			if s.ejectedUntil > 0 {
 				b.considerEjection(now, s, true) // its trial shows that it is as slow as before
 			}
 			return
 		}
-		s.failRun = 0
-		if s.ejected > 0 {
-			s.ejected, s.failRate, b.panicked = 0, 0, false
-			b.refresh()
+		s.failStreak = 0
+		if s.ejectedUntil > 0 {
+			s.ejectedUntil, s.failRate, b.panicMode = 0, 0, false
+			b.rebuildActive()
 		}
 		s.ejections = 0
 	default:
 		failed = 1
-		s.failRun++
+		s.failStreak++
 	}
-	s.trial = false
-	s.failRate += failMemory * (failed - s.failRate)
+	s.probing = false
+	s.failRate += failRateStep * (failed - s.failRate)
 	if failed > 0 {
 		if o == ConnectError {
-			b.unheard(now, s, true)
+			b.recordUnresponsive(now, s, true)
 		}
 		b.considerEjection(now, s, o == ConnectError)
 	}
 }
 
-// considerEjection ejects a server that looks dead, for longer each time in a row.
+// considerEjection ejects a server that appears dead, for longer each time in a row.
 func (b *Balancer) considerEjection(now time.Duration, s *server, dead bool) {
-	dead = dead || s.failRun >= ejectRun || s.failRate > ejectShare
-	if dead && now >= s.ejected && b.mayEject(now, s) {
-		s.ejected = now + min(ejectBase<<min(s.ejections, 4), ejectMost)
+	dead = dead || s.failStreak >= ejectAfterFailures || s.failRate > ejectFailRate
+	if dead && now >= s.ejectedUntil && b.mayEject(now, s) {
+		s.ejectedUntil = now + min(minEjection<<min(s.ejections, 4), maxEjection)
 		s.ejections++
 		if s.ejections == 1 {
 			b.host.Log("ejected " + s.id)
 		}
-		b.refresh()
+		b.rebuildActive()
 	}
 }
 
-// mayEject is the panic threshold: failures that most of the slice shares do not come from its members, and
-// ejecting these would pile the load onto the last few. Who cannot be reached serves nothing either way, and
-// does not count while others answer, which shows that the network between is well.
+// mayEject applies the panic threshold: failures that most of the slice shares are not caused by its members,
+// and ejecting these would move the load onto the last few. Unreachable members serve nothing either way.
+// They do not count while others answer, which shows that the network to the servers works.
 func (b *Balancer) mayEject(now time.Duration, s *server) bool {
-	if s.ejected > 0 {
-		return true // it is out already: the trial has failed
+	if s.ejectedUntil > 0 {
+		return true // it is ejected already: the trial has failed
 	}
-	well := now <= b.heard+hearing // the network between
+	networkOK := now <= b.lastAnswer+recentAnswer // the network to the servers
 	out, all := 0, 0
-	for _, m := range b.order[:b.slice] {
+	for _, m := range b.order[:b.sliceSize] {
 		switch {
-		case well && m.away:
+		case networkOK && m.unreachable:
 			continue
-		case m.ejected > 0 || m.banned:
+		case m.ejectedUntil > 0 || m.banned:
 			out++
 		}
 		all++
 	}
-	if well && s.away || float64(out+1) <= panicShare*float64(all) {
+	if networkOK && s.unreachable || float64(out+1) <= panicThreshold*float64(all) {
 		return true
 	}
-	if !b.panicked {
-		b.panicked = true
+	if !b.panicMode {
+		b.panicMode = true
 		b.host.Log("panic threshold: no further ejections, too much of the subset is out")
 	}
 	return false
 }
 
-// stalled notes that an attempt is out for longer than nearly all of its class take. A silent server shows in
-// nothing else, so it counts as a failure until an answer comes. It counts only where others are answered
-// meanwhile and this server says nothing at all, or is slower than its peers: one that has answered since is
-// not dead, and where nobody has answered anything as young, the silence is the network's or our own. Many
-// attempts may meet one short pause; they count once in stallStep. No second copy is sent: copies took the
-// retry budget from real failures and multiplied from tier to tier.
-func (b *Balancer) stalled(now time.Duration, q *request, index int) {
+// recordStall handles an attempt that is outstanding for longer than nearly all of its class take. A silent
+// server shows no other sign, so this counts as a failure until an answer arrives. It counts only if other
+// attempts are answered meanwhile, and this server has not answered since or is slower than its peers. A
+// server that has answered since is not dead, and if no attempt as recent was answered, the silence is caused
+// by the network or by this process. Many attempts may meet one short pause, so they count once per
+// stallInterval. No second copy is sent: copies used up the retry budget of real failures and multiplied from
+// tier to tier.
+func (b *Balancer) recordStall(now time.Duration, q *request, index int) {
 	a := &q.attempts[index]
-	if a.over || q.answered || a.s.answered > a.at && !b.sick(a.s) {
+	if a.ended || q.finished || a.server.lastAnswer > a.sentAt && !b.slowerThanPeers(a.server) {
 		return
 	}
-	if b.newest < a.at || now < a.s.stalledAt+stallStep {
-		b.afterFor(q, stallStep, func(now time.Duration) { b.stalled(now, q, index) })
+	if b.newestAnswered < a.sentAt || now < a.server.lastStall+stallInterval {
+		b.scheduleFor(q, stallInterval, func(now time.Duration) { b.recordStall(now, q, index) })
 		return
 	}
-	a.s.stalledAt = now
-	a.s.failRun++
-	if a.s.answered <= a.at {
-		b.unheard(now, a.s, false)
+	a.server.lastStall = now
+	a.server.failStreak++
+	if a.server.lastAnswer <= a.sentAt {
+		b.recordUnresponsive(now, a.server, false)
 	}
-	b.considerEjection(now, a.s, false)
+	b.considerEjection(now, a.server, false)
 }
--- a/balance/list.go
+++ b/balance/list.go
@@ -3,29 +3,29 @@
 import "time"
 
 const (
-	watchWarn = 4           // failed watches in a row are told to people
-	watchMost = time.Second // until the list is asked for again: what changes soon counts as told
+	watchFailuresLogged = 4           // failed watches in a row before they are logged
+	maxWatchWait        = time.Second // before the next watch, since new changes soon count as notified
 )
 
-// Update takes in what the list service says.
+// Update handles a server list, or the failure to get one.
 func (b *Balancer) Update(now time.Duration, kind ListKind, entries []Entry) {
 	if kind == ListFailed {
-		if b.watchFail++; b.watchFail == watchWarn {
-			b.host.Log("list: no answer to several watches in a row; going on with the list held")
+		if b.watchFailures++; b.watchFailures == watchFailuresLogged {
+			b.host.Log("list: no answer to several watches in a row; continuing with the current list")
 		}
-		b.watchSoon()
+		b.scheduleWatch()
 		return
 	}
 	if kind == Cached {
-		b.watchSoon()
+		b.scheduleWatch()
 	} else {
-		b.watchFail = 0
+		b.watchFailures = 0
 	}
 	if kind != Cached {
-		defer func() { b.listedAt = now }()
+		defer func() { b.lastUpdate = now }()
 	}
 	if kind == Delta && len(entries) == 0 {
-		return // the word that nothing has changed
+		return // the list service reports that nothing has changed
 	}
 	if kind != Delta {
 		for _, s := range b.servers {
@@ -35,29 +35,29 @@
 	for _, e := range entries {
 		s := b.servers[e.ID]
 		if s == nil {
-			s = &server{id: e.ID, listed: now, banned: b.banned[e.ID]}
+			s = &server{id: e.ID, firstListed: now, banned: b.banned[e.ID]}
 			b.servers[e.ID] = s
-			b.seen.Add(e.ID)
+			b.seenIDs.Add(e.ID)
 		}
-		if s.told != e.Boot {
-			// The first sends of all instances must not meet: each begins with a random debt.
-			s.coldAt, s.coldTokens = now, 1-2*b.random()
-			s.forgive()
-			s.entry.Boot = b.believedBoot(now, e.Boot)
+		if s.reportedBoot != e.Boot {
+			// The first sends of all instances must not coincide, so each starts with a random debt.
+			s.coldUpdated, s.coldTokens = now, 1-2*b.random()
+			s.clearFailures()
+			s.entry.Boot = b.plausibleBoot(now, e.Boot)
 		}
-		s.told, e.Boot = e.Boot, s.entry.Boot
+		s.reportedBoot, e.Boot = e.Boot, s.entry.Boot
 		s.entry = e
 	}
-	b.cut(now)
-	b.retryHeld(now)
+	b.resubset(now)
+	b.dispatchQueued(now)
 }
 
-// watchSoon subscribes where the list must be asked. The wait is random and grows with each failure, so
-// that a whole tier started at once does not swamp the list service.
-func (b *Balancer) watchSoon() {
-	if !b.set.AskForList {
+// scheduleWatch subscribes if the list must be asked for. The wait is random and grows with each failure, so
+// that a whole tier that starts at once does not overload the list service.
+func (b *Balancer) scheduleWatch() {
+	if !b.settings.AskForList {
 		return
 	}
-	wait := min(b.set.AskEvery/16<<min(b.watchFail, 3), watchMost)
-	b.after(time.Duration(b.random()*float64(wait)), func(time.Duration) { b.host.Watch() })
+	wait := min(b.settings.AskEvery/16<<min(b.watchFailures, 3), maxWatchWait)
+	b.schedule(time.Duration(b.random()*float64(wait)), func(time.Duration) { b.host.Watch() })
 }
--- a/balance/measure.go
+++ b/balance/measure.go
@@ -6,14 +6,14 @@
 	"brasswell/internal/estimate"
 )
 
-// rateMemory is the time over which rates are smoothed.
-const rateMemory = 4 * time.Second
+// rateTimeConstant is the time over which rates are smoothed.
+const rateTimeConstant = 4 * time.Second
 
-// tail is the time that nearly all of a class's attempts take. From the first few it cannot be told: an
-// instance that has just started would take the first one's time for it and eject whoever takes longer.
+// tail is the time within which nearly all of a class's attempts end. The first few attempts do not show it:
+// an instance that has just started would use the first attempt's time and eject every slower server.
 type tail struct {
 	estimate.Quantile
-	seen int
+	samples int
 }
 
-func (t *tail) known() bool { return t.seen >= tailSeen }
+func (t *tail) known() bool { return t.samples >= minTailSamples }
--- a/balance/norace_test.go
+++ b/balance/norace_test.go
@@ -2,4 +2,4 @@
 
 package balance
 
-const raced = false
+const raceEnabled = false
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -9,43 +9,43 @@
 	"pgregory.net/rapid"
 )
 
-// world is what a property test knows: what it has told the module, and what the module has done.
-type world struct {
+// modelHost is the host of a property test. It records what the test sent to the module and what the module did.
+type modelHost struct {
 	fatal   func(format string, args ...any)
 	now     time.Duration
 	set     Settings
 	b       *Balancer
 	entries map[string]Entry
-	reqs    map[string]*tracked
-	open    []string // ids with no final answer, or with an attempt out
+	reqs    map[string]*trackedRequest
+	open    []string // ids without a final answer, or with an outstanding attempt
 	timers  timers
 	actions []string
 }
 
-// tracked is one request as the test sees it.
-type tracked struct {
+// trackedRequest is one request as the test sees it.
+type trackedRequest struct {
 	class    Class
-	end      time.Duration
+	deadline time.Duration
 	final    bool
 	started  bool
-	attempts []try
+	attempts []trackedAttempt
 }
 
-type try struct {
-	server Entry // as listed when it was sent
-	at     time.Duration
-	over   bool
-	unrun  bool
+type trackedAttempt struct {
+	server      Entry // as listed when it was sent
+	at          time.Duration
+	ended       bool
+	notExecuted bool
 }
 
-func (w *world) note(format string, v ...any) {
+func (w *modelHost) note(format string, v ...any) {
 	w.actions = append(w.actions, fmt.Sprintf("%v ", w.now)+fmt.Sprintf(format, v...))
 }
 
-func (w *world) Send(id, server string, timeout time.Duration) {
+func (w *modelHost) Send(id, server string, timeout time.Duration) {
 	w.note("send %s %s %v", id, server, timeout)
 	q, e := w.reqs[id], w.entries[server]
-	if q.final || w.now > q.end {
+	if q.final || w.now > q.deadline {
 		w.fatal("%s is sent to %s after its end", id, server)
 	}
 	if e.State != InService {
@@ -55,7 +55,7 @@
 		w.fatal("%s is sent more than %d times", id, w.set.MaxAttempts)
 	}
 	for _, a := range q.attempts {
-		if a.over && a.unrun {
+		if a.ended && a.notExecuted {
 			continue
 		}
 		switch c := q.class; {
@@ -67,26 +67,26 @@
 			w.fatal("%s is sent to %s, outside its group", id, server)
 		}
 	}
-	q.attempts = append(q.attempts, try{server: e, at: w.now})
+	q.attempts = append(q.attempts, trackedAttempt{server: e, at: w.now})
 }
 
-func (w *world) Refuse(id string, wait time.Duration) {
+func (w *modelHost) Refuse(id string, wait time.Duration) {
 	w.note("refuse %s %v", id, wait)
 	w.finish(id)
 	q := w.reqs[id]
 	for _, a := range q.attempts {
-		if !(a.over && a.unrun) && q.class.Effect != Free && !(q.class.Effect == Guarded && q.class.Group == GroupAll) {
+		if !(a.ended && a.notExecuted) && q.class.Effect != Free && !(q.class.Effect == Guarded && q.class.Group == GroupAll) {
 			w.fatal("%s is refused, though it may have run", id)
 		}
 	}
 }
 
-func (w *world) Fail(id string) {
+func (w *modelHost) Fail(id string) {
 	w.note("fail %s", id)
 	w.finish(id)
 }
 
-func (w *world) finish(id string) {
+func (w *modelHost) finish(id string) {
 	q := w.reqs[id]
 	if q.final {
 		w.fatal("%s gets a second final answer", id)
@@ -94,53 +94,53 @@
 	q.final = true
 }
 
-func (w *world) Cancel(id string, attempt int) {
+func (w *modelHost) Cancel(id string, attempt int) {
 	w.note("cancel %s %d", id, attempt)
-	if q := w.reqs[id]; attempt >= len(q.attempts) || q.attempts[attempt].over {
-		w.fatal("%s: attempt %d is called off, which is not out", id, attempt)
+	if q := w.reqs[id]; attempt >= len(q.attempts) || q.attempts[attempt].ended {
+		w.fatal("%s: attempt %d is canceled, but not outstanding", id, attempt)
 	}
 }
-func (w *world) SetTimer(d time.Duration, token uint64) {
+func (w *modelHost) SetTimer(d time.Duration, token uint64) {
 	if d < 0 {
-		w.fatal("a timer of %v", d)
+		w.fatal("a timer with a negative delay: %v", d)
 	}
 	w.timers = append(w.timers, timer{w.now + d, token})
 }
-func (w *world) Watch()          { w.note("watch") }
-func (w *world) Log(line string) { w.note("log %s", line) }
+func (w *modelHost) Watch()          { w.note("watch") }
+func (w *modelHost) Log(line string) { w.note("log %s", line) }
 
-// advance goes to a time and rings what is due on the way.
-func (w *world) advance(to time.Duration) { w.timers.ring(w.b, &w.now, to) }
+// advance moves the clock to a time and fires the timers that are due on the way.
+func (w *modelHost) advance(to time.Duration) { w.timers.fire(w.b, &w.now, to) }
 
 // result ends an attempt.
-func (w *world) result(id string, n int, o Outcome) {
+func (w *modelHost) result(id string, n int, o Outcome) {
 	q := w.reqs[id]
-	q.attempts[n].over, q.attempts[n].unrun = true, o.ProvesUnrun()
+	q.attempts[n].ended, q.attempts[n].notExecuted = true, o.ProvesUnrun()
 	if o == OK {
-		q.final = true // the host answers with it
+		q.final = true // the host answers the client with it
 	}
 	w.b.Result(w.now, Result{ID: id, Attempt: n, Outcome: o, Latency: w.now - q.attempts[n].at, Finished: q.final})
 }
 
-// check is what must hold after each event.
-func (w *world) check() {
+// check verifies what must hold after each event.
+func (w *modelHost) check() {
 	w.open = slices.DeleteFunc(w.open, func(id string) bool {
 		q := w.reqs[id]
-		if !q.final && !q.started && w.now > q.end {
+		if !q.final && !q.started && w.now > q.deadline {
 			w.fatal("%s has no answer at its end", id)
 		}
-		return q.final && !slices.ContainsFunc(q.attempts, func(a try) bool { return !a.over })
+		return q.final && !slices.ContainsFunc(q.attempts, func(a trackedAttempt) bool { return !a.ended })
 	})
 	if len(w.b.requests) > len(w.open) {
 		w.fatal("%d records for %d requests", len(w.b.requests), len(w.open))
 	}
 }
 
-// event is one thing that happens, drawn ahead so that it can be played twice.
+// event is one thing that happens, drawn in advance so that it can be run twice.
 type event struct {
 	kind, pick, class int
 	wait              time.Duration
-	left              float64 // of the class's patience
+	remaining         float64 // share of the class's ClientTimeout
 	outcome           Outcome
 	state             State
 	boot              bool
@@ -149,21 +149,21 @@
 var drawEvent = rapid.Custom(func(t *rapid.T) event {
 	return event{
 		kind: rapid.IntRange(0, 11).Draw(t, "kind"), pick: rapid.IntRange(0, 999).Draw(t, "pick"),
-		class: rapid.IntRange(0, 4).Draw(t, "class"),
-		wait:  rapid.SampledFrom([]time.Duration{0, 0, ms, 20 * ms, 100 * ms, 400 * ms}).Draw(t, "wait"),
-		left:  rapid.SampledFrom([]float64{1, 1, 1, 0.9, 0.5, 0}).Draw(t, "left"), outcome: Outcome(rapid.IntRange(int(OK), int(Rejected)).Draw(t, "outcome")),
+		class:     rapid.IntRange(0, 4).Draw(t, "class"),
+		wait:      rapid.SampledFrom([]time.Duration{0, 0, ms, 20 * ms, 100 * ms, 400 * ms}).Draw(t, "wait"),
+		remaining: rapid.SampledFrom([]float64{1, 1, 1, 0.9, 0.5, 0}).Draw(t, "left"), outcome: Outcome(rapid.IntRange(int(OK), int(Rejected)).Draw(t, "outcome")),
 		state: State(rapid.IntRange(int(InService), int(Gone)).Draw(t, "state")), boot: rapid.Bool().Draw(t, "boot"),
 	}
 })
 
-// play plays events from the start and then lets all time run out.
-func play(fatal func(string, ...any), set Settings, servers int, seed uint64, events []event) *world {
-	w := &world{fatal: fatal, now: time.Hour, set: set, entries: map[string]Entry{}, reqs: map[string]*tracked{}}
+// runEvents runs events from the start and then lets all time run out.
+func runEvents(fatal func(string, ...any), set Settings, servers int, seed uint64, events []event) *modelHost {
+	w := &modelHost{fatal: fatal, now: time.Hour, set: set, entries: map[string]Entry{}, reqs: map[string]*trackedRequest{}}
 	var err error
 	if w.b, err = New(set, seed, w); err != nil {
 		fatal("%v", err)
 	}
-	list := fleet(servers)
+	list := testServers(servers)
 	for _, e := range list {
 		w.entries[e.ID] = e
 	}
@@ -173,14 +173,14 @@
 		switch {
 		case e.kind < 5:
 			id, class := fmt.Sprint("r", n), set.Classes[e.class]
-			left := time.Duration(e.left * float64(class.GiveUp))
-			w.reqs[id] = &tracked{class: class, end: w.now + left}
+			left := time.Duration(e.remaining * float64(class.GiveUp))
+			w.reqs[id] = &trackedRequest{class: class, deadline: w.now + left}
 			w.open = append(w.open, id)
 			w.b.Submit(w.now, Request{ID: id, Class: e.class, Left: left})
 		case e.kind < 9 && len(w.open) > 0:
 			id := w.open[e.pick%len(w.open)]
 			for i, a := range w.reqs[id].attempts {
-				if !a.over {
+				if !a.ended {
 					w.result(id, i, e.outcome)
 					break
 				}
@@ -203,11 +203,11 @@
 		}
 		w.check()
 	}
-	// What is out ends by its time; then nothing may be left.
+	// Outstanding attempts time out; then nothing may be left.
 	w.advance(w.now + time.Minute)
 	for _, id := range slices.Clone(w.open) {
 		for i, a := range w.reqs[id].attempts {
-			if !a.over {
+			if !a.ended {
 				w.result(id, i, TimedOut)
 			}
 		}
@@ -217,8 +217,9 @@
 	return w
 }
 
-// TestProperties holds random events against the four rules: one answer by its end and nothing after it, effects
-// within their class, nothing to who is not in service; and no record or timer of a request is left at the end.
+// TestProperties checks random events against four rules: one answer by the deadline and nothing after it, effects
+// within their class, nothing sent to a server that is not in service, and no record or timer of a request left at
+// the end.
 func TestProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := testSettings()
@@ -233,25 +234,26 @@
 		servers := rapid.IntRange(1, 40).Draw(t, "servers")
 		seed := rapid.Uint64().Draw(t, "seed")
 		events := rapid.SliceOfN(drawEvent, 80, 250).Draw(t, "events")
-		w := play(t.Fatalf, set, servers, seed, events)
-		if len(w.open) != 0 || len(w.b.requests) != 0 || len(w.b.held) != 0 || w.b.inFlight != 0 {
-			t.Fatalf("left over: %v open, %d records, %d held, %d in flight", w.open, len(w.b.requests), len(w.b.held), w.b.inFlight)
+		w := runEvents(t.Fatalf, set, servers, seed, events)
+		if len(w.open) != 0 || len(w.b.requests) != 0 || len(w.b.queue) != 0 || w.b.inFlight != 0 {
+			t.Fatalf("left over: %v open, %d records, %d held, %d in flight", w.open, len(w.b.requests), len(w.b.queue), w.b.inFlight)
 		}
 		for _, s := range w.b.servers {
 			if s.inFlight != 0 {
 				t.Fatalf("%s has %d in flight", s.id, s.inFlight)
 			}
 		}
-		if again := play(t.Fatalf, set, servers, seed, events); !slices.Equal(w.actions, again.actions) {
+		if again := runEvents(t.Fatalf, set, servers, seed, events); !slices.Equal(w.actions, again.actions) {
 			t.Fatal("the same events gave other actions")
 		}
 	})
 }
 
-// TestTimersGoWithTheirRequest: a timer that stays would hold the record of a request that is over until its deadline.
-func TestTimersGoWithTheirRequest(t *testing.T) {
-	f := newFake(t, testSettings(), fleet(6))
-	for i := range 3 * tailSeen {
+// TestTimersAreRemovedWithTheirRequest: a timer that stays would hold the record of a finished request until its
+// deadline.
+func TestTimersAreRemovedWithTheirRequest(t *testing.T) {
+	f := newFakeHost(t, testSettings(), testServers(6))
+	for i := range 3 * minTailSamples {
 		id := fmt.Sprint("r", i)
 		f.submit(id, 0)
 		f.advance(f.now + ms)
--- a/balance/quota.go
+++ b/balance/quota.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// quotaBurst is how long a tenant's unused quota is saved up.
+// quotaBurst is for how long a tenant's unused quota accumulates.
 const quotaBurst = 2 * time.Second
 
-// tenantWorth is what a tenant's next request is worth: less beyond its quota, of which each instance
-// counts its own part. It orders requests only while there is no room for all.
-func (b *Balancer) tenantWorth(now time.Duration, tenant int) float64 {
+// tenantValue returns the value of a tenant's next request as a share of its class's value: less than 1
+// beyond the tenant's quota, of which each instance counts its own part. It orders requests only while there
+// is no capacity for all.
+func (b *Balancer) tenantValue(now time.Duration, tenant int) float64 {
 	if len(b.quota) == 0 {
 		return 1
 	}
 	if tenant < 0 || tenant >= len(b.quota) {
-		return b.set.OverShareWorth // nobody's quota
+		return b.settings.OverShareWorth // an unknown tenant has no quota
 	}
-	perSecond := b.soft * b.set.Tenants[tenant].QuotaPerSecond / float64(b.set.Instances)
+	perSecond := b.quotaShare * b.settings.Tenants[tenant].QuotaPerSecond / float64(b.settings.Instances)
 	if b.quota[tenant].Take(now, perSecond, perSecond*quotaBurst.Seconds()) {
 		return 1
 	}
-	return b.set.OverShareWorth
+	return b.settings.OverShareWorth
 }
--- a/balance/race_test.go
+++ b/balance/race_test.go
@@ -2,6 +2,7 @@
 
 package balance
 
-// raced is whether the race detector is on. One goroutine plays a day, so the detector finds nothing in it and takes
-// many times as long; the module under its lock is played with the detector in internal/host and internal/proxy.
-const raced = true
+// raceEnabled is whether the race detector is on. The simulations run in one goroutine, so the detector finds nothing
+// in them and makes them many times slower. internal/host and internal/proxy test the module under its lock with the
+// detector.
+const raceEnabled = true
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -6,90 +6,95 @@
 )
 
 const (
-	// retryRatio is how much of the first attempts' number may be sent again: retries multiply from tier
-	// to tier, so each instance earns them. retryBurst is the most that can be saved up.
+	// retryRatio is how many requests may be sent again for each first attempt. Retries multiply from tier to
+	// tier, so each instance has to earn them. retryBurst is the most that can be saved up.
 	retryRatio, retryBurst = 0.1, 10.0
 )
 
-// mayHaveRun is the first attempt that may have run, or nil.
+// mayHaveRun returns the first attempt that may have run, or nil.
 func (q *request) mayHaveRun() *attempt { return firstRun(q.attempts) }
 
 func firstRun(attempts []attempt) *attempt {
 	for i := range attempts {
-		if !attempts[i].unrun {
+		if !attempts[i].notExecuted {
 			return &attempts[i]
 		}
 	}
 	return nil
 }
 
-// tried says whether an attempt of the request has gone to s: what went wrong there may do so again.
+// tried reports whether an attempt of the request was sent to s. What failed there may fail there again.
 func (q *request) tried(s *server) bool {
-	return slices.ContainsFunc(q.attempts, func(a attempt) bool { return a.s == s && !a.unsent })
+	return slices.ContainsFunc(q.attempts, func(a attempt) bool { return a.server == s && !a.notSent })
 }
 
-// allows keeps the rule on effects for a further send, where first may have run: it may go to s only if none
-// may have, or the class is free, or s is in the group that drops the repeat and still remembers it.
-func (q *request) allows(now time.Duration, first *attempt, s *server) bool {
-	return first == nil || q.class.Effect == Free || !q.barred(now, first) && (q.class.Group == GroupAll ||
-		q.class.Group == GroupZone && s.entry.Zone == first.s.entry.Zone ||
-		q.class.Group == GroupCell && s.entry.Cell == first.s.entry.Cell)
+// effectAllows reports whether the class's effect permits a further send to s, where first is the first
+// attempt that may have run: there is no such attempt, or the class is idempotent, or s is in the scope that
+// drops the repeat and still remembers it.
+func (q *request) effectAllows(now time.Duration, first *attempt, s *server) bool {
+	return first == nil || q.class.Effect == Free ||
+		!q.retryForbidden(now, first) && (q.class.Group == GroupAll ||
+			q.class.Group == GroupZone && s.entry.Zone == first.server.entry.Zone ||
+			q.class.Group == GroupCell && s.entry.Cell == first.server.entry.Cell)
 }
 
-// barred says whether no server may get the request any more, where first may have run.
-func (q *request) barred(now time.Duration, first *attempt) bool {
+// retryForbidden reports whether no server may receive the request any more, where first is the first attempt
+// that may have run.
+func (q *request) retryForbidden(now time.Duration, first *attempt) bool {
 	return first != nil && q.class.Effect != Free &&
-		(q.class.Effect == SingleShot || now >= first.at+q.class.Window)
+		(q.class.Effect == SingleShot || now >= first.sentAt+q.class.Window)
 }
 
-// MayBegin says whether an attempt may still be written. While its connection came up, its server may have
-// been taken out, and the group that drops a repeat may have forgotten the first.
+// MayStart reports whether an attempt may still be written. While its connection was being set up, its server
+// may have been taken out, and the servers that drop a repeat may have forgotten the first attempt.
 func (b *Balancer) MayBegin(now time.Duration, id string, attempt int) bool {
 	q := b.requests[id]
-	if q == nil || q.answered || attempt < 0 || attempt >= len(q.attempts) {
+	if q == nil || q.finished || attempt < 0 || attempt >= len(q.attempts) {
 		return false
 	}
-	s := q.attempts[attempt].s
-	return s.usable() && q.allows(now, firstRun(q.attempts[:attempt]), s)
+	s := q.attempts[attempt].server
+	return s.usable() && q.effectAllows(now, firstRun(q.attempts[:attempt]), s)
 }
 
-// refusable says whether the client may be told that trying again is harmless.
+// refusable reports whether the client may be told that trying again is harmless.
 func (q *request) refusable() bool {
 	return q.mayHaveRun() == nil || q.class.Effect == Free ||
 		q.class.Effect == Guarded && q.class.Group == GroupAll
 }
 
-// tryAgain follows an attempt that did not serve the request: another send where the class, the time and the
-// retry budget allow it, or else the final answer. An attempt that never ran was no work for its server, so
-// the one in its place needs no budget: refused for want of one, it came back as a new request.
-func (b *Balancer) tryAgain(now time.Duration, q *request, unrun bool) {
-	if !q.late(now) && len(q.attempts) < b.set.MaxAttempts && (unrun || b.retries >= 1) {
+// retryOrFinish follows an attempt that did not serve the request. It sends the request again if the class,
+// the time and the retry budget allow that, and otherwise gives the final answer. An attempt that never ran
+// was no work for its server, so its replacement needs no budget: requests that were refused for lack of
+// budget came back as new requests.
+func (b *Balancer) retryOrFinish(now time.Duration, q *request, notExecuted bool) {
+	if !q.expired(now) && len(q.attempts) < b.settings.MaxAttempts && (notExecuted || b.retryBudget >= 1) {
 		if s := b.pick(now, q); s != nil {
-			if !unrun {
-				b.retries--
+			if !notExecuted {
+				b.retryBudget--
 			}
 			b.send(now, q, s)
 			return
 		}
 	}
-	b.answer(now, q)
+	b.finishUnserved(now, q)
 }
 
-// late says whether a request's time is over; that of one which is still arriving has not begun.
-func (q *request) late(now time.Duration) bool { return now >= q.end && !q.Arriving }
+// expired reports whether a request's time is over. The time of a request with a pending body has not
+// started.
+func (q *request) expired(now time.Duration) bool { return now >= q.deadline && !q.Arriving }
 
-// tryLater follows an attempt that was never sent because this instance was short of something, sockets
-// mostly. It says nothing about the server and spends no retry; at once it would only fail again.
-func (b *Balancer) tryLater(now time.Duration, q *request) {
-	if q.late(now+holdStep) || len(q.attempts) >= b.set.MaxAttempts {
-		b.answer(now, q)
+// retryUnsent follows an attempt that was never sent because this instance lacked a resource, mostly sockets.
+// That says nothing about the server and spends no retry. An immediate retry would only fail again.
+func (b *Balancer) retryUnsent(now time.Duration, q *request) {
+	if q.expired(now+dispatchInterval) || len(q.attempts) >= b.settings.MaxAttempts {
+		b.finishUnserved(now, q)
 		return
 	}
-	b.afterFor(q, holdStep, func(now time.Duration) {
-		if !q.answered {
-			b.hold(q)
-			b.retryHeld(now)
-			b.keepHolding()
+	b.scheduleFor(q, dispatchInterval, func(now time.Duration) {
+		if !q.finished {
+			b.enqueue(q)
+			b.dispatchQueued(now)
+			b.scheduleDispatch()
 		}
 	})
 }
--- a/balance/room.go
+++ b/balance/room.go
@@ -2,54 +2,55 @@
 
 import "time"
 
-// roomLost members of a room in a row, unreachable or silent with nothing heard from the room between, are
-// evidence against all of it. At a low rate it takes seconds to find out about each of them by itself, and
-// each costs the request that does.
-const roomLost = 3
+// zoneLostThreshold servers of a zone in a row that are unreachable or silent, with no answer from the zone
+// in between, are evidence that the whole zone is lost. At a low request rate it takes seconds to detect each
+// of them by itself, and each detection costs the request that makes it.
+const zoneLostThreshold = 3
 
-// room is what is known of a zone's servers together.
-type room struct {
-	unheard int           // servers in a row of which nothing was heard
-	since   time.Duration // when the first of them showed
+// zoneHealth is what is known about a zone's servers together.
+type zoneHealth struct {
+	unresponsive int           // servers in a row that were unreachable or silent
+	since        time.Duration // when the first of them was noticed
 }
 
-// unheard notes that a server could not be reached, or is silent. One bad server condemns no room, as others
-// answer between, nor do slow ones: one must be out of reach. Nor does a loss of our own network: somebody
-// elsewhere must have answered since.
-func (b *Balancer) unheard(now time.Duration, s *server, unreachable bool) {
-	r := b.rooms[s.entry.Zone]
+// recordUnresponsive notes that a server is unreachable or silent. One bad server does not make its zone
+// lost, because others answer in between. Slow servers do not either, because one must be unreachable. Nor
+// does a loss of this instance's own network, because a server elsewhere must have answered since.
+func (b *Balancer) recordUnresponsive(now time.Duration, s *server, unreachable bool) {
+	r := b.zones[s.entry.Zone]
 	if r == nil {
-		r = &room{}
-		b.rooms[s.entry.Zone] = r
+		r = &zoneHealth{}
+		b.zones[s.entry.Zone] = r
 	}
-	if !s.away {
-		s.away = true
-		if r.unheard++; r.unheard == 1 {
+	if !s.unreachable {
+		s.unreachable = true
+		if r.unresponsive++; r.unresponsive == 1 {
 			r.since = now
 		}
 	}
-	if !unreachable || r.unheard < roomLost || b.heard <= r.since {
+	if !unreachable || r.unresponsive < zoneLostThreshold || b.lastAnswer <= r.since {
 		return
 	}
 	for _, m := range b.order {
-		if m.entry.Zone == s.entry.Zone && m.ejected == 0 && m.answered < r.since {
-			m.ejected = now + ejectBase/2 + time.Duration(b.random()*float64(ejectBase))
+		if m.entry.Zone == s.entry.Zone && m.ejectedUntil == 0 && m.lastAnswer < r.since {
+			m.ejectedUntil = now + minEjection/2 + time.Duration(b.random()*float64(minEjection))
 		}
 	}
-	b.refresh()
+	b.rebuildActive()
 }
 
-// backAgain notes an answer: its room is no longer lost, and who was out for the room's sake alone is back.
-func (b *Balancer) backAgain(now time.Duration, s *server) {
-	s.away = false
-	if r := b.rooms[s.entry.Zone]; r != nil && r.unheard > 0 {
-		if r.unheard >= roomLost {
+// recordResponsive notes an answer. The zone of its server is no longer lost, and servers that were ejected
+// only because of the zone may be tried again.
+func (b *Balancer) recordResponsive(now time.Duration, s *server) {
+	s.unreachable = false
+	if r := b.zones[s.entry.Zone]; r != nil && r.unresponsive > 0 {
+		if r.unresponsive >= zoneLostThreshold {
 			for _, m := range b.order {
-				if m.entry.Zone == s.entry.Zone && m.ejected > 0 {
-					m.ejected = min(m.ejected, now) // each may have its trial
+				if m.entry.Zone == s.entry.Zone && m.ejectedUntil > 0 {
+					m.ejectedUntil = min(m.ejectedUntil, now) // each may have its trial now
 				}
 			}
 		}
-		r.unheard = 0
+		r.unresponsive = 0
 	}
 }
--- a/balance/shift_test.go
+++ b/balance/shift_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// TestShiftMovesTimesOfTheInstance: all but when a server started, which others tell, and what never was.
-func TestShiftMovesTimesOfTheInstance(t *testing.T) {
+// TestShiftTimesMovesLocalTimes: all times move except reported start times, which are on another clock, and times
+// that were never set.
+func TestShiftTimesMovesLocalTimes(t *testing.T) {
 	const by = -time.Hour
 	c := Carried{ServedAt: 10 * time.Hour, Servers: []CarriedServer{
 		{Entry: Entry{Boot: 2 * time.Hour}, Listed: 3 * time.Hour, Resumed: 4 * time.Hour, Ejected: 5 * time.Hour, ColdAt: 6 * time.Hour, Load: 7},
@@ -22,74 +23,76 @@
 	}
 }
 
-// TestAColdServerIsSparedBehindAStep: an instance goes on from another whose clock stood an hour ahead. Without the shift the cold server's
-// budget would be an hour in debt.
-func TestAColdServerIsSparedBehindAStep(t *testing.T) {
+// TestColdBudgetSurvivesAClockStep: an instance restores the snapshot of another whose clock was an hour ahead.
+// Without the shift the cold server's budget would be in debt by an hour.
+func TestColdBudgetSurvivesAClockStep(t *testing.T) {
 	const step = time.Hour
 	set := testSettings()
 	set.WarmUp = 10 * time.Second
 	now := 100 * time.Hour
 	carried := Carried{Servers: []CarriedServer{{Entry: Entry{ID: "a", Boot: now - time.Second}, Listed: now + step, ColdAt: now + step}}}
-	for name, by := range map[string]time.Duration{"shifted": -step, "as it was": 0} {
+	for name, by := range map[string]time.Duration{"shifted": -step, "not shifted": 0} {
 		c := Carried{Servers: append([]CarriedServer(nil), carried.Servers...), Warm: 50, ServedAt: now}
 		c.Shift(by)
 		c.ServedAt = now
-		b, err := New(set, 1, &idleHost{})
+		b, err := New(set, 1, &discardHost{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		b.Adopt(now, c)
-		allowed := b.coldAllows(now+5*time.Second, b.servers["a"])
+		allowed := b.coldBudgetAllows(now+5*time.Second, b.servers["a"])
 		if want := by != 0; allowed != want {
-			t.Errorf("%s: a cold server is sent to 5 s later: %t", name, allowed)
+			t.Errorf("%s: a cold server may be sent a request 5 s later: %t", name, allowed)
 		}
 	}
 }
 
-// TestStartsAreBelievedWithinReason: the list's word on when a server started goes by a clock of its own, and this machine's may have been
-// an hour off when the process started. A server that is news is as cold as its news, whatever the clocks say.
-func TestStartsAreBelievedWithinReason(t *testing.T) {
+// TestReportedStartTimesAreBounded: the list's start times are on a clock of its own, and this machine's clock may
+// have been an hour off when the process started. A server that is newly listed counts as recently started, whatever
+// the clocks say.
+func TestReportedStartTimesAreBounded(t *testing.T) {
 	set := testSettings()
 	set.WarmUp = 30 * time.Second
 	const start = 100 * time.Hour
 	for name, c := range map[string]struct {
-		told time.Duration // before its news
+		age  time.Duration // how long before its listing the list says that it started
 		cold bool
 	}{
-		"right":                      {3 * time.Second, true},
-		"this clock an hour ahead":   {time.Hour, true},
-		"this clock an hour behind":  {-time.Hour, true},
-		"this clock 5 s behind":      {-5 * time.Second, true},
-		"news that came a bit later": {12 * time.Second, true},
+		"right":                     {3 * time.Second, true},
+		"this clock an hour ahead":  {time.Hour, true},
+		"this clock an hour behind": {-time.Hour, true},
+		"this clock 5 s behind":     {-5 * time.Second, true},
+		"listed a bit later":        {12 * time.Second, true},
 	} {
-		b, err := New(set, 1, &idleHost{})
+		b, err := New(set, 1, &discardHost{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		b.Update(start, Full, []Entry{{ID: "old"}})
-		news := start + 5*time.Second
-		b.Update(news, Delta, []Entry{{ID: "new", Boot: news - c.told}})
+		listedAt := start + 5*time.Second
+		b.Update(listedAt, Delta, []Entry{{ID: "new", Boot: listedAt - c.age}})
 		s := b.servers["new"]
-		if cold := b.coldShare(news+time.Second, s) < 1; cold != c.cold {
-			t.Errorf("%s: cold is %t a second behind the news", name, cold)
+		if cold := b.coldShare(listedAt+time.Second, s) < 1; cold != c.cold {
+			t.Errorf("%s: cold is %t a second after the listing", name, cold)
 		}
-		if share := b.coldShare(news+set.WarmUp, s); share < 1 {
+		if share := b.coldShare(listedAt+set.WarmUp, s); share < 1 {
 			t.Errorf("%s: still at %.2f of its capacity when it must be warm", name, share)
 		}
 		entry := s.entry
-		b.Update(news+time.Second, Full, []Entry{{ID: "new", Boot: news - c.told}})
+		b.Update(listedAt+time.Second, Full, []Entry{{ID: "new", Boot: listedAt - c.age}})
 		if s.entry != entry {
-			t.Errorf("%s: the same word again changes its start from %v to %v", name, entry.Boot, s.entry.Boot)
+			t.Errorf("%s: the same report again changes its start from %v to %v", name, entry.Boot, s.entry.Boot)
 		}
 	}
 }
 
-// TestLateListsAreBelieved: what a process learns with its first list, or behind an outage of discovery, may have started long before.
-func TestLateListsAreBelieved(t *testing.T) {
+// TestLateListsKeepReportedStartTimes: a server that a process learns about from its first list, or after an outage
+// of discovery, may have started long before.
+func TestLateListsKeepReportedStartTimes(t *testing.T) {
 	set := testSettings()
 	set.WarmUp = 30 * time.Second
 	const start = 100 * time.Hour
-	b, err := New(set, 1, &idleHost{})
+	b, err := New(set, 1, &discardHost{})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -8,47 +8,48 @@
 )
 
 const (
-	// subsetBase is the smallest subset wanted: few members keep connections few, and are soon known. The
-	// size is raised, at most to double, to where the instances' slices cover all servers most evenly.
-	subsetBase = 8
-	// shuffleStream keeps the rounds' generator apart from the instances' own.
+	// minSubset is the smallest subset wanted: few members need few connections and are soon known. The size
+	// is raised, at most to double, to the one at which the instances' slices cover all servers most evenly.
+	minSubset = 8
+	// shuffleStream keeps the generator of the rounds apart from the instances' own generators.
 	shuffleStream = 0x6c656d6f6e666c6f
-	// vacantShare of the places may be empty before the list is sorted anew.
-	vacantShare = 0.5
+	// maxVacantShare of the positions may be empty before the list is sorted again.
+	maxVacantShare = 0.5
 )
 
-// refresh makes the active list: the slice, and for each member that is gone, draining or ejected the next
-// sound server along the round's shuffle, so that every round spreads a loss over others. Lost members stay
-// in the list, where turns pass over them until they are sound again.
-func (b *Balancer) refresh() {
-	b.active = append(b.active[:0], b.order[:b.slice]...)
-	b.stuck = b.stuck[:0]
+// rebuildActive builds the active list: the slice, and for each member that is excluded the next server along
+// the round's shuffle that is not, so that each round spreads a loss over different servers. Excluded members
+// stay in the list, where round robin skips them until they are usable again.
+func (b *Balancer) rebuildActive() {
+	b.active = append(b.active[:0], b.order[:b.sliceSize]...)
+	b.excludedBusy = b.excludedBusy[:0]
 	for _, s := range b.order {
-		if s.out() && s.inFlight > 0 {
-			b.stuck = append(b.stuck, s)
+		if s.excluded() && s.inFlight > 0 {
+			b.excludedBusy = append(b.excludedBusy, s)
 		}
 	}
 	lost := 0
 	for _, s := range b.active {
-		if s.out() {
+		if s.excluded() {
 			lost++
 		}
 	}
-	for _, s := range b.order[b.slice:] {
+	for _, s := range b.order[b.sliceSize:] {
 		if lost == 0 {
 			break
 		}
-		if !s.out() {
+		if !s.excluded() {
 			b.active = append(b.active, s)
 			lost--
 		}
 	}
-	b.turn %= max(len(b.active), 1)
+	b.nextIndex %= max(len(b.active), 1)
 }
 
-// cut takes this instance's slice of the full list, as the book has it: sorted by id, draining members
-// included, shuffled by the round's seed, cut by the own number; leftovers go one each to the first slices.
-func (b *Balancer) cut(now time.Duration) {
+// resubset takes this instance's slice of the full list by the deterministic subsetting of the SRE book: the
+// list is sorted by ID, draining members included, shuffled with the round's seed and divided by instance
+// number. Leftover servers go one each to the first slices.
+func (b *Balancer) resubset(now time.Duration) {
 	if !b.keepSlots(now) {
 		b.slots = b.slots[:0]
 		for _, s := range b.servers {
@@ -63,17 +64,18 @@
 			delete(b.servers, id)
 		}
 	}
-	from, to, round := subset(b.numbers[0], b.numbers[1], len(b.slots))
+	from, to, round := subset(b.position[0], b.position[1], len(b.slots))
 	order := shuffled(b.slots, round)
 	b.order = append(slices.Clone(order[from:]), order[:from]...)
-	b.slice = to - from
-	b.refresh()
+	b.sliceSize = to - from
+	b.rebuildActive()
 }
 
-// keepSlots keeps the order that the shuffle starts from while servers come and go, and reports whether that
-// could be done: sorting anew would reshuffle nearly all subsets at each step of a release, at each instance
-// at another time. So who is gone keeps its place, empty; a new id takes the place of one that is gone or
-// draining; and one that replaces nobody waits, for as long as it would be cold at most, for a place.
+// keepSlots keeps the order in which the shuffle starts while servers come and go, and reports whether that
+// was possible. Sorting again would reshuffle nearly all subsets at each step of a release, and at each
+// instance at another time. So a server that is gone keeps its position, which is then empty; a new ID takes
+// the position of a server that is gone or draining; and a new ID that replaces no server waits for a
+// position, for at most as long as it would be cold.
 func (b *Balancer) keepSlots(now time.Duration) bool {
 	var joining []*server
 	for _, s := range b.servers {
@@ -93,19 +95,19 @@
 		}
 	}
 	for _, s := range joining {
-		if now >= s.listed+b.set.WarmUp {
+		if now >= s.firstListed+b.settings.WarmUp {
 			return false
 		}
 	}
 	if len(joining) > 0 && len(b.slots) > 0 {
-		b.after(b.set.WarmUp, b.cut)
+		b.schedule(b.settings.WarmUp, b.resubset)
 	}
-	return len(b.slots) > 0 && float64(vacant) <= vacantShare*float64(len(b.slots))
+	return len(b.slots) > 0 && float64(vacant) <= maxVacantShare*float64(len(b.slots))
 }
 
 func byID(x, y *server) int { return cmp.Compare(x.id, y.id) }
 
-// subset says which slice of which round's shuffle an instance takes.
+// subset returns an instance's slice of a round's shuffle, and the round.
 func subset(self, instances, servers int) (from, to, round int) {
 	count := subsetCount(instances, servers)
 	slice := self % count
@@ -118,11 +120,11 @@
 	return from, to, self / count
 }
 
-// subsetCount says into how many slices a round cuts the list: among the counts that give subsetBase to
+// subsetCount returns into how many slices a round divides the list: among the counts that give minSubset to
 // twice as many members, the one whose last, unfinished round leaves the coverage most even.
 func subsetCount(instances, servers int) int {
 	best, bestUneven := 1, 2.0
-	for count := max(servers/subsetBase, 1); count >= max(servers/(2*subsetBase), 1); count-- {
+	for count := max(servers/minSubset, 1); count >= max(servers/(2*minSubset), 1); count-- {
 		rounds, rest := instances/count, instances%count
 		share := float64(rest) / float64(count)
 		uneven := share * (1 - share) / max(float64(rounds*rounds), share*share)
@@ -133,7 +135,8 @@
 	return best
 }
 
-// shuffled is a Fisher-Yates shuffle over PCG seeded by the round alone, so that all instances agree on it.
+// shuffled returns a Fisher-Yates shuffle with a PCG generator seeded by the round alone, so that all
+// instances agree on it.
 func shuffled(list []*server, round int) []*server {
 	order := slices.Clone(list)
 	rng := rand.NewPCG(uint64(round), shuffleStream)
@@ -144,5 +147,5 @@
 	return order
 }
 
-// InTurns says whether turns go to a server now.
+// InRotation reports whether a server is among those that round robin selects from now.
 func (b *Balancer) InTurns(id string) bool { return slices.Contains(b.active, b.servers[id]) }
--- a/balance/types.go
+++ b/balance/types.go
@@ -12,61 +12,61 @@
 	listKindNames = []string{"delta", "full", "cached", "failed"}
 )
 
-func name(n int, names []string) string {
+func enumName(n int, names []string) string {
 	if n < 0 || n >= len(names) {
 		return strconv.Itoa(n)
 	}
 	return names[n]
 }
 
-// Effect says what running a request more than once would do.
+// Effect describes what happens if a request runs more than once.
 type Effect int
 
-// The effects of a class.
+// Effects of a request class.
 const (
-	Free       Effect = iota // may run, and be refused, any number of times
-	Guarded                  // repeats are dropped by the servers of one group, within a window
+	Free       Effect = iota // may run and be refused any number of times
+	Guarded                  // repeats are dropped by the servers of one scope, within a window
 	SingleShot               // must never run twice
 )
 
-// Group says which servers drop the repeats of a Guarded request.
+// DedupScope identifies the servers that drop the repeats of a Deduplicated request.
 type Group int
 
-// The groups of servers that share what they know of repeats.
+// Scopes within which servers share their record of repeats.
 const (
 	GroupAll Group = iota
 	GroupZone
 	GroupCell
 )
 
-// State is what the server list says of a server.
+// State is the state of a server in the server list.
 type State int
 
-// The states of a server in a list.
+// Server states.
 const (
 	InService State = iota
-	Draining        // finishing its work; nothing new may go to it
-	Gone            // removed; seen only among changes
+	Draining        // finishing its current requests; receives no new ones
+	Gone            // removed; appears only in deltas
 )
 
-// ListKind says how an Update's entries relate to the list already held.
+// ListKind tells how an update's entries relate to the current list.
 type ListKind int
 
-// The kinds of list update.
+// Kinds of list updates.
 const (
-	Delta      ListKind = iota // only the entries that changed, maybe none: it shows that the watch stands
-	Full                       // the whole list; who is missing is gone
-	Cached                     // the whole list as last seen before a restart, maybe stale
+	Delta      ListKind = iota // only the entries that changed; an empty delta shows that the watch works
+	Full                       // the whole list; a server that is missing from it is gone
+	Cached                     // the whole list as last seen before a restart; may be stale
 	ListFailed                 // a Watch failed or its subscription dropped; no entries
 )
 
-func (k ListKind) String() string { return name(int(k), listKindNames) }
+func (k ListKind) String() string { return enumName(int(k), listKindNames) }
 
 // Outcome is how one attempt ended.
 type Outcome int
 
-// The outcomes of an attempt. QueueFull, ConnectError and Ignored prove that it never ran. Rejected is the
-// server's word that the request itself is at fault, which says nothing about the server.
+// Outcomes of an attempt. QueueFull, ConnectError and Ignored prove that it never ran. Rejected means that the server
+// found the request itself at fault, which says nothing about the server's health.
 const (
 	OK Outcome = iota
 	Failed
@@ -79,9 +79,9 @@
 	Rejected
 )
 
-func (o Outcome) String() string { return name(int(o), outcomeNames) }
+func (o Outcome) String() string { return enumName(int(o), outcomeNames) }
 
-// ProvesUnrun reports whether the outcome proves that the attempt had no effect.
+// ProvesNotExecuted reports whether the outcome proves that the attempt had no effect.
 func (o Outcome) ProvesUnrun() bool {
 	return o == QueueFull || o == ConnectError || o == Ignored
 }
@@ -97,107 +97,109 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Aim       time.Duration // an answer after this is worth only LateWorth
+	Aim       time.Duration // an answer after this time earns only LateValue
 	GiveUp    time.Duration // how long a client waits over all its tries
 	Effect    Effect
 	Group     Group
-	Window    time.Duration // how long a Guarded repeat is dropped, from the first send that might have run
+	Window    time.Duration // how long repeats are dropped, from the first send that may have run
 	Worth     float64
-	LateWorth float64 // share of Worth that an answer after Aim still earns
+	LateWorth float64 // share of Value that an answer after Aim still earns
 }
 
-// Tenant describes one tenant; QuotaPerSecond holds for all instances together.
+// Tenant describes one tenant. All instances share QuotaPerSecond.
 type Tenant struct {
 	QuotaPerSecond float64
 }
 
-// Settings is all that an instance is told at its start. The zero value of a limit is taken literally.
+// Settings configures an instance. The zero value of a limit is taken literally, not as a default.
 type Settings struct {
 	Self      int // own number, 0 to Instances-1
 	Instances int // instances of this tier
-	Layer     int // the tier sent to; 0 is the one that clients reach
+	Layer     int // the tier that requests are sent to; clients reach tier 0
 	Classes   []Class
 	Tenants   []Tenant
 
-	OverShareWorth float64 // worth of a request beyond its tenant's quota, as a share of its class's
+	OverShareWorth float64 // value of a request beyond its tenant's quota, as a share of its class's value
 	MaxAttempts    int
 	CanCancel      bool
-	AskForList     bool          // the list comes only to who watches it
-	AskEvery       time.Duration // without a watch, this long after asking one counts as told
+	AskForList     bool          // the list is sent only to instances that watch it
+	AskEvery       time.Duration // an instance without a watch counts as notified this long after it asked
 
-	RetryAfter    bool          // callers are told how long to stay away
-	MaxRetryAfter time.Duration // the longest that they heed
+	RetryAfter    bool          // refusals tell callers how long to wait
+	MaxRetryAfter time.Duration // the longest wait that callers respect
 
 	ColdFrom     float64 // a server starts with at least this share of its capacity
 	WarmUp       time.Duration
-	FallMultiple float64 // a cold server sent this many times its capacity for FallTime falls over
+	FallMultiple float64 // a cold server fails if it is sent this many times its capacity for OverloadTime
 	FallTime     time.Duration
 }
 
-// Validate reports the first thing in the settings that cannot be.
+// Validate returns an error that describes the first invalid setting, or nil.
 func (s *Settings) Validate() error {
 	switch {
 	case s.Instances < 1:
 		return fmt.Errorf("settings: %d instances", s.Instances)
 	case s.Self < 0 || s.Self >= s.Instances:
-		return fmt.Errorf("settings: own number %d is outside 0..%d", s.Self, s.Instances-1)
+		return fmt.Errorf("settings: instance number %d is outside 0..%d", s.Self, s.Instances-1)
 	case len(s.Classes) == 0:
 		return errors.New("settings: no request classes")
 	case s.MaxAttempts < 1:
-		return fmt.Errorf("settings: at most %d attempts", s.MaxAttempts)
+		return fmt.Errorf("settings: max attempts is %d, want at least 1", s.MaxAttempts)
 	case s.ColdFrom < 0 || s.ColdFrom > 1 || s.WarmUp < 0 || s.FallTime < 0 || s.FallMultiple < 0:
-		return errors.New("settings: impossible figures for cold servers")
+		return errors.New("settings: invalid values for cold servers")
 	}
 	for i, c := range s.Classes {
 		if c.Effect < Free || c.Effect > SingleShot || c.Group < GroupAll || c.Group > GroupCell {
 			return fmt.Errorf("settings: class %d has an unknown effect or group", i)
 		}
 		if c.Aim <= 0 || c.GiveUp <= 0 || c.Window < 0 || c.Worth < 0 {
-			return fmt.Errorf("settings: class %d has impossible times or worth", i)
+			return fmt.Errorf("settings: class %d has an invalid time or worth", i)
 		}
 	}
 	return nil
 }
 
-// Request is one request as it arrives. ID is never used again.
+// Request is an incoming request. IDs are never reused.
 type Request struct {
 	ID     string
 	Class  int
 	Tenant int
-	Left   time.Duration // until the client gives this try up; from Received on if it is still arriving
-	// Within is how long this instance can work on it, where that may be less than Left; 0 for no bound. Left alone
-	// tells what the client does.
+	Left   time.Duration // until the client gives up this try; starts at BodyReceived if BodyPending
+	// LocalBudget is how long this instance can work on the request, if that may be less than Remaining; 0 means no
+	// bound. Only Remaining describes what the client does.
 	Within time.Duration
-	// Arriving requests are sent on while their body still comes in. A server begins once it has all of it.
+	// BodyPending requests are sent to a server while their body is still being received. The server starts work once
+	// it has the whole body.
 	Arriving bool
 }
 
-// Result is how one attempt ended. Finished is set when the request is over, by this outcome or earlier.
+// Result describes how one attempt ended. Finished is set if the request is over, because of this outcome or an
+// earlier event.
 type Result struct {
 	ID       string
 	Attempt  int
 	Outcome  Outcome
 	Latency  time.Duration
 	Finished bool
-	Spent    bool // the body is no longer whole here: the request cannot be sent again
+	Spent    bool // the body is no longer complete here, so the request cannot be sent again
 }
 
-// Host carries out what an instance decides, in the order of the calls, at the time of the event being
-// handled. It must not call back into the Balancer from within a call.
+// Host carries out the decisions of an instance, in the order of the calls, at the time of the event being handled.
+// Its methods must not call back into the Balancer.
 type Host interface {
-	// Send starts the next attempt of a request; attempts count from 0. It ends in one Result. The timeout
-	// counts from Received for a request that is still arriving, and no longer once the answer has Started.
+	// Send starts the next attempt of a request. Attempts are numbered from 0, and each ends in exactly one Result.
+	// The timeout starts at BodyReceived if the body is pending, and no longer applies after ResponseStarted.
 	Send(id, server string, timeout time.Duration)
-	// Refuse is a final answer that lets the client try again without harm, after a wait if it is above 0.
+	// Refuse gives a final answer that lets the client safely try again, after wait if that is above 0.
 	Refuse(id string, wait time.Duration)
-	// Fail is a final answer without any promise.
+	// Fail gives a final answer without that promise.
 	Fail(id string)
-	// Cancel stops waiting for an attempt; its Result still comes.
+	// Cancel stops waiting for an attempt. Its Result still arrives.
 	Cancel(id string, attempt int)
-	// SetTimer asks for one Timer event with this token.
+	// SetTimer requests one Timer event with this token after delay.
 	SetTimer(delay time.Duration, token uint64)
-	// Watch subscribes to changes of the server list; one Update answers it.
+	// Watch subscribes to changes of the server list. One Update answers it.
 	Watch()
-	// Log adds a line for people to read.
+	// Log writes a line for operators.
 	Log(line string)
 }
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -1,6 +1,6 @@
-// Package estimate follows rates, means and quantiles of a stream in a few words of memory. Each estimator is one value
-// that can be copied and carried to another process; how fast it forgets is the caller's to say. None is safe for
-// concurrent use.
+// Package estimate tracks rates, means and quantiles of a stream in constant memory. Each estimator is a plain value
+// that can be copied and passed to another process. The caller chooses how fast it forgets. Estimators are not safe
+// for concurrent use.
 package estimate
 
 import (
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// Rate is a smoothed count of events a second, as of the time of the last one.
+// Rate is a smoothed count of events per second, as of the last event.
 type Rate struct {
 	PerSecond float64
 	Last      time.Duration
 }
 
-// Add counts events that come now.
-func (r *Rate) Add(now time.Duration, events float64, memory time.Duration) {
-	r.PerSecond = r.At(now, memory) + events/memory.Seconds()
+// Add counts events that occur now.
+func (r *Rate) Add(now time.Duration, events float64, timeConstant time.Duration) {
+	r.PerSecond = r.At(now, timeConstant) + events/timeConstant.Seconds()
 	r.Last = now
 }
 
-// At is the rate now: what was counted a memory ago weighs 1/e of what is counted now.
-func (r Rate) At(now, memory time.Duration) float64 {
-	return r.PerSecond * math.Exp(-float64(now-r.Last)/float64(memory))
+// At returns the rate now. An event counted one timeConstant ago weighs 1/e of an event counted now.
+func (r Rate) At(now, timeConstant time.Duration) float64 {
+	return r.PerSecond * math.Exp(-float64(now-r.Last)/float64(timeConstant))
 }
 
-// Quantile follows a quantile of values above 0 by small steps; 0 until the first.
+// Quantile tracks a quantile of positive values in small steps. It is 0 before the first value.
 type Quantile float64
 
-// Observe takes one value in: step is how much of itself the estimate moves by, shared out by q.
+// Observe adds a value. It moves the estimate by a fraction of step: q of it upwards or 1-q of it downwards.
 func (e *Quantile) Observe(value, q, step float64) {
 	switch x := Quantile(value); {
 	case *e == 0:
@@ -40,10 +40,10 @@
 	}
 }
 
-// Mean is a smoothed mean of values above 0; 0 until the first.
+// Mean is a smoothed mean of positive values. It is 0 before the first value.
 type Mean float64
 
-// Observe takes one value in, which weighs step.
+// Observe adds a value with the weight step.
 func (m *Mean) Observe(value, step float64) {
 	if *m == 0 {
 		*m = Mean(value)
@@ -51,49 +51,49 @@
 	*m += Mean(step) * (Mean(value) - *m)
 }
 
-// Majority finds the duration that most of those observed lie near, by a majority vote (Boyer and Moore) in which no value
-// gathers more than some votes, so that another can unseat it.
+// Majority finds the duration that most observed durations are close to, by the majority vote of Boyer and Moore. The
+// number of votes is limited so that another duration can replace the current one.
 type Majority struct {
 	Value time.Duration
 	Votes int
 }
 
-// Observe takes one value in; Votes stays at most.
-func (m *Majority) Observe(value, slack time.Duration, most int) {
+// Observe adds a value. Votes does not exceed maxVotes.
+func (m *Majority) Observe(value, slack time.Duration, maxVotes int) {
 	switch {
 	case m.Votes == 0:
 		m.Value, m.Votes = value, 1
 	case m.Near(value, slack):
-		m.Votes = min(m.Votes+1, most)
+		m.Votes = min(m.Votes+1, maxVotes)
 	default:
 		m.Votes--
 	}
 }
 
-// Near says whether a value lies within slack of the majority's; all do before there is one.
+// Near reports whether a value is within slack of the majority value. Every value is before there is one.
 func (m *Majority) Near(value, slack time.Duration) bool {
 	return m.Votes == 0 || (value-m.Value).Abs() <= slack
 }
 
-// Bucket is a token bucket that starts full.
+// TokenBucket is a token bucket that starts full.
 type Bucket struct {
 	Tokens float64
 	Last   time.Duration
-	Known  bool // it has been used before
+	Known  bool // false until the first use
 }
 
-// Fill fills it up at a rate, to the most that it holds.
-func (t *Bucket) Fill(now time.Duration, perSecond, most float64) {
+// Refill adds the tokens earned since the last call, up to burst.
+func (t *Bucket) Fill(now time.Duration, perSecond, burst float64) {
 	if !t.Known {
-		t.Known, t.Tokens = true, most
+		t.Known, t.Tokens = true, burst
 	}
-	t.Tokens = min(t.Tokens+perSecond*(now-t.Last).Seconds(), most)
+	t.Tokens = min(t.Tokens+perSecond*(now-t.Last).Seconds(), burst)
 	t.Last = now
 }
 
-// Take fills it up and takes a token out if there is one.
-func (t *Bucket) Take(now time.Duration, perSecond, most float64) bool {
-	t.Fill(now, perSecond, most)
+// Take refills the bucket and takes one token out. It reports whether there was one.
+func (t *Bucket) Take(now time.Duration, perSecond, burst float64) bool {
+	t.Fill(now, perSecond, burst)
 	if t.Tokens < 1 {
 		return false
 	}
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -22,8 +22,8 @@
 		r.Add(now, 0.5, memory)
 		now += 10 * time.Millisecond
 	}
-	near(t, "the rate of 100 halves a second", r.At(now, memory), 50, 0.5)
-	near(t, "the rate a memory later", r.At(now+memory, memory), 50/math.E, 0.2)
+	near(t, "the rate of 100 halves per second", r.At(now, memory), 50, 0.5)
+	near(t, "the rate one time constant later", r.At(now+memory, memory), 50/math.E, 0.2)
 }
 
 func TestMean(t *testing.T) {
@@ -48,16 +48,17 @@
 			}
 		}
 		want := -math.Log(1 - q)
-		near(t, "the quantile in the mean", sum/float64(n), want, 0.15*want)
+		near(t, "the mean of the quantile", sum/float64(n), want, 0.15*want)
 	}
 }
 
-// TestMajorityIsUnseated: fewer others than it has votes leave it, as many and one more do not.
-func TestMajorityIsUnseated(t *testing.T) {
+// TestMajorityIsReplaced: the majority value survives fewer other values than it has votes, and is replaced after
+// more of them.
+func TestMajorityIsReplaced(t *testing.T) {
 	const slack, most = 5 * time.Millisecond, 50
 	var m Majority
 	if !m.Near(0, slack) || !m.Near(time.Hour, slack) {
-		t.Fatal("there is a majority of nothing")
+		t.Fatal("there is a majority before the first value")
 	}
 	for range 3 * most {
 		m.Observe(time.Second, slack, most)
@@ -66,7 +67,7 @@
 		m.Observe(time.Duration(i)*20*time.Millisecond, slack, most)
 	}
 	if !m.Near(time.Second+slack, slack) || m.Near(300*time.Millisecond, slack) {
-		t.Fatalf("after %d others it is %v", most-1, m.Value)
+		t.Fatalf("after %d other values it is %v", most-1, m.Value)
 	}
 	for range most {
 		m.Observe(300*time.Millisecond, slack, most)
