--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -914,13 +914,13 @@
 	}
 }
 
-// runAnswers runs n answers, each while crowd requests are outstanding, and returns the limit's lowest and last
-// value.
-func runAnswers(f *fakeHost, n, crowd int, took func(i int, server string) time.Duration) (lowest, last float64) {
+// runAnswers runs n answers, each while the given number of requests is outstanding, and returns the limit's lowest
+// and last value.
+func runAnswers(f *fakeHost, n, outstanding int, took func(i int, server string) time.Duration) (lowest, last float64) {
 	lowest = f.b.limit
 	var out []string
 	for i := range n {
-		for len(out) < crowd && (f.b.settings.Layer > 0 || f.b.load()+1 <= f.b.capacity(f.now)) {
+		for len(out) < outstanding && (f.b.settings.Layer > 0 || f.b.load()+1 <= f.b.capacity(f.now)) {
 			id := fmt.Sprint("q", f.now, i, len(out))
 			f.submit(id, 0)
 			out = append(out, id)
@@ -1098,8 +1098,8 @@
 func TestLongTailDoesNotReduceTheLimit(t *testing.T) {
 	f := newFakeHost(t, testSettings(), testServers(8))
 	n := 0
-	round := func(crowd int) {
-		ids := make([]string, crowd)
+	round := func(size int) {
+		ids := make([]string, size)
 		for i := range ids {
 			ids[i] = fmt.Sprint("r", n)
 			n++
--- a/balance/bed_test.go
+++ b/balance/bed_test.go
@@ -45,7 +45,7 @@
 
 // simHost is one instance's host.
 type simHost struct {
-	bed       *multiSim
+	sim       *multiSim
 	b         *Balancer
 	tries     map[string]*simRequest
 	idleConns map[string]bool // servers to which a connection is idle
@@ -76,7 +76,7 @@
 		set.Self, set.Instances, set.WarmUp = i, instances, 8*time.Second
 		change(&set)
 		d.classes = set.Classes
-		h := &simHost{bed: d, tries: map[string]*simRequest{}, idleConns: map[string]bool{}}
+		h := &simHost{sim: d, tries: map[string]*simRequest{}, idleConns: map[string]bool{}}
 		var err error
 		if h.b, err = New(set, seed*1000+uint64(i), h); err != nil {
 			t.Fatal(err)
@@ -139,7 +139,7 @@
 }
 
 func (h *simHost) Send(id, server string, timeout time.Duration) {
-	d, q, n := h.bed, h.tries[id], h.bed.nodes[server]
+	d, q, n := h.sim, h.tries[id], h.sim.nodes[server]
 	attempt := len(q.ended)
 	q.ended = append(q.ended, false)
 	s, sent := d.currentSecond(), d.now
@@ -176,23 +176,23 @@
 	q.ended[attempt] = true
 	if o == OK && !q.done {
 		q.done = true
-		if d := h.bed; d.now <= q.arrivedAt+d.classes[q.class].Aim {
+		if d := h.sim; d.now <= q.arrivedAt+d.classes[q.class].Aim {
 			d.seconds[int((q.arrivedAt-d.from)/time.Second)].served++
 		}
 	}
-	h.b.Result(h.bed.now, Result{ID: id, Attempt: attempt, Outcome: o, Latency: took, Finished: q.done})
+	h.b.Result(h.sim.now, Result{ID: id, Attempt: attempt, Outcome: o, Latency: took, Finished: q.done})
 }
 
 func (h *simHost) Refuse(id string, _ time.Duration) { h.tries[id].done = true }
 func (h *simHost) Fail(id string)                    { h.tries[id].done = true }
 func (h *simHost) Cancel(id string, attempt int) {
-	h.bed.in(0, func() { h.ended(id, attempt, Canceled, 0) })
+	h.sim.in(0, func() { h.ended(id, attempt, Canceled, 0) })
 }
 func (h *simHost) SetTimer(wait time.Duration, token uint64) {
 	b := h.b
-	h.bed.in(wait, func() {
+	h.sim.in(wait, func() {
 		if h.b == b {
-			b.Timer(h.bed.now, token)
+			b.Timer(h.sim.now, token)
 		}
 	})
 }
--- a/balance/crowd_test.go
+++ b/balance/crowd_test.go
@@ -287,17 +287,17 @@
 func TestServiceRecoversAfterASurge(t *testing.T) {
 	skipUnderRace(t)
 	t.Parallel()
-	for _, fleet := range []struct{ servers, slow int }{{12, 0}, {12, 3}, {60, 14}} {
+	for _, size := range []struct{ servers, slow int }{{12, 0}, {12, 3}, {60, 14}} {
 		for seed := range *simSeeds {
-			c := runSurge(t, simSettings(), fleet.servers, fleet.slow, seed)
+			c := runSurge(t, simSettings(), size.servers, size.slow, seed)
 			before, in, after := c.servedShare(2, 6), c.servedShare(6, 11), c.servedShare(13, 20)
-			t.Logf("%d servers, %d slow, seed %d: served in time %.3f before the surge, %.3f during it, %.3f from 2 s after it", fleet.servers, fleet.slow, seed, before, in, after)
+			t.Logf("%d servers, %d slow, seed %d: served in time %.3f before the surge, %.3f during it, %.3f from 2 s after it", size.servers, size.slow, seed, before, in, after)
 			if before < 0.95 || after < 0.95 {
-				t.Errorf("%d servers, %d slow, seed %d: served in time %.3f before the surge, %.3f from 2 s after it", fleet.servers, fleet.slow, seed, before, after)
+				t.Errorf("%d servers, %d slow, seed %d: served in time %.3f before the surge, %.3f from 2 s after it", size.servers, size.slow, seed, before, after)
 			}
 			// The load is 1.44 times the capacity, so at most 0.69 of it can be served.
 			if in < 0.5 {
-				t.Errorf("%d servers, %d slow, seed %d: served in time %.3f during the surge", fleet.servers, fleet.slow, seed, in)
+				t.Errorf("%d servers, %d slow, seed %d: served in time %.3f during the surge", size.servers, size.slow, seed, in)
 			}
 			if len(c.b.requests) > 0 || len(c.b.timers) > 1 {
 				t.Errorf("seed %d: %d records and %d timers are left", seed, len(c.b.requests), len(c.b.timers))
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -36,14 +36,15 @@
 	}
 }
 
-// coldSendsAfterReplacement runs 100 requests per second on 10 servers for 10 s, then removes gone of them, adds
-// fresh new ones that are cold, and runs 2 s more. It returns what one cold server was sent in the last second.
-func coldSendsAfterReplacement(t *testing.T, gone, fresh int) (perCold float64) {
+// coldSendsAfterReplacement runs 100 requests per second on 10 servers for 10 s. Then some servers are removed and
+// new ones, which are cold, are added, and it runs 2 s more. It returns what one cold server was sent in the last
+// second.
+func coldSendsAfterReplacement(t *testing.T, removed, added int) (perCold float64) {
 	f := newFakeHost(t, testSettings(), testServers(10))
 	ok := func(string) Outcome { return OK }
 	f.serveAs(1000, ok)
-	list := testServers(10)[gone:]
-	for i := range fresh {
+	list := testServers(10)[removed:]
+	for i := range added {
 		list = append(list, Entry{ID: fmt.Sprintf("t%03d", i), Boot: f.now})
 	}
 	f.b.Update(f.now, Full, list)
@@ -55,7 +56,7 @@
 		}
 		return OK
 	})
-	return float64(total) / float64(fresh)
+	return float64(total) / float64(added)
 }
 
 // TestColdBudgetFollowsWarmServers: a warm member gets 10 requests per second while all are in use. With six of ten
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -147,5 +147,5 @@
 	return order
 }
 
-// InRotation reports whether a server is among those that round robin selects from now.
+// InRoundRobin reports whether a server is among those that round robin selects from now.
 func (b *Balancer) InTurns(id string) bool { return slices.Contains(b.active, b.servers[id]) }
