--- a/balance/admission.go
+++ b/balance/admission.go
@@ -48,19 +48,19 @@
 // tiers a failure wastes the work of the upper tier.)
 func (b *Balancer) usefulTime(now time.Duration, q *request) time.Duration {
 	c := q.class
-	if b.settings.Layer > 0 || c.LateWorth > 0 {
-		return q.Left
+	if b.settings.Tier > 0 || c.LateValue > 0 {
+		return q.Remaining
 	}
 	// A try with the usual time may be the client's first. Any other try is its last: it has all of the
 	// client's remaining time, which shows how much time has passed.
 	aim := c.Aim
-	if !b.usualTimeout[q.Class].Near(q.Left, timeoutSlack) {
-		aim -= c.GiveUp - q.Left
+	if !b.usualTimeout[q.Class].Near(q.Remaining, timeoutSlack) {
+		aim -= c.ClientTimeout - q.Remaining
 	}
-	if aim > 0 && (c.Effect == SingleShot || c.Effect == Guarded && c.Group != GroupAll) {
+	if aim > 0 && (c.Effect == AtMostOnce || c.Effect == Deduplicated && c.DedupScope != DedupAll) {
 		q.deadline = min(q.deadline, now+aim)
 	}
-	return min(aim, q.Left) - time.Duration(float64(b.cost[q.Class])*float64(time.Second))
+	return min(aim, q.Remaining) - time.Duration(float64(b.cost[q.Class])*float64(time.Second))
 }
 
 // enqueue adds a request to the queue that all requests pass through. The queue empties at once while there
@@ -112,7 +112,7 @@
 	took := r.Latency.Seconds()
 	if r.Outcome == OK {
 		b.cost[q.Class].Observe(max(took, minCost), costQuantile, quantileStep)
-		b.usualTimeout[q.Class].Observe(q.Left, timeoutSlack, maxVotes)
+		b.usualTimeout[q.Class].Observe(q.Remaining, timeoutSlack, maxVotes)
 		b.mean[q.Class].Observe(took, meanStep)
 	}
 	if t := &b.tail[q.Class]; r.Outcome == OK || t.known() && took > float64(t.Quantile) {
@@ -167,7 +167,7 @@
 			b.finishUnserved(now, q) // no server may run it any more
 			continue
 		}
-		if b.settings.Layer > 0 || b.load()+1 <= b.capacity(now) {
+		if b.settings.Tier > 0 || b.load()+1 <= b.capacity(now) {
 			if s := b.pick(now, q); s != nil {
 				b.send(now, q, s)
 				continue
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -63,14 +63,14 @@
 	requests          map[string]*request
 	queue             []*request // waiting requests, by value per expected time, then by age
 	dispatchScheduled bool
-	inFlight          int                 // attempts counted as work of a server
-	limit             float64             // how many of these are admitted
-	tail              []tail              // by class, the time after which an attempt is late for its class
-	cost              []estimate.Quantile // by class, a low quantile of its answer times in seconds
-	mean              []estimate.Mean     // by class, its mean answer time in seconds
-	baseline          []estimate.Mean     // by class, the same for attempts under little load
-	usualTimeout      []estimate.Majority // by class, how long most clients wait for a try
-	quota             []estimate.Bucket   // by tenant
+	inFlight          int                    // attempts counted as work of a server
+	limit             float64                // how many of these are admitted
+	tail              []tail                 // by class, the time after which an attempt is late for its class
+	cost              []estimate.Quantile    // by class, a low quantile of its answer times in seconds
+	mean              []estimate.Mean        // by class, its mean answer time in seconds
+	baseline          []estimate.Mean        // by class, the same for attempts under little load
+	usualTimeout      []estimate.Majority    // by class, how long most clients wait for a try
+	quota             []estimate.TokenBucket // by tenant
 	retryBudget       float64
 	share             float64             // of an instance's limits; below 1 beside another at an upgrade
 	quotaShare        float64             // the same for tenants' quotas; above 1 if other instances are gone
@@ -101,7 +101,7 @@
 		mean:         make([]estimate.Mean, len(settings.Classes)),
 		baseline:     make([]estimate.Mean, len(settings.Classes)),
 		usualTimeout: make([]estimate.Majority, len(settings.Classes)),
-		quota:        make([]estimate.Bucket, len(settings.Tenants)),
+		quota:        make([]estimate.TokenBucket, len(settings.Tenants)),
 	}, nil
 }
 
@@ -115,31 +115,31 @@
 		return
 	}
 	c := &b.settings.Classes[r.Class]
-	q := &request{Request: r, class: c, deadline: now + r.Left, submittedAt: now}
-	if r.Within > 0 {
-		q.deadline = min(q.deadline, now+r.Within)
+	q := &request{Request: r, class: c, deadline: now + r.Remaining, submittedAt: now}
+	if r.LocalBudget > 0 {
+		q.deadline = min(q.deadline, now+r.LocalBudget)
 	}
 	b.requests[r.ID] = q
 	useful := b.usefulTime(now, q)
-	if r.Left <= 0 || useful <= 0 && b.load()+1 > nearLimitShare*b.capacity(now) {
+	if r.Remaining <= 0 || useful <= 0 && b.load()+1 > nearLimitShare*b.capacity(now) {
 		// Its time is over, or it is a client's repeat that is too late to earn anything while other requests
 		// need the capacity. Sending it would waste work.
 		b.finishUnserved(now, q)
 		return
 	}
-	q.value = c.Worth * b.tenantValue(now, r.Tenant)
+	q.value = c.Value * b.tenantValue(now, r.Tenant)
 	b.retryBudget = min(b.retryBudget+retryRatio, retryBurst)
-	if !q.Arriving {
+	if !q.BodyPending {
 		b.scheduleFor(q, q.deadline-now, func(now time.Duration) { b.expire(now, q) })
 	}
 	b.enqueue(q)
 	b.dispatchQueued(now)
 	if q.queued {
 		share := maxQueueShare
-		if c.Effect == Free {
+		if c.Effect == Idempotent {
 			share = maxQueueShareIdempotent
 		}
-		b.scheduleFor(q, min(time.Duration(share*float64(c.Aim)), r.Left/2), func(now time.Duration) {
+		b.scheduleFor(q, min(time.Duration(share*float64(c.Aim)), r.Remaining/2), func(now time.Duration) {
 			if q.queued && !q.finished {
 				b.finishUnserved(now, q)
 			}
@@ -155,11 +155,11 @@
 	s.probing = s.ejectedUntil > 0
 	b.spendColdToken(now, s)
 	timeout := q.deadline - now
-	if q.Arriving {
+	if q.BodyPending {
 		timeout = q.deadline - q.submittedAt
 	}
 	b.host.Send(q.ID, s.id, timeout)
-	if !q.Arriving {
+	if !q.BodyPending {
 		b.countInFlight(now, q, len(q.attempts)-1)
 	}
 }
@@ -184,9 +184,9 @@
 		return
 	}
 	a := &q.attempts[r.Attempt]
-	a.ended, a.notExecuted, a.notSent = true, r.Outcome.ProvesUnrun(), r.Outcome == Ignored
+	a.ended, a.notExecuted, a.notSent = true, r.Outcome.ProvesNotExecuted(), r.Outcome == Ignored
 	q.outstanding--
-	q.bodyConsumed = q.bodyConsumed || r.Spent
+	q.bodyConsumed = q.bodyConsumed || r.BodyConsumed
 	if !a.recorded {
 		b.recordAnswer(now, q, a, r)
 	} else if r.Outcome != OK {
@@ -270,7 +270,7 @@
 
 // ResponseStarted handles the start of a streamed answer: there is no further send and no deadline. The time
 // of the first byte shows how busy the server is; the time of the last byte depends on the reader.
-func (b *Balancer) Started(now time.Duration, id string, attempt int) {
+func (b *Balancer) ResponseStarted(now time.Duration, id string, attempt int) {
 	q := b.requests[id]
 	if q == nil || attempt < 0 || attempt >= len(q.attempts) || q.attempts[attempt].ended || q.streaming {
 		return
@@ -283,12 +283,12 @@
 
 // BodyReceived handles the last byte of a pending body. The request's time starts now, and so does its
 // server's time, because the server could not start work earlier.
-func (b *Balancer) Received(now time.Duration, id string) {
+func (b *Balancer) BodyReceived(now time.Duration, id string) {
 	q := b.requests[id]
-	if q == nil || !q.Arriving {
+	if q == nil || !q.BodyPending {
 		return
 	}
-	q.Arriving = false
+	q.BodyPending = false
 	q.deadline += now - q.submittedAt
 	b.scheduleFor(q, q.deadline-now, func(now time.Duration) { b.expire(now, q) })
 	for i := range q.attempts {
@@ -300,7 +300,7 @@
 }
 
 // ClientGone handles a client that has disconnected. Its outstanding attempts would serve nobody.
-func (b *Balancer) Dropped(now time.Duration, id string) {
+func (b *Balancer) ClientGone(now time.Duration, id string) {
 	if q := b.requests[id]; q != nil {
 		q.finished = true
 		b.cancelOutstanding(q)
--- a/balance/bed_test.go
+++ b/balance/bed_test.go
@@ -110,7 +110,7 @@
 		q := &simRequest{arrivedAt: d.now, class: d.rng.IntN(2)}
 		h.tries[id] = q
 		d.currentSecond().requests++
-		h.b.Submit(d.now, Request{ID: id, Class: q.class, Left: d.classes[q.class].GiveUp})
+		h.b.Submit(d.now, Request{ID: id, Class: q.class, Remaining: d.classes[q.class].ClientTimeout})
 		d.in(time.Duration(d.rng.ExpFloat64()/perSecond*float64(time.Second)), next)
 	}
 	d.in(0, next)
@@ -159,7 +159,7 @@
 	}
 	h.idleConns[server] = true
 	n.sent = append(n.sent, d.now)
-	work := time.Duration(d.rng.ExpFloat64() * float64(d.work) / simCores / n.capacityShare(d.now, h.b.settings.WarmUp, h.b.settings.ColdFrom))
+	work := time.Duration(d.rng.ExpFloat64() * float64(d.work) / simCores / n.capacityShare(d.now, h.b.settings.WarmUp, h.b.settings.ColdCapacity))
 	n.freeAt = max(n.freeAt, d.now) + work
 	if wait := n.freeAt - d.now + 2*d.work; wait < timeout {
 		end(wait, OK)
@@ -225,11 +225,11 @@
 			}
 			count := 0
 			for _, at := range n.sent[i:] {
-				if at < first+set.FallTime {
+				if at < first+set.OverloadTime {
 					count++
 				}
 			}
-			report(count, set.FallMultiple*n.capacityShare(first, set.WarmUp, set.ColdFrom)*perSecond*set.FallTime.Seconds())
+			report(count, set.OverloadMultiple*n.capacityShare(first, set.WarmUp, set.ColdCapacity)*perSecond*set.OverloadTime.Seconds())
 		}
 	}
 }
--- a/balance/carry.go
+++ b/balance/carry.go
@@ -9,14 +9,14 @@
 
 // Snapshot is the state that one instance leaves to the next at an upgrade, so that both together act like one. It
 // contains no requests: the instance that accepted a request answers it. Times are on the clock that both share.
-type Carried struct {
-	Servers  []CarriedServer
+type Snapshot struct {
+	Servers  []ServerSnapshot
 	Slots    []string // IDs in the order in which the shuffle starts
 	Banned   []string // IDs taken out by the operator, listed or not
 	Seen     []string // IDs that a list has contained
 	Limit    float64
 	Retries  float64
-	Classes  []CarriedClass
+	Classes  []ClassSnapshot
 	Quota    []float64
 	Served   float64 // successful answers per second
 	Warm     float64 // of these, the answers of one warm server
@@ -24,7 +24,7 @@
 }
 
 // ServerSnapshot is one server's entry and health.
-type CarriedServer struct {
+type ServerSnapshot struct {
 	Entry      Entry
 	Told       time.Duration // start time that the list reported; 0 if it is Entry.Boot
 	Listed     time.Duration
@@ -40,7 +40,7 @@
 }
 
 // ClassSnapshot holds the estimates of one class.
-type CarriedClass struct {
+type ClassSnapshot struct {
 	Cost, Tail, Mean, Base float64
 	TailSeen               int
 	Patience               time.Duration
@@ -48,8 +48,8 @@
 }
 
 // Snapshot returns the state for the next instance.
-func (b *Balancer) Carry(now time.Duration) Carried {
-	c := b.CarryRest(now)
+func (b *Balancer) Snapshot(now time.Duration) Snapshot {
+	c := b.SnapshotWithoutServers(now)
 	for _, s := range b.servers {
 		c.Servers = append(c.Servers, s.snapshot())
 	}
@@ -58,7 +58,7 @@
 
 // ShiftTimes moves all times that are on the previous instance's clock by offset. A server's start time is on that
 // clock only if the list's value was not believed.
-func (c *Carried) Shift(offset time.Duration) {
+func (c *Snapshot) ShiftTimes(offset time.Duration) {
 	c.ServedAt += offset
 	for i := range c.Servers {
 		s := &c.Servers[i]
@@ -74,7 +74,7 @@
 }
 
 // ServerIDs returns the IDs of all known servers, in no particular order.
-func (b *Balancer) IDs() []string {
+func (b *Balancer) ServerIDs() []string {
 	ids := make([]string, 0, len(b.servers))
 	for id := range b.servers {
 		ids = append(ids, id)
@@ -84,7 +84,7 @@
 
 // AppendServerSnapshots appends the snapshots of some servers, so that a Snapshot can be taken in small steps. It
 // leaves out servers that are gone.
-func (b *Balancer) CarryServers(to []CarriedServer, ids []string) []CarriedServer {
+func (b *Balancer) AppendServerSnapshots(to []ServerSnapshot, ids []string) []ServerSnapshot {
 	for _, id := range ids {
 		if s := b.servers[id]; s != nil {
 			to = append(to, s.snapshot())
@@ -93,8 +93,8 @@
 	return to
 }
 
-func (s *server) snapshot() CarriedServer {
-	return CarriedServer{
+func (s *server) snapshot() ServerSnapshot {
+	return ServerSnapshot{
 		Entry: s.entry, Told: s.reportedBoot, Listed: s.firstListed, Resumed: s.resumedAt, FailRun: s.failStreak, FailRate: s.failRate,
 		Ejected: s.ejectedUntil, Ejections: s.ejections, Slow: s.slowness, Load: s.load,
 		ColdTokens: s.coldTokens, ColdAt: s.coldUpdated,
@@ -102,8 +102,8 @@
 }
 
 // SnapshotWithoutServers returns what Snapshot returns, except the servers.
-func (b *Balancer) CarryRest(now time.Duration) Carried {
-	c := Carried{
+func (b *Balancer) SnapshotWithoutServers(now time.Duration) Snapshot {
+	c := Snapshot{
 		Seen: b.seenIDs.All(), Limit: b.limit, Retries: b.retryBudget, Served: b.servedRate.At(now, rateTimeConstant), Warm: b.warmRate.At(now, rateTimeConstant), ServedAt: now,
 	}
 	for id := range b.banned {
@@ -113,7 +113,7 @@
 		c.Slots = append(c.Slots, s.id)
 	}
 	for i := range b.settings.Classes {
-		c.Classes = append(c.Classes, CarriedClass{
+		c.Classes = append(c.Classes, ClassSnapshot{
 			Cost: float64(b.cost[i]), Tail: float64(b.tail[i].Quantile), TailSeen: b.tail[i].samples,
 			Mean: float64(b.mean[i]), Base: float64(b.baseline[i]),
 			Patience: b.usualTimeout[i].Value, Votes: b.usualTimeout[i].Votes,
@@ -127,7 +127,7 @@
 
 // Restore makes an instance that has not taken any request yet continue from the snapshot of another one. Parts that
 // do not match its settings, such as those from a file of another version, keep their initial values.
-func (b *Balancer) Adopt(now time.Duration, c Carried) {
+func (b *Balancer) Restore(now time.Duration, c Snapshot) {
 	for _, id := range c.Seen {
 		b.seenIDs.Add(id)
 	}
@@ -149,8 +149,8 @@
 	}
 	b.limit = max(c.Limit, minLimit)
 	b.retryBudget = min(max(c.Retries, 0), retryBurst)
-	b.servedRate = estimate.Rate{PerSecond: max(c.Served, 0), Last: c.ServedAt}
-	b.warmRate = estimate.Rate{PerSecond: max(c.Warm, 0), Last: c.ServedAt}
+	b.servedRate = estimate.Rate{PerSecond: max(c.Served, 0), Updated: c.ServedAt}
+	b.warmRate = estimate.Rate{PerSecond: max(c.Warm, 0), Updated: c.ServedAt}
 	if len(c.Classes) == len(b.settings.Classes) {
 		for i, k := range c.Classes {
 			b.cost[i], b.mean[i], b.baseline[i] = estimate.Quantile(k.Cost), estimate.Mean(k.Mean), estimate.Mean(k.Base)
@@ -160,7 +160,7 @@
 	}
 	if len(c.Quota) == len(b.quota) {
 		for i, tokens := range c.Quota {
-			b.quota[i] = estimate.Bucket{Tokens: tokens, Last: now, Known: true}
+			b.quota[i] = estimate.TokenBucket{Tokens: tokens, Updated: now, Initialized: true}
 		}
 	}
 	b.resubset(now)
@@ -170,7 +170,7 @@
 // SetShare sets the share of its own limits that an instance may use: below 1 beside another instance that uses the
 // same slice, or if there are more instances than configured. quotaShare is the same for tenants' quotas, and may be
 // above 1.
-func (b *Balancer) SetPart(share, quotaShare float64) { b.share, b.quotaShare = share, quotaShare }
+func (b *Balancer) SetShare(share, quotaShare float64) { b.share, b.quotaShare = share, quotaShare }
 
 // Renumber sets the instance's own number and how many instances divide the list now, after others have died or come
 // back. Its share of what all instances may do together remains one of Settings.Instances. Numbers that are out of
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -33,7 +33,7 @@
 	if boot <= 0 || age >= b.settings.WarmUp {
 		return 1
 	}
-	return b.settings.ColdFrom + (1-b.settings.ColdFrom)*float64(max(age, 0))/float64(b.settings.WarmUp)
+	return b.settings.ColdCapacity + (1-b.settings.ColdCapacity)*float64(max(age, 0))/float64(b.settings.WarmUp)
 }
 
 // coldBudgetAllows protects a cold server from overload. All instances together may send it OverloadMultiple
@@ -49,10 +49,10 @@
 	if !slices.Contains(b.order[:b.sliceSize], s) {
 		return false
 	}
-	perSecond := max(coldBudgetShare*b.settings.FallMultiple, 1) *
+	perSecond := max(coldBudgetShare*b.settings.OverloadMultiple, 1) *
 		b.warmRate.At(now, rateTimeConstant) * share
 	holders := max(float64(b.position[1]*b.sliceSize)/float64(len(b.order)), 1)
-	perSecond = b.share * max(perSecond, minColdSends/max(b.settings.FallTime.Seconds(), minCost)/holders)
+	perSecond = b.share * max(perSecond, minColdSends/max(b.settings.OverloadTime.Seconds(), minCost)/holders)
 	s.coldTokens = min(s.coldTokens+perSecond*(now-s.coldUpdated).Seconds(), 1)
 	s.coldUpdated = now
 	return s.coldTokens >= 1
--- a/balance/crowd_test.go
+++ b/balance/crowd_test.go
@@ -201,17 +201,17 @@
 
 func (c *clientSim) try(v *client) {
 	class := &c.b.settings.Classes[v.class]
-	left := v.arrivedAt + class.GiveUp - c.now
+	left := v.arrivedAt + class.ClientTimeout - c.now
 	if v.tries++; v.tries > clientTries || left <= 0 {
 		return
 	}
-	if class.Effect == Free && v.tries < clientTries {
-		left = min(left, time.Duration(tryShare*float64(class.GiveUp)))
+	if class.Effect == Idempotent && v.tries < clientTries {
+		left = min(left, time.Duration(tryShare*float64(class.ClientTimeout)))
 	}
 	c.seq++
 	id := fmt.Sprint("r", c.seq)
 	c.tries[id] = &clientTry{client: v, deadline: c.now + left}
-	c.b.Submit(c.now, Request{ID: id, Class: v.class, Left: left})
+	c.b.Submit(c.now, Request{ID: id, Class: v.class, Remaining: left})
 }
 
 // startClients lets clients arrive at random, at the rate per second that applies after the elapsed time.
@@ -252,8 +252,8 @@
 func simSettings() Settings {
 	set := testSettings()
 	set.Classes = []Class{
-		{Aim: 300 * ms, GiveUp: 800 * ms, Worth: 3},
-		{Aim: 800 * ms, GiveUp: 2 * time.Second, Worth: 5, Effect: Guarded, Group: GroupZone, Window: 3 * time.Second},
+		{Aim: 300 * ms, ClientTimeout: 800 * ms, Value: 3},
+		{Aim: 800 * ms, ClientTimeout: 2 * time.Second, Value: 5, Effect: Deduplicated, DedupScope: DedupZone, DedupWindow: 3 * time.Second},
 	}
 	return set
 }
@@ -316,7 +316,7 @@
 		set := simSettings()
 		set.CanCancel = false
 		with := runSurge(t, set, 12, 3, seed)
-		set.Layer = 1
+		set.Tier = 1
 		without := runSurge(t, set, 12, 3, seed)
 		t.Logf("seed %d: served in time from 2 s after the surge %.3f, without a limit %.3f", seed, with.servedShare(13, 20), without.servedShare(13, 20))
 		if got := without.servedShare(13, 20); got > 0.5 {
--- a/balance/hand.go
+++ b/balance/hand.go
@@ -58,7 +58,7 @@
 
 // ServerCounts returns how many servers are listed, and how many of those are avoided now because the
 // operator took them out or because of their failures.
-func (b *Balancer) Pool() (listed, avoided int) {
+func (b *Balancer) ServerCounts() (listed, avoided int) {
 	for _, s := range b.servers {
 		if s.entry.State == Gone {
 			continue
--- a/balance/quota.go
+++ b/balance/quota.go
@@ -13,11 +13,11 @@
 		return 1
 	}
 	if tenant < 0 || tenant >= len(b.quota) {
-		return b.settings.OverShareWorth // an unknown tenant has no quota
+		return b.settings.OverQuotaValue // an unknown tenant has no quota
 	}
 	perSecond := b.quotaShare * b.settings.Tenants[tenant].QuotaPerSecond / float64(b.settings.Instances)
 	if b.quota[tenant].Take(now, perSecond, perSecond*quotaBurst.Seconds()) {
 		return 1
 	}
-	return b.settings.OverShareWorth
+	return b.settings.OverQuotaValue
 }
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -32,22 +32,22 @@
 // attempt that may have run: there is no such attempt, or the class is idempotent, or s is in the scope that
 // drops the repeat and still remembers it.
 func (q *request) effectAllows(now time.Duration, first *attempt, s *server) bool {
-	return first == nil || q.class.Effect == Free ||
-		!q.retryForbidden(now, first) && (q.class.Group == GroupAll ||
-			q.class.Group == GroupZone && s.entry.Zone == first.server.entry.Zone ||
-			q.class.Group == GroupCell && s.entry.Cell == first.server.entry.Cell)
+	return first == nil || q.class.Effect == Idempotent ||
+		!q.retryForbidden(now, first) && (q.class.DedupScope == DedupAll ||
+			q.class.DedupScope == DedupZone && s.entry.Zone == first.server.entry.Zone ||
+			q.class.DedupScope == DedupCell && s.entry.Cell == first.server.entry.Cell)
 }
 
 // retryForbidden reports whether no server may receive the request any more, where first is the first attempt
 // that may have run.
 func (q *request) retryForbidden(now time.Duration, first *attempt) bool {
-	return first != nil && q.class.Effect != Free &&
-		(q.class.Effect == SingleShot || now >= first.sentAt+q.class.Window)
+	return first != nil && q.class.Effect != Idempotent &&
+		(q.class.Effect == AtMostOnce || now >= first.sentAt+q.class.DedupWindow)
 }
 
 // MayStart reports whether an attempt may still be written. While its connection was being set up, its server
 // may have been taken out, and the servers that drop a repeat may have forgotten the first attempt.
-func (b *Balancer) MayBegin(now time.Duration, id string, attempt int) bool {
+func (b *Balancer) MayStart(now time.Duration, id string, attempt int) bool {
 	q := b.requests[id]
 	if q == nil || q.finished || attempt < 0 || attempt >= len(q.attempts) {
 		return false
@@ -58,8 +58,8 @@
 
 // refusable reports whether the client may be told that trying again is harmless.
 func (q *request) refusable() bool {
-	return q.mayHaveRun() == nil || q.class.Effect == Free ||
-		q.class.Effect == Guarded && q.class.Group == GroupAll
+	return q.mayHaveRun() == nil || q.class.Effect == Idempotent ||
+		q.class.Effect == Deduplicated && q.class.DedupScope == DedupAll
 }
 
 // retryOrFinish follows an attempt that did not serve the request. It sends the request again if the class,
@@ -81,7 +81,7 @@
 
 // expired reports whether a request's time is over. The time of a request with a pending body has not
 // started.
-func (q *request) expired(now time.Duration) bool { return now >= q.deadline && !q.Arriving }
+func (q *request) expired(now time.Duration) bool { return now >= q.deadline && !q.BodyPending }
 
 // retryUnsent follows an attempt that was never sent because this instance lacked a resource, mostly sockets.
 // That says nothing about the server and spends no retry. An immediate retry would only fail again.
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -148,4 +148,4 @@
 }
 
 // InRoundRobin reports whether a server is among those that round robin selects from now.
-func (b *Balancer) InTurns(id string) bool { return slices.Contains(b.active, b.servers[id]) }
+func (b *Balancer) InRoundRobin(id string) bool { return slices.Contains(b.active, b.servers[id]) }
--- a/balance/types.go
+++ b/balance/types.go
@@ -24,19 +24,19 @@
 
 // Effects of a request class.
 const (
-	Free       Effect = iota // may run and be refused any number of times
-	Guarded                  // repeats are dropped by the servers of one scope, within a window
-	SingleShot               // must never run twice
+	Idempotent   Effect = iota // may run and be refused any number of times
+	Deduplicated               // repeats are dropped by the servers of one scope, within a window
+	AtMostOnce                 // must never run twice
 )
 
 // DedupScope identifies the servers that drop the repeats of a Deduplicated request.
-type Group int
+type DedupScope int
 
 // Scopes within which servers share their record of repeats.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	DedupAll DedupScope = iota
+	DedupZone
+	DedupCell
 )
 
 // State is the state of a server in the server list.
@@ -82,7 +82,7 @@
 func (o Outcome) String() string { return enumName(int(o), outcomeNames) }
 
 // ProvesNotExecuted reports whether the outcome proves that the attempt had no effect.
-func (o Outcome) ProvesUnrun() bool {
+func (o Outcome) ProvesNotExecuted() bool {
 	return o == QueueFull || o == ConnectError || o == Ignored
 }
 
@@ -97,13 +97,13 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Aim       time.Duration // an answer after this time earns only LateValue
-	GiveUp    time.Duration // how long a client waits over all its tries
-	Effect    Effect
-	Group     Group
-	Window    time.Duration // how long repeats are dropped, from the first send that may have run
-	Worth     float64
-	LateWorth float64 // share of Value that an answer after Aim still earns
+	Aim           time.Duration // an answer after this time earns only LateValue
+	ClientTimeout time.Duration // how long a client waits over all its tries
+	Effect        Effect
+	DedupScope    DedupScope
+	DedupWindow   time.Duration // how long repeats are dropped, from the first send that may have run
+	Value         float64
+	LateValue     float64 // share of Value that an answer after Aim still earns
 }
 
 // Tenant describes one tenant. All instances share QuotaPerSecond.
@@ -115,11 +115,11 @@
 type Settings struct {
 	Self      int // own number, 0 to Instances-1
 	Instances int // instances of this tier
-	Layer     int // the tier that requests are sent to; clients reach tier 0
+	Tier      int // the tier that requests are sent to; clients reach tier 0
 	Classes   []Class
 	Tenants   []Tenant
 
-	OverShareWorth float64 // value of a request beyond its tenant's quota, as a share of its class's value
+	OverQuotaValue float64 // value of a request beyond its tenant's quota, as a share of its class's value
 	MaxAttempts    int
 	CanCancel      bool
 	AskForList     bool          // the list is sent only to instances that watch it
@@ -128,10 +128,10 @@
 	RetryAfter    bool          // refusals tell callers how long to wait
 	MaxRetryAfter time.Duration // the longest wait that callers respect
 
-	ColdFrom     float64 // a server starts with at least this share of its capacity
-	WarmUp       time.Duration
-	FallMultiple float64 // a cold server fails if it is sent this many times its capacity for OverloadTime
-	FallTime     time.Duration
+	ColdCapacity     float64 // a server starts with at least this share of its capacity
+	WarmUp           time.Duration
+	OverloadMultiple float64 // a cold server fails if it is sent this many times its capacity for OverloadTime
+	OverloadTime     time.Duration
 }
 
 // Validate returns an error that describes the first invalid setting, or nil.
@@ -145,14 +145,14 @@
 		return errors.New("settings: no request classes")
 	case s.MaxAttempts < 1:
 		return fmt.Errorf("settings: max attempts is %d, want at least 1", s.MaxAttempts)
-	case s.ColdFrom < 0 || s.ColdFrom > 1 || s.WarmUp < 0 || s.FallTime < 0 || s.FallMultiple < 0:
+	case s.ColdCapacity < 0 || s.ColdCapacity > 1 || s.WarmUp < 0 || s.OverloadTime < 0 || s.OverloadMultiple < 0:
 		return errors.New("settings: invalid values for cold servers")
 	}
 	for i, c := range s.Classes {
-		if c.Effect < Free || c.Effect > SingleShot || c.Group < GroupAll || c.Group > GroupCell {
+		if c.Effect < Idempotent || c.Effect > AtMostOnce || c.DedupScope < DedupAll || c.DedupScope > DedupCell {
 			return fmt.Errorf("settings: class %d has an unknown effect or group", i)
 		}
-		if c.Aim <= 0 || c.GiveUp <= 0 || c.Window < 0 || c.Worth < 0 {
+		if c.Aim <= 0 || c.ClientTimeout <= 0 || c.DedupWindow < 0 || c.Value < 0 {
 			return fmt.Errorf("settings: class %d has an invalid time or worth", i)
 		}
 	}
@@ -161,27 +161,27 @@
 
 // Request is an incoming request. IDs are never reused.
 type Request struct {
-	ID     string
-	Class  int
-	Tenant int
-	Left   time.Duration // until the client gives up this try; starts at BodyReceived if BodyPending
+	ID        string
+	Class     int
+	Tenant    int
+	Remaining time.Duration // until the client gives up this try; starts at BodyReceived if BodyPending
 	// LocalBudget is how long this instance can work on the request, if that may be less than Remaining; 0 means no
 	// bound. Only Remaining describes what the client does.
-	Within time.Duration
+	LocalBudget time.Duration
 	// BodyPending requests are sent to a server while their body is still being received. The server starts work once
 	// it has the whole body.
-	Arriving bool
+	BodyPending bool
 }
 
 // Result describes how one attempt ended. Finished is set if the request is over, because of this outcome or an
 // earlier event.
 type Result struct {
-	ID       string
-	Attempt  int
-	Outcome  Outcome
-	Latency  time.Duration
-	Finished bool
-	Spent    bool // the body is no longer complete here, so the request cannot be sent again
+	ID           string
+	Attempt      int
+	Outcome      Outcome
+	Latency      time.Duration
+	Finished     bool
+	BodyConsumed bool // the body is no longer complete here, so the request cannot be sent again
 }
 
 // Host carries out the decisions of an instance, in the order of the calls, at the time of the event being handled.
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -11,18 +11,18 @@
 // Rate is a smoothed count of events per second, as of the last event.
 type Rate struct {
 	PerSecond float64
-	Last      time.Duration
+	Updated   time.Duration
 }
 
 // Add counts events that occur now.
 func (r *Rate) Add(now time.Duration, events float64, timeConstant time.Duration) {
 	r.PerSecond = r.At(now, timeConstant) + events/timeConstant.Seconds()
-	r.Last = now
+	r.Updated = now
 }
 
 // At returns the rate now. An event counted one timeConstant ago weighs 1/e of an event counted now.
 func (r Rate) At(now, timeConstant time.Duration) float64 {
-	return r.PerSecond * math.Exp(-float64(now-r.Last)/float64(timeConstant))
+	return r.PerSecond * math.Exp(-float64(now-r.Updated)/float64(timeConstant))
 }
 
 // Quantile tracks a quantile of positive values in small steps. It is 0 before the first value.
@@ -76,24 +76,24 @@
 }
 
 // TokenBucket is a token bucket that starts full.
-type Bucket struct {
-	Tokens float64
-	Last   time.Duration
-	Known  bool // false until the first use
+type TokenBucket struct {
+	Tokens      float64
+	Updated     time.Duration
+	Initialized bool // false until the first use
 }
 
 // Refill adds the tokens earned since the last call, up to burst.
-func (t *Bucket) Fill(now time.Duration, perSecond, burst float64) {
-	if !t.Known {
-		t.Known, t.Tokens = true, burst
+func (t *TokenBucket) Refill(now time.Duration, perSecond, burst float64) {
+	if !t.Initialized {
+		t.Initialized, t.Tokens = true, burst
 	}
-	t.Tokens = min(t.Tokens+perSecond*(now-t.Last).Seconds(), burst)
-	t.Last = now
+	t.Tokens = min(t.Tokens+perSecond*(now-t.Updated).Seconds(), burst)
+	t.Updated = now
 }
 
 // Take refills the bucket and takes one token out. It reports whether there was one.
-func (t *Bucket) Take(now time.Duration, perSecond, burst float64) bool {
-	t.Fill(now, perSecond, burst)
+func (t *TokenBucket) Take(now time.Duration, perSecond, burst float64) bool {
+	t.Refill(now, perSecond, burst)
 	if t.Tokens < 1 {
 		return false
 	}
