--- a/balance/balance.go
+++ b/balance/balance.go
@@ -65,7 +65,7 @@
 	dispatchScheduled bool
 	inFlight          int                    // attempts counted as work of a server
 	limit             float64                // how many of these are admitted
-	tail              []tail                 // by class, the time after which an attempt is late for its class
+	tail              []tail                 // by class, when an attempt is late for its class
 	cost              []estimate.Quantile    // by class, a low quantile of its answer times in seconds
 	mean              []estimate.Mean        // by class, its mean answer time in seconds
 	baseline          []estimate.Mean        // by class, the same for attempts under little load
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -109,10 +109,19 @@
 		ColdCapacity: 0.3, WarmUp: 10 * time.Second, OverloadMultiple: 3, OverloadTime: time.Second,
 		Classes: []Class{
 			{Aim: time.Second, ClientTimeout: 2 * time.Second, Value: 1, LateValue: 0.5},
-			{Aim: time.Second, ClientTimeout: 2 * time.Second, Value: 5, Effect: Deduplicated, DedupScope: DedupZone, DedupWindow: time.Second},
+			{
+				Aim: time.Second, ClientTimeout: 2 * time.Second, Value: 5,
+				Effect: Deduplicated, DedupScope: DedupZone, DedupWindow: time.Second,
+			},
 			{Aim: time.Second, ClientTimeout: 2 * time.Second, Value: 5, Effect: AtMostOnce, DedupWindow: 5 * time.Second},
-			{Aim: time.Second, ClientTimeout: 2 * time.Second, Value: 5, Effect: Deduplicated, DedupScope: DedupCell, DedupWindow: time.Second},
-			{Aim: time.Second, ClientTimeout: 2 * time.Second, Value: 5, Effect: Deduplicated, DedupScope: DedupAll, DedupWindow: time.Second},
+			{
+				Aim: time.Second, ClientTimeout: 2 * time.Second, Value: 5,
+				Effect: Deduplicated, DedupScope: DedupCell, DedupWindow: time.Second,
+			},
+			{
+				Aim: time.Second, ClientTimeout: 2 * time.Second, Value: 5,
+				Effect: Deduplicated, DedupScope: DedupAll, DedupWindow: time.Second,
+			},
 		},
 	}
 }
@@ -580,7 +589,8 @@
 					mayHave := !q.done[i] || !q.outs[i].ProvesNotExecuted()
 					first := byID[f.sent[word[2]][i]]
 					if mayHave && (c.Effect == AtMostOnce || c.Effect == Deduplicated &&
-						(c.DedupScope == DedupZone && first.Zone != e.Zone || c.DedupScope == DedupCell && first.Cell != e.Cell)) {
+						(c.DedupScope == DedupZone && first.Zone != e.Zone ||
+							c.DedupScope == DedupCell && first.Cell != e.Cell)) {
 						t.Fatalf("seed %d: %s repeats an effect", seed, line)
 					}
 				}
--- a/balance/bed_test.go
+++ b/balance/bed_test.go
@@ -66,7 +66,9 @@
 // newMultiSimWith is newMultiSim with changed settings.
 func newMultiSimWith(t testing.TB, instances, servers int, seed uint64, change func(*Settings)) *multiSim {
 	t.Helper()
-	d := &multiSim{eventClock: newEventClock(), rng: rand.New(rand.NewPCG(seed, 3)), nodes: map[string]*simServer{}, work: simWork}
+	d := &multiSim{
+		eventClock: newEventClock(), rng: rand.New(rand.NewPCG(seed, 3)), nodes: map[string]*simServer{}, work: simWork,
+	}
 	list := testServers(servers)
 	for _, e := range list {
 		d.nodes[e.ID] = &simServer{entry: e}
@@ -159,7 +161,8 @@
 	}
 	h.idleConns[server] = true
 	n.sent = append(n.sent, d.now)
-	work := time.Duration(d.rng.ExpFloat64() * float64(d.work) / simCores / n.capacityShare(d.now, h.b.settings.WarmUp, h.b.settings.ColdCapacity))
+	work := time.Duration(d.rng.ExpFloat64() * float64(d.work) / simCores /
+		n.capacityShare(d.now, h.b.settings.WarmUp, h.b.settings.ColdCapacity))
 	n.freeAt = max(n.freeAt, d.now) + work
 	if wait := n.freeAt - d.now + 2*d.work; wait < timeout {
 		end(wait, OK)
@@ -229,7 +232,8 @@
 					count++
 				}
 			}
-			report(count, set.OverloadMultiple*n.capacityShare(first, set.WarmUp, set.ColdCapacity)*perSecond*set.OverloadTime.Seconds())
+			report(count, set.OverloadMultiple*n.capacityShare(first, set.WarmUp, set.ColdCapacity)*perSecond*
+				set.OverloadTime.Seconds())
 		}
 	}
 }
@@ -242,7 +246,7 @@
 var simSizes = []struct {
 	instances, servers                  int
 	wasted, servedLost, servedReplacing float64
-	seeds                               uint64 // one is enough for the largest size, which takes as long as ten of the others
+	seeds                               uint64 // one for the largest size, which takes as long as ten of the others
 }{{80, 60, 0.20, 0.88, 0.85, 3}, {1000, 60, 0.50, 0.72, 0.70, 1}, {12, 16, 0.10, 0.92, 0.85, 3}}
 
 // TestSimulatedZoneLoss: one of two zones goes silent at 4 s, at 0.4 of the full load, and returns cold at 9 s. From
@@ -313,8 +317,8 @@
 			t.Logf("%d instances, %d servers, seed %d: served in time %.3f meanwhile, %.3f after, uneven %.2f over %d servers, budget used %.2f",
 				size.instances, size.servers, seed, float64(during.served)/float64(during.requests),
 				float64(after.served)/float64(after.requests), uneven, used, budget)
-			if float64(during.served) < size.servedReplacing*float64(during.requests) || float64(after.served) < 0.95*float64(after.requests) ||
-				budget > 1 || used != size.servers || uneven > 2.5 {
+			if float64(during.served) < size.servedReplacing*float64(during.requests) ||
+				float64(after.served) < 0.95*float64(after.requests) || budget > 1 || used != size.servers || uneven > 2.5 {
 				t.Errorf("%d instances, %d servers, seed %d: want %.2f served meanwhile, 0.95 after, %d servers used evenly, and the budget kept",
 					size.instances, size.servers, seed, size.servedReplacing, size.servers)
 			}
--- a/balance/carry.go
+++ b/balance/carry.go
@@ -95,8 +95,8 @@
 
 func (s *server) snapshot() ServerSnapshot {
 	return ServerSnapshot{
-		Entry: s.entry, Told: s.reportedBoot, Listed: s.firstListed, Resumed: s.resumedAt, FailRun: s.failStreak, FailRate: s.failRate,
-		Ejected: s.ejectedUntil, Ejections: s.ejections, Slow: s.slowness, Load: s.load,
+		Entry: s.entry, Told: s.reportedBoot, Listed: s.firstListed, Resumed: s.resumedAt,
+		FailRun: s.failStreak, FailRate: s.failRate, Ejected: s.ejectedUntil, Ejections: s.ejections, Slow: s.slowness, Load: s.load,
 		ColdTokens: s.coldTokens, ColdAt: s.coldUpdated,
 	}
 }
@@ -104,7 +104,8 @@
 // SnapshotWithoutServers returns what Snapshot returns, except the servers.
 func (b *Balancer) SnapshotWithoutServers(now time.Duration) Snapshot {
 	c := Snapshot{
-		Seen: b.seenIDs.All(), Limit: b.limit, Retries: b.retryBudget, Served: b.servedRate.At(now, rateTimeConstant), Warm: b.warmRate.At(now, rateTimeConstant), ServedAt: now,
+		Seen: b.seenIDs.All(), Limit: b.limit, Retries: b.retryBudget, Served: b.servedRate.At(now, rateTimeConstant),
+		Warm: b.warmRate.At(now, rateTimeConstant), ServedAt: now,
 	}
 	for id := range b.banned {
 		c.Banned = append(c.Banned, id)
@@ -137,8 +138,9 @@
 	for _, k := range c.Servers {
 		b.seenIDs.Add(k.Entry.ID)
 		b.servers[k.Entry.ID] = &server{
-			id: k.Entry.ID, entry: k.Entry, reportedBoot: cmp.Or(k.Told, k.Entry.Boot), firstListed: k.Listed, banned: b.banned[k.Entry.ID], resumedAt: k.Resumed,
-			failStreak: k.FailRun, failRate: k.FailRate, ejectedUntil: k.Ejected, ejections: k.Ejections, slowness: k.Slow,
+			id: k.Entry.ID, entry: k.Entry, reportedBoot: cmp.Or(k.Told, k.Entry.Boot), firstListed: k.Listed,
+			banned: b.banned[k.Entry.ID], resumedAt: k.Resumed, failStreak: k.FailRun, failRate: k.FailRate,
+			ejectedUntil: k.Ejected, ejections: k.Ejections, slowness: k.Slow,
 			load: k.Load, loadUpdated: now, coldTokens: k.ColdTokens, coldUpdated: k.ColdAt,
 		}
 	}
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -33,7 +33,8 @@
 	if boot <= 0 || age >= b.settings.WarmUp {
 		return 1
 	}
-	return b.settings.ColdCapacity + (1-b.settings.ColdCapacity)*float64(max(age, 0))/float64(b.settings.WarmUp)
+	return b.settings.ColdCapacity +
+		(1-b.settings.ColdCapacity)*float64(max(age, 0))/float64(b.settings.WarmUp)
 }
 
 // coldBudgetAllows protects a cold server from overload. All instances together may send it OverloadMultiple
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -14,7 +14,7 @@
 	uneven             bool
 	pause              time.Duration // time without requests while they are cold
 	restart            bool          // half of the instances restart meanwhile
-	suspended          bool          // the servers are suspended instead, and all instances resume them at the same time
+	suspended          bool          // suspended instead, and resumed by all instances at the same time
 }
 
 // run returns the most that a cold server was sent in a window beyond what the rule allows and what is attributed to
--- a/balance/crowd_test.go
+++ b/balance/crowd_test.go
@@ -253,7 +253,10 @@
 	set := testSettings()
 	set.Classes = []Class{
 		{Aim: 300 * ms, ClientTimeout: 800 * ms, Value: 3},
-		{Aim: 800 * ms, ClientTimeout: 2 * time.Second, Value: 5, Effect: Deduplicated, DedupScope: DedupZone, DedupWindow: 3 * time.Second},
+		{
+			Aim: 800 * ms, ClientTimeout: 2 * time.Second, Value: 5,
+			Effect: Deduplicated, DedupScope: DedupZone, DedupWindow: 3 * time.Second,
+		},
 	}
 	return set
 }
@@ -291,13 +294,16 @@
 		for seed := range *simSeeds {
 			c := runSurge(t, simSettings(), size.servers, size.slow, seed)
 			before, in, after := c.servedShare(2, 6), c.servedShare(6, 11), c.servedShare(13, 20)
-			t.Logf("%d servers, %d slow, seed %d: served in time %.3f before the surge, %.3f during it, %.3f from 2 s after it", size.servers, size.slow, seed, before, in, after)
+			t.Logf("%d servers, %d slow, seed %d: served in time %.3f before the surge, %.3f during it, %.3f from 2 s after it",
+				size.servers, size.slow, seed, before, in, after)
 			if before < 0.95 || after < 0.95 {
-				t.Errorf("%d servers, %d slow, seed %d: served in time %.3f before the surge, %.3f from 2 s after it", size.servers, size.slow, seed, before, after)
+				t.Errorf("%d servers, %d slow, seed %d: served in time %.3f before the surge, %.3f from 2 s after it",
+					size.servers, size.slow, seed, before, after)
 			}
 			// The load is 1.44 times the capacity, so at most 0.69 of it can be served.
 			if in < 0.5 {
-				t.Errorf("%d servers, %d slow, seed %d: served in time %.3f during the surge", size.servers, size.slow, seed, in)
+				t.Errorf("%d servers, %d slow, seed %d: served in time %.3f during the surge",
+					size.servers, size.slow, seed, in)
 			}
 			if len(c.b.requests) > 0 || len(c.b.timers) > 1 {
 				t.Errorf("seed %d: %d records and %d timers are left", seed, len(c.b.requests), len(c.b.timers))
@@ -318,7 +324,8 @@
 		with := runSurge(t, set, 12, 3, seed)
 		set.Tier = 1
 		without := runSurge(t, set, 12, 3, seed)
-		t.Logf("seed %d: served in time from 2 s after the surge %.3f, without a limit %.3f", seed, with.servedShare(13, 20), without.servedShare(13, 20))
+		t.Logf("seed %d: served in time from 2 s after the surge %.3f, without a limit %.3f",
+			seed, with.servedShare(13, 20), without.servedShare(13, 20))
 		if got := without.servedShare(13, 20); got > 0.5 {
 			t.Errorf("seed %d: without a limit %.3f is served in time after the surge: the overload did not last", seed, got)
 		}
@@ -334,7 +341,8 @@
 	t.Helper()
 	for seed := range *simSeeds {
 		c := run(seed)
-		t.Logf("seed %d: served in time %.3f before, %.3f from second %d on", seed, c.servedShare(0, from), c.servedShare(from, to), from)
+		t.Logf("seed %d: served in time %.3f before, %.3f from second %d on",
+			seed, c.servedShare(0, from), c.servedShare(from, to), from)
 		if got := c.servedShare(from, to); got < 0.95 {
 			t.Errorf("seed %d: served in time %.3f, limit %.0f", seed, got, c.b.limit)
 		}
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -63,7 +63,8 @@
 			w.fatal("%s is sent to %s, though it may have run", id, server)
 		case c.Effect == Deduplicated && w.now >= a.at+c.DedupWindow:
 			w.fatal("%s is sent to %s after its window", id, server)
-		case c.Effect == Deduplicated && (c.DedupScope == DedupZone && a.server.Zone != e.Zone || c.DedupScope == DedupCell && a.server.Cell != e.Cell):
+		case c.Effect == Deduplicated && (c.DedupScope == DedupZone && a.server.Zone != e.Zone ||
+			c.DedupScope == DedupCell && a.server.Cell != e.Cell):
 			w.fatal("%s is sent to %s, outside its group", id, server)
 		}
 	}
@@ -75,7 +76,8 @@
 	w.finish(id)
 	q := w.reqs[id]
 	for _, a := range q.attempts {
-		if !(a.ended && a.notExecuted) && q.class.Effect != Idempotent && !(q.class.Effect == Deduplicated && q.class.DedupScope == DedupAll) {
+		if !(a.ended && a.notExecuted) && q.class.Effect != Idempotent &&
+			!(q.class.Effect == Deduplicated && q.class.DedupScope == DedupAll) {
 			w.fatal("%s is refused, though it may have run", id)
 		}
 	}
@@ -151,8 +153,9 @@
 		kind: rapid.IntRange(0, 11).Draw(t, "kind"), pick: rapid.IntRange(0, 999).Draw(t, "pick"),
 		class:     rapid.IntRange(0, 4).Draw(t, "class"),
 		wait:      rapid.SampledFrom([]time.Duration{0, 0, ms, 20 * ms, 100 * ms, 400 * ms}).Draw(t, "wait"),
-		remaining: rapid.SampledFrom([]float64{1, 1, 1, 0.9, 0.5, 0}).Draw(t, "left"), outcome: Outcome(rapid.IntRange(int(OK), int(Rejected)).Draw(t, "outcome")),
-		state: State(rapid.IntRange(int(InService), int(Gone)).Draw(t, "state")), boot: rapid.Bool().Draw(t, "boot"),
+		remaining: rapid.SampledFrom([]float64{1, 1, 1, 0.9, 0.5, 0}).Draw(t, "left"),
+		outcome:   Outcome(rapid.IntRange(int(OK), int(Rejected)).Draw(t, "outcome")),
+		state:     State(rapid.IntRange(int(InService), int(Gone)).Draw(t, "state")), boot: rapid.Bool().Draw(t, "boot"),
 	}
 })
 
@@ -236,7 +239,8 @@
 		events := rapid.SliceOfN(drawEvent, 80, 250).Draw(t, "events")
 		w := runEvents(t.Fatalf, set, servers, seed, events)
 		if len(w.open) != 0 || len(w.b.requests) != 0 || len(w.b.queue) != 0 || w.b.inFlight != 0 {
-			t.Fatalf("left over: %v open, %d records, %d held, %d in flight", w.open, len(w.b.requests), len(w.b.queue), w.b.inFlight)
+			t.Fatalf("left over: %v open, %d records, %d queued, %d in flight",
+				w.open, len(w.b.requests), len(w.b.queue), w.b.inFlight)
 		}
 		for _, s := range w.b.servers {
 			if s.inFlight != 0 {
