--- a/balance/room.go
+++ b/balance/room.go
@@ -17,22 +17,22 @@
 // lost, because others answer in between. Slow servers do not either, because one must be unreachable. Nor
 // does a loss of this instance's own network, because a server elsewhere must have answered since.
 func (b *Balancer) recordUnresponsive(now time.Duration, s *server, unreachable bool) {
-	r := b.zones[s.entry.Zone]
-	if r == nil {
-		r = &zoneHealth{}
-		b.zones[s.entry.Zone] = r
+	z := b.zones[s.entry.Zone]
+	if z == nil {
+		z = &zoneHealth{}
+		b.zones[s.entry.Zone] = z
 	}
 	if !s.unreachable {
 		s.unreachable = true
-		if r.unresponsive++; r.unresponsive == 1 {
-			r.since = now
+		if z.unresponsive++; z.unresponsive == 1 {
+			z.since = now
 		}
 	}
-	if !unreachable || r.unresponsive < zoneLostThreshold || b.lastAnswer <= r.since {
+	if !unreachable || z.unresponsive < zoneLostThreshold || b.lastAnswer <= z.since {
 		return
 	}
 	for _, m := range b.order {
-		if m.entry.Zone == s.entry.Zone && m.ejectedUntil == 0 && m.lastAnswer < r.since {
+		if m.entry.Zone == s.entry.Zone && m.ejectedUntil == 0 && m.lastAnswer < z.since {
 			m.ejectedUntil = now + minEjection/2 + time.Duration(b.random()*float64(minEjection))
 		}
 	}
@@ -43,14 +43,14 @@
 // only because of the zone may be tried again.
 func (b *Balancer) recordResponsive(now time.Duration, s *server) {
 	s.unreachable = false
-	if r := b.zones[s.entry.Zone]; r != nil && r.unresponsive > 0 {
-		if r.unresponsive >= zoneLostThreshold {
+	if z := b.zones[s.entry.Zone]; z != nil && z.unresponsive > 0 {
+		if z.unresponsive >= zoneLostThreshold {
 			for _, m := range b.order {
 				if m.entry.Zone == s.entry.Zone && m.ejectedUntil > 0 {
 					m.ejectedUntil = min(m.ejectedUntil, now) // each may have its trial now
 				}
 			}
 		}
-		r.unresponsive = 0
+		z.unresponsive = 0
 	}
 }
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -46,9 +46,9 @@
 	b.nextIndex %= max(len(b.active), 1)
 }
 
-// resubset takes this instance's slice of the full list by the deterministic subsetting of the SRE book: the
-// list is sorted by ID, draining members included, shuffled with the round's seed and divided by instance
-// number. Leftover servers go one each to the first slices.
+// resubset takes this instance's slice of the full list by the deterministic subsetting of the Site
+// Reliability Engineering book: the list is sorted by ID, draining members included, shuffled with the
+// round's seed and divided by instance number. Leftover servers go one each to the first slices.
 func (b *Balancer) resubset(now time.Duration) {
 	if !b.keepSlots(now) {
 		b.slots = b.slots[:0]
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -28,7 +28,8 @@
 // Quantile tracks a quantile of positive values in small steps. It is 0 before the first value.
 type Quantile float64
 
-// Observe adds a value. It moves the estimate by a fraction of step: q of it upwards or 1-q of it downwards.
+// Observe adds a value. It multiplies the estimate by 1-step*(1-q) if the value is below it, and by 1+step*q
+// otherwise.
 func (e *Quantile) Observe(value, q, step float64) {
 	switch x := Quantile(value); {
 	case *e == 0:
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -15,15 +15,15 @@
 }
 
 func TestRate(t *testing.T) {
-	const memory = 4 * time.Second
+	const timeConstant = 4 * time.Second
 	var r Rate
 	now := time.Hour
 	for range 4000 {
-		r.Add(now, 0.5, memory)
+		r.Add(now, 0.5, timeConstant)
 		now += 10 * time.Millisecond
 	}
-	near(t, "the rate of 100 halves per second", r.At(now, memory), 50, 0.5)
-	near(t, "the rate one time constant later", r.At(now+memory, memory), 50/math.E, 0.2)
+	near(t, "the rate of 100 halves per second", r.At(now, timeConstant), 50, 0.5)
+	near(t, "the rate one time constant later", r.At(now+timeConstant, timeConstant), 50/math.E, 0.2)
 }
 
 func TestMean(t *testing.T) {
