--- a/balance/pick.go
+++ b/balance/pick.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// inFlightCap is the flow control of the Site Reliability Engineering book: a member with this many
-	// requests of ours is skipped.
+	// inFlightCap is the flow control of the Site Reliability Engineering book: a member is skipped while
+	// this instance has this many requests in flight there.
 	inFlightCap = 100
 	// maxLoadRatio is the adaptive cap: a member is skipped while its in-flight requests, smoothed over
 	// loadTimeConstant, exceed this multiple of the subset's mean. Slow members hold requests longer and so
