--- a/balance/balance.go
+++ b/balance/balance.go
@@ -57,7 +57,7 @@
 	sliceSize    int             // length of the own slice in order
 	panicMode    bool            // the panic threshold is reached
 	active       []*server       // the slice, with a spare for each lost member
-	excludedBusy []*server // excluded servers with requests in flight
+	excludedBusy []*server       // excluded servers with requests in flight
 	nextIndex    int
 
 	requests          map[string]*request
