--- a/internal/channel/channel.go
+++ b/internal/channel/channel.go
@@ -27,15 +27,15 @@
 type Table struct {
 	options Options
 	log     *slog.Logger
-	gate    *gate
+	buffers *bufferPool
 	sealer  *ticket.Sealer
 	clock   clock.Steady
 
-	mu     sync.Mutex
-	plan   *plan.Plan
-	relays map[plan.ID]*relay
-	last   plan.ID
-	ended  bool // no channel opens any more
+	mu      sync.Mutex
+	plan    *plan.Plan
+	relays  map[plan.ID]*relay
+	lastID  plan.ID
+	stopped bool // no channel opens any more
 
 	counts counts
 	stop   context.CancelFunc
@@ -59,12 +59,12 @@
 		if key, err = os.ReadFile(o.Key); err != nil {
 			return nil, fmt.Errorf("channels: key: %w", err)
 		}
-		if len(key) < leastKey {
-			return nil, fmt.Errorf("channels: key: %s holds %d bytes, and must hold %d at least", o.Key, len(key), leastKey)
+		if len(key) < minKeyBytes {
+			return nil, fmt.Errorf("channels: key: %s holds %d bytes, and must hold %d at least", o.Key, len(key), minKeyBytes)
 		}
 	}
 	t := &Table{
-		options: o, log: log, gate: newGate(o.Memory), sealer: ticket.NewSealer(key),
+		options: o, log: log, buffers: newBufferPool(o.Memory), sealer: ticket.NewSealer(key),
 		clock: clock.NewSteady(), relays: map[plan.ID]*relay{},
 		plan: plan.New(plan.Settings{
 			Rate: o.Rate, NodeRate: o.NodeRate, MostWait: o.MostWait, Channels: o.Most, TenantChannels: o.Tenant,
@@ -79,7 +79,7 @@
 	return t, nil
 }
 
-const leastKey = 16
+const minKeyBytes = 16
 
 // now is Unix time, as the list's start times are, but never steps.
 func (t *Table) now() time.Duration { return t.clock.Now() }
@@ -94,10 +94,10 @@
 		case <-ticker.C:
 		}
 		t.mu.Lock()
-		actions := t.plan.Tick(t.now(), t.look)
-		due := make([]*relay, len(actions))
+		actions := t.plan.Tick(t.now(), t.activity)
+		targets := make([]*relay, len(actions))
 		for i, a := range actions {
-			due[i] = t.relays[a.ID]
+			targets[i] = t.relays[a.ID]
 		}
 		t.mu.Unlock()
 		for i, a := range actions {
@@ -106,9 +106,9 @@
 				t.counts.moved.Add(1)
 			case plan.Cut, plan.Dead, plan.Slow:
 				t.counts.cut.Add(1)
-				t.log.Debug("channel ended", "server", due[i].node, "reason", a.Text, "side", sideNames[a.Side])
+				t.log.Debug("channel ended", "server", targets[i].server, "reason", a.Text, "side", sideNames[a.Side])
 			}
-			due[i].do(a)
+			targets[i].perform(a)
 		}
 	}
 }
@@ -116,11 +116,11 @@
 var sideNames = [plan.Sides]string{plan.Client: "client", plan.Server: "server"}
 
 // look says how a channel stands; t.mu is held.
-func (t *Table) look(id plan.ID) (a [plan.Sides]plan.Activity) {
+func (t *Table) activity(id plan.ID) (a [plan.Sides]plan.Activity) {
 	for side, e := range t.relays[id].ends {
 		a[side] = plan.Activity{
-			Heard: time.Duration(e.heard.Load()), Spoke: time.Duration(e.spoke.Load()),
-			FrameSince: time.Duration(e.since.Load()), FrameBytes: e.moved.Load(), Held: e.blocked.Load(), Resting: e.resting.Load(),
+			Heard: time.Duration(e.lastRead.Load()), Spoke: time.Duration(e.lastMessage.Load()),
+			FrameSince: time.Duration(e.frameStart.Load()), FrameBytes: e.frameBytes.Load(), Held: e.blocked.Load(), Resting: e.parked.Load(),
 		}
 	}
 	return a
@@ -136,18 +136,18 @@
 // Admission is what becomes of a request for a channel.
 type Admission struct {
 	plan.Answer
-	Seal   string // the ticket to show next time; "" for one that is let in
-	Tenant int
-	ticket *ticket.Ticket
-	name   string
+	Seal       string // the ticket to show next time; "" for one that is let in
+	Tenant     int
+	ticket     *ticket.Ticket
+	tenantName string
 }
 
 // Ask says whether a request for a channel is let in. GivenUp or Open must follow one that is. name is the tenant's, and
 // seal what the client showed.
-func (t *Table) Ask(tenant int, name, seal string) Admission {
-	a := Admission{Tenant: tenant, name: name}
-	if seal != "" {
-		if shown, err := t.sealer.Open(seal, name); err == nil {
+func (t *Table) Ask(tenant int, tenantName, sealed string) Admission {
+	a := Admission{Tenant: tenant, tenantName: tenantName}
+	if sealed != "" {
+		if shown, err := t.sealer.Open(sealed, tenantName); err == nil {
 			a.ticket = &shown
 		}
 	}
@@ -156,7 +156,7 @@
 	t.mu.Unlock()
 	if !a.Admitted {
 		t.counts.refused.Add(1)
-		a.Seal = t.sealer.Seal(a.Answer.Ticket, name)
+		a.Seal = t.sealer.Seal(a.Answer.Ticket, tenantName)
 	}
 	return a
 }
@@ -174,7 +174,7 @@
 	t.mu.Lock()
 	a.Answer = t.plan.Refused(t.now(), a.ticket)
 	t.mu.Unlock()
-	a.Seal = t.sealer.Seal(a.Answer.Ticket, a.name)
+	a.Seal = t.sealer.Seal(a.Answer.Ticket, a.tenantName)
 	return a
 }
 
@@ -194,22 +194,22 @@
 // Open relays a channel whose 101 the client has been sent, until it is over; it does not wait for that. Both sockets
 // belong to the table from now on.
 func (t *Table) Open(a Admission, server string, ends Ends, agreed handshake.Agreement) {
-	r := &relay{table: t, node: server}
-	rules := rulesOf(agreed, &t.options)
+	r := &relay{table: t, server: server}
+	rules := frameRules(agreed, &t.options)
 	var errs [plan.Sides]error
 	r.ends[plan.Client], errs[plan.Client] = newEnd(plan.Client, ends.Client, nil, rules[plan.Client], t)
 	r.ends[plan.Server], errs[plan.Server] = newEnd(plan.Server, ends.Server, ends.Behind, rules[plan.Server], t)
 	t.mu.Lock()
-	if t.ended || errs[plan.Client] != nil || errs[plan.Server] != nil {
+	if t.stopped || errs[plan.Client] != nil || errs[plan.Server] != nil {
 		t.plan.GivenUp(a.Tenant)
 		t.mu.Unlock()
 		ends.Client.Close()
 		ends.Server.Close()
 		return
 	}
-	t.last++
-	r.id = t.last
-	r.ping = newPing(r.id)
+	t.lastID++
+	r.id = t.lastID
+	r.ping = newPingPayload(r.id)
 	t.relays[r.id] = r
 	t.plan.Opened(t.now(), r.id, server, a.Tenant)
 	t.counts.opened.Add(1)
@@ -219,10 +219,10 @@
 }
 
 // closed takes in that a relay is over.
-func (t *Table) closed(r *relay) {
+func (t *Table) relayDone(r *relay) {
 	t.mu.Lock()
-	t.counts.toServers.Add(r.ends[plan.Client].bytes.Load())
-	t.counts.toClients.Add(r.ends[plan.Server].bytes.Load())
+	t.counts.toServers.Add(r.ends[plan.Client].forwarded.Load())
+	t.counts.toClients.Add(r.ends[plan.Server].forwarded.Load())
 	delete(t.relays, r.id)
 	t.plan.Closed(r.id)
 	t.mu.Unlock()
@@ -230,9 +230,9 @@
 }
 
 // broke notes that an end broke the protocol.
-func (t *Table) broke(r *relay, e *end, v *frame.Violation) {
+func (t *Table) protocolError(r *relay, e *end, v *frame.Violation) {
 	t.counts.broken.Add(1)
-	t.log.Debug("channel broken", "server", r.node, "side", sideNames[e.side], "code", int(v.Code), "reason", v.Text)
+	t.log.Debug("channel broken", "server", r.server, "side", sideNames[e.side], "code", int(v.Code), "reason", v.Text)
 }
 
 // Leave makes all channels move off, and lets none in any more.
@@ -248,7 +248,7 @@
 	defer t.mu.Unlock()
 	for _, r := range t.relays {
 		for _, e := range r.ends {
-			if e.resting.Load() {
+			if e.parked.Load() {
 				n++
 			}
 		}
@@ -271,12 +271,12 @@
 // Close cuts what is open, and returns once nothing runs.
 func (t *Table) Close() {
 	t.mu.Lock()
-	t.ended = true
+	t.stopped = true
 	open := slices.Collect(maps.Values(t.relays))
 	t.mu.Unlock()
 	t.stop()
 	for _, r := range open {
-		r.do(plan.Action{Kind: plan.Cut})
+		r.perform(plan.Action{Kind: plan.Cut})
 	}
 	t.done.Wait()
 }
@@ -287,17 +287,17 @@
 		text = figures.AppendLine(text, name, value, kind)
 	}
 	t.mu.Lock()
-	held := t.plan.Held()
+	byServer := t.plan.Held()
 	toServers, toClients := t.counts.toServers.Load(), t.counts.toClients.Load()
 	for _, r := range t.relays {
-		toServers += r.ends[plan.Client].bytes.Load()
-		toClients += r.ends[plan.Server].bytes.Load()
+		toServers += r.ends[plan.Client].forwarded.Load()
+		toClients += r.ends[plan.Server].forwarded.Load()
 	}
 	open := len(t.relays)
 	t.mu.Unlock()
 	line("channels.open", int64(open), 'g')
-	for _, id := range slices.Sorted(maps.Keys(held)) {
-		line("channels.open."+id, int64(held[id]), 'g')
+	for _, id := range slices.Sorted(maps.Keys(byServer)) {
+		line("channels.open."+id, int64(byServer[id]), 'g')
 	}
 	line("channels.opened", t.counts.opened.Load(), 'c')
 	line("channels.refused", t.counts.refused.Load(), 'c')
--- a/internal/channel/end.go
+++ b/internal/channel/end.go
@@ -18,61 +18,61 @@
 
 // end is one end of a channel.
 type end struct {
-	side plan.Side
-	now  func() time.Duration
-	conn *net.TCPConn
-	raw  syscall.RawConn
-	mask bool // frames to it are masked
-	get  *gate
+	side    plan.Side
+	now     func() time.Duration
+	conn    *net.TCPConn
+	raw     syscall.RawConn
+	mask    bool // frames to it are masked
+	buffers *bufferPool
 	// How long it may take nothing, and how long it may leave a Close unanswered.
-	patience, closeWithin time.Duration
+	writeTimeout, closeTimeout time.Duration
 
 	// Of what it sends; used by the goroutine that reads it, but for the atomics.
-	checker frame.Checker
-	held    []byte // read, and not enough yet to go on
-	heard   atomic.Int64
-	spoke   atomic.Int64
-	since   atomic.Int64 // since when a frame has been on its way; 0 for none
-	moved   atomic.Int64 // bytes of that frame
-	blocked atomic.Bool  // its bytes wait for the other end
-	resting atomic.Bool  // a goroutine that does nothing else waits for it
-	dropped int          // bytes that nobody takes any more
-	bytes   atomic.Int64 // that have gone on
+	checker     frame.Checker
+	unconsumed  []byte // read, and not enough yet to go on
+	lastRead    atomic.Int64
+	lastMessage atomic.Int64
+	frameStart  atomic.Int64 // since when a frame has been on its way; 0 for none
+	frameBytes  atomic.Int64 // bytes of that frame
+	blocked     atomic.Bool  // its bytes wait for the other end
+	parked      atomic.Bool  // a goroutine that does nothing else waits for it
+	discarded   int          // bytes that nobody takes any more
+	forwarded   atomic.Int64 // that have gone on
 
 	// Of what goes to it.
-	mu      sync.Mutex
-	writing bool      // a write runs without mu
-	until   time.Time // the socket's write deadline
-	within  bool      // the last byte written stands within a frame
-	open    bool      // a message to it has begun, and not ended
-	pending []byte    // frames of the proxy's own that are still to be written; may begin within one
-	closing bool      // a Close has been written to it or stands in pending, or it is gone: no data may follow
-	gone    bool      // its socket is closed
-	told    bool      // that Close was the proxy's own word to go
-	toRest  bool      // its read is broken off so that it can rest
-	looking bool      // a look for room runs without mu, and writing is set; a frame that is put in breaks it off
-	wanted  *goodbye  // to be told once the message at hand is over
+	mu            sync.Mutex
+	writing       bool        // a write runs without mu
+	writeDeadline time.Time   // the socket's write deadline
+	midFrame      bool        // the last byte written stands within a frame
+	midMessage    bool        // a message to it has begun, and not ended
+	pending       []byte      // frames of the proxy's own that are still to be written; may begin within one
+	closing       bool        // a Close has been written to it or stands in pending, or it is gone: no data may follow
+	disconnected  bool        // its socket is closed
+	closedByProxy bool        // that Close was the proxy's own word to go
+	parkRequested bool        // its read is broken off so that it can rest
+	polling       bool        // a look for room runs without mu, and writing is set; a frame that is put in breaks it off
+	deferredClose *closeFrame // to be told once the message at hand is over
 
 	// What a read returns; kept here so that no read allocates.
-	peeked  byte
-	reading struct {
-		f    func(fd uintptr) bool
-		room bool // the other end has room for what is read
-		b    *buffer
-		n    int
-		err  error
-		full bool
+	peekByte byte
+	reading  struct {
+		try       func(fd uintptr) bool
+		writable  bool // the other end has room for what is read
+		buf       *buffer
+		n         int
+		err       error
+		exhausted bool
 	}
 }
 
 var (
-	errStalled = errors.New("the end takes nothing")
-	errTooMuch = errors.New("the end goes on after its Close")
-	errRest    = errors.New("the end is quiet")
-	errClosed  = errors.New("the end has sent its Close")
+	errWriteStalled      = errors.New("the end takes nothing")
+	errTooMuchAfterClose = errors.New("the end goes on after its Close")
+	errParked            = errors.New("the end is quiet")
+	errCloseReceived     = errors.New("the end has sent its Close")
 )
 
-func newEnd(side plan.Side, conn *net.TCPConn, held []byte, rules frame.Rules, t *Table) (*end, error) {
+func newEnd(side plan.Side, conn *net.TCPConn, buffered []byte, rules frame.Rules, t *Table) (*end, error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return nil, err
@@ -84,30 +84,30 @@
 		return nil, err
 	}
 	e := &end{
-		side: side, now: t.now, conn: conn, raw: raw, mask: side == plan.Server, get: t.gate, held: held,
-		patience: t.options.WriteTimeout, closeWithin: t.options.CloseTimeout,
+		side: side, now: t.now, conn: conn, raw: raw, mask: side == plan.Server, buffers: t.buffers, unconsumed: buffered,
+		writeTimeout: t.options.WriteTimeout, closeTimeout: t.options.CloseTimeout,
 	}
 	e.checker.Rules = rules
 	now := int64(t.now())
-	e.heard.Store(now)
-	e.spoke.Store(now)
-	e.reading.f = e.tryRead
+	e.lastRead.Store(now)
+	e.lastMessage.Store(now)
+	e.reading.try = e.tryRead
 	return e, nil
 }
 
 // tryRead takes a buffer only once there is something to read, or before the first look.
 func (e *end) tryRead(fd uintptr) bool {
 	r := &e.reading
-	if r.b == nil {
-		r.b = e.get.try(r.room)
+	if r.buf == nil {
+		r.buf = e.buffers.tryGet(r.writable)
 	}
-	if r.b == nil {
-		r.full = true
+	if r.buf == nil {
+		r.exhausted = true
 		return true
 	}
-	into := r.b[frame.MaxHeld:]
-	if r.room {
-		into = into[:roomyBytes]
+	into := r.buf[frame.MaxHeld:]
+	if r.writable {
+		into = into[:writableReadBytes]
 	}
 	for {
 		if r.n, r.err = syscall.Read(int(fd), into); r.err != syscall.EINTR {
@@ -115,8 +115,8 @@
 		}
 	}
 	if r.err == syscall.EAGAIN {
-		e.get.put(r.b)
-		r.b = nil
+		e.buffers.put(r.buf)
+		r.buf = nil
 		return false
 	}
 	return true
@@ -125,30 +125,30 @@
 // read returns a buffer with what the end sent, behind room for what was held. It holds no buffer while it waits:
 // a quiet channel costs its goroutines and its sockets. room is called where buffers are short, and waits until the
 // bytes can go on at once; nil where they need not.
-func (e *end) read(room func()) (*buffer, int, error) {
+func (e *end) read(waitWritable func()) (*buffer, int, error) {
 	r := &e.reading
-	r.room, r.b = room == nil, nil
+	r.writable, r.buf = waitWritable == nil, nil
 	for {
-		r.full = false
-		err := e.raw.Read(r.f)
+		r.exhausted = false
+		err := e.raw.Read(r.try)
 		switch {
 		case err != nil:
-			if r.b != nil {
-				e.get.put(r.b)
+			if r.buf != nil {
+				e.buffers.put(r.buf)
 			}
 			return nil, 0, err
-		case r.full && !r.room:
-			room()
-			r.room = true
+		case r.exhausted && !r.writable:
+			waitWritable()
+			r.writable = true
 			continue
-		case r.full:
+		case r.exhausted:
 			// Something has come, and all buffers are in use. This end waits, and with it who sends there.
-			e.waitsFor(func() { r.b = e.get.wait() })
+			e.whileBlocked(func() { r.buf = e.buffers.get() })
 			continue
 		case r.err == nil && r.n > 0:
-			return r.b, r.n, nil
+			return r.buf, r.n, nil
 		}
-		e.get.put(r.b)
+		e.buffers.put(r.buf)
 		if r.err != nil {
 			return nil, 0, os.NewSyscallError("read", r.err)
 		}
@@ -158,35 +158,35 @@
 
 // peek says whether a read would not wait. It must not use much of the stack.
 func (e *end) peek(fd uintptr) bool {
-	_, _, errno := syscall.Syscall6(syscall.SYS_RECVFROM, fd, uintptr(unsafe.Pointer(&e.peeked)), 1, syscall.MSG_PEEK|syscall.MSG_DONTWAIT, 0, 0)
+	_, _, errno := syscall.Syscall6(syscall.SYS_RECVFROM, fd, uintptr(unsafe.Pointer(&e.peekByte)), 1, syscall.MSG_PEEK|syscall.MSG_DONTWAIT, 0, 0)
 	return errno != syscall.EAGAIN
 }
 
 // progress notes whether a frame is on its way, and how far it is.
-func (e *end) progress(now time.Duration, held bool) {
-	if e.checker.Between() && !held {
-		e.since.Store(0)
+func (e *end) trackFrame(now time.Duration, partial bool) {
+	if e.checker.Between() && !partial {
+		e.frameStart.Store(0)
 		return
 	}
-	e.moved.Store(e.checker.Moved())
-	if e.since.Load() == 0 {
-		e.since.Store(int64(now))
+	e.frameBytes.Store(e.checker.Moved())
+	if e.frameStart.Load() == 0 {
+		e.frameStart.Store(int64(now))
 	}
 }
 
 // waitsFor calls f, in which the end's bytes wait for the other end. That is the other end's time, not its own.
-func (e *end) waitsFor(f func()) {
-	begun := e.now()
+func (e *end) whileBlocked(f func()) {
+	started := e.now()
 	e.blocked.Store(true)
 	f()
 	e.blocked.Store(false)
-	if since := e.since.Load(); since > 0 {
-		e.since.Store(since + int64(e.now()-begun))
+	if frameStart := e.frameStart.Load(); frameStart > 0 {
+		e.frameStart.Store(frameStart + int64(e.now()-started))
 	}
 }
 
 // rulesOf are the rules of both directions.
-func rulesOf(a handshake.Agreement, o *Options) [plan.Sides]frame.Rules {
+func frameRules(a handshake.Agreement, o *Options) [plan.Sides]frame.Rules {
 	both := frame.Rules{Reserved: a.Reserved, MaxMessage: o.MaxMessage, UTF8: a.UTF8 || o.CheckUTF8}
 	client := both
 	client.Masked = true
--- a/internal/channel/frame/frame.go
+++ b/internal/channel/frame/frame.go
@@ -23,7 +23,7 @@
 )
 
 // control says whether frames of this kind stand between the fragments of a message.
-func (o Opcode) control() bool { return o >= Close }
+func (o Opcode) isControl() bool { return o >= Close }
 
 // Code is why a channel ends (RFC 6455, section 7.4, and the IANA registry).
 type Code uint16
@@ -81,15 +81,15 @@
 type Checker struct {
 	Rules Rules
 
-	left    int64 // bytes of the frame's payload still to come
-	moved   int64 // bytes of it that have come
-	message int64 // bytes of the message so far, announced ones included
-	open    bool  // a message has begun, and its last frame not
-	last    bool  // the frame at hand ends its message
-	text    bool  // the message is text to be checked
-	closed  bool  // a Close frame has come
-	mask    [4]byte
-	utf8    validator
+	remaining    int64 // bytes of the frame's payload still to come
+	passed       int64 // bytes of it that have come
+	messageBytes int64 // bytes of the message so far, announced ones included
+	inMessage    bool  // a message has begun, and its last frame not
+	final        bool  // the frame at hand ends its message
+	checkText    bool  // the message is text to be checked
+	closed       bool  // a Close frame has come
+	mask         [4]byte
+	utf8         utf8Validator
 }
 
 // Stop is why Scan went no further.
@@ -125,13 +125,13 @@
 }
 
 // Between says whether the bytes that passed end with a whole frame: another may be put in behind them.
-func (c *Checker) Between() bool { return c.left == 0 }
+func (c *Checker) Between() bool { return c.remaining == 0 }
 
 // Open says whether a message has begun, and its last byte not passed.
-func (c *Checker) Open() bool { return c.open || c.left > 0 }
+func (c *Checker) Open() bool { return c.inMessage || c.remaining > 0 }
 
 // Moved is how many payload bytes of the frame at hand have passed.
-func (c *Checker) Moved() int64 { return c.moved }
+func (c *Checker) Moved() int64 { return c.passed }
 
 // Scan goes through bytes that follow those it passed before: the caller brings again what an earlier call left,
 // MaxHeld at most. It stops at each control frame, and where until says.
@@ -141,42 +141,42 @@
 		if c.closed {
 			return Result{Pass: n, Stop: Ended}, nil
 		}
-		if c.left > 0 {
-			payload := b[n:min(int64(len(b)), int64(n)+c.left)]
-			if c.text {
-				if v := c.check(payload); v != nil {
+		if c.remaining > 0 {
+			payload := b[n:min(int64(len(b)), int64(n)+c.remaining)]
+			if c.checkText {
+				if v := c.validateText(payload); v != nil {
 					return Result{Pass: n}, v
 				}
 			}
-			c.left -= int64(len(payload))
-			c.moved += int64(len(payload))
+			c.remaining -= int64(len(payload))
+			c.passed += int64(len(payload))
 			n += len(payload)
-			if c.left > 0 {
+			if c.remaining > 0 {
 				return Result{Pass: n}, nil
 			}
-			if v := c.frameOver(); v != nil {
+			if v := c.endFrame(); v != nil {
 				return Result{Pass: n}, v
 			}
-			if c.at(until) {
+			if c.stopsAt(until) {
 				return Result{Pass: n, Stop: Boundary}, nil
 			}
 		}
-		h, size, v := c.head(b[n:])
+		h, size, v := c.parseHeader(b[n:])
 		if v != nil || size == 0 {
 			return Result{Pass: n}, v
 		}
-		if h.opcode.control() {
-			return c.control(b, n, size, h)
+		if h.opcode.isControl() {
+			return c.parseControl(b, n, size, h)
 		}
-		if v := c.begin(h); v != nil {
+		if v := c.beginFrame(h); v != nil {
 			return Result{Pass: n}, v
 		}
 		n += size
-		if c.left == 0 {
-			if v := c.frameOver(); v != nil {
+		if c.remaining == 0 {
+			if v := c.endFrame(); v != nil {
 				return Result{Pass: n}, v
 			}
-			if c.at(until) {
+			if c.stopsAt(until) {
 				return Result{Pass: n, Stop: Boundary}, nil
 			}
 		}
@@ -184,10 +184,12 @@
 }
 
 // at says whether the end of a data frame is where Scan is to stop.
-func (c *Checker) at(until Until) bool { return until == FrameEnd || until == MessageEnd && !c.open }
+func (c *Checker) stopsAt(until Until) bool {
+	return until == FrameEnd || until == MessageEnd && !c.inMessage
+}
 
 // head is a frame's head.
-type head struct {
+type header struct {
 	fin      bool
 	reserved byte
 	opcode   Opcode
@@ -196,7 +198,7 @@
 }
 
 // head reads a frame's head. Size 0 stands for one that is not whole; what can be told to be wrong before is.
-func (c *Checker) head(b []byte) (h head, size int, v *Violation) {
+func (c *Checker) parseHeader(b []byte) (h header, size int, v *Violation) {
 	if len(b) < 2 {
 		return h, 0, nil
 	}
@@ -209,19 +211,19 @@
 		return h, 0, &Violation{ProtocolError, "a masked frame from a server"}
 	case masked != c.Rules.Masked:
 		return h, 0, &Violation{ProtocolError, "an unmasked frame from a client"}
-	case h.opcode.control() && !h.fin:
+	case h.opcode.isControl() && !h.fin:
 		return h, 0, &Violation{ProtocolError, "a fragmented control frame"}
-	case h.opcode.control() && length > MaxControl:
+	case h.opcode.isControl() && length > MaxControl:
 		return h, 0, &Violation{ProtocolError, "a control frame over 125 bytes"}
-	case h.opcode.control() && h.reserved != 0:
+	case h.opcode.isControl() && h.reserved != 0:
 		return h, 0, &Violation{ProtocolError, "reserved bits on a control frame"}
 	case h.reserved&^c.Rules.Reserved != 0:
 		return h, 0, &Violation{ProtocolError, "reserved bits that nothing was agreed on"}
 	case h.opcode == Continuation && h.reserved&Compressed != 0 && c.Rules.Reserved == Compressed:
 		return h, 0, &Violation{ProtocolError, "the compression bit within a message"}
-	case h.opcode == Continuation && !c.open:
+	case h.opcode == Continuation && !c.inMessage:
 		return h, 0, &Violation{ProtocolError, "a continuation of nothing"}
-	case h.opcode != Continuation && !h.opcode.control() && c.open:
+	case h.opcode != Continuation && !h.opcode.isControl() && c.inMessage:
 		return h, 0, &Violation{ProtocolError, "a new message within another"}
 	}
 	size = 2
@@ -255,8 +257,8 @@
 		h.length = int64(length)
 	}
 	// Told before the mask has come, and before any byte of the payload goes on.
-	if most := c.Rules.MaxMessage; !h.opcode.control() && most > 0 && h.length > most-c.message {
-		return h, 0, &Violation{TooBig, fmt.Sprintf("a message over %d bytes", most)}
+	if limit := c.Rules.MaxMessage; !h.opcode.isControl() && limit > 0 && h.length > limit-c.messageBytes {
+		return h, 0, &Violation{TooBig, fmt.Sprintf("a message over %d bytes", limit)}
 	}
 	if len(b) < size {
 		return h, 0, nil
@@ -268,34 +270,34 @@
 }
 
 // begin takes in a data frame's head.
-func (c *Checker) begin(h head) *Violation {
+func (c *Checker) beginFrame(h header) *Violation {
 	if h.opcode != Continuation {
-		c.message, c.utf8 = 0, validator{}
-		c.text = c.Rules.UTF8 && h.opcode == Text && h.reserved&Compressed == 0
+		c.messageBytes, c.utf8 = 0, utf8Validator{}
+		c.checkText = c.Rules.UTF8 && h.opcode == Text && h.reserved&Compressed == 0
 	}
-	c.open, c.last = true, h.fin
-	c.left, c.moved, c.mask = h.length, 0, h.mask
-	c.message += h.length
+	c.inMessage, c.final = true, h.fin
+	c.remaining, c.passed, c.mask = h.length, 0, h.mask
+	c.messageBytes += h.length
 	return nil
 }
 
 // frameOver takes in that a data frame has ended.
-func (c *Checker) frameOver() *Violation {
-	c.moved = 0
-	if !c.last {
+func (c *Checker) endFrame() *Violation {
+	c.passed = 0
+	if !c.final {
 		return nil
 	}
-	c.open, c.message = false, 0
-	if c.text && !c.utf8.whole() {
+	c.inMessage, c.messageBytes = false, 0
+	if c.checkText && !c.utf8.complete() {
 		return &Violation{InvalidPayload, "text that ends within a character"}
 	}
 	return nil
 }
 
-func (c *Checker) check(payload []byte) *Violation {
+func (c *Checker) validateText(payload []byte) *Violation {
 	for i, b := range payload {
 		if c.Rules.Masked {
-			b ^= c.mask[(c.moved+int64(i))&3]
+			b ^= c.mask[(c.passed+int64(i))&3]
 		}
 		if !c.utf8.next(b) {
 			return &Violation{InvalidPayload, "text that is not UTF-8"}
@@ -305,7 +307,7 @@
 }
 
 // control reads a control frame whose head, of so many bytes, stands at n.
-func (c *Checker) control(b []byte, n, size int, h head) (Result, *Violation) {
+func (c *Checker) parseControl(b []byte, n, size int, h header) (Result, *Violation) {
 	r := Result{Pass: n, Size: size + int(h.length), Opcode: h.opcode}
 	if len(b) < n+r.Size {
 		return Result{Pass: n}, nil
@@ -344,41 +346,41 @@
 }
 
 // validator checks UTF-8 byte by byte, over any cuts: a character may be spread over frames.
-type validator struct {
-	want     int  // continuation bytes still to come
-	low, top byte // the range of the next one
+type utf8Validator struct {
+	needed           int  // continuation bytes still to come
+	nextMin, nextMax byte // the range of the next one
 }
 
-func (v *validator) whole() bool { return v.want == 0 }
+func (v *utf8Validator) complete() bool { return v.needed == 0 }
 
 // next follows table 3-7 of the Unicode standard: the first continuation byte's range rules out overlong forms,
 // surrogates and what lies beyond U+10FFFF.
-func (v *validator) next(b byte) bool {
-	if v.want > 0 {
-		ok := b >= v.low && b <= v.top
-		v.want, v.low, v.top = v.want-1, 0x80, 0xBF
+func (v *utf8Validator) next(b byte) bool {
+	if v.needed > 0 {
+		ok := b >= v.nextMin && b <= v.nextMax
+		v.needed, v.nextMin, v.nextMax = v.needed-1, 0x80, 0xBF
 		return ok
 	}
-	v.low, v.top = 0x80, 0xBF
+	v.nextMin, v.nextMax = 0x80, 0xBF
 	switch {
 	case b < 0x80:
 	case b >= 0xC2 && b <= 0xDF:
-		v.want = 1
+		v.needed = 1
 	case b >= 0xE0 && b <= 0xEF:
-		v.want = 2
+		v.needed = 2
 		switch b {
 		case 0xE0:
-			v.low = 0xA0
+			v.nextMin = 0xA0
 		case 0xED:
-			v.top = 0x9F
+			v.nextMax = 0x9F
 		}
 	case b >= 0xF0 && b <= 0xF4:
-		v.want = 3
+		v.needed = 3
 		switch b {
 		case 0xF0:
-			v.low = 0x90
+			v.nextMin = 0x90
 		case 0xF4:
-			v.top = 0x8F
+			v.nextMax = 0x8F
 		}
 	default:
 		return false
--- a/internal/channel/frame/frame_test.go
+++ b/internal/channel/frame/frame_test.go
@@ -11,7 +11,7 @@
 )
 
 // build is one frame as a peer might send it, right or wrong.
-func build(first byte, payload []byte, masked bool) []byte {
+func buildFrame(first byte, payload []byte, masked bool) []byte {
 	b := []byte{first}
 	bit := byte(0)
 	if masked {
@@ -45,11 +45,11 @@
 }
 
 // feed gives bytes to a checker in pieces, whose sizes next tells, the way a relay does.
-func feed(rules Rules, b []byte, next func() int) (o outcome) {
+func feed(rules Rules, b []byte, nextSize func() int) (o outcome) {
 	c := Checker{Rules: rules}
 	var held []byte
 	for len(b) > 0 {
-		n := min(max(next(), 1), len(b))
+		n := min(max(nextSize(), 1), len(b))
 		held = append(held, b[:n]...)
 		b = b[n:]
 		for {
@@ -79,7 +79,7 @@
 }
 
 // reference reads a whole stream with no regard for cuts, memory or speed.
-func reference(rules Rules, b []byte) (o outcome) {
+func referenceScan(rules Rules, b []byte) (o outcome) {
 	var open, text bool
 	var size int64
 	var message []byte
@@ -181,7 +181,7 @@
 	}
 }
 
-func same(a, b outcome) bool {
+func sameOutcome(a, b outcome) bool {
 	if a.code != b.code || a.ended != b.ended || strings.Join(a.controls, "|") != strings.Join(b.controls, "|") {
 		return false
 	}
@@ -190,62 +190,62 @@
 }
 
 // stream is random frames, most of them right.
-func stream(dice *rand.Rand, masked bool) []byte {
+func randomStream(rng *rand.Rand, masked bool) []byte {
 	var b []byte
 	open := false
-	for range 1 + dice.IntN(12) {
+	for range 1 + rng.IntN(12) {
 		first := byte(0x80)
-		size := []int{0, 1, 7, 125, 126, 127, 300, 65535, 65536}[dice.IntN(9)]
-		switch k := dice.IntN(10); {
+		size := []int{0, 1, 7, 125, 126, 127, 300, 65535, 65536}[rng.IntN(9)]
+		switch k := rng.IntN(10); {
 		case k < 3:
-			first |= byte(Ping) + byte(dice.IntN(2))
+			first |= byte(Ping) + byte(rng.IntN(2))
 			size = min(size, 125)
-		case k == 3 && dice.IntN(4) == 0:
+		case k == 3 && rng.IntN(4) == 0:
 			first |= byte(Close)
 			size = min(size, 125)
 		default:
 			if !open {
-				first |= 1 + byte(dice.IntN(2))
+				first |= 1 + byte(rng.IntN(2))
 			}
-			if open = dice.IntN(2) == 0; open {
+			if open = rng.IntN(2) == 0; open {
 				first &^= 0x80
 			}
 		}
-		if dice.IntN(25) == 0 {
-			first ^= 1 << dice.IntN(8)
+		if rng.IntN(25) == 0 {
+			first ^= 1 << rng.IntN(8)
 		}
 		payload := []byte(strings.Repeat("予約の本が届きました ", size/31+1))[:size]
 		if first&15 == byte(Close) && size >= 2 {
-			binary.BigEndian.PutUint16(payload, uint16(1000+dice.IntN(20)))
+			binary.BigEndian.PutUint16(payload, uint16(1000+rng.IntN(20)))
 		}
-		one := build(first, payload, masked != (dice.IntN(40) == 0))
-		if dice.IntN(30) == 0 {
-			one[dice.IntN(len(one))] ^= byte(1 + dice.IntN(255))
+		f := buildFrame(first, payload, masked != (rng.IntN(40) == 0))
+		if rng.IntN(30) == 0 {
+			f[rng.IntN(len(f))] ^= byte(1 + rng.IntN(255))
 		}
-		b = append(b, one...)
+		b = append(b, f...)
 	}
-	return b[:len(b)-dice.IntN(3)*dice.IntN(len(b))/4]
+	return b[:len(b)-rng.IntN(3)*rng.IntN(len(b))/4]
 }
 
-func TestRandomStreamsAgainstAPlainReader(t *testing.T) {
+func TestRandomStreamsAgainstReference(t *testing.T) {
 	broken := 0
 	for seed := range uint64(1500) {
-		dice := rand.New(rand.NewPCG(seed, 0))
-		rules := Rules{Masked: seed&1 == 0, MaxMessage: []int64{0, 400, 70_000}[dice.IntN(3)], UTF8: dice.IntN(2) == 0}
-		if dice.IntN(3) == 0 {
+		rng := rand.New(rand.NewPCG(seed, 0))
+		rules := Rules{Masked: seed&1 == 0, MaxMessage: []int64{0, 400, 70_000}[rng.IntN(3)], UTF8: rng.IntN(2) == 0}
+		if rng.IntN(3) == 0 {
 			rules.Reserved = Compressed
 		}
-		b := stream(dice, rules.Masked)
-		want := reference(rules, b)
+		b := randomStream(rng, rules.Masked)
+		want := referenceScan(rules, b)
 		cuts := []func() int{
 			func() int { return len(b) }, func() int { return 1 },
-			func() int { return 1 + dice.IntN(200) },
+			func() int { return 1 + rng.IntN(200) },
 		}
 		for i, cut := range cuts {
 			if len(b) > 20_000 && i == 1 {
 				continue
 			}
-			if got := feed(rules, b, cut); !same(got, want) {
+			if got := feed(rules, b, cut); !sameOutcome(got, want) {
 				t.Fatalf("seed %d, cut %d: code %d, %d passed, controls %q, ended %t; want %d, %d, %q, %t", seed, i,
 					got.code, len(got.passed), got.controls, got.ended, want.code, len(want.passed), want.controls, want.ended)
 			}
@@ -259,12 +259,12 @@
 	}
 }
 
-func TestStopsWhereAsked(t *testing.T) {
+func TestScanStopsAtBoundaries(t *testing.T) {
 	var b []byte
-	b = append(b, build(0x01, []byte("ab"), false)...)
-	b = append(b, build(0x80, []byte("c"), false)...)
+	b = append(b, buildFrame(0x01, []byte("ab"), false)...)
+	b = append(b, buildFrame(0x80, []byte("c"), false)...)
 	first := len(b)
-	b = append(b, build(0x82, nil, false)...)
+	b = append(b, buildFrame(0x82, nil, false)...)
 	for _, k := range []struct {
 		until Until
 		want  []int
@@ -304,16 +304,16 @@
 
 func FuzzScan(f *testing.F) {
 	for seed := range uint64(20) {
-		f.Add(stream(rand.New(rand.NewPCG(seed, 1)), seed&1 == 0), seed&1 == 0, byte(seed))
+		f.Add(randomStream(rand.New(rand.NewPCG(seed, 1)), seed&1 == 0), seed&1 == 0, byte(seed))
 	}
-	f.Fuzz(func(t *testing.T, b []byte, masked bool, with byte) {
-		rules := Rules{Masked: masked, UTF8: with&1 != 0, MaxMessage: int64(with>>3) * 100}
-		if with&2 != 0 {
+	f.Fuzz(func(t *testing.T, b []byte, masked bool, options byte) {
+		rules := Rules{Masked: masked, UTF8: options&1 != 0, MaxMessage: int64(options>>3) * 100}
+		if options&2 != 0 {
 			rules.Reserved = Compressed
 		}
-		want := reference(rules, b)
-		for _, n := range []int{len(b), 1, int(with)} {
-			if got := feed(rules, b, func() int { return n }); !same(got, want) {
+		want := referenceScan(rules, b)
+		for _, n := range []int{len(b), 1, int(options)} {
+			if got := feed(rules, b, func() int { return n }); !sameOutcome(got, want) {
 				t.Fatalf("in pieces of %d: %+v, want %+v", n, got, want)
 			}
 		}
@@ -323,7 +323,7 @@
 func BenchmarkScan(b *testing.B) {
 	for _, size := range []int{32, 1024, 16384} {
 		b.Run(strconv.Itoa(size), func(b *testing.B) {
-			one := build(0x82, make([]byte, size), true)
+			one := buildFrame(0x82, make([]byte, size), true)
 			chunk := bytes.Repeat(one, max(32<<10/len(one), 1))
 			b.SetBytes(int64(len(chunk)))
 			c := Checker{Rules: Rules{Masked: true, MaxMessage: 1 << 20}}
--- a/internal/channel/handshake/handshake.go
+++ b/internal/channel/handshake/handshake.go
@@ -36,11 +36,11 @@
 
 // Wanted says whether a request asks for a channel, rightly or not.
 func Wanted(r *http.Request) bool {
-	return has(r.Header[upgradeField], "websocket")
+	return hasToken(r.Header[upgradeField], "websocket")
 }
 
 // has says whether one of the fields, which are lists of tokens, has one (RFC 9110, section 5.6.1).
-func has(fields []string, token string) bool {
+func hasToken(fields []string, token string) bool {
 	return slices.ContainsFunc(tokens(fields), func(t string) bool { return strings.EqualFold(t, token) })
 }
 
@@ -72,7 +72,7 @@
 		return nil, fmt.Errorf("%s: a channel begins with GET", r.Method)
 	case !r.ProtoAtLeast(1, 1):
 		return nil, errors.New("a channel needs HTTP/1.1")
-	case !has(h[connectionField], "upgrade"):
+	case !hasToken(h[connectionField], "upgrade"):
 		return nil, fmt.Errorf("%s: lacks the option upgrade", connectionField)
 	case len(tokens(h[upgradeField])) != 1:
 		return nil, fmt.Errorf("%s: names more than websocket", upgradeField)
@@ -120,9 +120,9 @@
 func (o *Offer) Check(h http.Header) (Agreement, error) {
 	a := Agreement{UTF8: o.UTF8 || h.Get(CheckField) == "utf8"}
 	switch {
-	case len(tokens(h[upgradeField])) != 1 || !has(h[upgradeField], "websocket"):
+	case len(tokens(h[upgradeField])) != 1 || !hasToken(h[upgradeField], "websocket"):
 		return a, fmt.Errorf("%s: the server changed to something else than websocket", upgradeField)
-	case !has(h[connectionField], "upgrade"):
+	case !hasToken(h[connectionField], "upgrade"):
 		return a, fmt.Errorf("%s: the server's answer lacks the option upgrade", connectionField)
 	case len(h[AcceptField]) != 1 || h.Get(AcceptField) != Accept(o.key):
 		return a, fmt.Errorf("%s: does not answer the client's key", AcceptField)
@@ -156,7 +156,7 @@
 	var names []string
 	for _, field := range fields {
 		for item, rest := "", field; rest != ""; {
-			item, rest = cutList(rest)
+			item, rest = cutListItem(rest)
 			if item = strings.TrimSpace(item); item == "" {
 				continue
 			}
@@ -171,7 +171,7 @@
 }
 
 // cutList cuts a list at its first comma that is not quoted.
-func cutList(s string) (item, rest string) {
+func cutListItem(s string) (item, rest string) {
 	quoted := false
 	for i := 0; i < len(s); i++ {
 		switch {
--- a/internal/channel/options.go
+++ b/internal/channel/options.go
@@ -76,7 +76,7 @@
 			if o.Tenant > o.Most {
 				return []operator.Problem{{Key: "tenant", Text: "above most, so it would never count; lower it"}}
 			}
-			if o.PongTimeout < o.WriteTimeout/pushSteps {
+			if o.PongTimeout < o.WriteTimeout/stallSteps {
 				return []operator.Problem{{Key: "pong_timeout", Text: "under a quarter of write_timeout (" + o.WriteTimeout.String() +
 					"), so an end that is slow and moves would pass for dead; raise it or lower write_timeout"}}
 			}
--- a/internal/channel/plan/keep.go
+++ b/internal/channel/plan/keep.go
@@ -7,10 +7,10 @@
 )
 
 // restAfter is how long an end has been quiet for its wait to be made cheap, which costs more than one read does.
-const restAfter = 3 * time.Second
+const parkAfter = 3 * time.Second
 
 // lookEvery is how long a channel is not looked at: a frame may begin right after a look.
-func (p *Plan) lookEvery() time.Duration { return min(p.set.PingEvery, p.set.FrameGrace) }
+func (p *Plan) checkInterval() time.Duration { return min(p.settings.PingEvery, p.settings.FrameGrace) }
 
 // keep looks at one channel: whether its ends live, get on with what they send, and use it at all.
 //
@@ -18,49 +18,49 @@
 // forgetting a quiet one; they would harm an end that cannot answer within PongWithin. The pace of a frame guards
 // against peers that hold a channel in the midst of one, where neither a ping nor a Close can be put in; it would harm
 // one that begins a frame before it has what it says in it.
-func (p *Plan) keep(now time.Duration, c *channel, a [Sides]Activity, actions []Action) []Action {
-	next := now + p.lookEvery()
-	if spoke := max(a[Client].Spoke, a[Server].Spoke); p.set.IdleEnd > 0 && !c.told {
-		if now >= spoke+p.set.IdleEnd {
-			actions = p.end(c, Go, frame.GoingAway, "idle", actions)
+func (p *Plan) checkChannel(now time.Duration, c *channel, a [Sides]Activity, actions []Action) []Action {
+	next := now + p.checkInterval()
+	if lastMessage := max(a[Client].Spoke, a[Server].Spoke); p.settings.IdleEnd > 0 && !c.closeSent {
+		if now >= lastMessage+p.settings.IdleEnd {
+			actions = p.closeChannel(c, Go, frame.GoingAway, "idle", actions)
 		} else {
-			next = min(next, spoke+p.set.IdleEnd)
+			next = min(next, lastMessage+p.settings.IdleEnd)
 		}
 	}
 	for side := range Sides {
-		at := &a[side]
-		if at.Held {
+		end := &a[side]
+		if end.Held {
 			// Its sender cannot be heard over what waits; the one that does not take it is found by its own pings.
 			c.pinged[side] = 0
 			continue
 		}
-		if at.FrameSince > 0 {
-			end := at.FrameSince + p.set.FrameGrace + time.Duration(float64(at.FrameBytes)/float64(p.set.FrameRate)*float64(time.Second))
-			if now >= end {
+		if end.FrameSince > 0 {
+			frameDeadline := end.FrameSince + p.settings.FrameGrace + time.Duration(float64(end.FrameBytes)/float64(p.settings.FrameRate)*float64(time.Second))
+			if now >= frameDeadline {
 				p.wheel.put(&c.entry, now, next)
 				return append(actions, Action{ID: c.id, Kind: Slow, Side: side, Text: "a frame that does not come to its end"})
 			}
-			next = min(next, end)
+			next = min(next, frameDeadline)
 		}
-		if !at.Resting && now >= at.Heard+restAfter {
+		if !end.Resting && now >= end.Heard+parkAfter {
 			actions = append(actions, Action{ID: c.id, Kind: Rest, Side: side})
 		}
-		asked := c.pinged[side]
+		pinged := c.pinged[side]
 		switch {
-		case asked > 0 && at.Heard >= asked:
+		case pinged > 0 && end.Heard >= pinged:
 			c.pinged[side] = 0
-			next = min(next, at.Heard+p.set.PingEvery)
-		case asked > 0 && now >= asked+p.set.PongWithin:
+			next = min(next, end.Heard+p.settings.PingEvery)
+		case pinged > 0 && now >= pinged+p.settings.PongWithin:
 			p.wheel.put(&c.entry, now, next)
 			return append(actions, Action{ID: c.id, Kind: Dead, Side: side, Text: "no sign of life"})
-		case asked > 0:
-			next = min(next, asked+p.set.PongWithin)
-		case now >= at.Heard+p.set.PingEvery:
+		case pinged > 0:
+			next = min(next, pinged+p.settings.PongWithin)
+		case now >= end.Heard+p.settings.PingEvery:
 			c.pinged[side] = now
-			next = min(next, now+p.set.PongWithin)
+			next = min(next, now+p.settings.PongWithin)
 			actions = append(actions, Action{ID: c.id, Kind: Ping, Side: side})
 		default:
-			next = min(next, at.Heard+p.set.PingEvery)
+			next = min(next, end.Heard+p.settings.PingEvery)
 		}
 	}
 	p.wheel.put(&c.entry, now, max(next, now+TickEvery))
--- a/internal/channel/plan/line.go
+++ b/internal/channel/plan/line.go
@@ -20,14 +20,14 @@
 //
 // Not all come back: some give up, some never keep a ticket. Places are given as closely as the share of them that
 // was claimed allows, or the rate would stand idle behind places of those that have left.
-type line struct {
-	tail   time.Duration   // the last place given
-	bins   []bin           // by time, a ring
-	from   int64           // the bin up to which places are due
-	due    int             // places whose time has come within the last binGrace, not claimed yet
-	tokens estimate.Bucket // of what is let in
-	idle   bool            // tokens are lost: nobody with a place wants them
-	claims float64         // the share of places that is claimed
+type slotQueue struct {
+	lastSlot     time.Duration   // the last place given
+	bins         []bin           // by time, a ring
+	dueBin       int64           // the bin up to which places are due
+	unclaimedDue int             // places whose time has come within the last binGrace, not claimed yet
+	tokens       estimate.Bucket // of what is let in
+	full         bool            // tokens are lost: nobody with a place wants them
+	claimRatio   float64         // the share of places that is claimed
 }
 
 type bin struct {
@@ -37,26 +37,26 @@
 }
 
 const (
-	binStep = 100 * time.Millisecond
+	binWidth = 100 * time.Millisecond
 	// binGrace is how long a place is kept for its holder once its time has come. Clients' jitter and the way
 	// take up to a second.
-	binGrace = 15
+	graceBins = 15
 	// claimWeight of each bin's share goes into the mean, and claimsLeast bounds how closely places are given.
-	claimWeight, claimsLeast = 0.1, 0.2
+	claimWeight, minClaimRatio = 0.1, 0.2
 	// waitJitter bounds what is added to a wait, as a share of it and as such.
-	waitJitter     = 0.25
-	mostWaitJitter = time.Second
+	waitJitter    = 0.25
+	maxWaitJitter = time.Second
 	// shortWait is that of one whose time has come, and which finds no token.
-	shortWait = 200 * time.Millisecond
+	dueRetryWait = 200 * time.Millisecond
 )
 
-func newLine(mostWait time.Duration) line {
+func newSlotQueue(maxWait time.Duration) slotQueue {
 	// Places lie within twice the longest wait.
-	return line{bins: make([]bin, 2*int(mostWait/binStep)+binGrace+2), claims: 1}
+	return slotQueue{bins: make([]bin, 2*int(maxWait/binWidth)+graceBins+2), claimRatio: 1}
 }
 
-func (l *line) bin(step int64) *bin {
-	b := &l.bins[step%int64(len(l.bins))]
+func (q *slotQueue) bin(step int64) *bin {
+	b := &q.bins[step%int64(len(q.bins))]
 	if b.step != step {
 		*b = bin{step: step}
 	}
@@ -64,52 +64,52 @@
 }
 
 // advance makes places due, and frees those that nobody claimed in time.
-func (l *line) advance(now time.Duration) {
-	to := int64(now / binStep)
-	if l.from == 0 || to-l.from > int64(len(l.bins)) {
+func (q *slotQueue) advance(now time.Duration) {
+	to := int64(now / binWidth)
+	if q.dueBin == 0 || to-q.dueBin > int64(len(q.bins)) {
 		// After so long a pause nothing is left of any place.
-		clear(l.bins)
-		l.from, l.due = to, 0
+		clear(q.bins)
+		q.dueBin, q.unclaimedDue = to, 0
 		return
 	}
-	for ; l.from < to; l.from++ {
-		l.due += l.bin(l.from + 1).unclaimed
-		old := l.bin(l.from + 1 - binGrace)
-		if old.given > 0 {
-			l.due -= old.unclaimed
-			l.claims += claimWeight * (1 - float64(old.unclaimed)/float64(old.given) - l.claims)
-			old.given, old.unclaimed = 0, 0
+	for ; q.dueBin < to; q.dueBin++ {
+		q.unclaimedDue += q.bin(q.dueBin + 1).unclaimed
+		expired := q.bin(q.dueBin + 1 - graceBins)
+		if expired.given > 0 {
+			q.unclaimedDue -= expired.unclaimed
+			q.claimRatio += claimWeight * (1 - float64(expired.unclaimed)/float64(expired.given) - q.claimRatio)
+			expired.given, expired.unclaimed = 0, 0
 		}
 	}
 }
 
 // give gives a place at a rate, no further off than so long; 0 if there is none.
-func (l *line) give(now time.Duration, rate float64, within time.Duration) time.Duration {
-	step := time.Duration(max(l.claims, claimsLeast) / max(rate, 1e-3) * float64(time.Second))
-	at := max(l.tail, now) + step
-	if at > now+within {
+func (q *slotQueue) allocate(now time.Duration, rate float64, maxWait time.Duration) time.Duration {
+	interval := time.Duration(max(q.claimRatio, minClaimRatio) / max(rate, 1e-3) * float64(time.Second))
+	slot := max(q.lastSlot, now) + interval
+	if slot > now+maxWait {
 		return 0
 	}
-	l.tail = at
-	b := l.bin(int64(at / binStep))
+	q.lastSlot = slot
+	b := q.bin(int64(slot / binWidth))
 	b.given++
 	b.unclaimed++
-	if b.step <= l.from {
-		l.due++
+	if b.step <= q.dueBin {
+		q.unclaimedDue++
 	}
-	return at
+	return slot
 }
 
 // claim takes a place out of the count, unless its grace is over.
-func (l *line) claim(at time.Duration) {
-	step := int64(at / binStep)
-	b := &l.bins[step%int64(len(l.bins))]
+func (q *slotQueue) claim(slot time.Duration) {
+	step := int64(slot / binWidth)
+	b := &q.bins[step%int64(len(q.bins))]
 	if b.step != step || b.unclaimed == 0 {
 		return
 	}
 	b.unclaimed--
-	if step <= l.from {
-		l.due--
+	if step <= q.dueBin {
+		q.unclaimedDue--
 	}
 }
 
@@ -122,28 +122,28 @@
 // It guards against storms of clients that all come back at once, and should hold against those that do so without end:
 // they are answered at once and wait behind the others. It would harm clients that come in bursts as a rule.
 func (p *Plan) Ask(now time.Duration, tenant int, t *ticket.Ticket) Answer {
-	if t != nil && p.spent.Has(key(t.Nonce)) {
+	if t != nil && p.usedTickets.Has(nonceKey(t.Nonce)) {
 		t = nil // it has let in once
 	}
 	rate := p.capacity(now)
-	p.line.advance(now)
-	l := &p.line
+	p.queue.advance(now)
+	q := &p.queue
 	// What is due may come up to binGrace late: its tokens are kept for it.
-	most := max(burst*rate, 1) + float64(l.due)
-	l.tokens.Fill(now, rate, most)
-	l.idle = l.tokens.Tokens >= most
-	if p.leaving || len(p.channels)+p.opening >= p.set.Channels ||
-		p.set.TenantChannels > 0 && p.tenants[tenant] >= p.set.TenantChannels {
+	maxTokens := max(burstSeconds*rate, 1) + float64(q.unclaimedDue)
+	q.tokens.Fill(now, rate, maxTokens)
+	q.full = q.tokens.Tokens >= maxTokens
+	if p.shuttingDown || len(p.channels)+p.opening >= p.settings.Channels ||
+		p.settings.TenantChannels > 0 && p.tenants[tenant] >= p.settings.TenantChannels {
 		a := p.refuse(now, t, 0)
 		a.Full = true
 		return a
 	}
-	if rate > 0 && p.comesIn(now, t) {
-		l.tokens.Tokens--
+	if rate > 0 && p.mayEnter(now, t) {
+		q.tokens.Tokens--
 		if t != nil {
-			p.spent.Add(key(t.Nonce))
+			p.usedTickets.Add(nonceKey(t.Nonce))
 			if t.Slot > 0 {
-				l.claim(t.Slot)
+				q.claim(t.Slot)
 			}
 		}
 		p.opening++
@@ -153,21 +153,21 @@
 	return p.refuse(now, t, rate)
 }
 
-func (p *Plan) comesIn(now time.Duration, t *ticket.Ticket) bool {
-	l := &p.line
-	spare := l.tokens.Tokens - float64(l.due)
+func (p *Plan) mayEnter(now time.Duration, t *ticket.Ticket) bool {
+	q := &p.queue
+	spare := q.tokens.Tokens - float64(q.unclaimedDue)
 	switch {
 	case t != nil && t.Slot > 0 && now >= t.Slot:
-		return l.tokens.Tokens >= 1
+		return q.tokens.Tokens >= 1
 	case t != nil && t.Turned >= 2:
 		return spare >= 1
 	}
-	return spare >= 1 && (l.tail <= now || l.idle)
+	return spare >= 1 && (q.lastSlot <= now || q.full)
 }
 
 // Refused says when a client may come again that was let in and then refused by the balancer.
 func (p *Plan) Refused(now time.Duration, t *ticket.Ticket) Answer {
-	p.line.advance(now)
+	p.queue.advance(now)
 	return p.refuse(now, t, p.capacity(now))
 }
 
@@ -178,28 +178,28 @@
 	if t != nil {
 		a.Ticket = *t
 	}
-	kept := a.Ticket.Slot > 0 && now < a.Ticket.Slot+binGrace*binStep
-	if !kept {
+	hasSlot := a.Ticket.Slot > 0 && now < a.Ticket.Slot+graceBins*binWidth
+	if !hasSlot {
 		a.Ticket.Slot = 0
 	}
 	a.Ticket.Turned = min(a.Ticket.Turned+1, 1<<20)
-	if !kept && rate > 0 {
-		within := p.set.MostWait
+	if !hasSlot && rate > 0 {
+		maxWait := p.settings.MostWait
 		if a.Ticket.Turned > 1 {
-			within *= 2 // the line's second half is for those who have waited before
+			maxWait *= 2 // the line's second half is for those who have waited before
 		}
-		a.Ticket.Slot = p.line.give(now, rate, within)
+		a.Ticket.Slot = p.queue.allocate(now, rate, maxWait)
 	}
 	switch wait := a.Ticket.Slot - now; {
 	case a.Ticket.Slot == 0:
 		// Spread over the second half of the longest wait, so that they do not come at once either.
-		a.Wait = time.Duration((0.5 + 0.5*p.random()) * float64(p.set.MostWait))
+		a.Wait = time.Duration((0.5 + 0.5*p.random()) * float64(p.settings.MostWait))
 	case wait <= 0:
-		a.Wait = shortWait + time.Duration(p.random()*float64(shortWait))
+		a.Wait = dueRetryWait + time.Duration(p.random()*float64(dueRetryWait))
 	default:
-		a.Wait = wait + time.Duration(p.random()*float64(min(time.Duration(waitJitter*float64(wait)), mostWaitJitter)))
+		a.Wait = wait + time.Duration(p.random()*float64(min(time.Duration(waitJitter*float64(wait)), maxWaitJitter)))
 	}
 	return a
 }
 
-func key(nonce uint64) string { return string(binary.BigEndian.AppendUint64(nil, nonce)) }
+func nonceKey(nonce uint64) string { return string(binary.BigEndian.AppendUint64(nil, nonce)) }
--- a/internal/channel/plan/move.go
+++ b/internal/channel/plan/move.go
@@ -14,85 +14,85 @@
 //
 // It guards against the storm that a drained server's clients make when they are cut at one moment. It harms when
 // the window is longer than the server lives on: its channels then break instead of being moved.
-func (p *Plan) move(now time.Duration, actions []Action) []Action {
+func (p *Plan) moveChannels(now time.Duration, actions []Action) []Action {
 	// Those that have least time go first. By id where it is equal: the order of a map must not decide.
-	var leaving []*node
+	var draining []*node
 	for _, n := range p.nodes {
-		if n.until > 0 && n.open > 0 {
-			leaving = append(leaving, n)
+		if n.deadline > 0 && n.open > 0 {
+			draining = append(draining, n)
 		}
 	}
 	const rounding = 1e-6
-	if leaving == nil {
+	if draining == nil {
 		return actions
 	}
-	slices.SortFunc(leaving, func(a, b *node) int {
-		if a.until != b.until {
-			return int(a.until - b.until)
+	slices.SortFunc(draining, func(a, b *node) int {
+		if a.deadline != b.deadline {
+			return int(a.deadline - b.deadline)
 		}
 		return strings.Compare(a.ID, b.ID)
 	})
 	rate := p.capacity(now)
-	if p.leaving {
-		rate = p.set.Rate // they come back by another proxy, whose servers we do not know
+	if p.shuttingDown {
+		rate = p.settings.Rate // they come back by another proxy, whose servers we do not know
 	}
-	if now-p.moves.Last > time.Second {
-		p.moves = single(now) // nothing moved before: there is nothing to catch up on
+	if now-p.moveTokens.Last > time.Second {
+		p.moveTokens = oneToken(now) // nothing moved before: there is nothing to catch up on
 	}
-	p.moves.Fill(now, rate, max(burst*rate, 1))
-	for _, n := range leaving {
-		left := n.until - now
-		if left <= 0 {
-			actions = p.straggle(now, n, actions)
+	p.moveTokens.Fill(now, rate, max(burstSeconds*rate, 1))
+	for _, n := range draining {
+		timeLeft := n.deadline - now
+		if timeLeft <= 0 {
+			actions = p.closeRemaining(now, n, actions)
 			continue
 		}
 		// The pace at which the last one goes a tick before the window ends.
-		step := now - n.paced
-		n.paced = now
-		n.owed = min(n.owed+float64(n.staying)*step.Seconds()/max(left+step-TickEvery, step).Seconds(), float64(n.staying))
-		for n.owed >= 1-rounding && n.staying > 0 && p.moves.Tokens >= 1 {
-			n.owed--
-			p.moves.Tokens--
-			actions = p.tell(n.stay.Front(), Go, actions)
+		elapsed := now - n.pacedAt
+		n.pacedAt = now
+		n.movesDue = min(n.movesDue+float64(n.remainingCount)*elapsed.Seconds()/max(timeLeft+elapsed-TickEvery, elapsed).Seconds(), float64(n.remainingCount))
+		for n.movesDue >= 1-rounding && n.remainingCount > 0 && p.moveTokens.Tokens >= 1 {
+			n.movesDue--
+			p.moveTokens.Tokens--
+			actions = p.moveChannel(n.remaining.Front(), Go, actions)
 		}
 	}
 	return actions
 }
 
 // tell makes a channel go whose server is to be left.
-func (p *Plan) tell(c *channel, kind Kind, actions []Action) []Action {
-	if p.leaving {
-		return p.end(c, kind, frame.GoingAway, "proxy restarts", actions)
+func (p *Plan) moveChannel(c *channel, kind Kind, actions []Action) []Action {
+	if p.shuttingDown {
+		return p.closeChannel(c, kind, frame.GoingAway, "proxy restarts", actions)
 	}
-	return p.end(c, kind, frame.ServiceRestart, "server drains", actions)
+	return p.closeChannel(c, kind, frame.ServiceRestart, "server drains", actions)
 }
 
 // end tells a channel to go, for the first time or more urgently.
-func (p *Plan) end(c *channel, kind Kind, code frame.Code, text string, actions []Action) []Action {
-	if !c.told {
-		c.told = true
-		c.node.stay.Remove(c)
-		c.node.staying--
-		c.node.going.Push(c)
+func (p *Plan) closeChannel(c *channel, kind Kind, code frame.Code, reason string, actions []Action) []Action {
+	if !c.closeSent {
+		c.closeSent = true
+		c.node.remaining.Remove(c)
+		c.node.remainingCount--
+		c.node.leaving.Push(c)
 	}
-	c.pressed = kind == Now
-	return append(actions, Action{ID: c.id, Kind: kind, Code: code, Text: text})
+	c.closeNowSent = kind == Now
+	return append(actions, Action{ID: c.id, Kind: kind, Code: code, Text: reason})
 }
 
 // straggle ends what a window has left: each channel is told now, within a message too, and what is still there once a
 // Close has had its time is cut.
-func (p *Plan) straggle(now time.Duration, n *node, actions []Action) []Action {
-	for n.stay.Front() != nil {
-		actions = p.tell(n.stay.Front(), Now, actions)
+func (p *Plan) closeRemaining(now time.Duration, n *node, actions []Action) []Action {
+	for n.remaining.Front() != nil {
+		actions = p.moveChannel(n.remaining.Front(), Now, actions)
 	}
-	over := now >= n.until+p.set.CloseWithin
-	for c := range n.going.All() {
+	expired := now >= n.deadline+p.settings.CloseWithin
+	for c := range n.leaving.All() {
 		switch {
-		case over && !c.cut:
-			c.cut = true
+		case expired && !c.aborted:
+			c.aborted = true
 			actions = append(actions, Action{ID: c.id, Kind: Cut, Text: "left over when its server's window ended"})
-		case !c.pressed:
-			actions = p.tell(c, Now, actions)
+		case !c.closeNowSent:
+			actions = p.moveChannel(c, Now, actions)
 		}
 	}
 	return actions
--- a/internal/channel/plan/plan.go
+++ b/internal/channel/plan/plan.go
@@ -96,14 +96,14 @@
 
 // channel is one open channel.
 type channel struct {
-	id      ID
-	node    *node
-	tenant  int
-	pinged  [Sides]time.Duration // when an end was asked; 0 if no answer is outstanding
-	told    bool                 // to go
-	pressed bool                 // told to go within a message too
-	cut     bool
-	entry   entry // in the wheel
+	id           ID
+	node         *node
+	tenant       int
+	pinged       [Sides]time.Duration // when an end was asked; 0 if no answer is outstanding
+	closeSent    bool                 // to go
+	closeNowSent bool                 // told to go within a message too
+	aborted      bool
+	entry        entry // in the wheel
 
 	linked.Links[channel] // in its node's list of those that stay, or of those that were told
 }
@@ -111,48 +111,48 @@
 // node is a server that is listed or still has channels.
 type node struct {
 	Node
-	listed  bool
-	stay    linked.List[channel, *channel]
-	going   linked.List[channel, *channel]
-	staying int
-	open    int           // stay and going
-	until   time.Duration // by when the channels are to have left it; 0 if they may stay
-	paced   time.Duration // up to when owed is counted
-	owed    float64       // how many of those that stay should have gone by then
-	opens   estimate.Bucket
+	listed         bool
+	remaining      linked.List[channel, *channel]
+	leaving        linked.List[channel, *channel]
+	remainingCount int
+	open           int           // stay and going
+	deadline       time.Duration // by when the channels are to have left it; 0 if they may stay
+	pacedAt        time.Duration // up to when owed is counted
+	movesDue       float64       // how many of those that stay should have gone by then
+	upgrades       estimate.Bucket
 }
 
 // single is a bucket that holds one token.
-func single(now time.Duration) estimate.Bucket {
+func oneToken(now time.Duration) estimate.Bucket {
 	return estimate.Bucket{Tokens: 1, Last: now, Known: true}
 }
 
 // Plan is the decisions about one proxy's channels.
 type Plan struct {
-	set      Settings
-	rng      *rand.PCG
-	nodes    map[string]*node
-	channels map[ID]*channel
-	tenants  map[int]int // channels by tenant, those being opened included
-	opening  int         // let in, and neither open nor given up
-	wheel    wheel
-	leaving  bool // the proxy itself ends
-	moves    estimate.Bucket
-	line     line
-	spent    *recent.Set // the tickets that have let in
-
-	looked time.Duration // when capacity was found
-	known  float64       // the capacity
+	settings     Settings
+	rng          *rand.PCG
+	nodes        map[string]*node
+	channels     map[ID]*channel
+	tenants      map[int]int // channels by tenant, those being opened included
+	opening      int         // let in, and neither open nor given up
+	wheel        wheel
+	shuttingDown bool // the proxy itself ends
+	moveTokens   estimate.Bucket
+	queue        slotQueue
+	usedTickets  *recent.Set // the tickets that have let in
+
+	capacityAt     time.Duration // when capacity was found
+	cachedCapacity float64       // the capacity
 }
 
 // spentMost bounds how many used tickets are remembered: at 1,000 a second those of the longest waits.
-const spentMost = 1 << 17
+const maxUsedTickets = 1 << 17
 
 // New returns a plan without servers. Equal settings, seed and events give equal actions.
 func New(s Settings, seed uint64) *Plan {
 	return &Plan{
-		set: s, rng: rand.NewPCG(seed, 1), nodes: map[string]*node{}, channels: map[ID]*channel{},
-		tenants: map[int]int{}, spent: recent.New(spentMost), line: newLine(s.MostWait),
+		settings: s, rng: rand.NewPCG(seed, 1), nodes: map[string]*node{}, channels: map[ID]*channel{},
+		tenants: map[int]int{}, usedTickets: recent.New(maxUsedTickets), queue: newSlotQueue(s.MostWait),
 	}
 }
 
@@ -162,15 +162,15 @@
 	for _, n := range p.nodes {
 		n.listed = false
 	}
-	for _, told := range nodes {
-		n := p.nodes[told.ID]
+	for _, update := range nodes {
+		n := p.nodes[update.ID]
 		if n == nil {
 			n = &node{}
 			// One upgrade is free: a slow bucket would hold the first one back.
-			n.opens = single(now)
-			p.nodes[told.ID] = n
+			n.upgrades = oneToken(now)
+			p.nodes[update.ID] = n
 		}
-		n.Node, n.listed = told, true
+		n.Node, n.listed = update, true
 	}
 	for id, n := range p.nodes {
 		n.Usable = n.Usable && n.listed
@@ -178,66 +178,68 @@
 		case !n.listed && n.open == 0:
 			delete(p.nodes, id)
 		case n.Usable:
-			n.until = 0 // those that have not been told yet may stay
-		case n.until == 0:
-			n.leave(now, now+p.set.Window)
+			n.deadline = 0 // those that have not been told yet may stay
+		case n.deadline == 0:
+			n.startLeaving(now, now+p.settings.Window)
 		}
 	}
-	p.looked = 0
+	p.capacityAt = 0
 }
 
 // Leave makes every channel move off within a time: the proxy ends. Nothing is let in any more.
 func (p *Plan) Leave(now, within time.Duration) {
-	p.leaving = true
+	p.shuttingDown = true
 	for _, n := range p.nodes {
-		if end := now + within; n.until == 0 || end < n.until {
-			n.leave(now, end)
+		if deadline := now + within; n.deadline == 0 || deadline < n.deadline {
+			n.startLeaving(now, deadline)
 		}
 	}
 }
 
 // leave makes a server's channels go by a time.
-func (n *node) leave(now, until time.Duration) { n.until, n.paced, n.owed = until, now, 0 }
+func (n *node) startLeaving(now, deadline time.Duration) {
+	n.deadline, n.pacedAt, n.movesDue = deadline, now, 0
+}
 
 // warmth is the part of its capacity that a server can be counted on to have.
-func (p *Plan) warmth(now time.Duration, n *node) float64 {
+func (p *Plan) capacityShare(now time.Duration, n *node) float64 {
 	age := now - n.Boot
-	if n.Boot <= 0 || age >= p.set.WarmUp {
+	if n.Boot <= 0 || age >= p.settings.WarmUp {
 		return 1
 	}
-	return p.set.ColdFrom + (1-p.set.ColdFrom)*float64(max(age, 0))/float64(p.set.WarmUp)
+	return p.settings.ColdFrom + (1-p.settings.ColdFrom)*float64(max(age, 0))/float64(p.settings.WarmUp)
 }
 
 // capacityFor is how long a capacity that was found is gone by: servers warm up slowly.
-const capacityFor = 100 * time.Millisecond
+const capacityTTL = 100 * time.Millisecond
 
 // capacity is how many upgrades a second the usable servers take together, cold ones least of all.
 func (p *Plan) capacity(now time.Duration) float64 {
-	if p.looked > 0 && now-p.looked < capacityFor && now >= p.looked {
-		return p.known
+	if p.capacityAt > 0 && now-p.capacityAt < capacityTTL && now >= p.capacityAt {
+		return p.cachedCapacity
 	}
 	var sum float64
 	for _, n := range p.nodes {
 		if n.Usable && n.InTurns {
-			sum += p.set.NodeRate * p.warmth(now, n)
+			sum += p.settings.NodeRate * p.capacityShare(now, n)
 		}
 	}
-	p.known, p.looked = min(sum, p.set.Rate), now
-	return p.known
+	p.cachedCapacity, p.capacityAt = min(sum, p.settings.Rate), now
+	return p.cachedCapacity
 }
 
 // burst is how many seconds of a rate may come at once.
-const burst = 0.25
+const burstSeconds = 0.25
 
 // MayOpen says whether an upgrade may go to a server now, and counts it if so. It is asked right before the upgrade is
 // sent, for each attempt.
 func (p *Plan) MayOpen(now time.Duration, id string) bool {
 	n := p.nodes[id]
-	if n == nil || !n.Usable || p.leaving {
+	if n == nil || !n.Usable || p.shuttingDown {
 		return false
 	}
-	rate := p.set.NodeRate * p.warmth(now, n)
-	return n.opens.Take(now, rate, max(burst*rate, 1))
+	rate := p.settings.NodeRate * p.capacityShare(now, n)
+	return n.upgrades.Take(now, rate, max(burstSeconds*rate, 1))
 }
 
 // Opened takes in that an upgrade that was let in has become a channel.
@@ -248,25 +250,25 @@
 		n = &node{Node: Node{ID: server}}
 		p.nodes[server] = n
 	}
-	if !n.Usable && n.until == 0 {
-		n.leave(now, now+p.set.Window)
+	if !n.Usable && n.deadline == 0 {
+		n.startLeaving(now, now+p.settings.Window)
 	}
 	c := &channel{id: id, node: n, tenant: tenant}
 	c.entry.channel = c
 	p.channels[id] = c
-	n.stay.Push(c)
-	n.staying++
+	n.remaining.Push(c)
+	n.remainingCount++
 	n.open++
-	p.wheel.put(&c.entry, now, now+p.lookEvery())
+	p.wheel.put(&c.entry, now, now+p.checkInterval())
 }
 
 // GivenUp takes in that an upgrade that was let in did not become a channel.
 func (p *Plan) GivenUp(tenant int) {
 	p.opening--
-	p.release(tenant)
+	p.releaseTenant(tenant)
 }
 
-func (p *Plan) release(tenant int) {
+func (p *Plan) releaseTenant(tenant int) {
 	if p.tenants[tenant]--; p.tenants[tenant] <= 0 {
 		delete(p.tenants, tenant)
 	}
@@ -279,14 +281,14 @@
 		return
 	}
 	delete(p.channels, id)
-	p.release(c.tenant)
+	p.releaseTenant(c.tenant)
 	p.wheel.remove(&c.entry)
 	n := c.node
-	if c.told {
-		n.going.Remove(c)
+	if c.closeSent {
+		n.leaving.Remove(c)
 	} else {
-		n.stay.Remove(c)
-		n.staying--
+		n.remaining.Remove(c)
+		n.remainingCount--
 	}
 	if n.open--; n.open == 0 && !n.listed {
 		delete(p.nodes, n.ID)
@@ -298,19 +300,19 @@
 
 // Held is how many channels each server holds; it may be kept.
 func (p *Plan) Held() map[string]int {
-	held := make(map[string]int, len(p.nodes))
+	open := make(map[string]int, len(p.nodes))
 	for id, n := range p.nodes {
-		held[id] = n.open
+		open[id] = n.open
 	}
-	return held
+	return open
 }
 
 // Tick does what is due: moves first, then the channels whose time to be looked at has come. It is to be called every
 // TickEvery or so; look says how a channel stands.
-func (p *Plan) Tick(now time.Duration, look func(ID) [Sides]Activity) []Action {
-	actions := p.move(now, nil)
+func (p *Plan) Tick(now time.Duration, activity func(ID) [Sides]Activity) []Action {
+	actions := p.moveChannels(now, nil)
 	for e := p.wheel.due(now); e != nil; e = p.wheel.due(now) {
-		actions = p.keep(now, e.channel, look(e.channel.id), actions)
+		actions = p.checkChannel(now, e.channel, activity(e.channel.id), actions)
 	}
 	return actions
 }
--- a/internal/channel/plan/plan_test.go
+++ b/internal/channel/plan/plan_test.go
@@ -27,7 +27,7 @@
 }
 
 // up is nodes a, b, ... that may be used, booted at given times.
-func up(boots ...time.Duration) []Node {
+func usableNodes(boots ...time.Duration) []Node {
 	var nodes []Node
 	for i, boot := range boots {
 		nodes = append(nodes, Node{ID: string(rune('a' + i)), Boot: boot, Usable: true, InTurns: true})
@@ -36,55 +36,55 @@
 }
 
 // bed is a plan with channels that live as long as nothing tells them to go.
-type bed struct {
+type harness struct {
 	*Plan
-	now  time.Duration
-	last ID
-	on   map[ID]string
+	now      time.Duration
+	lastID   ID
+	serverOf map[ID]string
 }
 
-func newBed(s Settings, nodes []Node) *bed {
-	b := &bed{Plan: New(s, 1), now: start, on: map[ID]string{}}
+func newHarness(s Settings, nodes []Node) *harness {
+	b := &harness{Plan: New(s, 1), now: start, serverOf: map[ID]string{}}
 	b.Nodes(b.now, nodes)
 	return b
 }
 
 // open opens channels on a node, past admission and the node's rate.
-func (b *bed) open(node string, n int) {
+func (b *harness) open(node string, n int) {
 	for range n {
-		b.last++
+		b.lastID++
 		b.opening++
 		b.tenants[0]++
-		b.Opened(b.now, b.last, node, 0)
-		b.on[b.last] = node
+		b.Opened(b.now, b.lastID, node, 0)
+		b.serverOf[b.lastID] = node
 	}
 }
 
 // quiet ends that answer each ping at once.
-func (b *bed) alive(ID) [Sides]Activity {
+func (b *harness) alive(ID) [Sides]Activity {
 	return [Sides]Activity{{Heard: b.now, Spoke: b.now}, {Heard: b.now, Spoke: b.now}}
 }
 
 // run ticks for a time, and gives each action to f.
-func (b *bed) run(d time.Duration, look func(ID) [Sides]Activity, f func(Action)) {
+func (b *harness) run(d time.Duration, activity func(ID) [Sides]Activity, f func(Action)) {
 	for end := b.now + d; b.now < end; {
 		b.now += TickEvery
-		for _, a := range b.Tick(b.now, look) {
+		for _, a := range b.Tick(b.now, activity) {
 			f(a)
 		}
 	}
 }
 
 func TestChannelsOfADrainedServerMoveOverTheWindow(t *testing.T) {
-	b := newBed(settings(), up(0, 0, 0))
+	b := newHarness(settings(), usableNodes(0, 0, 0))
 	b.open("a", 500)
 	b.open("b", 100)
-	b.Nodes(b.now, up(0, 0, 0)[1:])
+	b.Nodes(b.now, usableNodes(0, 0, 0)[1:])
 	drained := b.now
 	perSecond := map[int]int{}
 	b.run(12*time.Second, b.alive, func(a Action) {
-		if b.on[a.ID] != "a" || a.Kind != Go || a.Code != frame.ServiceRestart {
-			t.Fatalf("%+v on %s", a, b.on[a.ID])
+		if b.serverOf[a.ID] != "a" || a.Kind != Go || a.Code != frame.ServiceRestart {
+			t.Fatalf("%+v on %s", a, b.serverOf[a.ID])
 		}
 		perSecond[int((b.now-drained-1)/time.Second)]++
 		b.Closed(a.ID)
@@ -100,12 +100,12 @@
 	}
 }
 
-func TestMovesKeepToWhatSuccessorsTake(t *testing.T) {
+func TestMovesStayWithinCapacityOfRemainingServers(t *testing.T) {
 	s := settings()
 	s.NodeRate = 10
 	// Of two successors one has just started: together they take 10 + 2 and, as it warms up, 10 + 6 a second.
-	nodes := up(0, 0, start)
-	b := newBed(s, nodes)
+	nodes := usableNodes(0, 0, start)
+	b := newHarness(s, nodes)
 	b.open("a", 500)
 	b.Nodes(b.now, nodes[1:])
 	moved, forced := 0, 0
@@ -133,10 +133,10 @@
 	}
 }
 
-func TestStragglersAreToldThenCut(t *testing.T) {
-	b := newBed(settings(), up(0, 0))
+func TestRemainingChannelsAreClosedThenAborted(t *testing.T) {
+	b := newHarness(settings(), usableNodes(0, 0))
 	b.open("a", 20)
-	b.Nodes(b.now, up(0, 0)[1:])
+	b.Nodes(b.now, usableNodes(0, 0)[1:])
 	kinds := map[ID][]Kind{}
 	b.run(15*time.Second, b.alive, func(a Action) { kinds[a.ID] = append(kinds[a.ID], a.Kind) })
 	for id, got := range kinds {
@@ -149,26 +149,26 @@
 	}
 }
 
-func TestServerThatStaysKeepsWhoWasNotTold(t *testing.T) {
-	b := newBed(settings(), up(0, 0))
+func TestServerBackInServiceKeepsRemainingChannels(t *testing.T) {
+	b := newHarness(settings(), usableNodes(0, 0))
 	b.open("a", 100)
-	b.Nodes(b.now, up(0, 0)[1:])
-	told := 0
-	count := func(a Action) { told++; b.Closed(a.ID) }
+	b.Nodes(b.now, usableNodes(0, 0)[1:])
+	moved := 0
+	count := func(a Action) { moved++; b.Closed(a.ID) }
 	b.run(5*time.Second, b.alive, count)
-	b.Nodes(b.now, up(0, 0))
-	half := told
+	b.Nodes(b.now, usableNodes(0, 0))
+	movedBefore := moved
 	b.run(20*time.Second, b.alive, count)
-	if told != half || half < 45 || half > 55 {
-		t.Errorf("%d told in half the window, %d in all", half, told)
+	if moved != movedBefore || movedBefore < 45 || movedBefore > 55 {
+		t.Errorf("%d told in half the window, %d in all", movedBefore, moved)
 	}
 }
 
-func TestRoomThatDrainsServerByServer(t *testing.T) {
+func TestZoneThatDrainsServerByServer(t *testing.T) {
 	s := settings()
 	s.NodeRate = 20
-	nodes := up(0, 0, 0, 0, 0, 0)
-	b := newBed(s, nodes)
+	nodes := usableNodes(0, 0, 0, 0, 0, 0)
+	b := newHarness(s, nodes)
 	for _, n := range nodes[:3] {
 		b.open(n.ID, 100)
 	}
@@ -192,8 +192,8 @@
 	}
 }
 
-func TestProxyThatEndsMovesAll(t *testing.T) {
-	b := newBed(settings(), up(0, 0))
+func TestShutdownMovesAllChannels(t *testing.T) {
+	b := newHarness(settings(), usableNodes(0, 0))
 	b.open("a", 100)
 	b.open("b", 100)
 	b.Leave(b.now, 2*time.Second)
@@ -217,7 +217,7 @@
 }
 
 func TestColdServerTakesItsShareOfUpgrades(t *testing.T) {
-	b := newBed(settings(), up(0, start))
+	b := newHarness(settings(), usableNodes(0, start))
 	got := map[string]int{}
 	for range 100 {
 		b.now += 10 * ms
@@ -241,10 +241,10 @@
 
 // client is one that wants a channel, and comes again as it is told.
 type client struct {
-	at     time.Duration
-	ticket *ticket.Ticket
-	turned int
-	in     time.Duration
+	at         time.Duration
+	ticket     *ticket.Ticket
+	refusals   int
+	admittedAt time.Duration
 }
 
 // storm lets clients come until all are in, and counts who is let in each second. obeys says whether one comes again.
@@ -269,7 +269,7 @@
 		}
 		a := p.Ask(c.at, 0, c.ticket)
 		if a.Admitted {
-			c.in = c.at
+			c.admittedAt = c.at
 			perSecond[int((c.at-start)/time.Second)]++
 			p.GivenUp(0) // they are not what this is about
 			continue
@@ -277,7 +277,7 @@
 		if a.Wait <= 0 {
 			t.Fatal("refused without a wait")
 		}
-		c.turned++
+		c.refusals++
 		k := a.Ticket
 		c.ticket = &k
 		c.at += a.Wait
@@ -299,20 +299,20 @@
 }
 
 // crowd is n clients that come within a time.
-func crowd(n int, within time.Duration, dice *rand.Rand) []*client {
+func arrivals(n int, within time.Duration, rng *rand.Rand) []*client {
 	var all []*client
 	for range n {
-		all = append(all, &client{at: start + time.Duration(dice.Int64N(int64(within)))})
+		all = append(all, &client{at: start + time.Duration(rng.Int64N(int64(within)))})
 	}
 	return all
 }
 
-func TestStormIsLetInAtTheStatedRate(t *testing.T) {
+func TestStormIsAdmittedAtTheConfiguredRate(t *testing.T) {
 	s := settings()
 	s.Rate = 500
 	p := New(s, 1)
-	p.Nodes(start, up(0, 0, 0, 0, 0, 0, 0, 0)) // 800 a second
-	clients := crowd(10_000, 2*time.Second, rand.New(rand.NewPCG(1, 1)))
+	p.Nodes(start, usableNodes(0, 0, 0, 0, 0, 0, 0, 0)) // 800 a second
+	clients := arrivals(10_000, 2*time.Second, rand.New(rand.NewPCG(1, 1)))
 	perSecond := storm(t, p, clients, 5*time.Minute, nil)
 	last := 0
 	for second, n := range perSecond {
@@ -324,44 +324,44 @@
 	if last > 26 {
 		t.Errorf("all are in after %d s; at 500 a second 20 would do", last)
 	}
-	slices.SortFunc(clients, func(a, b *client) int { return b.turned - a.turned })
-	if clients[0].turned > 4 {
-		t.Errorf("one was turned away %d times", clients[0].turned)
+	slices.SortFunc(clients, func(a, b *client) int { return b.refusals - a.refusals })
+	if clients[0].refusals > 4 {
+		t.Errorf("one was turned away %d times", clients[0].refusals)
 	}
-	t.Logf("all in by second %d; the most often turned away: %d", last, clients[0].turned)
+	t.Logf("all in by second %d; the most often turned away: %d", last, clients[0].refusals)
 }
 
 func TestWaitingClientsGoBeforeNewOnes(t *testing.T) {
 	s := settings()
 	s.Rate = 100
 	p := New(s, 1)
-	p.Nodes(start, up(0, 0))
-	dice := rand.New(rand.NewPCG(2, 1))
-	old := crowd(1000, 100*ms, dice)
+	p.Nodes(start, usableNodes(0, 0))
+	rng := rand.New(rand.NewPCG(2, 1))
+	old := arrivals(1000, 100*ms, rng)
 	var fresh []*client
-	for _, c := range crowd(1000, time.Second, dice) {
+	for _, c := range arrivals(1000, time.Second, rng) {
 		c.at += 3 * time.Second
 		fresh = append(fresh, c)
 	}
 	storm(t, p, append(slices.Clone(old), fresh...), 5*time.Minute, nil)
-	lastOld, firstFresh := slices.MaxFunc(old, byIn).in, slices.MinFunc(fresh, byIn).in
+	lastOld, firstFresh := slices.MaxFunc(old, byAdmission).admittedAt, slices.MinFunc(fresh, byAdmission).admittedAt
 	if lastOld > firstFresh+2*time.Second {
 		t.Errorf("a new one is in %v before the last of those who wait", lastOld-firstFresh)
 	}
 }
 
-func byIn(a, b *client) int { return cmp.Compare(a.in, b.in) }
+func byAdmission(a, b *client) int { return cmp.Compare(a.admittedAt, b.admittedAt) }
 
-func TestClientsThatComeAtOnceForEverDoNotHoldTheOthersUp(t *testing.T) {
+func TestClientsThatIgnoreRetryAfterDoNotStarveOthers(t *testing.T) {
 	s := settings()
 	s.Rate = 100
 	p := New(s, 1)
-	p.Nodes(start, up(0, 0))
-	dice := rand.New(rand.NewPCG(3, 1))
-	good := crowd(1000, time.Second, dice)
+	p.Nodes(start, usableNodes(0, 0))
+	rng := rand.New(rand.NewPCG(3, 1))
+	patient := arrivals(1000, time.Second, rng)
 	admitted := 0
 	// Fifty clients that keep no ticket and come again every 20 ms.
-	perSecond := storm(t, p, good, 5*time.Minute, func(now time.Duration) {
+	perSecond := storm(t, p, patient, 5*time.Minute, func(now time.Duration) {
 		for range 50 * int(TickEvery/(20*ms)) {
 			if p.Ask(now, 1, nil).Admitted {
 				p.GivenUp(1)
@@ -380,11 +380,11 @@
 	t.Logf("1,000 are in after %d s; the impatient were let in %d times", last, admitted)
 }
 
-func TestTicketLetsInOnce(t *testing.T) {
+func TestTicketAdmitsOnce(t *testing.T) {
 	s := settings()
 	s.Rate = 1
 	p := New(s, 1)
-	p.Nodes(start, up(0))
+	p.Nodes(start, usableNodes(0))
 	if !p.Ask(start, 0, nil).Admitted {
 		t.Fatal("the first is not let in")
 	}
@@ -406,7 +406,7 @@
 	s := settings()
 	s.Channels, s.TenantChannels = 10, 4
 	p := New(s, 1)
-	p.Nodes(start, up(0))
+	p.Nodes(start, usableNodes(0))
 	in := map[int]int{}
 	for range 8 {
 		for tenant := -1; tenant < 3; tenant++ {
@@ -432,64 +432,64 @@
 	}
 }
 
-func TestNobodyIsLetInWithoutServers(t *testing.T) {
+func TestNothingIsAdmittedWithoutServers(t *testing.T) {
 	p := New(settings(), 1)
 	if a := p.Ask(start, 0, nil); a.Admitted || a.Wait < 30*time.Second/2 {
 		t.Errorf("%+v", a)
 	}
 }
 
-func TestEndsArePingedAndGivenUp(t *testing.T) {
+func TestSilentEndsArePingedThenTimeOut(t *testing.T) {
 	for _, dead := range []Side{Client, Server} {
-		b := newBed(settings(), up(0))
+		b := newHarness(settings(), usableNodes(0))
 		b.open("a", 1)
 		opened := b.now
 		heard := [Sides]time.Duration{opened, opened}
-		look := func(ID) [Sides]Activity { return [Sides]Activity{{Heard: heard[0]}, {Heard: heard[1]}} }
-		pings, over := 0, time.Duration(0)
-		b.run(5*time.Minute, look, func(a Action) {
+		activity := func(ID) [Sides]Activity { return [Sides]Activity{{Heard: heard[0]}, {Heard: heard[1]}} }
+		pings, endedAfter := 0, time.Duration(0)
+		b.run(5*time.Minute, activity, func(a Action) {
 			switch {
 			case a.Kind == Rest:
-			case over > 0:
+			case endedAfter > 0:
 				t.Fatalf("%+v after the end", a)
 			case a.Kind == Ping && a.Side != dead:
 				heard[a.Side] = b.now
 				pings++
 			case a.Kind == Ping:
 			case a.Kind == Dead && a.Side == dead:
-				over = b.now - opened
+				endedAfter = b.now - opened
 				b.Closed(a.ID)
 			default:
 				t.Fatalf("%+v", a)
 			}
 		})
-		if want := 40 * time.Second; over < want || over > want+time.Second {
-			t.Errorf("side %d: given up after %v, want %v", dead, over, want)
+		if want := 40 * time.Second; endedAfter < want || endedAfter > want+time.Second {
+			t.Errorf("side %d: given up after %v, want %v", dead, endedAfter, want)
 		}
 	}
 }
 
 func TestQuietChannelsLiveOnAndCostAPingEach(t *testing.T) {
-	b := newBed(settings(), up(0))
+	b := newHarness(settings(), usableNodes(0))
 	b.open("a", 1000)
 	heard := map[ID][Sides]time.Duration{}
-	type a2 struct {
+	type endID struct {
 		ID
 		Side
 	}
-	rests := map[a2]bool{}
+	parked := map[endID]bool{}
 	opened := b.now
-	look := func(id ID) [Sides]Activity {
+	activity := func(id ID) [Sides]Activity {
 		h, ok := heard[id]
 		if !ok {
 			h = [Sides]time.Duration{opened, opened}
 		}
-		return [Sides]Activity{{Heard: h[0], Resting: rests[a2{id, Client}]}, {Heard: h[1], Resting: rests[a2{id, Server}]}}
+		return [Sides]Activity{{Heard: h[0], Resting: parked[endID{id, Client}]}, {Heard: h[1], Resting: parked[endID{id, Server}]}}
 	}
 	pings := 0
-	b.run(5*time.Minute, look, func(a Action) {
-		if a.Kind == Rest && !rests[a2{a.ID, a.Side}] {
-			rests[a2{a.ID, a.Side}] = true // for good, as the ends' pongs take no time here
+	b.run(5*time.Minute, activity, func(a Action) {
+		if a.Kind == Rest && !parked[endID{a.ID, a.Side}] {
+			parked[endID{a.ID, a.Side}] = true // for good, as the ends' pongs take no time here
 			return
 		}
 		if a.Kind != Ping {
@@ -503,8 +503,8 @@
 		h[a.Side] = b.now
 		heard[a.ID] = h
 	})
-	if len(rests) != 2*1000 {
-		t.Errorf("%d ends rest", len(rests))
+	if len(parked) != 2*1000 {
+		t.Errorf("%d ends rest", len(parked))
 	}
 	if want := 2 * 1000 * 10; pings < want*8/10 || pings > want {
 		t.Errorf("%d pings in 5 minutes, want about %d", pings, want)
@@ -518,17 +518,17 @@
 		ends bool
 	}{{1, false, true}, {900, false, true}, {1100, false, false}, {1, true, false}} {
 		t.Run(fmt.Sprint(k.rate, k.held), func(t *testing.T) {
-			b := newBed(settings(), up(0))
+			b := newHarness(settings(), usableNodes(0))
 			b.open("a", 1)
 			begun := b.now
-			look := func(ID) [Sides]Activity {
+			activity := func(ID) [Sides]Activity {
 				a := b.alive(0)
 				a[Client].FrameSince, a[Client].Held = begun, k.held
 				a[Client].FrameBytes = int64((b.now - begun).Seconds() * float64(k.rate))
 				return a
 			}
 			ended := false
-			b.run(2*time.Minute, look, func(a Action) {
+			b.run(2*time.Minute, activity, func(a Action) {
 				if a.Kind != Slow || a.Side != Client {
 					t.Fatalf("%+v", a)
 				}
@@ -545,10 +545,10 @@
 func TestIdleChannelsEnd(t *testing.T) {
 	s := settings()
 	s.IdleEnd = time.Minute
-	b := newBed(s, up(0))
+	b := newHarness(s, usableNodes(0))
 	b.open("a", 2)
 	opened := b.now
-	look := func(id ID) [Sides]Activity {
+	activity := func(id ID) [Sides]Activity {
 		a := b.alive(id)
 		if id == 1 {
 			a[0].Spoke, a[1].Spoke = opened, opened
@@ -556,49 +556,49 @@
 		return a
 	}
 	var got []Action
-	b.run(3*time.Minute, look, func(a Action) { got = append(got, a) })
+	b.run(3*time.Minute, activity, func(a Action) { got = append(got, a) })
 	if len(got) != 1 || got[0].ID != 1 || got[0].Kind != Go || got[0].Code != frame.GoingAway {
 		t.Errorf("%+v", got)
 	}
 }
 
 // plainWheel keeps times in a map.
-type plainWheel map[*entry]time.Duration
+type mapWheel map[*entry]time.Duration
 
-func TestWheelAgainstAPlainOne(t *testing.T) {
+func TestWheelAgainstMapModel(t *testing.T) {
 	for seed := range uint64(50) {
-		dice := rand.New(rand.NewPCG(seed, 0))
+		rng := rand.New(rand.NewPCG(seed, 0))
 		var w wheel
-		plain := plainWheel{}
+		model := mapWheel{}
 		entries := make([]*entry, 60)
 		for i := range entries {
 			entries[i] = &entry{}
 		}
 		now := start
 		for range 400 {
-			now += time.Duration(dice.Int64N(int64(2 * time.Second)))
+			now += time.Duration(rng.Int64N(int64(2 * time.Second)))
 			for e := w.due(now); e != nil; e = w.due(now) {
-				at, set := plain[e]
+				at, set := model[e]
 				if !set || at > now {
 					t.Fatalf("seed %d: out %v early", seed, at-now)
 				}
-				delete(plain, e)
+				delete(model, e)
 			}
-			for e, at := range plain {
+			for e, at := range model {
 				if at+wheelStep <= now {
 					t.Fatalf("seed %d: late by %v", seed, now-at)
 				}
 				_ = e
 			}
 			for range 5 {
-				e := entries[dice.IntN(len(entries))]
-				if dice.IntN(4) == 0 {
+				e := entries[rng.IntN(len(entries))]
+				if rng.IntN(4) == 0 {
 					w.remove(e)
-					delete(plain, e)
+					delete(model, e)
 				} else {
-					at := now + wheelStep + time.Duration(dice.Int64N(int64(90*time.Second)))
+					at := now + wheelStep + time.Duration(rng.Int64N(int64(90*time.Second)))
 					w.put(e, now, at)
-					plain[e] = at
+					model[e] = at
 				}
 			}
 		}
@@ -606,9 +606,9 @@
 }
 
 // TestBooksBalance plays random events against plain counts.
-func TestBooksBalance(t *testing.T) {
+func TestCountsMatchModel(t *testing.T) {
 	for seed := range uint64(100) {
-		dice := rand.New(rand.NewPCG(seed, 7))
+		rng := rand.New(rand.NewPCG(seed, 7))
 		s := settings()
 		s.Channels, s.TenantChannels = 40, 15
 		p := New(s, seed)
@@ -619,21 +619,21 @@
 		usable := map[string]bool{}
 		var last ID
 		for range 500 {
-			now += time.Duration(dice.Int64N(int64(500 * ms)))
-			switch dice.IntN(6) {
+			now += time.Duration(rng.Int64N(int64(500 * ms)))
+			switch rng.IntN(6) {
 			case 0:
 				clear(usable)
 				var nodes []Node
-				for _, n := range up(0, 0, 0, start, now) {
-					if dice.IntN(3) > 0 {
-						n.Usable = dice.IntN(4) > 0
+				for _, n := range usableNodes(0, 0, 0, start, now) {
+					if rng.IntN(3) > 0 {
+						n.Usable = rng.IntN(4) > 0
 						nodes = append(nodes, n)
 						usable[n.ID] = n.Usable
 					}
 				}
 				p.Nodes(now, nodes)
 			case 1, 2:
-				tenant := dice.IntN(4) - 1
+				tenant := rng.IntN(4) - 1
 				if p.Ask(now, tenant, nil).Admitted {
 					opening = append(opening, tenant)
 				}
@@ -641,10 +641,10 @@
 				if len(opening) > 0 {
 					tenant := opening[0]
 					opening = opening[1:]
-					id := string(rune('a' + dice.IntN(5)))
+					id := string(rune('a' + rng.IntN(5)))
 					if may := p.MayOpen(now, id); may && !usable[id] {
 						t.Fatalf("seed %d: %s may be used", seed, id)
-					} else if may || dice.IntN(3) == 0 { // the answer of one that was sent before
+					} else if may || rng.IntN(3) == 0 { // the answer of one that was sent before
 						last++
 						p.Opened(now, last, id, tenant)
 						open[last], node[last] = tenant, id
@@ -706,7 +706,7 @@
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{1000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			bed := newBed(settings(), up(0, 0, 0))
+			bed := newHarness(settings(), usableNodes(0, 0, 0))
 			bed.open("a", n)
 			for b.Loop() {
 				bed.now += TickEvery
@@ -718,7 +718,7 @@
 
 func BenchmarkAskInAStorm(b *testing.B) {
 	p := New(settings(), 1)
-	p.Nodes(start, up(0, 0, 0))
+	p.Nodes(start, usableNodes(0, 0, 0))
 	now := start
 	for b.Loop() {
 		now += 10 * time.Microsecond
@@ -753,8 +753,8 @@
 // BenchmarkTimers sets one of many times anew, on the wheel, on a heap and as runtime timers.
 func BenchmarkTimers(b *testing.B) {
 	for _, n := range []int{1000, 100_000} {
-		dice := rand.New(rand.NewPCG(1, 1))
-		ahead := func() time.Duration { return wheelStep + time.Duration(dice.Int64N(int64(40*time.Second))) }
+		rng := rand.New(rand.NewPCG(1, 1))
+		ahead := func() time.Duration { return wheelStep + time.Duration(rng.Int64N(int64(40*time.Second))) }
 		b.Run(fmt.Sprint("wheel/", n), func(b *testing.B) {
 			var w wheel
 			entries := make([]entry, n)
--- a/internal/channel/relay.go
+++ b/internal/channel/relay.go
@@ -11,86 +11,86 @@
 // relay is one open channel. Each direction has a goroutine that reads one end and writes to the other; frames that
 // the proxy puts in itself are written by whoever finds the end's writing between two frames.
 type relay struct {
-	id    plan.ID
-	table *Table
-	node  string
-	ends  [plan.Sides]*end
-	ping  [8]byte // the payload by which the proxy's own pings are known
-
-	faulty  atomic.Bool  // an end is at fault, and both have been told
-	pumping atomic.Int32 // directions that are carried
+	id     plan.ID
+	table  *Table
+	server string
+	ends   [plan.Sides]*end
+	ping   [8]byte // the payload by which the proxy's own pings are known
+
+	failed           atomic.Bool  // an end is at fault, and both have been told
+	activeDirections atomic.Int32 // directions that are carried
 }
 
 // pump carries what one end sends to the other until either is over.
 func (r *relay) pump(from, to *end) {
-	err := r.carry(from, to)
-	if err == errRest {
-		go r.rest(from, to)
+	err := r.forward(from, to)
+	if err == errParked {
+		go r.park(from, to)
 		return
 	}
-	defer r.ended()
+	defer r.directionDone()
 	var v *frame.Violation
 	switch {
-	case errors.Is(err, errClosed):
+	case errors.Is(err, errCloseReceived):
 		// Nothing that follows means anything. The other direction goes on until the answer has come, or its
 		// time is over.
 		return
 	case errors.As(err, &v):
-		r.table.broke(r, from, v)
-		code := goneCode(from.side)
+		r.table.protocolError(r, from, v)
+		code := disconnectCode(from.side)
 		if from.side == plan.Server {
 			code = frame.ServerError
 		}
-		r.finish(from, v.Code, v.Text, code, "the other end broke the protocol")
+		r.fail(from, v.Code, v.Text, code, "the other end broke the protocol")
 	default:
-		r.finish(from, 0, "", goneCode(from.side), "the other end is gone")
+		r.fail(from, 0, "", disconnectCode(from.side), "the other end is gone")
 	}
-	r.drain(from)
+	r.discard(from)
 }
 
 // rest waits for an end that is quiet. A goroutine that has carried bytes has a stack of 4 KiB for good; this one is new,
 // calls next to nothing, and keeps to the 2 KiB that it begins with.
-func (r *relay) rest(from, to *end) {
+func (r *relay) park(from, to *end) {
 	// What is wrong with the wait, a read will find too.
 	_ = from.raw.Read(from.peek)
-	from.resting.Store(false)
+	from.parked.Store(false)
 	go r.pump(from, to)
 }
 
 // carry returns errClosed once the end's Close has gone on, or what was wrong.
-func (r *relay) carry(from, to *end) error {
-	if len(from.held) > 0 { // what came behind the handshake
-		b := append([]byte(nil), from.held...)
-		from.held = nil
-		if err := r.take(from, to, b); err != nil {
+func (r *relay) forward(from, to *end) error {
+	if len(from.unconsumed) > 0 { // what came behind the handshake
+		b := append([]byte(nil), from.unconsumed...)
+		from.unconsumed = nil
+		if err := r.process(from, to, b); err != nil {
 			return err
 		}
 	}
 	var stalled error
-	room := func() {
-		from.waitsFor(func() { stalled = to.room() })
+	waitWritable := func() {
+		from.whileBlocked(func() { stalled = to.waitWritable() })
 	}
 	for {
-		b, n, err := from.read(room)
+		b, n, err := from.read(waitWritable)
 		if stalled != nil {
-			r.finish(to, 0, "", goneCode(to.side), "the other end takes nothing")
+			r.fail(to, 0, "", disconnectCode(to.side), "the other end takes nothing")
 			stalled = nil
 		}
 		if err != nil {
-			switch rest, goOn := from.afterBreak(err); {
-			case rest:
-				return errRest
-			case goOn:
+			switch park, retry := from.parkInterrupted(err); {
+			case park:
+				return errParked
+			case retry:
 				continue
 			}
 			return err
 		}
-		from.heard.Store(int64(r.table.now()))
-		start := frame.MaxHeld - len(from.held)
-		copy(b[start:], from.held)
-		from.held = nil
-		err = r.take(from, to, b[start:frame.MaxHeld+n])
-		from.get.put(b)
+		from.lastRead.Store(int64(r.table.now()))
+		start := frame.MaxHeld - len(from.unconsumed)
+		copy(b[start:], from.unconsumed)
+		from.unconsumed = nil
+		err = r.process(from, to, b[start:frame.MaxHeld+n])
+		from.buffers.put(b)
 		if err != nil {
 			return err
 		}
@@ -98,12 +98,12 @@
 }
 
 // take carries on some bytes that have been read.
-func (r *relay) take(from, to *end, b []byte) error {
+func (r *relay) process(from, to *end, b []byte) error {
 	for {
-		result, v := from.checker.Scan(b, to.stopAt())
+		result, v := from.checker.Scan(b, to.closeBoundary())
 		if result.Pass > 0 {
-			from.spoke.Store(from.heard.Load())
-			if err := r.pass(from, to, b[:result.Pass]); err != nil {
+			from.lastMessage.Store(from.lastRead.Load())
+			if err := r.forwardBytes(from, to, b[:result.Pass]); err != nil {
 				return err
 			}
 			b = b[result.Pass:]
@@ -114,141 +114,141 @@
 		switch result.Stop {
 		case frame.More:
 			if len(b) > 0 {
-				from.held = append([]byte(nil), b...)
+				from.unconsumed = append([]byte(nil), b...)
 			}
-			from.progress(r.table.now(), len(b) > 0)
+			from.trackFrame(r.table.now(), len(b) > 0)
 			return nil
 		case frame.Boundary: // pass has told the other end to go
 		case frame.Control:
-			if err := r.control(from, to, b[:result.Size], result); err != nil {
+			if err := r.handleControl(from, to, b[:result.Size], result); err != nil {
 				return err
 			}
 			b = b[result.Size:]
 		case frame.Ended:
-			return errClosed
+			return errCloseReceived
 		}
 	}
 }
 
 // pass writes sound bytes of one end to the other.
-func (r *relay) pass(from, to *end, b []byte) error {
+func (r *relay) forwardBytes(from, to *end, b []byte) error {
 	var taken bool
 	var err error
-	from.waitsFor(func() { taken, err = to.write(b, !from.checker.Between(), from.checker.Open()) })
+	from.whileBlocked(func() { taken, err = to.write(b, !from.checker.Between(), from.checker.Open()) })
 	if err != nil {
 		// It is the other end that is gone: this one is told, and read on until it answers.
-		r.finish(to, 0, "", goneCode(to.side), "the other end takes nothing")
+		r.fail(to, 0, "", disconnectCode(to.side), "the other end takes nothing")
 	}
 	if taken && err == nil {
-		from.bytes.Add(int64(len(b)))
+		from.forwarded.Add(int64(len(b)))
 		return nil
 	}
-	if from.dropped += len(b); from.dropped > mostDropped {
-		return errTooMuch
+	if from.discarded += len(b); from.discarded > maxDiscarded {
+		return errTooMuchAfterClose
 	}
 	return nil
 }
 
 // control handles a whole control frame; errClosed after a Close.
-func (r *relay) control(from, to *end, raw []byte, f frame.Result) error {
+func (r *relay) handleControl(from, to *end, raw []byte, f frame.Result) error {
 	switch {
 	case f.Opcode == frame.Pong && string(f.Payload) == string(r.ping[:]):
 		return nil // the answer to the proxy's own
 	case f.Opcode != frame.Close:
-		return r.pass(from, to, raw)
+		return r.forwardBytes(from, to, raw)
 	}
 	from.mu.Lock()
-	told := from.told
+	closedByProxy := from.closedByProxy
 	from.mu.Unlock()
 	switch {
-	case told: // its answer says nothing to the other end, which hears of it now
-		to.close(goodbye{goneCode(from.side), "moved"}, false)
+	case closedByProxy: // its answer says nothing to the other end, which hears of it now
+		to.sendClose(closeFrame{disconnectCode(from.side), "moved"}, false)
 	case len(f.Payload) > 2:
-		to.close(goodbye{f.Code, string(f.Payload[2:])}, false)
+		to.sendClose(closeFrame{f.Code, string(f.Payload[2:])}, false)
 	default:
-		to.close(goodbye{f.Code, ""}, false)
+		to.sendClose(closeFrame{f.Code, ""}, false)
 	}
-	return errClosed
+	return errCloseReceived
 }
 
 // finish ends the channel for a fault of one end: bad is told badCode, or nothing for 0 since it is gone; the other
 // end is told why. What stands within a frame cannot be told anything, and is closed.
-func (r *relay) finish(bad *end, badCode frame.Code, badText string, otherCode frame.Code, otherText string) {
-	if r.faulty.Swap(true) {
+func (r *relay) fail(bad *end, badCode frame.Code, badReason string, otherCode frame.Code, otherReason string) {
+	if r.failed.Swap(true) {
 		return
 	}
 	other := r.ends[1-bad.side]
-	if badCode != 0 && bad.close(goodbye{badCode, badText}, true) {
+	if badCode != 0 && bad.sendClose(closeFrame{badCode, badReason}, true) {
 		bad.conn.CloseWrite()
 	} else {
-		bad.leave()
+		bad.disconnect()
 	}
-	if !other.close(goodbye{otherCode, otherText}, true) {
-		other.leave()
+	if !other.sendClose(closeFrame{otherCode, otherReason}, true) {
+		other.disconnect()
 	}
 }
 
 // drain reads on until the end closes or its time is over: a close of the socket with unread bytes would become a
 // reset, and take the Close with it.
-func (r *relay) drain(from *end) {
-	for from.dropped <= mostDropped {
+func (r *relay) discard(from *end) {
+	for from.discarded <= maxDiscarded {
 		b, n, err := from.read(nil)
 		if err != nil {
 			return
 		}
-		from.dropped += n
-		from.get.put(b)
+		from.discarded += n
+		from.buffers.put(b)
 	}
 }
 
 // mostDropped bounds what an end may still send once nobody takes it any more.
-const mostDropped = 1 << 20
+const maxDiscarded = 1 << 20
 
 // start carries the channel, in a goroutine for each direction.
 func (r *relay) start() {
 	client, server := r.ends[plan.Client], r.ends[plan.Server]
-	r.pumping.Store(2)
+	r.activeDirections.Store(2)
 	go r.pump(client, server)
 	go r.pump(server, client)
 }
 
 // ended closes all once neither direction is carried any more.
-func (r *relay) ended() {
-	if r.pumping.Add(-1) > 0 {
+func (r *relay) directionDone() {
+	if r.activeDirections.Add(-1) > 0 {
 		return
 	}
 	for _, e := range r.ends {
 		e.mu.Lock()
-		if !e.within {
-			e.flush() // the last Close may not have gone out at once
+		if !e.midFrame {
+			e.flushPending() // the last Close may not have gone out at once
 		}
 		e.mu.Unlock()
 		e.conn.Close()
 	}
-	r.table.closed(r)
+	r.table.relayDone(r)
 }
 
 // do carries one of the plan's actions out. It never waits for an end.
-func (r *relay) do(a plan.Action) {
+func (r *relay) perform(a plan.Action) {
 	client := r.ends[plan.Client]
 	switch a.Kind {
 	case plan.Ping:
-		r.ends[a.Side].ask(r.ping[:])
+		r.ends[a.Side].ping(r.ping[:])
 	case plan.Rest:
-		r.ends[a.Side].breakOff()
+		r.ends[a.Side].requestPark()
 	case plan.Go:
-		client.closeAfterMessage(goodbye{a.Code, a.Text})
+		client.closeAfterMessage(closeFrame{a.Code, a.Text})
 	case plan.Now:
-		if !client.close(goodbye{a.Code, a.Text}, true) {
-			client.leave()
+		if !client.sendClose(closeFrame{a.Code, a.Text}, true) {
+			client.disconnect()
 		}
 	case plan.Cut:
 		for _, e := range r.ends {
-			e.leave()
+			e.disconnect()
 		}
 	case plan.Dead:
-		r.finish(r.ends[a.Side], 0, "", goneCode(a.Side), a.Text)
+		r.fail(r.ends[a.Side], 0, "", disconnectCode(a.Side), a.Text)
 	case plan.Slow:
-		r.finish(r.ends[a.Side], frame.Policy, a.Text, goneCode(a.Side), "the other end does not get on")
+		r.fail(r.ends[a.Side], frame.Policy, a.Text, disconnectCode(a.Side), "the other end does not get on")
 	}
 }
