--- a/internal/channel/plan/keep.go
+++ b/internal/channel/plan/keep.go
@@ -6,20 +6,22 @@
 	"brasswell/internal/channel/frame"
 )
 
-// restAfter is how long an end has been quiet for its wait to be made cheap, which costs more than one read does.
+// parkAfter is how long an end must have been silent before it is parked. Parking an end costs more than one read does.
 const parkAfter = 3 * time.Second
 
-// lookEvery is how long a channel is not looked at: a frame may begin right after a look.
+// checkInterval returns the longest time between two checks of a channel. It is no longer than FrameGrace, because a
+// frame may begin right after a check.
 func (p *Planner) checkInterval() time.Duration {
 	return min(p.settings.PingInterval, p.settings.FrameGrace)
 }
 
-// keep looks at one channel: whether its ends live, get on with what they send, and use it at all.
+// checkChannel checks one channel: whether both ends are alive, whether they finish the frames that they have begun, and
+// whether the channel is idle.
 //
-// Pings guard against peers that are gone without a word (half-open connections) and should keep boxes on the way from
-// forgetting a quiet one; they would harm an end that cannot answer within PongWithin. The pace of a frame guards
-// against peers that hold a channel in the midst of one, where neither a ping nor a Close can be put in; it would harm
-// one that begins a frame before it has what it says in it.
+// Pings detect peers that are gone without closing (half-open connections), and should keep middleboxes from dropping
+// the state of an idle connection. They are wrong for an end that cannot answer within PongTimeout. The minimum rate of a
+// frame guards against peers that stop in the middle of one, where the proxy can insert neither a ping nor a Close. It is
+// wrong for a peer that begins a frame before it has the payload.
 func (p *Planner) checkChannel(now time.Duration, c *channel, a [NumSides]Activity, actions []Action) []Action {
 	next := now + p.checkInterval()
 	if lastMessage := max(a[Client].LastMessage, a[Server].LastMessage); p.settings.IdleTimeout > 0 && !c.closeSent {
@@ -32,7 +34,8 @@
 	for side := range NumSides {
 		end := &a[side]
 		if end.Blocked {
-			// Its sender cannot be heard over what waits; the one that does not take it is found by its own pings.
+			// Answers of this end cannot be read while its data waits for the other end. If the other end is dead, the
+			// pings to that end show it.
 			c.pinged[side] = 0
 			continue
 		}
--- a/internal/channel/plan/line.go
+++ b/internal/channel/plan/line.go
@@ -8,28 +8,30 @@
 	"brasswell/internal/estimate"
 )
 
-// Answer is what becomes of a request for a channel.
+// Decision is the outcome of a request for a channel.
 type Decision struct {
 	Admitted     bool
-	LimitReached bool          // refused for a limit, not for the rate
-	RetryAfter   time.Duration // how long one that is refused is asked to stay away
-	Ticket       ticket.Ticket // what it may show then
+	LimitReached bool          // refused because of a limit, not because of the rate
+	RetryAfter   time.Duration // how long a refused client should wait before it retries
+	Ticket       ticket.Ticket // the ticket that the client may present then
 }
 
-// line is the places given to those that were turned away. A place is a moment from which its holder may come in.
+// slotQueue allocates slots to clients that were refused. A slot is the time from which its holder may be admitted.
 //
-// Not all come back: some give up, some never keep a ticket. Places are given as closely as the share of them that
-// was claimed allows, or the rate would stand idle behind places of those that have left.
+// Not all clients return: some give up, and some never keep their ticket. The share of slots that are claimed therefore
+// decides how closely slots are allocated. Otherwise part of the rate would go unused while the slots of clients that
+// have left pass.
 type slotQueue struct {
-	lastSlot     time.Duration   // the last place given
-	bins         []bin           // by time, a ring
-	dueBin       int64           // the bin up to which places are due
-	unclaimedDue int             // places whose time has come within the last binGrace, not claimed yet
-	tokens       estimate.Bucket // of what is let in
-	full         bool            // tokens are lost: nobody with a place wants them
-	claimRatio   float64         // the share of places that is claimed
+	lastSlot     time.Duration   // the latest slot that is allocated
+	bins         []bin           // a ring, indexed by time
+	dueBin       int64           // the last bin whose slots are due
+	unclaimedDue int             // slots that fell due within the last graceBins and are not claimed yet
+	tokens       estimate.Bucket // one for each admission
+	full         bool            // the bucket overflows: no holder of a slot uses the tokens
+	claimRatio   float64         // a moving average of the share of slots that are claimed
 }
 
+// bin counts the slots within one binWidth.
 type bin struct {
 	step      int64
 	given     int
@@ -38,23 +40,24 @@
 
 const (
 	binWidth = 100 * time.Millisecond
-	// binGrace is how long a place is kept for its holder once its time has come. Clients' jitter and the way
-	// take up to a second.
+	// graceBins is how many bins a due slot is kept for its holder. The clients' jitter and the network take up to a
+	// second.
 	graceBins = 15
-	// claimWeight of each bin's share goes into the mean, and claimsLeast bounds how closely places are given.
+	// claimWeight is the weight of one bin in claimRatio. minClaimRatio limits how closely slots are allocated.
 	claimWeight, minClaimRatio = 0.1, 0.2
-	// waitJitter bounds what is added to a wait, as a share of it and as such.
+	// The random delay that is added to a wait is at most waitJitter of the wait, and at most maxWaitJitter.
 	waitJitter    = 0.25
 	maxWaitJitter = time.Second
-	// shortWait is that of one whose time has come, and which finds no token.
+	// dueRetryWait is the wait of a client whose slot is due but which finds no token. Up to as much again is added.
 	dueRetryWait = 200 * time.Millisecond
 )
 
 func newSlotQueue(maxWait time.Duration) slotQueue {
-	// Places lie within twice the longest wait.
+	// Slots are at most twice the longest wait ahead (see refuse).
 	return slotQueue{bins: make([]bin, 2*int(maxWait/binWidth)+graceBins+2), claimRatio: 1}
 }
 
+// bin returns the bin of a step of time, and resets it if it still holds an earlier step.
 func (q *slotQueue) bin(step int64) *bin {
 	b := &q.bins[step%int64(len(q.bins))]
 	if b.step != step {
@@ -63,11 +66,11 @@
 	return b
 }
 
-// advance makes places due, and frees those that nobody claimed in time.
+// advance makes slots due up to now, and discards those that were not claimed within the grace period.
 func (q *slotQueue) advance(now time.Duration) {
 	to := int64(now / binWidth)
 	if q.dueBin == 0 || to-q.dueBin > int64(len(q.bins)) {
-		// After so long a pause nothing is left of any place.
+		// After so long a pause all slots have expired.
 		clear(q.bins)
 		q.dueBin, q.unclaimedDue = to, 0
 		return
@@ -83,7 +86,7 @@
 	}
 }
 
-// give gives a place at a rate, no further off than so long; 0 if there is none.
+// allocate returns the next free slot at the given rate, or 0 if that slot is more than maxWait ahead.
 func (q *slotQueue) allocate(now time.Duration, rate float64, maxWait time.Duration) time.Duration {
 	interval := time.Duration(max(q.claimRatio, minClaimRatio) / max(rate, 1e-3) * float64(time.Second))
 	slot := max(q.lastSlot, now) + interval
@@ -100,7 +103,7 @@
 	return slot
 }
 
-// claim takes a place out of the count, unless its grace is over.
+// claim removes a slot from the unclaimed ones, unless its grace period is over.
 func (q *slotQueue) claim(slot time.Duration) {
 	step := int64(slot / binWidth)
 	b := &q.bins[step%int64(len(q.bins))]
@@ -113,22 +116,24 @@
 	}
 }
 
-// Ask says whether a request for a channel is let in. It is counted as being opened until Opened or GivenUp. t is the
-// ticket that the client shows; nil for none, or none of ours.
+// Admit decides whether a request for a channel is admitted. An admitted request counts as opening until Opened or
+// OpenFailed. t is the ticket that the client presents, or nil if it has none or an invalid one.
 //
-// Whose place has come goes first. A client that was turned away twice or more goes ahead of its place where a token is
-// left that no place needs; a new one only if nobody waits, or tokens would be lost since nobody with a place comes.
+// Clients whose slot is due come first. A client that was refused at least twice is admitted before its slot if there is
+// a token that no due slot needs. A new client is admitted only if nobody waits, or if tokens would be lost because no
+// holder of a slot returns.
 //
-// It guards against storms of clients that all come back at once, and should hold against those that do so without end:
-// they are answered at once and wait behind the others. It would harm clients that come in bursts as a rule.
+// This guards against storms of clients that all reconnect at once. It should also withstand clients that retry at once
+// without end: they are refused immediately and queue after the others. It is wrong for clients that normally arrive in
+// bursts.
 func (p *Planner) Admit(now time.Duration, tenant int, t *ticket.Ticket) Decision {
 	if t != nil && p.usedTickets.Has(nonceKey(t.Nonce)) {
-		t = nil // it has let in once
+		t = nil // a ticket admits once
 	}
 	rate := p.capacity(now)
 	p.queue.advance(now)
 	q := &p.queue
-	// What is due may come up to binGrace late: its tokens are kept for it.
+	// Holders of due slots may arrive up to graceBins late; tokens are reserved for them until then.
 	maxTokens := max(burstSeconds*rate, 1) + float64(q.unclaimedDue)
 	q.tokens.Fill(now, rate, maxTokens)
 	q.full = q.tokens.Tokens >= maxTokens
@@ -153,6 +158,7 @@
 	return p.refuse(now, t, rate)
 }
 
+// mayEnter reports whether a client is admitted, given its ticket and the tokens.
 func (p *Planner) mayEnter(now time.Duration, t *ticket.Ticket) bool {
 	q := &p.queue
 	spare := q.tokens.Tokens - float64(q.unclaimedDue)
@@ -165,14 +171,14 @@
 	return spare >= 1 && (q.lastSlot <= now || q.full)
 }
 
-// Refused says when a client may come again that was let in and then refused by the balancer.
+// Refused decides when a client may retry that was admitted here and then refused by the balancer.
 func (p *Planner) Refused(now time.Duration, t *ticket.Ticket) Decision {
 	p.queue.advance(now)
 	return p.refuse(now, t, p.capacity(now))
 }
 
-// refuse gives a client its place in the line, or tells it again of the one that it has. A rate of 0 stands for no
-// places at all.
+// refuse allocates a slot to a client, or confirms the slot that it already has. With a rate of 0 no slots are
+// allocated.
 func (p *Planner) refuse(now time.Duration, t *ticket.Ticket, rate float64) Decision {
 	a := Decision{Ticket: ticket.Ticket{Nonce: p.rng.Uint64()}}
 	if t != nil {
@@ -186,13 +192,13 @@
 	if !hasSlot && rate > 0 {
 		maxWait := p.settings.MaxWait
 		if a.Ticket.Refusals > 1 {
-			maxWait *= 2 // the line's second half is for those who have waited before
+			maxWait *= 2 // the second half of the queue is for clients that have waited before
 		}
 		a.Ticket.Slot = p.queue.allocate(now, rate, maxWait)
 	}
 	switch wait := a.Ticket.Slot - now; {
 	case a.Ticket.Slot == 0:
-		// Spread over the second half of the longest wait, so that they do not come at once either.
+		// Clients without a slot are spread over the second half of the longest wait, so that they do not return at once.
 		a.RetryAfter = time.Duration((0.5 + 0.5*p.random()) * float64(p.settings.MaxWait))
 	case wait <= 0:
 		a.RetryAfter = dueRetryWait + time.Duration(p.random()*float64(dueRetryWait))
--- a/internal/channel/plan/move.go
+++ b/internal/channel/plan/move.go
@@ -8,14 +8,16 @@
 	"brasswell/internal/channel/frame"
 )
 
-// move tells channels to go from servers that are not to be used any more: spread over what is left of each window,
-// and never more in a second than the servers that remain take as upgrades. What a window leaves over goes at its end,
-// all at once; from there on the line (Ask) spaces who comes back.
+// moveChannels closes channels to servers that must not be used any more, so that their clients reconnect elsewhere. The
+// closes are spread over the rest of each server's window, at no more a second than the remaining servers accept as
+// upgrades. Channels that are left at the end of the window are closed at once; from there on Admit spaces the clients
+// that reconnect.
 //
-// It guards against the storm that a drained server's clients make when they are cut at one moment. It harms when
-// the window is longer than the server lives on: its channels then break instead of being moved.
+// This guards against the storm of reconnecting clients when all channels of a drained server end at one moment. It does
+// harm if the window is longer than the server's remaining lifetime: its channels then break instead of being moved.
 func (p *Planner) moveChannels(now time.Duration, actions []Action) []Action {
-	// Those that have least time go first. By id where it is equal: the order of a map must not decide.
+	// Servers with the earliest deadline come first. Equal deadlines are ordered by ID, because the iteration order of a
+	// map must not affect the result.
 	var draining []*node
 	for _, n := range p.nodes {
 		if n.deadline > 0 && n.open > 0 {
@@ -34,10 +36,10 @@
 	})
 	rate := p.capacity(now)
 	if p.shuttingDown {
-		rate = p.settings.Rate // they come back by another proxy, whose servers we do not know
+		rate = p.settings.Rate // the clients reconnect through another proxy, whose servers are unknown here
 	}
 	if now-p.moveTokens.Last > time.Second {
-		p.moveTokens = oneToken(now) // nothing moved before: there is nothing to catch up on
+		p.moveTokens = oneToken(now) // after a pause the rate does not accumulate
 	}
 	p.moveTokens.Fill(now, rate, max(burstSeconds*rate, 1))
 	for _, n := range draining {
@@ -46,7 +48,7 @@
 			actions = p.closeRemaining(now, n, actions)
 			continue
 		}
-		// The pace at which the last one goes a tick before the window ends.
+		// At this pace the last channel is closed one tick before the window ends.
 		elapsed := now - n.pacedAt
 		n.pacedAt = now
 		n.movesDue = min(n.movesDue+float64(n.remainingCount)*elapsed.Seconds()/max(timeLeft+elapsed-TickInterval, elapsed).Seconds(), float64(n.remainingCount))
@@ -59,7 +61,7 @@
 	return actions
 }
 
-// tell makes a channel go whose server is to be left.
+// moveChannel closes a channel to a server that is being drained, or any channel while the proxy shuts down.
 func (p *Planner) moveChannel(c *channel, kind Kind, actions []Action) []Action {
 	if p.shuttingDown {
 		return p.closeChannel(c, kind, frame.GoingAway, "proxy restarts", actions)
@@ -67,7 +69,7 @@
 	return p.closeChannel(c, kind, frame.ServiceRestart, "server drains", actions)
 }
 
-// end tells a channel to go, for the first time or more urgently.
+// closeChannel requests a Close for a channel, either for the first time or with more urgency than before.
 func (p *Planner) closeChannel(c *channel, kind Kind, code frame.Code, reason string, actions []Action) []Action {
 	if !c.closeSent {
 		c.closeSent = true
@@ -79,8 +81,8 @@
 	return append(actions, Action{ID: c.id, Kind: kind, Code: code, Reason: reason})
 }
 
-// straggle ends what a window has left: each channel is told now, within a message too, and what is still there once a
-// Close has had its time is cut.
+// closeRemaining ends the channels that are left when a server's window ends. Each gets a Close at once, even in the
+// middle of a message, and is aborted if it is still open CloseTimeout later.
 func (p *Planner) closeRemaining(now time.Duration, n *node, actions []Action) []Action {
 	for n.remaining.Front() != nil {
 		actions = p.moveChannel(n.remaining.Front(), CloseNow, actions)
--- a/internal/channel/plan/plan.go
+++ b/internal/channel/plan/plan.go
@@ -1,9 +1,9 @@
-// Package plan decides about WebSocket channels: which upgrades are let in and when those that are not may come again,
-// when a channel leaves a server that drains, which are pinged and which are given up. Events in, actions out, the
-// time as an argument: it has no I/O, and reads no clock.
+// Package plan makes the decisions about WebSocket channels: which upgrades are admitted and when refused clients may
+// retry, when a channel leaves a draining server, when an end is pinged, and when a channel is ended because an end does
+// not respond. It takes events and the time as arguments and returns actions; it does no I/O and reads no clock.
 //
-// Which server an upgrade goes to is balance's decision; what a plan adds is a bound on how many go to each in a second
-// (MayOpen). It is not safe for concurrent use.
+// Package balance chooses the server of an upgrade. A Planner only limits how many upgrades go to each server in a second
+// (AllowUpgrade). A Planner is not safe for concurrent use.
 package plan
 
 import (
@@ -16,82 +16,82 @@
 	"brasswell/internal/recent"
 )
 
-// Settings are what a plan is told at its start. Times are above 0 unless said otherwise.
+// Settings configure a Planner. Durations are above 0 unless stated otherwise.
 type Settings struct {
-	Rate     float64       // upgrades let in a second, over all servers
+	Rate     float64       // upgrades admitted in a second, over all servers
 	NodeRate float64       // upgrades a second that a warm server takes from this proxy
-	MaxWait  time.Duration // the longest that a client is sent away for with a place in the line
+	MaxWait  time.Duration // the longest wait for a slot at a client's first refusal; twice that later on
 
-	MaxChannels       int // open at one time, those being opened included
-	MaxTenantChannels int // of one tenant, or of all clients without a known one; 0 for no bound
+	MaxChannels       int // open at one time, including those being opened
+	MaxTenantChannels int // of one tenant, or of all clients without a known tenant; 0 for no limit
 
-	MoveWindow   time.Duration // over which the channels of a server that drains are moved
+	MoveWindow   time.Duration // over which the channels of a draining server are moved
 	CloseTimeout time.Duration // how long an end may leave a Close unanswered
 
-	PingInterval time.Duration // after which an end that says nothing is asked
-	PongTimeout  time.Duration // how long it may take to show that it lives
-	IdleTimeout  time.Duration // after which a channel without messages ends; 0 for never
-	FrameGrace   time.Duration // that a frame may take beyond what FrameRate allows
-	MinFrameRate int64         // bytes a second of a frame that has begun
+	PingInterval time.Duration // after which a silent end is pinged
+	PongTimeout  time.Duration // how long a pinged end may stay silent
+	IdleTimeout  time.Duration // after which a channel without messages is closed; 0 for never
+	FrameGrace   time.Duration // how long a frame may take beyond what MinFrameRate allows
+	MinFrameRate int64         // bytes a second that a frame must make once it has begun
 
-	ColdShare float64       // a server starts with at least this share of its capacity
-	WarmUp    time.Duration // until it has all of it; 0 for at once
+	ColdShare float64       // the share of its capacity that a server has at its start, at least
+	WarmUp    time.Duration // the time until it has all of it; 0 for at once
 }
 
-// ID names a channel. IDs are never used again.
+// ID identifies a channel. IDs are never reused.
 type ID uint64
 
 // Side is one end of a channel.
 type Side int
 
-// The ends.
+// The ends of a channel, and their number.
 const (
 	Client Side = iota
 	Server
 	NumSides
 )
 
-// Node is a server as far as channels go.
+// Node describes a server as far as channels need it.
 type Node struct {
 	ID        string
-	StartTime time.Duration // clock time of its last start; 0 for long ago
-	Usable    bool          // something new may go there
-	// InTurns says that the balancer's turns go there, so that its capacity counts. Others are used in place of a
-	// member that is lost, and what is lost with it is not known yet.
+	StartTime time.Duration // of the server, by the Planner's clock; 0 for long ago
+	Usable    bool          // new channels may go to it
+	// InRoundRobin says that the server is in the balancer's round robin, so that its capacity counts. Other usable
+	// servers replace a member that is lost. They are not counted, because the capacity that was lost is not known yet.
 	InRoundRobin bool
 }
 
-// Activity is what is known of one end of an open channel.
+// Activity is the state of one end of an open channel.
 type Activity struct {
-	LastRead    time.Duration // when its last bytes came
-	LastMessage time.Duration // when the last bytes of a message came
-	FrameStart  time.Duration // since when a frame has been on its way from it, the other end's slowness aside; 0 for none
-	FrameBytes  int64         // of that frame so far
-	Parked      bool          // it waits at the least cost
-	Blocked     bool          // its bytes wait for the other end, so that nothing it does could be heard
+	LastRead    time.Duration // when its last bytes were read
+	LastMessage time.Duration // when the last bytes of a message were read
+	FrameStart  time.Duration // when its unfinished frame began, later by the time spent waiting for the other end; 0 for none
+	FrameBytes  int64         // payload bytes of that frame that have been forwarded
+	Parked      bool          // its read is parked
+	Blocked     bool          // its data waits for the other end, so that nothing is read from it
 }
 
-// Action is what is to be done to a channel.
+// Action is a step to be taken for a channel.
 type Action struct {
 	ID     ID
 	Kind   Kind
-	Side   Side       // of Ping, Rest, Dead and Slow
-	Code   frame.Code // of Go
-	Reason string     // the reason, for the ends and for people
+	Side   Side       // of Ping, Park, PeerTimeout and FrameTimeout
+	Code   frame.Code // of CloseAfterMessage and CloseNow
+	Reason string     // for the Close frame and the log
 }
 
-// Kind is the kind of an action.
+// Kind is the type of an action.
 type Kind int
 
-// The kinds.
+// The kinds of actions.
 const (
-	Ping              Kind = iota // ask an end whether it lives
-	Park                          // an end is quiet: wait for it at the least cost
-	CloseAfterMessage             // tell the client to go, after the message at hand
-	CloseNow                      // the same, within a message too
+	Ping              Kind = iota // send a ping to an end
+	Park                          // an end is silent: wait for it with as little memory as possible
+	CloseAfterMessage             // send a Close to the client after the current message
+	CloseNow                      // send a Close to the client even within a message
 	Abort                         // close both connections at once
-	PeerTimeout                   // an end is gone: close it, and tell the other
-	FrameTimeout                  // an end does not get on with a frame: tell both
+	PeerTimeout                   // an end did not answer a ping: disconnect it, and send a Close to the other end
+	FrameTimeout                  // an end does not finish a frame in time: send a Close to both ends
 )
 
 // channel is one open channel.
@@ -99,56 +99,56 @@
 	id           ID
 	node         *node
 	tenant       int
-	pinged       [NumSides]time.Duration // when an end was asked; 0 if no answer is outstanding
-	closeSent    bool                    // to go
-	closeNowSent bool                    // told to go within a message too
+	pinged       [NumSides]time.Duration // when an end was pinged; 0 if no answer is outstanding
+	closeSent    bool                    // a Close was requested
+	closeNowSent bool                    // a Close was requested even within a message
 	aborted      bool
-	entry        entry // in the wheel
+	entry        entry // in the timing wheel
 
-	linked.Links[channel] // in its node's list of those that stay, or of those that were told
+	linked.Links[channel] // in its node's remaining or leaving list
 }
 
 // node is a server that is listed or still has channels.
 type node struct {
 	Node
 	listed         bool
-	remaining      linked.List[channel, *channel]
-	leaving        linked.List[channel, *channel]
+	remaining      linked.List[channel, *channel] // no Close was requested
+	leaving        linked.List[channel, *channel] // a Close was requested
 	remainingCount int
-	open           int           // stay and going
-	deadline       time.Duration // by when the channels are to have left it; 0 if they may stay
-	pacedAt        time.Duration // up to when owed is counted
-	movesDue       float64       // how many of those that stay should have gone by then
-	upgrades       estimate.Bucket
+	open           int             // remaining and leaving
+	deadline       time.Duration   // by when all channels must have left; 0 if they may stay
+	pacedAt        time.Duration   // when movesDue was last updated
+	movesDue       float64         // how many of the remaining channels should have been closed by then
+	upgrades       estimate.Bucket // limits the upgrades that are sent to it
 }
 
-// single is a bucket that holds one token.
+// oneToken returns a bucket that holds one token.
 func oneToken(now time.Duration) estimate.Bucket {
 	return estimate.Bucket{Tokens: 1, Last: now, Known: true}
 }
 
-// Plan is the decisions about one proxy's channels.
+// Planner makes the decisions about the channels of one proxy.
 type Planner struct {
 	settings     Settings
 	rng          *rand.PCG
 	nodes        map[string]*node
 	channels     map[ID]*channel
-	tenants      map[int]int // channels by tenant, those being opened included
-	opening      int         // let in, and neither open nor given up
+	tenants      map[int]int // channels by tenant, including those being opened
+	opening      int         // admitted, and neither open nor failed
 	wheel        wheel
-	shuttingDown bool // the proxy itself ends
-	moveTokens   estimate.Bucket
+	shuttingDown bool            // the proxy itself ends
+	moveTokens   estimate.Bucket // limits the channels that are moved
 	queue        slotQueue
-	usedTickets  *recent.Set // the tickets that have let in
+	usedTickets  *recent.Set // the tickets that have admitted their clients
 
-	capacityAt     time.Duration // when capacity was found
-	cachedCapacity float64       // the capacity
+	capacityAt     time.Duration // when cachedCapacity was computed
+	cachedCapacity float64
 }
 
-// spentMost bounds how many used tickets are remembered: at 1,000 a second those of the longest waits.
+// maxUsedTickets bounds the used tickets that are remembered. At 1,000 a second it covers the longest waits.
 const maxUsedTickets = 1 << 17
 
-// New returns a plan without servers. Equal settings, seed and events give equal actions.
+// New returns a Planner without servers. Equal settings, seeds and events yield equal actions.
 func New(s Settings, seed uint64) *Planner {
 	return &Planner{
 		settings: s, rng: rand.NewPCG(seed, 1), nodes: map[string]*node{}, channels: map[ID]*channel{},
@@ -156,8 +156,8 @@
 	}
 }
 
-// Nodes takes in the servers that upgrades may go to, and those that must not be used any more. A server that is not
-// named is gone.
+// SetNodes sets the servers: those that upgrades may go to, and those that must not be used any more. A server that is
+// not in nodes is removed.
 func (p *Planner) SetNodes(now time.Duration, nodes []Node) {
 	for _, n := range p.nodes {
 		n.listed = false
@@ -166,7 +166,7 @@
 		n := p.nodes[update.ID]
 		if n == nil {
 			n = &node{}
-			// One upgrade is free: a slow bucket would hold the first one back.
+			// The bucket starts with one token: an empty one with a low rate would delay the first upgrade.
 			n.upgrades = oneToken(now)
 			p.nodes[update.ID] = n
 		}
@@ -178,7 +178,7 @@
 		case !n.listed && n.open == 0:
 			delete(p.nodes, id)
 		case n.Usable:
-			n.deadline = 0 // those that have not been told yet may stay
+			n.deadline = 0 // channels without a requested Close may stay
 		case n.deadline == 0:
 			n.startLeaving(now, now+p.settings.MoveWindow)
 		}
@@ -186,7 +186,7 @@
 	p.capacityAt = 0
 }
 
-// Leave makes every channel move off within a time: the proxy ends. Nothing is let in any more.
+// Shutdown makes every channel leave within the given time, because the proxy ends. Nothing is admitted any more.
 func (p *Planner) Shutdown(now, within time.Duration) {
 	p.shuttingDown = true
 	for _, n := range p.nodes {
@@ -196,12 +196,12 @@
 	}
 }
 
-// leave makes a server's channels go by a time.
+// startLeaving makes the channels of a server leave by the deadline.
 func (n *node) startLeaving(now, deadline time.Duration) {
 	n.deadline, n.pacedAt, n.movesDue = deadline, now, 0
 }
 
-// warmth is the part of its capacity that a server can be counted on to have.
+// capacityShare returns the share of its full capacity that a server has at least. It is lower while the server is cold.
 func (p *Planner) capacityShare(now time.Duration, n *node) float64 {
 	age := now - n.StartTime
 	if n.StartTime <= 0 || age >= p.settings.WarmUp {
@@ -210,10 +210,10 @@
 	return p.settings.ColdShare + (1-p.settings.ColdShare)*float64(max(age, 0))/float64(p.settings.WarmUp)
 }
 
-// capacityFor is how long a capacity that was found is gone by: servers warm up slowly.
+// capacityTTL is how long a computed capacity is reused. Servers warm up slowly, so it changes little meanwhile.
 const capacityTTL = 100 * time.Millisecond
 
-// capacity is how many upgrades a second the usable servers take together, cold ones least of all.
+// capacity returns how many upgrades a second the usable servers accept together. Cold servers count for less.
 func (p *Planner) capacity(now time.Duration) float64 {
 	if p.capacityAt > 0 && now-p.capacityAt < capacityTTL && now >= p.capacityAt {
 		return p.cachedCapacity
@@ -228,11 +228,11 @@
 	return p.cachedCapacity
 }
 
-// burst is how many seconds of a rate may come at once.
+// burstSeconds is how many seconds' worth of a rate may be used at once.
 const burstSeconds = 0.25
 
-// MayOpen says whether an upgrade may go to a server now, and counts it if so. It is asked right before the upgrade is
-// sent, for each attempt.
+// AllowUpgrade reports whether an upgrade may go to a server now, and counts it if so. It must be called for each
+// attempt, right before the upgrade is sent.
 func (p *Planner) AllowUpgrade(now time.Duration, id string) bool {
 	n := p.nodes[id]
 	if n == nil || !n.Usable || p.shuttingDown {
@@ -242,11 +242,11 @@
 	return n.upgrades.Take(now, rate, max(burstSeconds*rate, 1))
 }
 
-// Opened takes in that an upgrade that was let in has become a channel.
+// Opened records that an admitted upgrade has become a channel.
 func (p *Planner) Opened(now time.Duration, id ID, server string, tenant int) {
 	p.opening--
 	n := p.nodes[server]
-	if n == nil { // gone while the answer was on its way
+	if n == nil { // it was removed while its answer was in transit
 		n = &node{Node: Node{ID: server}}
 		p.nodes[server] = n
 	}
@@ -262,19 +262,20 @@
 	p.wheel.put(&c.entry, now, now+p.checkInterval())
 }
 
-// GivenUp takes in that an upgrade that was let in did not become a channel.
+// OpenFailed records that an admitted upgrade did not become a channel.
 func (p *Planner) OpenFailed(tenant int) {
 	p.opening--
 	p.releaseTenant(tenant)
 }
 
+// releaseTenant counts one channel of a tenant less.
 func (p *Planner) releaseTenant(tenant int) {
 	if p.tenants[tenant]--; p.tenants[tenant] <= 0 {
 		delete(p.tenants, tenant)
 	}
 }
 
-// Closed takes in that a channel is over.
+// Closed records that a channel has ended. Unknown IDs are ignored.
 func (p *Planner) Closed(id ID) {
 	c := p.channels[id]
 	if c == nil {
@@ -295,10 +296,10 @@
 	}
 }
 
-// Open is how many channels are open.
+// Len returns the number of open channels.
 func (p *Planner) Len() int { return len(p.channels) }
 
-// Held is how many channels each server holds; it may be kept.
+// OpenByServer returns the number of open channels of each server, in a new map.
 func (p *Planner) OpenByServer() map[string]int {
 	open := make(map[string]int, len(p.nodes))
 	for id, n := range p.nodes {
@@ -307,8 +308,8 @@
 	return open
 }
 
-// Tick does what is due: moves first, then the channels whose time to be looked at has come. It is to be called every
-// TickEvery or so; look says how a channel stands.
+// Tick returns the actions that are due: first the channels to be moved, then those of the channels that are due for a
+// check. It should be called about every TickInterval. activity returns the state of a channel's ends.
 func (p *Planner) Tick(now time.Duration, activity func(ID) [NumSides]Activity) []Action {
 	actions := p.moveChannels(now, nil)
 	for e := p.wheel.due(now); e != nil; e = p.wheel.due(now) {
@@ -317,8 +318,8 @@
 	return actions
 }
 
-// TickEvery is how often Tick is to be called.
+// TickInterval is how often Tick should be called.
 const TickInterval = 50 * time.Millisecond
 
-// random is uniform in [0, 1) from the plan's own seed.
+// random returns a number in [0, 1), uniformly distributed, from the Planner's own generator.
 func (p *Planner) random() float64 { return float64(p.rng.Uint64()>>11) / (1 << 53) }
--- a/internal/channel/plan/plan_test.go
+++ b/internal/channel/plan/plan_test.go
@@ -15,9 +15,10 @@
 
 const ms = time.Millisecond
 
-// start is the clock's time at a test's beginning.
+// start is the time at the beginning of each test.
 const start = 1_000_000 * time.Second
 
+// settings are the ones that tests start from.
 func settings() Settings {
 	return Settings{
 		Rate: 1000, NodeRate: 100, MaxWait: time.Minute, MaxChannels: 100_000, MoveWindow: 10 * time.Second,
@@ -26,7 +27,7 @@
 	}
 }
 
-// up is nodes a, b, ... that may be used, booted at given times.
+// usableNodes returns the usable nodes a, b, ..., which started at the given times.
 func usableNodes(boots ...time.Duration) []Node {
 	var nodes []Node
 	for i, boot := range boots {
@@ -35,7 +36,7 @@
 	return nodes
 }
 
-// bed is a plan with channels that live as long as nothing tells them to go.
+// harness is a Planner whose channels stay open until an action closes them.
 type harness struct {
 	*Planner
 	now      time.Duration
@@ -49,7 +50,7 @@
 	return b
 }
 
-// open opens channels on a node, past admission and the node's rate.
+// open opens n channels on a node, bypassing admission and the rate of the node.
 func (b *harness) open(node string, n int) {
 	for range n {
 		b.lastID++
@@ -60,12 +61,12 @@
 	}
 }
 
-// quiet ends that answer each ping at once.
+// alive is the activity of ends that answer each ping at once.
 func (b *harness) alive(ID) [NumSides]Activity {
 	return [NumSides]Activity{{LastRead: b.now, LastMessage: b.now}, {LastRead: b.now, LastMessage: b.now}}
 }
 
-// run ticks for a time, and gives each action to f.
+// run ticks for the duration d, and passes each action to f.
 func (b *harness) run(d time.Duration, activity func(ID) [NumSides]Activity, f func(Action)) {
 	for end := b.now + d; b.now < end; {
 		b.now += TickInterval
@@ -92,18 +93,18 @@
 	total := 0
 	for second, n := range perSecond {
 		if total += n; n < 45 || n > 55 {
-			t.Errorf("%d move in second %d, want about 50", n, second)
+			t.Errorf("%d channels moved in second %d, want about 50", n, second)
 		}
 	}
 	if total != 500 || b.Len() != 100 {
-		t.Errorf("%d moved, %d stay", total, b.Len())
+		t.Errorf("%d channels moved and %d stay, want 500 and 100", total, b.Len())
 	}
 }
 
 func TestMovesStayWithinCapacityOfRemainingServers(t *testing.T) {
 	s := settings()
 	s.NodeRate = 10
-	// Of two successors one has just started: together they take 10 + 2 and, as it warms up, 10 + 6 a second.
+	// One of the two remaining servers has just started. Together they accept 10 + 2 a second, and 10 + 6 as it warms up.
 	nodes := usableNodes(0, 0, start)
 	b := newHarness(s, nodes)
 	b.open("a", 500)
@@ -125,11 +126,11 @@
 		moved += perSecond
 	}
 	if most > 16+3 || moved < 120 || moved > 145 {
-		t.Errorf("%d moved, %v in a second at most", moved, most)
+		t.Errorf("%d channels moved, at most %v in a second; want 120 to 145 and 16, give or take a burst", moved, most)
 	}
 	b.run(2*time.Second, b.alive, func(a Action) { forced++; b.Closed(a.ID) })
 	if moved+forced != 500 || b.Len() != 0 {
-		t.Errorf("%d moved, %d forced, %d are left", moved, forced, b.Len())
+		t.Errorf("%d channels moved, %d forced, %d left; want 500 in all and none left", moved, forced, b.Len())
 	}
 }
 
@@ -141,11 +142,11 @@
 	b.run(15*time.Second, b.alive, func(a Action) { kinds[a.ID] = append(kinds[a.ID], a.Kind) })
 	for id, got := range kinds {
 		if !slices.Equal(got, []Kind{CloseAfterMessage, CloseNow, Abort}) {
-			t.Errorf("channel %d: %v", id, got)
+			t.Errorf("channel %d got the actions %v, want CloseAfterMessage, CloseNow, Abort", id, got)
 		}
 	}
 	if len(kinds) != 20 {
-		t.Errorf("%d were told", len(kinds))
+		t.Errorf("%d channels got an action, want 20", len(kinds))
 	}
 }
 
@@ -160,7 +161,7 @@
 	movedBefore := moved
 	b.run(20*time.Second, b.alive, count)
 	if moved != movedBefore || movedBefore < 45 || movedBefore > 55 {
-		t.Errorf("%d told in half the window, %d in all", movedBefore, moved)
+		t.Errorf("%d channels moved in half the window and %d in all, want about 50 and no more later", movedBefore, moved)
 	}
 }
 
@@ -184,11 +185,11 @@
 	for second, n := range perSecond {
 		total += n
 		if n > 65+5 {
-			t.Errorf("%d move in second %d, and the three that stay take 60", n, second)
+			t.Errorf("%d channels moved in second %d; the three remaining servers accept 60", n, second)
 		}
 	}
 	if total != 300 {
-		t.Errorf("%d moved", total)
+		t.Errorf("%d channels moved, want 300", total)
 	}
 }
 
@@ -200,19 +201,19 @@
 	n := 0
 	b.run(2*time.Second+TickInterval, b.alive, func(a Action) {
 		if a.Code != frame.GoingAway {
-			t.Fatalf("%+v", a)
+			t.Fatalf("unexpected action: %+v", a)
 		}
 		n++
 		b.Closed(a.ID)
 	})
 	if n != 200 {
-		t.Errorf("%d told", n)
+		t.Errorf("%d channels got an action, want 200", n)
 	}
 	if a := b.Admit(b.now, 0, nil); a.Admitted || a.RetryAfter <= 0 {
-		t.Errorf("%+v while the proxy ends", a)
+		t.Errorf("%+v while the proxy shuts down, want a refusal with a wait", a)
 	}
 	if b.AllowUpgrade(b.now, "a") {
-		t.Error("an upgrade may go out while the proxy ends")
+		t.Error("an upgrade is allowed while the proxy shuts down")
 	}
 }
 
@@ -230,16 +231,16 @@
 		}
 	}
 	if got["a"] < 100 || got["a"] > 126 || got["b"] < 20 || got["b"] > 29 {
-		t.Errorf("in a second %v, want about 100 and 20 to 24, with a quarter second's burst", got)
+		t.Errorf("upgrades in a second: %v, want about 100 and 20 to 24, plus a burst of a quarter second", got)
 	}
 	for _, id := range []string{"gone"} {
 		if b.AllowUpgrade(b.now, id) {
-			t.Errorf("%s may be used", id)
+			t.Errorf("an upgrade to the unknown server %s is allowed", id)
 		}
 	}
 }
 
-// client is one that wants a channel, and comes again as it is told.
+// client requests a channel, and retries when its refusal says so.
 type client struct {
 	at         time.Duration
 	ticket     *ticket.Ticket
@@ -247,7 +248,8 @@
 	admittedAt time.Duration
 }
 
-// storm lets clients come until all are in, and counts who is let in each second. obeys says whether one comes again.
+// storm makes clients request channels until all are admitted, and counts the admissions in each second. It ticks p
+// meanwhile, and calls step, if any, at each tick. It fails if a client is not admitted within until.
 func storm(t *testing.T, p *Planner, clients []*client, until time.Duration, step func(now time.Duration)) map[int]int {
 	t.Helper()
 	perSecond := map[int]int{}
@@ -259,7 +261,7 @@
 	for q.Len() > 0 {
 		c := heap.Pop(q).(*client)
 		if c.at > start+until {
-			t.Fatalf("%d clients are not in after %v", q.Len()+1, until)
+			t.Fatalf("%d clients are not admitted after %v", q.Len()+1, until)
 		}
 		for ; tick < c.at; tick += TickInterval {
 			p.Tick(tick, nil)
@@ -271,11 +273,11 @@
 		if a.Admitted {
 			c.admittedAt = c.at
 			perSecond[int((c.at-start)/time.Second)]++
-			p.OpenFailed(0) // they are not what this is about
+			p.OpenFailed(0) // open channels do not matter here
 			continue
 		}
 		if a.RetryAfter <= 0 {
-			t.Fatal("refused without a wait")
+			t.Fatal("refused without a time to retry")
 		}
 		c.refusals++
 		k := a.Ticket
@@ -286,6 +288,7 @@
 	return perSecond
 }
 
+// queue is a heap of clients, ordered by the time of their next request.
 type queue []*client
 
 func (q queue) Len() int           { return len(q) }
@@ -298,7 +301,7 @@
 	return c
 }
 
-// crowd is n clients that come within a time.
+// arrivals returns n clients whose first requests come at random times within the given time.
 func arrivals(n int, within time.Duration, rng *rand.Rand) []*client {
 	var all []*client
 	for range n {
@@ -311,24 +314,24 @@
 	s := settings()
 	s.Rate = 500
 	p := New(s, 1)
-	p.SetNodes(start, usableNodes(0, 0, 0, 0, 0, 0, 0, 0)) // 800 a second
+	p.SetNodes(start, usableNodes(0, 0, 0, 0, 0, 0, 0, 0)) // they accept 800 a second
 	clients := arrivals(10_000, 2*time.Second, rand.New(rand.NewPCG(1, 1)))
 	perSecond := storm(t, p, clients, 5*time.Minute, nil)
 	last := 0
 	for second, n := range perSecond {
 		last = max(last, second)
 		if n > 500+125+1 {
-			t.Errorf("%d in second %d", n, second)
+			t.Errorf("%d admitted in second %d, want at most 500 and a burst of 125", n, second)
 		}
 	}
 	if last > 26 {
-		t.Errorf("all are in after %d s; at 500 a second 20 would do", last)
+		t.Errorf("all clients are admitted after %d s; at 500 a second 20 s are enough", last)
 	}
 	slices.SortFunc(clients, func(a, b *client) int { return b.refusals - a.refusals })
 	if clients[0].refusals > 4 {
-		t.Errorf("one was turned away %d times", clients[0].refusals)
+		t.Errorf("a client was refused %d times, want at most 4", clients[0].refusals)
 	}
-	t.Logf("all in by second %d; the most often turned away: %d", last, clients[0].refusals)
+	t.Logf("all clients are admitted after %d s, with at most %d refusals", last, clients[0].refusals)
 }
 
 func TestWaitingClientsGoBeforeNewOnes(t *testing.T) {
@@ -346,7 +349,7 @@
 	storm(t, p, append(slices.Clone(old), fresh...), 5*time.Minute, nil)
 	lastOld, firstFresh := slices.MaxFunc(old, byAdmission).admittedAt, slices.MinFunc(fresh, byAdmission).admittedAt
 	if lastOld > firstFresh+2*time.Second {
-		t.Errorf("a new one is in %v before the last of those who wait", lastOld-firstFresh)
+		t.Errorf("a new client is admitted %v before the last of the waiting ones, want at most 2s", lastOld-firstFresh)
 	}
 }
 
@@ -360,7 +363,7 @@
 	rng := rand.New(rand.NewPCG(3, 1))
 	patient := arrivals(1000, time.Second, rng)
 	admitted := 0
-	// Fifty clients that keep no ticket and come again every 20 ms.
+	// Fifty more clients keep no ticket and retry every 20 ms.
 	perSecond := storm(t, p, patient, 5*time.Minute, func(now time.Duration) {
 		for range 50 * int(TickInterval/(20*ms)) {
 			if p.Admit(now, 1, nil).Admitted {
@@ -373,11 +376,11 @@
 	for second := range perSecond {
 		last = max(last, second)
 	}
-	// The rate alone would take 10 s. Up to two minutes' places can go to those who never claim them.
+	// At the rate alone this takes 10 s. Slots of up to two minutes can go to clients that never claim them.
 	if last > 90 {
-		t.Errorf("the last is in after %d s", last)
+		t.Errorf("the last patient client is admitted after %d s, want at most 90", last)
 	}
-	t.Logf("1,000 are in after %d s; the impatient were let in %d times", last, admitted)
+	t.Logf("the 1,000 patient clients are admitted after %d s, the impatient ones %d times", last, admitted)
 }
 
 func TestTicketAdmitsOnce(t *testing.T) {
@@ -386,19 +389,19 @@
 	p := New(s, 1)
 	p.SetNodes(start, usableNodes(0))
 	if !p.Admit(start, 0, nil).Admitted {
-		t.Fatal("the first is not let in")
+		t.Fatal("the first client is not admitted")
 	}
 	a := p.Admit(start, 0, nil)
 	k := a.Ticket
 	now := start + a.RetryAfter
 	if !p.Admit(now, 0, &k).Admitted {
-		t.Fatal("not let in when told to come")
+		t.Fatal("a client is not admitted at the time that its refusal named")
 	}
 	if p.Admit(now, 0, &k).Admitted {
-		t.Error("the same ticket lets in twice")
+		t.Error("a ticket admits twice")
 	}
 	if p.Admit(now+10*ms, 0, &k).Ticket.Nonce == k.Nonce {
-		t.Error("a used ticket's place is given again")
+		t.Error("a used ticket is issued again")
 	}
 }
 
@@ -413,29 +416,29 @@
 			if a := p.Admit(start, tenant, nil); a.Admitted {
 				in[tenant]++
 			} else if !a.LimitReached || a.RetryAfter <= 0 {
-				t.Fatalf("%+v", a)
+				t.Fatalf("%+v, want a refusal for the limit with a wait", a)
 			}
 		}
 	}
 	total := 0
 	for tenant, n := range in {
 		if total += n; n > 4 {
-			t.Errorf("tenant %d has %d", tenant, n)
+			t.Errorf("tenant %d has %d channels, want at most 4", tenant, n)
 		}
 	}
 	if total != 10 {
-		t.Errorf("%d are let in, want 10", total)
+		t.Errorf("%d requests are admitted, want 10", total)
 	}
 	p.OpenFailed(-1)
 	if !p.Admit(start+time.Second, -1, nil).Admitted {
-		t.Error("a place that came free is not given")
+		t.Error("a request is refused though a channel has become free")
 	}
 }
 
 func TestNothingIsAdmittedWithoutServers(t *testing.T) {
 	p := New(settings(), 1)
 	if a := p.Admit(start, 0, nil); a.Admitted || a.RetryAfter < 30*time.Second/2 {
-		t.Errorf("%+v", a)
+		t.Errorf("%+v without servers, want a refusal with a wait of 15s or more", a)
 	}
 }
 
@@ -451,7 +454,7 @@
 			switch {
 			case a.Kind == Park:
 			case endedAfter > 0:
-				t.Fatalf("%+v after the end", a)
+				t.Fatalf("%+v after the channel ended", a)
 			case a.Kind == Ping && a.Side != dead:
 				heard[a.Side] = b.now
 				pings++
@@ -460,11 +463,11 @@
 				endedAfter = b.now - opened
 				b.Closed(a.ID)
 			default:
-				t.Fatalf("%+v", a)
+				t.Fatalf("unexpected action: %+v", a)
 			}
 		})
 		if want := 40 * time.Second; endedAfter < want || endedAfter > want+time.Second {
-			t.Errorf("side %d: given up after %v, want %v", dead, endedAfter, want)
+			t.Errorf("side %d: timed out after %v, want %v", dead, endedAfter, want)
 		}
 	}
 }
@@ -489,11 +492,11 @@
 	pings := 0
 	b.run(5*time.Minute, activity, func(a Action) {
 		if a.Kind == Park && !parked[endID{a.ID, a.Side}] {
-			parked[endID{a.ID, a.Side}] = true // for good, as the ends' pongs take no time here
+			parked[endID{a.ID, a.Side}] = true // for good: reading a pong does not unpark an end here
 			return
 		}
 		if a.Kind != Ping {
-			t.Fatalf("%+v", a)
+			t.Fatalf("unexpected action: %+v", a)
 		}
 		pings++
 		h := heard[a.ID]
@@ -504,7 +507,7 @@
 		heard[a.ID] = h
 	})
 	if len(parked) != 2*1000 {
-		t.Errorf("%d ends rest", len(parked))
+		t.Errorf("%d ends are parked, want 2000", len(parked))
 	}
 	if want := 2 * 1000 * 10; pings < want*8/10 || pings > want {
 		t.Errorf("%d pings in 5 minutes, want about %d", pings, want)
@@ -530,13 +533,13 @@
 			ended := false
 			b.run(2*time.Minute, activity, func(a Action) {
 				if a.Kind != FrameTimeout || a.Side != Client {
-					t.Fatalf("%+v", a)
+					t.Fatalf("unexpected action: %+v", a)
 				}
 				ended = true
 				b.Closed(a.ID)
 			})
 			if ended != k.ends {
-				t.Errorf("ended: %t, want %t", ended, k.ends)
+				t.Errorf("channel ended: %t, want %t", ended, k.ends)
 			}
 		})
 	}
@@ -558,11 +561,11 @@
 	var got []Action
 	b.run(3*time.Minute, activity, func(a Action) { got = append(got, a) })
 	if len(got) != 1 || got[0].ID != 1 || got[0].Kind != CloseAfterMessage || got[0].Code != frame.GoingAway {
-		t.Errorf("%+v", got)
+		t.Errorf("%+v, want only channel 1 to be closed, after its message", got)
 	}
 }
 
-// plainWheel keeps times in a map.
+// mapWheel is the model of the wheel: the time of each entry, in a map.
 type mapWheel map[*entry]time.Duration
 
 func TestWheelAgainstMapModel(t *testing.T) {
@@ -580,13 +583,13 @@
 			for e := w.due(now); e != nil; e = w.due(now) {
 				at, set := model[e]
 				if !set || at > now {
-					t.Fatalf("seed %d: out %v early", seed, at-now)
+					t.Fatalf("seed %d: an entry is returned %v early", seed, at-now)
 				}
 				delete(model, e)
 			}
 			for e, at := range model {
 				if at+wheelStep <= now {
-					t.Fatalf("seed %d: late by %v", seed, now-at)
+					t.Fatalf("seed %d: an entry is late by %v", seed, now-at)
 				}
 				_ = e
 			}
@@ -605,7 +608,7 @@
 	}
 }
 
-// TestBooksBalance plays random events against plain counts.
+// TestCountsMatchModel compares the counts of a Planner with those of a simple model under random events.
 func TestCountsMatchModel(t *testing.T) {
 	for seed := range uint64(100) {
 		rng := rand.New(rand.NewPCG(seed, 7))
@@ -643,8 +646,8 @@
 					opening = opening[1:]
 					id := string(rune('a' + rng.IntN(5)))
 					if may := p.AllowUpgrade(now, id); may && !usable[id] {
-						t.Fatalf("seed %d: %s may be used", seed, id)
-					} else if may || rng.IntN(3) == 0 { // the answer of one that was sent before
+						t.Fatalf("seed %d: an upgrade to the unusable server %s is allowed", seed, id)
+					} else if may || rng.IntN(3) == 0 { // the answer to an upgrade that was sent earlier
 						last++
 						p.Opened(now, last, id, tenant)
 						open[last], node[last] = tenant, id
@@ -665,7 +668,7 @@
 					return [NumSides]Activity{{LastRead: now, LastMessage: now}, {LastRead: now, LastMessage: now}}
 				}) {
 					if a.Kind == CloseAfterMessage && usable[node[a.ID]] {
-						t.Fatalf("seed %d: a channel of a server in use is told to go", seed)
+						t.Fatalf("seed %d: a channel to a usable server is closed", seed)
 					}
 				}
 			}
@@ -678,7 +681,7 @@
 			}
 			for id, n := range p.OpenByServer() {
 				if n != held[id] {
-					t.Fatalf("seed %d: %s holds %d, want %d", seed, id, n, held[id])
+					t.Fatalf("seed %d: %s has %d channels, want %d", seed, id, n, held[id])
 				}
 			}
 			byTenant := map[int]int{}
@@ -689,15 +692,15 @@
 				byTenant[tenant]++
 			}
 			if len(byTenant) != len(p.tenants) {
-				t.Fatalf("seed %d: %v, want %v", seed, p.tenants, byTenant)
+				t.Fatalf("seed %d: channels by tenant are %v, want %v", seed, p.tenants, byTenant)
 			}
 			for tenant, n := range byTenant {
 				if p.tenants[tenant] != n || n > 15 {
-					t.Fatalf("seed %d: tenant %d has %d, want %d", seed, tenant, p.tenants[tenant], n)
+					t.Fatalf("seed %d: tenant %d has %d channels, want %d and at most 15", seed, tenant, p.tenants[tenant], n)
 				}
 			}
 			if len(open)+len(opening) > 40 {
-				t.Fatalf("seed %d: over the limit", seed)
+				t.Fatalf("seed %d: more than 40 channels are open or opening", seed)
 			}
 		}
 	}
@@ -726,7 +729,7 @@
 	}
 }
 
-// timeHeap is the plain structure beside the wheel: one heap by time.
+// timeHeap is the heap of times that BenchmarkTimers compares the wheel with.
 type timeHeap []*heapEntry
 
 type heapEntry struct {
@@ -750,7 +753,7 @@
 	return e
 }
 
-// BenchmarkTimers sets one of many times anew, on the wheel, on a heap and as runtime timers.
+// BenchmarkTimers resets one of many times, in the wheel, in a heap and as runtime timers.
 func BenchmarkTimers(b *testing.B) {
 	for _, n := range []int{1000, 100_000} {
 		rng := rand.New(rand.NewPCG(1, 1))
--- a/internal/channel/plan/wheel.go
+++ b/internal/channel/plan/wheel.go
@@ -6,13 +6,13 @@
 	"brasswell/internal/linked"
 )
 
-// wheel is a hashed timing wheel (Varghese and Lauck, 1987): one list for each step of time, in a ring. Setting and
-// removing a time costs the same however many there are, and no time has a runtime timer of its own. What lies further
-// off than the ring is long comes out early and is set again; what is due comes out up to a step late.
+// wheel is a hashed timing wheel (Varghese and Lauck, 1987): a ring with one list for each step of time. Setting and
+// removing a time takes constant time, and no entry needs a runtime timer. An entry that is set further ahead than the
+// ring covers is returned early, and has to be set again. A due entry is returned up to one step late.
 type wheel struct {
 	slots   [wheelSlots]linked.List[entry, *entry]
-	step    int64 // the step that is emptied now
-	started bool  // step holds
+	step    int64 // the step that is being emptied
+	started bool  // step is valid
 }
 
 const (
@@ -20,32 +20,33 @@
 	wheelSlots = 1024
 )
 
-// entry is what the wheel holds of a channel.
+// entry is the element of the wheel for one channel.
 type entry struct {
 	linked.Links[entry]
 	channel *channel
-	slot    int
-	queued  bool
+	slot    int  // in wheel.slots, if queued
+	queued  bool // the entry is in the wheel
 }
 
-// put sets or moves an entry's time.
+// put sets or changes the time of an entry.
 func (w *wheel) put(e *entry, now, at time.Duration) {
 	w.start(now)
 	w.remove(e)
-	// Rounded up: no entry comes out before its time, but for the ring's length.
+	// The step is rounded up, so that only entries beyond the length of the ring are returned early.
 	step := int64((at + wheelStep - 1) / wheelStep)
 	step = min(max(step, w.step), w.step+wheelSlots-1)
 	e.slot, e.queued = int(step%wheelSlots), true
 	w.slots[e.slot].Push(e)
 }
 
+// start sets the wheel to the current time at its first use.
 func (w *wheel) start(now time.Duration) {
 	if !w.started {
 		w.step, w.started = int64(now/wheelStep), true
 	}
 }
 
-// remove takes an entry out; one that is not in is left as it is.
+// remove removes an entry if it is in the wheel.
 func (w *wheel) remove(e *entry) {
 	if e.queued {
 		w.slots[e.slot].Remove(e)
@@ -53,8 +54,8 @@
 	}
 }
 
-// due takes out one entry whose time has come, or returns nil. Entries set meanwhile for now or earlier are due, too, so
-// who sets them again must set them later.
+// due removes and returns one entry whose time has come, or returns nil. Entries that are set meanwhile to now or earlier
+// are due, too, so the caller must set an entry that it got to a later time.
 func (w *wheel) due(now time.Duration) *entry {
 	w.start(now)
 	for last := int64(now / wheelStep); ; w.step++ {
