--- a/internal/channel/frame/frame.go
+++ b/internal/channel/frame/frame.go
@@ -1,6 +1,6 @@
-// Package frame follows the frames of a WebSocket channel (RFC 6455, section 5) in bytes that pass through, and says
-// where they break the protocol. It has no I/O and copies nothing but control frames' payloads: what is sound goes on
-// byte for byte, masked as it came.
+// Package frame parses the frames of a WebSocket channel (RFC 6455, section 5) in a stream that is forwarded, and detects
+// violations of the protocol. It does no I/O, and copies only the payloads of control frames: valid data is forwarded
+// byte for byte, with its original masking.
 package frame
 
 import (
@@ -9,7 +9,7 @@
 	"unicode/utf8"
 )
 
-// Opcode is what a frame holds.
+// Opcode is the type of a frame.
 type Opcode byte
 
 // The opcodes.
@@ -22,13 +22,13 @@
 	Pong         Opcode = 0xA
 )
 
-// control says whether frames of this kind stand between the fragments of a message.
+// isControl reports whether o is a control frame, which may come between the fragments of a message.
 func (o Opcode) isControl() bool { return o >= Close }
 
-// Code is why a channel ends (RFC 6455, section 7.4, and the IANA registry).
+// Code is the status code of a Close (RFC 6455, section 7.4, and the IANA registry).
 type Code uint16
 
-// The codes that a relay gives.
+// The codes that a relay sends.
 const (
 	GoingAway       Code = 1001
 	ProtocolError   Code = 1002
@@ -39,28 +39,29 @@
 	ServiceRestart  Code = 1012
 )
 
-// NoCode stands for a Close frame that gives none; it is never sent.
+// NoStatus represents a Close frame without a code; it is never sent.
 const NoStatus Code = 1005
 
-// valid says whether a peer may send the code: those for endpoints' own notes and the unassigned never stand in a frame.
+// valid reports whether a peer may send the code. Codes that are reserved for local use and unassigned codes must not
+// appear in a frame.
 func (c Code) valid() bool {
 	return c >= 1000 && c <= 1003 || c >= 1007 && c <= 1014 || c >= 3000 && c <= 4999
 }
 
 const (
-	// MaxControl is the longest payload of a control frame.
+	// MaxControlPayload is the longest payload of a control frame.
 	MaxControlPayload = 125
-	// MaxHead is the longest head of a frame: two bytes, eight of length, four of mask.
+	// MaxHeader is the longest header of a frame: two bytes, eight of length, four of masking key.
 	MaxHeader = 14
-	// MaxHeld bounds what Scan leaves unread until more has come: a whole control frame but its last byte.
+	// MaxUnconsumed is the most that Scan leaves unconsumed until it gets more data: a control frame without its last byte.
 	MaxUnconsumed = 2 + 4 + MaxControlPayload - 1
 
 	finBit, maskBit, reservedBits byte = 0x80, 0x80, 0x70
-	// Compressed is the reserved bit of permessage-deflate (RFC 7692), on the first frame of a message.
+	// CompressedBit is the reserved bit of permessage-deflate (RFC 7692), on the first frame of a message.
 	CompressedBit byte = 0x40
 )
 
-// Violation is how a peer broke the protocol, and the code that it is told.
+// Violation describes how a peer violated the protocol, and the code of the Close that it gets.
 type Violation struct {
 	Code   Code
 	Reason string
@@ -68,73 +69,74 @@
 
 func (v *Violation) Error() string { return fmt.Sprintf("%d: %s", v.Code, v.Reason) }
 
-// Rules are what one direction of a channel keeps to.
+// Rules are the rules that the frames of one direction must follow.
 type Rules struct {
-	Masked       bool  // by a client, each frame; by a server, none
+	Masked       bool  // all frames must be masked (from a client), or none (from a server)
 	ReservedBits byte  // the reserved bits that a negotiated extension may set on data frames
-	MaxMessage   int64 // bytes of one message over all its fragments, as sent; 0 for no bound
-	CheckUTF8    bool  // text is checked, unless it is compressed
+	MaxMessage   int64 // bytes of one message, over all its fragments and as sent; 0 for no limit
+	CheckUTF8    bool  // text messages must be valid UTF-8, unless they are compressed
 }
 
-// Checker follows one direction of a channel. The zero value, with Rules, stands before the first frame. It is not safe
-// for concurrent use.
+// Checker parses and checks the frames of one direction of a channel. The zero value, with Rules set, expects the first
+// frame. It is not safe for concurrent use.
 type Checker struct {
 	Rules Rules
 
-	remaining    int64 // bytes of the frame's payload still to come
-	passed       int64 // bytes of it that have come
-	messageBytes int64 // bytes of the message so far, announced ones included
-	inMessage    bool  // a message has begun, and its last frame not
-	final        bool  // the frame at hand ends its message
-	checkText    bool  // the message is text to be checked
-	closed       bool  // a Close frame has come
+	remaining    int64 // payload bytes of the current frame that are still to come
+	passed       int64 // payload bytes of the current frame that have passed
+	messageBytes int64 // bytes of the message so far, including announced ones
+	inMessage    bool  // a message has begun, and its last frame has not ended
+	final        bool  // the current frame is the last one of its message
+	checkText    bool  // the message is text whose UTF-8 is checked
+	closed       bool  // a Close frame was found
 	mask         [4]byte
 	utf8         utf8Validator
 }
 
-// Stop is why Scan went no further.
+// Stop is the reason why Scan stopped.
 type Stop int
 
-// The reasons.
+// The reasons why Scan stops.
 const (
-	NeedMore     Stop = iota // it needs the bytes that follow, behind those that it left
-	ControlFrame             // a whole control frame stands next
-	AtBoundary               // a frame or message has ended here, as was asked for
-	AfterClose               // a Close frame has come: what follows it means nothing
+	NeedMore     Stop = iota // more data is needed; the next call must begin with the unconsumed bytes
+	ControlFrame             // a complete control frame comes next
+	AtBoundary               // a frame or message has ended here, at a requested boundary
+	AfterClose               // a Close frame was found; data after it has no meaning
 )
 
-// Until says where Scan is to stop besides at control frames.
+// BoundaryKind is the kind of boundary at which Scan stops, in addition to control frames.
 type BoundaryKind int
 
-// The places.
+// The kinds of boundaries.
 const (
-	NoBoundary BoundaryKind = iota // nowhere else
-	MessageEnd                     // where a message ends
-	FrameEnd                       // where a frame ends
+	NoBoundary BoundaryKind = iota // none
+	MessageEnd                     // the end of a message
+	FrameEnd                       // the end of a frame
 )
 
-// Result is what Scan found.
+// Result is the result of Scan.
 type Result struct {
-	Pass int // so many bytes are sound and can go on
+	Pass int // the number of bytes that are valid and can be forwarded
 	Stop Stop
-	// Of a control frame, which stands behind those bytes: its bytes in all, its kind and payload, unmasked.
+	// The control frame that follows those bytes, if Stop is ControlFrame: its size, its type and its unmasked payload.
 	Size    int
 	Opcode  Opcode
 	Payload []byte
-	Code    Code // of a Close frame
+	Code    Code // of a Close frame; NoStatus if it has none
 }
 
-// Between says whether the bytes that passed end with a whole frame: another may be put in behind them.
+// AtFrameBoundary reports whether the bytes that have passed end with a complete frame, so that another frame may be
+// inserted after them.
 func (c *Checker) AtFrameBoundary() bool { return c.remaining == 0 }
 
-// Open says whether a message has begun, and its last byte not passed.
+// InMessage reports whether a message has begun and its last byte has not passed.
 func (c *Checker) InMessage() bool { return c.inMessage || c.remaining > 0 }
 
-// Moved is how many payload bytes of the frame at hand have passed.
+// FrameBytes returns how many payload bytes of the current frame have passed.
 func (c *Checker) FrameBytes() int64 { return c.passed }
 
-// Scan goes through bytes that follow those it passed before: the caller brings again what an earlier call left,
-// MaxHeld at most. It stops at each control frame, and where until says.
+// Scan checks b, which must follow the data that passed before. It begins with the bytes that the previous call left
+// unconsumed, at most MaxUnconsumed. Scan stops at each control frame, and at boundaries of the given kind.
 func (c *Checker) Scan(b []byte, until BoundaryKind) (Result, *Violation) {
 	n := 0
 	for {
@@ -183,12 +185,12 @@
 	}
 }
 
-// at says whether the end of a data frame is where Scan is to stop.
+// stopsAt reports whether Scan stops at the end of the data frame that has just ended.
 func (c *Checker) stopsAt(until BoundaryKind) bool {
 	return until == FrameEnd || until == MessageEnd && !c.inMessage
 }
 
-// head is a frame's head.
+// header is the header of a frame.
 type header struct {
 	fin      bool
 	reserved byte
@@ -197,7 +199,8 @@
 	mask     [4]byte
 }
 
-// head reads a frame's head. Size 0 stands for one that is not whole; what can be told to be wrong before is.
+// parseHeader parses the header of a frame. size is 0 if the header is incomplete; violations that the available bytes
+// show are reported even then.
 func (c *Checker) parseHeader(b []byte) (h header, size int, v *Violation) {
 	if len(b) < 2 {
 		return h, 0, nil
@@ -256,7 +259,7 @@
 	default:
 		h.length = int64(length)
 	}
-	// Told before the mask has come, and before any byte of the payload goes on.
+	// This is checked before the masking key has arrived, and before any payload is forwarded.
 	if limit := c.Rules.MaxMessage; !h.opcode.isControl() && limit > 0 && h.length > limit-c.messageBytes {
 		return h, 0, &Violation{MessageTooBig, fmt.Sprintf("a message over %d bytes", limit)}
 	}
@@ -269,7 +272,7 @@
 	return h, size, nil
 }
 
-// begin takes in a data frame's head.
+// beginFrame updates the state with the header of a data frame.
 func (c *Checker) beginFrame(h header) *Violation {
 	if h.opcode != Continuation {
 		c.messageBytes, c.utf8 = 0, utf8Validator{}
@@ -281,7 +284,7 @@
 	return nil
 }
 
-// frameOver takes in that a data frame has ended.
+// endFrame updates the state at the end of a data frame.
 func (c *Checker) endFrame() *Violation {
 	c.passed = 0
 	if !c.final {
@@ -294,6 +297,7 @@
 	return nil
 }
 
+// validateText checks that the payload continues valid UTF-8.
 func (c *Checker) validateText(payload []byte) *Violation {
 	for i, b := range payload {
 		if c.Rules.Masked {
@@ -306,7 +310,7 @@
 	return nil
 }
 
-// control reads a control frame whose head, of so many bytes, stands at n.
+// parseControl parses the control frame at b[n:], whose header h has the given size.
 func (c *Checker) parseControl(b []byte, n, size int, h header) (Result, *Violation) {
 	r := Result{Pass: n, Size: size + int(h.length), Opcode: h.opcode}
 	if len(b) < n+r.Size {
@@ -328,6 +332,7 @@
 	return r, nil
 }
 
+// closeCode returns the code in the payload of a Close frame.
 func closeCode(payload []byte) (Code, *Violation) {
 	if len(payload) == 0 {
 		return NoStatus, nil
@@ -345,16 +350,17 @@
 	return code, nil
 }
 
-// validator checks UTF-8 byte by byte, over any cuts: a character may be spread over frames.
+// utf8Validator checks UTF-8 byte by byte, because a character may be spread over frames and reads.
 type utf8Validator struct {
-	needed           int  // continuation bytes still to come
+	needed           int  // continuation bytes that are still to come
 	nextMin, nextMax byte // the range of the next one
 }
 
+// complete reports whether the text does not end within a character.
 func (v *utf8Validator) complete() bool { return v.needed == 0 }
 
-// next follows table 3-7 of the Unicode standard: the first continuation byte's range rules out overlong forms,
-// surrogates and what lies beyond U+10FFFF.
+// next checks the next byte according to table 3-7 of the Unicode standard. The range of the first continuation byte
+// excludes overlong forms, surrogates and code points above U+10FFFF.
 func (v *utf8Validator) next(b byte) bool {
 	if v.needed > 0 {
 		ok := b >= v.nextMin && b <= v.nextMax
@@ -388,7 +394,8 @@
 	return true
 }
 
-// AppendControl writes a control frame of MaxControl payload bytes at most; mask is nil for one to a client.
+// AppendControl appends a control frame with at most MaxControlPayload bytes of the payload. mask is nil for a frame to a
+// client.
 func AppendControl(dst []byte, op Opcode, payload []byte, mask *[4]byte) []byte {
 	payload = payload[:min(len(payload), MaxControlPayload)]
 	dst = append(dst, finBit|byte(op))
@@ -402,7 +409,7 @@
 	return dst
 }
 
-// AppendClose writes a Close frame. A reason too long is cut where a character ends.
+// AppendClose appends a Close frame. A reason that is too long is truncated at the end of a character.
 func AppendClose(dst []byte, code Code, reason string, mask *[4]byte) []byte {
 	for len(reason) > MaxControlPayload-2 {
 		_, size := utf8.DecodeLastRuneInString(reason)
--- a/internal/channel/frame/frame_test.go
+++ b/internal/channel/frame/frame_test.go
@@ -10,7 +10,7 @@
 	"unicode/utf8"
 )
 
-// build is one frame as a peer might send it, right or wrong.
+// buildFrame returns a frame as a peer might send it, valid or not.
 func buildFrame(first byte, payload []byte, masked bool) []byte {
 	b := []byte{first}
 	bit := byte(0)
@@ -36,7 +36,7 @@
 	return b
 }
 
-// outcome is what became of a stream of bytes.
+// outcome is the result of scanning a stream.
 type outcome struct {
 	passed   []byte
 	controls []string // opcode and payload
@@ -44,7 +44,7 @@
 	ended    bool
 }
 
-// feed gives bytes to a checker in pieces, whose sizes next tells, the way a relay does.
+// feed passes b to a Checker in pieces of the sizes that nextSize returns, as a relay does.
 func feed(rules Rules, b []byte, nextSize func() int) (o outcome) {
 	c := Checker{Rules: rules}
 	var held []byte
@@ -70,7 +70,7 @@
 				return o
 			}
 			if len(held) > MaxUnconsumed {
-				panic("more is left than MaxHeld")
+				panic("Scan left more than MaxUnconsumed")
 			}
 			break
 		}
@@ -78,7 +78,7 @@
 	return o
 }
 
-// reference reads a whole stream with no regard for cuts, memory or speed.
+// referenceScan is a simple implementation that scans a whole stream at once, without regard to memory or speed.
 func referenceScan(rules Rules, b []byte) (o outcome) {
 	var open, text bool
 	var size int64
@@ -160,7 +160,7 @@
 		if text {
 			good := message
 			for i := 0; i < min(3, len(good)) && !(fin && whole) && !utf8.Valid(good); i++ {
-				// What may still become a character does not count against it yet.
+				// An incomplete character at the end may still become valid.
 				if tail := good[len(good)-1-i:]; !utf8.FullRune(tail) && (tail[0] >= 0xC0) {
 					good = good[:len(good)-1-i]
 					break
@@ -185,11 +185,11 @@
 	if a.code != b.code || a.ended != b.ended || strings.Join(a.controls, "|") != strings.Join(b.controls, "|") {
 		return false
 	}
-	// Where text turns out wrong, what has passed by then is a matter of cuts.
+	// How much has passed before invalid text is found depends on the sizes of the pieces.
 	return a.code == InvalidPayload || bytes.Equal(a.passed, b.passed)
 }
 
-// stream is random frames, most of them right.
+// randomStream returns random frames, most of which are valid.
 func randomStream(rng *rand.Rand, masked bool) []byte {
 	var b []byte
 	open := false
@@ -246,7 +246,7 @@
 				continue
 			}
 			if got := feed(rules, b, cut); !sameOutcome(got, want) {
-				t.Fatalf("seed %d, cut %d: code %d, %d passed, controls %q, ended %t; want %d, %d, %q, %t", seed, i,
+				t.Fatalf("seed %d, sizes %d: code %d, %d bytes passed, controls %q, ended %t; want %d, %d, %q, %t", seed, i,
 					got.code, len(got.passed), got.controls, got.ended, want.code, len(want.passed), want.controls, want.ended)
 			}
 		}
@@ -255,7 +255,7 @@
 		}
 	}
 	if broken < 400 || broken > 1300 {
-		t.Errorf("%d of 1500 streams are broken: the mix tests too little", broken)
+		t.Errorf("%d of 1500 streams are invalid, want 400 to 1300 for a useful mix", broken)
 	}
 }
 
@@ -273,10 +273,10 @@
 		for at, i := 0, 0; i < len(k.want); i++ {
 			r, v := c.Scan(b[at:], k.until)
 			if at += r.Pass; v != nil || at != k.want[i] {
-				t.Fatalf("until %d: stopped at %d, want %d (%v)", k.until, at, k.want[i], v)
+				t.Fatalf("boundary %d: stopped at %d, want %d (%v)", k.until, at, k.want[i], v)
 			}
 			if c.InMessage() != (k.until == FrameEnd && i == 0) || !c.AtFrameBoundary() {
-				t.Errorf("until %d, stop %d: open %t, between %t", k.until, i, c.InMessage(), c.AtFrameBoundary())
+				t.Errorf("boundary %d, stop %d: InMessage is %t, AtFrameBoundary is %t", k.until, i, c.InMessage(), c.AtFrameBoundary())
 			}
 		}
 	}
@@ -286,7 +286,7 @@
 	c := Checker{Rules: Rules{MaxMessage: 1 << 20}}
 	head := binary.BigEndian.AppendUint64([]byte{0x82, 127}, 1<<30)
 	if r, v := c.Scan(head, NoBoundary); v == nil || v.Code != MessageTooBig || r.Pass != 0 {
-		t.Errorf("pass %d, %v", r.Pass, v)
+		t.Errorf("%d bytes passed, violation %v; want 0 and a message that is too big", r.Pass, v)
 	}
 }
 
@@ -314,7 +314,7 @@
 		want := referenceScan(rules, b)
 		for _, n := range []int{len(b), 1, int(options)} {
 			if got := feed(rules, b, func() int { return n }); !sameOutcome(got, want) {
-				t.Fatalf("in pieces of %d: %+v, want %+v", n, got, want)
+				t.Fatalf("in pieces of %d bytes: %+v, want %+v", n, got, want)
 			}
 		}
 	})
