--- a/internal/channel/handshake/handshake.go
+++ b/internal/channel/handshake/handshake.go
@@ -1,5 +1,5 @@
 // Package handshake checks both halves of a WebSocket handshake (RFC 6455, section 4) as an intermediary sees them. It
-// has no I/O and changes nothing: what was offered and chosen is the ends' own.
+// does no I/O and does not change the handshake: the offer and the choice are up to the two ends.
 package handshake
 
 import (
@@ -14,36 +14,37 @@
 	"brasswell/internal/channel/frame"
 )
 
-// Version is the only version of the protocol.
+// Version is the only supported version of the protocol.
 const Version = "13"
 
-// The handshake's fields.
+// The header fields of the handshake.
 const (
 	KeyField       = "Sec-Websocket-Key"
 	AcceptField    = "Sec-Websocket-Accept"
 	VersionField   = "Sec-Websocket-Version"
 	ProtocolField  = "Sec-Websocket-Protocol"
 	ExtensionField = "Sec-Websocket-Extensions"
-	// CheckField, set to "utf8" by either end, asks for text to be checked on its way.
+	// CheckField, set to "utf8" by either end, makes the proxy check that text messages are valid UTF-8.
 	CheckField = "X-Channel-Check"
 
 	upgradeField    = "Upgrade"
 	connectionField = "Connection"
 )
 
-// ErrVersion is that of a request for another version: its answer is 426 and names the one there is.
+// ErrVersion is the error for a request for another version. It is answered with 426 and the supported version.
 var ErrVersion = errors.New(VersionField + ": only " + Version + " is spoken")
 
-// Wanted says whether a request asks for a channel, rightly or not.
+// IsUpgrade reports whether a request asks for a channel, whether it is valid or not.
 func IsUpgrade(r *http.Request) bool {
 	return hasToken(r.Header[upgradeField], "websocket")
 }
 
-// has says whether one of the fields, which are lists of tokens, has one (RFC 9110, section 5.6.1).
+// hasToken reports whether one of the fields, which are lists of tokens (RFC 9110, section 5.6.1), contains token.
 func hasToken(fields []string, token string) bool {
 	return slices.ContainsFunc(tokens(fields), func(t string) bool { return strings.EqualFold(t, token) })
 }
 
+// tokens returns all elements of fields that are comma-separated lists.
 func tokens(fields []string) []string {
 	var all []string
 	for _, field := range fields {
@@ -56,15 +57,15 @@
 	return all
 }
 
-// Offer is what a client asks for.
+// Offer is the client's half of a handshake.
 type Offer struct {
 	key        string
 	protocols  []string
-	extensions []string // by name
-	UTF8       bool
+	extensions []string // their names
+	UTF8       bool     // the client asks for text to be checked
 }
 
-// ReadOffer checks a request for a channel.
+// ParseOffer parses and checks a request for a channel.
 func ParseOffer(r *http.Request) (*Offer, error) {
 	h := r.Header
 	switch {
@@ -103,33 +104,33 @@
 	return o, nil
 }
 
-// Accept is the answer to a key.
+// AcceptKey returns the value of AcceptField that answers a key.
 func AcceptKey(key string) string {
 	const magic = "258EAFA5-E914-47DA-95CA-C5AB0DC85B11"
 	sum := sha1.Sum([]byte(key + magic))
 	return base64.StdEncoding.EncodeToString(sum[:])
 }
 
-// Agreement is what both ends keep to.
+// Agreement is the result of a handshake.
 type Agreement struct {
 	ReservedBits byte // the reserved bits that may be set
-	UTF8         bool
+	UTF8         bool // one of the ends asks for text to be checked
 }
 
-// Check checks a server's answer of 101 against what the client offered.
+// Check checks a server's 101 response against the client's offer.
 func (o *Offer) Check(h http.Header) (Agreement, error) {
 	a := Agreement{UTF8: o.UTF8 || h.Get(CheckField) == "utf8"}
 	switch {
 	case len(tokens(h[upgradeField])) != 1 || !hasToken(h[upgradeField], "websocket"):
-		return a, fmt.Errorf("%s: the server changed to something else than websocket", upgradeField)
+		return a, fmt.Errorf("%s: the server switched to a protocol other than websocket", upgradeField)
 	case !hasToken(h[connectionField], "upgrade"):
-		return a, fmt.Errorf("%s: the server's answer lacks the option upgrade", connectionField)
+		return a, fmt.Errorf("%s: the server's response lacks the option upgrade", connectionField)
 	case len(h[AcceptField]) != 1 || h.Get(AcceptField) != AcceptKey(o.key):
-		return a, fmt.Errorf("%s: does not answer the client's key", AcceptField)
+		return a, fmt.Errorf("%s: does not match the client's key", AcceptField)
 	case len(h[ProtocolField]) > 1:
-		return a, fmt.Errorf("%s: given more than once", ProtocolField)
+		return a, fmt.Errorf("%s: the server sent it more than once", ProtocolField)
 	case h["Content-Length"] != nil || h["Transfer-Encoding"] != nil:
-		return a, errors.New("an answer of 101 with a body's length")
+		return a, errors.New("a 101 response must not have Content-Length or Transfer-Encoding")
 	}
 	if chosen := h.Get(ProtocolField); len(h[ProtocolField]) == 1 && !slices.Contains(o.protocols, chosen) {
 		return a, fmt.Errorf("%s: the server chose %q, which was not offered", ProtocolField, chosen)
@@ -145,13 +146,13 @@
 		if e == "permessage-deflate" {
 			a.ReservedBits |= frame.CompressedBit
 		} else {
-			a.ReservedBits = 0x70 // what its bits mean is the ends' own business
+			a.ReservedBits = 0x70 // only the ends know which bits the extension uses
 		}
 	}
 	return a, nil
 }
 
-// extensions are the names in a list of extensions with parameters, whose values may be quoted (section 9.1).
+// extensions returns the names in lists of extensions with parameters, whose values may be quoted (section 9.1).
 func extensions(fields []string) ([]string, error) {
 	var names []string
 	for _, field := range fields {
@@ -170,7 +171,7 @@
 	return names, nil
 }
 
-// cutList cuts a list at its first comma that is not quoted.
+// cutListItem splits a list at its first comma that is not quoted.
 func cutListItem(s string) (item, rest string) {
 	quoted := false
 	for i := 0; i < len(s); i++ {
@@ -186,6 +187,7 @@
 	return s, ""
 }
 
+// isToken reports whether s is a token (RFC 9110, section 5.6.2).
 func isToken(s string) bool {
 	return s != "" && !strings.ContainsFunc(s, func(r rune) bool {
 		return r <= ' ' || r >= 0x7f || strings.ContainsRune(`()<>@,;:\"/[]?={}`, r)
--- a/internal/channel/handshake/handshake_test.go
+++ b/internal/channel/handshake/handshake_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// request reads a handshake with further fields, or in place of what it has by default.
+// request returns the request of a valid handshake with further fields. It skips the test if they are not valid HTTP.
 func request(t testing.TB, fields string) *http.Request {
 	t.Helper()
 	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader("GET / HTTP/1.1\r\nHost: x\r\nConnection: keep-alive, Upgrade\r\nUpgrade: WebSocket\r\n" +
@@ -18,7 +18,7 @@
 	return r
 }
 
-// TestSampleOfTheRFC is section 1.3's.
+// TestSampleOfTheRFC checks the sample in section 1.3 of RFC 6455.
 func TestSampleOfTheRFC(t *testing.T) {
 	if got := AcceptKey("dGhlIHNhbXBsZSBub25jZQ=="); got != "s3pPLMBiTxaQ9kYGzzhZRbK+xOo=" {
 		t.Error(got)
@@ -96,13 +96,13 @@
 			return
 		}
 		if accept != AcceptKey(o.key) {
-			t.Error("an answer to another key is taken")
+			t.Error("a response for another key is accepted")
 		}
 		if protocol != "" && !strings.Contains(strings.Join(r.Header[ProtocolField], ","), protocol) {
-			t.Errorf("%q was not offered", protocol)
+			t.Errorf("the protocol %q is accepted, but was not offered", protocol)
 		}
 		if a.ReservedBits != 0 && len(o.extensions) == 0 {
-			t.Error("reserved bits without an extension")
+			t.Error("reserved bits are allowed without an extension")
 		}
 	})
 }
