--- a/internal/channel/ticket/ticket.go
+++ b/internal/channel/ticket/ticket.go
@@ -1,4 +1,4 @@
-// Package ticket seals what a client that was turned away may show when it comes again: its place in the line.
+// Package ticket seals the tickets that refused clients present when they retry, and that hold their slots.
 package ticket
 
 import (
@@ -11,29 +11,30 @@
 	"time"
 )
 
-// Field is the header that carries a ticket, both ways; Cookie is the name under which browsers bring it back, whose
-// scripts cannot set a header on a handshake.
+// Field is the header field that carries a ticket in requests and responses. Cookie is the name of the cookie with which
+// browsers return it, because their scripts cannot set a header field on a handshake.
 const (
 	Field  = "X-Channel-Ticket"
 	Cookie = "channel-ticket"
 )
 
-// Ticket is a client's place in the line.
+// Ticket is the state of a refused client.
 type Ticket struct {
-	Slot     time.Duration // Unix time from which it may come in; 0 for none yet
-	Refusals int           // how often it has been turned away
-	Nonce    uint64        // its own, so that it lets in once
+	Slot     time.Duration // Unix time from which the client may be admitted; 0 if it has no slot yet
+	Refusals int           // how often the client has been refused
+	Nonce    uint64        // identifies the ticket, so that it admits only once
 }
 
 const macBytes, bodyBytes = 16, 8 + 4 + 8
 
-// ErrForged is that of a ticket that this key did not seal for this tenant.
-var ErrInvalid = errors.New("ticket: not one of ours")
+// ErrInvalid is the error for a ticket that was not sealed with this key for this tenant.
+var ErrInvalid = errors.New("ticket: not sealed with this key for this tenant")
 
 // Sealer seals and opens tickets. It is safe for concurrent use.
 type Sealer struct{ key []byte }
 
-// NewSealer returns a sealer with a key; an empty one stands for a key that is drawn now, and dies with the process.
+// NewSealer returns a Sealer with the given key. If key is empty, it uses a random key, which is lost when the process
+// ends.
 func NewSealer(key []byte) *Sealer {
 	if len(key) == 0 {
 		key = make([]byte, sha256.Size)
@@ -42,6 +43,7 @@
 	return &Sealer{key}
 }
 
+// mac returns the authentication code of a ticket and its tenant.
 func (s *Sealer) mac(body []byte, tenant string) []byte {
 	h := hmac.New(sha256.New, s.key)
 	h.Write(body)
@@ -49,7 +51,7 @@
 	return h.Sum(nil)[:macBytes]
 }
 
-// Seal writes a ticket for a tenant's client.
+// Seal encodes and authenticates a ticket for a client of the tenant.
 func (s *Sealer) Seal(t Ticket, tenant string) string {
 	body := binary.BigEndian.AppendUint64(make([]byte, 0, bodyBytes+macBytes), uint64(t.Slot))
 	body = binary.BigEndian.AppendUint32(body, uint32(t.Refusals))
@@ -57,7 +59,7 @@
 	return base64.RawURLEncoding.EncodeToString(append(body, s.mac(body, tenant)...))
 }
 
-// Open reads a ticket that Seal wrote for the tenant.
+// Open decodes a ticket that Seal has returned for the tenant.
 func (s *Sealer) Open(text, tenant string) (Ticket, error) {
 	raw, err := base64.RawURLEncoding.Strict().DecodeString(text)
 	if err != nil || len(raw) != bodyBytes+macBytes {
--- a/internal/channel/ticket/ticket_test.go
+++ b/internal/channel/ticket/ticket_test.go
@@ -14,13 +14,13 @@
 		t.Fatalf("%+v, %v", got, err)
 	}
 	if got, err := NewSealer([]byte("0123456789abcdef")).Open(text, "kita"); err != nil || got != want {
-		t.Errorf("another process with the same key: %+v, %v", got, err)
+		t.Errorf("another sealer with the same key: %+v, %v", got, err)
 	}
 	if _, err := s.Open(text, "higashi"); !errors.Is(err, ErrInvalid) {
-		t.Errorf("another tenant's: %v", err)
+		t.Errorf("ticket of another tenant: %v, want ErrInvalid", err)
 	}
 	if _, err := NewSealer(nil).Open(text, "kita"); !errors.Is(err, ErrInvalid) {
-		t.Errorf("another key: %v", err)
+		t.Errorf("ticket sealed with another key: %v, want ErrInvalid", err)
 	}
 	for i := range len(text) {
 		forged := []byte(text)
@@ -28,7 +28,7 @@
 			forged[i] = 'A'
 		}
 		if _, err := s.Open(string(forged), "kita"); !errors.Is(err, ErrInvalid) {
-			t.Fatalf("with letter %d changed: %v", i, err)
+			t.Fatalf("ticket with character %d changed: %v, want ErrInvalid", i, err)
 		}
 	}
 }
