--- a/internal/channel/buffers.go
+++ b/internal/channel/buffers.go
@@ -2,27 +2,27 @@
 
 import "sync"
 
-// bufferBytes is what is read at one go.
+// bufferBytes is the most that one read returns.
 const bufferBytes = 32 << 10
 
 type buffer [bufferBytes]byte
 
-// roomyBytes is the most that is read at one go for an end that has been seen to have room for it.
+// writableReadBytes is the most that one read returns while buffers are scarce and the receiving end is writable.
 const writableReadBytes = 8 << 10
 
-// gate bounds the buffers in use. A relay holds one in each direction from when something has come until it has gone
-// on, so a channel that is quiet holds none. While more than half are in use, one is had only by who has seen that the
-// end to which the bytes go has room for them, and gives it back at once.
+// bufferPool limits the buffers in use. Each direction of a relay holds a buffer from when data has arrived until it is
+// forwarded, so an idle channel holds none. While half of the buffers or more are in use, a relay gets one only after it
+// has seen that the receiving end is writable, and therefore returns it soon.
 //
-// It guards against readers that are slow, and move, and would hold all buffers while other channels wait: they hold
-// half of them at most, by what was read before there was a shortage. It costs who carries much to fast readers two
-// system calls more for each 8 KiB meanwhile.
+// This guards against receivers that are slow but still make progress, and that would hold all buffers while other
+// channels wait. They hold at most half of them, with data that was read before buffers became scarce. Meanwhile relays
+// to fast receivers need two more system calls for each 8 KiB.
 type bufferPool struct {
-	permits chan struct{}
+	permits chan struct{} // one for each free buffer
 	pool    sync.Pool
 }
 
-// newGate lets so many bytes be in use, and at least two buffers.
+// newBufferPool returns a pool for the given number of bytes, and for at least two buffers.
 func newBufferPool(bytes int64) *bufferPool {
 	n := max(int(bytes/bufferBytes), 2)
 	g := &bufferPool{permits: make(chan struct{}, n), pool: sync.Pool{New: func() any { return new(buffer) }}}
@@ -32,7 +32,8 @@
 	return g
 }
 
-// try returns a buffer, or nil if there is none for one that has seen room, or has not.
+// tryGet returns a buffer, or nil if none is available. writable says that the receiving end has been seen to be
+// writable, so that the half of the buffers that is reserved for this case may be used.
 func (g *bufferPool) tryGet(writable bool) *buffer {
 	if !writable && len(g.permits) <= cap(g.permits)/2 {
 		return nil
@@ -45,13 +46,14 @@
 	}
 }
 
+// put returns a buffer to the pool.
 func (g *bufferPool) put(b *buffer) {
 	g.pool.Put(b)
 	g.permits <- struct{}{}
 }
 
-// wait returns a buffer once one has come free, first come, first served. One that was only told of a free buffer would
-// look for it in vain: those that wait are served before those that look.
+// get waits for a buffer. Callers are served in the order of their calls, and before callers of tryGet. It hands over
+// the buffer itself: a caller that was only notified of a free buffer could find it taken again.
 func (g *bufferPool) get() *buffer {
 	<-g.permits
 	return g.pool.Get().(*buffer)
--- a/internal/channel/buffers_test.go
+++ b/internal/channel/buffers_test.go
@@ -12,28 +12,28 @@
 		held = append(held, b)
 	}
 	if len(held) != 4 {
-		t.Fatalf("%d of 8 buffers went to those that have seen no room, wanted 4", len(held))
+		t.Fatalf("%d of 8 buffers were available without a writable peer, want 4", len(held))
 	}
 	for b := p.tryGet(true); b != nil; b = p.tryGet(true) {
 		held = append(held, b)
 	}
 	if len(held) != 8 {
-		t.Fatalf("%d of 8 buffers are in use, wanted all", len(held))
+		t.Fatalf("%d of 8 buffers are in use, want all", len(held))
 	}
 	for _, b := range held[:4] {
 		p.put(b)
 		if p.tryGet(false) != nil {
-			t.Fatal("half are in use, and one that has seen no room got a further one")
+			t.Fatal("got a buffer without a writable peer while half of them are in use")
 		}
 	}
 	p.put(held[4])
 	if p.tryGet(false) == nil {
-		t.Fatal("under half are in use, and none was to be had")
+		t.Fatal("got no buffer while less than half of them are in use")
 	}
 }
 
-// TestThoseThatWaitGetTheBufferThatComesFree has many more wait than there are buffers. Told of a free one and no more,
-// they would tell each other of it for ever.
+// TestWaitersGetFreedBuffers has many more waiters than buffers. If a waiter were only notified of a free buffer instead
+// of getting it, the waiters could notify each other without end.
 func TestWaitersGetFreedBuffers(t *testing.T) {
 	p := newBufferPool(2 * bufferBytes)
 	first, second := p.tryGet(true), p.tryGet(true)
--- a/internal/channel/channel.go
+++ b/internal/channel/channel.go
@@ -1,6 +1,6 @@
-// Package channel relays WebSocket channels (RFC 6455) between callers and servers. The bytes go on as they came; the
-// frames in them are followed, so that a ping or a Close can be put in between, and what breaks the protocol ends the
-// channel with the right code on both sides. It decides nothing: plan does.
+// Package channel relays WebSocket channels (RFC 6455) between callers and servers. Data is forwarded unchanged. The
+// relay parses the frames in it, so that it can insert a ping or a Close between two frames, and so that a violation of
+// the protocol ends the channel with the right code on both sides. The decisions are made by package plan.
 package channel
 
 import (
@@ -23,7 +23,7 @@
 	"brasswell/internal/figures"
 )
 
-// Table is the channels of one proxy. It is safe for concurrent use.
+// Table holds the channels of one proxy. It is safe for concurrent use.
 type Table struct {
 	options Options
 	log     *slog.Logger
@@ -35,23 +35,23 @@
 	plan    *plan.Planner
 	relays  map[plan.ID]*relay
 	lastID  plan.ID
-	stopped bool // no channel opens any more
+	stopped bool // no more channels are opened
 
 	counts counts
 	stop   context.CancelFunc
-	done   sync.WaitGroup // the ticks and the relays
+	done   sync.WaitGroup // the ticker and the relays
 }
 
-// counts are what figures tell, from 0 at the start.
+// counts are the counters that AppendFigures writes.
 type counts struct{ opened, refused, moved, cut, broken, toClients, toServers atomic.Int64 }
 
-// Cold is what the platform says of servers that have just started.
+// ColdStart is what the platform states about the capacity of servers that have just started.
 type ColdStart struct {
-	Share  float64 // share of the capacity at the start
-	WarmUp time.Duration
+	Share  float64       // share of the capacity at the start
+	WarmUp time.Duration // until the full capacity is reached
 }
 
-// New returns a table without channels and begins to tick; Close ends it.
+// New returns a Table without channels and starts its ticker, which Close stops.
 func New(o Options, cold ColdStart, seed uint64, log *slog.Logger) (*Table, error) {
 	var key []byte
 	if o.KeyFile != "" {
@@ -60,7 +60,7 @@
 			return nil, fmt.Errorf("channels: key: %w", err)
 		}
 		if len(key) < minKeyBytes {
-			return nil, fmt.Errorf("channels: key: %s holds %d bytes, and must hold %d at least", o.KeyFile, len(key), minKeyBytes)
+			return nil, fmt.Errorf("channels: key: %s has %d bytes, but at least %d are required", o.KeyFile, len(key), minKeyBytes)
 		}
 	}
 	t := &Table{
@@ -81,9 +81,10 @@
 
 const minKeyBytes = 16
 
-// now is Unix time, as the list's start times are, but never steps.
+// now returns Unix time, as the start times in the server list are. It is not affected when the wall clock is set.
 func (t *Table) now() time.Duration { return t.clock.Now() }
 
+// tick performs the planner's actions until ctx is done.
 func (t *Table) tick(ctx context.Context) {
 	ticker := time.NewTicker(plan.TickInterval)
 	defer ticker.Stop()
@@ -115,7 +116,7 @@
 
 var sideNames = [plan.NumSides]string{plan.Client: "client", plan.Server: "server"}
 
-// look says how a channel stands; t.mu is held.
+// activity returns the state of a channel's ends. t.mu must be held.
 func (t *Table) activity(id plan.ID) (a [plan.NumSides]plan.Activity) {
 	for side, e := range t.relays[id].ends {
 		a[side] = plan.Activity{
@@ -126,24 +127,24 @@
 	return a
 }
 
-// Nodes takes in the servers that upgrades may go to, and those that are not to be used any more.
+// SetNodes sets the servers: those that upgrades may go to, and those that must not be used any more.
 func (t *Table) SetNodes(nodes []plan.Node) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.plan.SetNodes(t.now(), nodes)
 }
 
-// Admission is what becomes of a request for a channel.
+// Admission is the outcome of a request for a channel.
 type Admission struct {
 	plan.Decision
-	SealedTicket string // the ticket to show next time; "" for one that is let in
+	SealedTicket string // the ticket to present at the next request; "" if this one is admitted
 	Tenant       int
 	ticket       *ticket.Ticket
 	tenantName   string
 }
 
-// Ask says whether a request for a channel is let in. GivenUp or Open must follow one that is. name is the tenant's, and
-// seal what the client showed.
+// Admit decides whether a request for a channel is admitted. An admission must be followed by OpenFailed or Open. sealed
+// is the ticket that the client presents, or "".
 func (t *Table) Admit(tenant int, tenantName, sealed string) Admission {
 	a := Admission{Tenant: tenant, tenantName: tenantName}
 	if sealed != "" {
@@ -161,14 +162,15 @@
 	return a
 }
 
-// GivenUp takes in that an upgrade which was let in did not become a channel.
+// OpenFailed records that an admitted upgrade did not become a channel.
 func (t *Table) OpenFailed(a Admission) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.plan.OpenFailed(a.Tenant)
 }
 
-// Refused says when one may come again that was let in and then refused; GivenUp must have been called.
+// Refused decides when a client may retry that was admitted and then refused by the balancer. OpenFailed must have been
+// called before.
 func (t *Table) Refused(a Admission) Admission {
 	t.counts.refused.Add(1)
 	t.mu.Lock()
@@ -178,21 +180,21 @@
 	return a
 }
 
-// MayOpen says whether an upgrade may go to a server now, and counts it if so.
+// AllowUpgrade reports whether an upgrade may go to a server now, and counts it if so.
 func (t *Table) AllowUpgrade(server string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.plan.AllowUpgrade(t.now(), server)
 }
 
-// Ends are the two sockets of a channel, and what has come behind each half of the handshake.
+// Conns are the two sockets of a channel, and the data that was read after the server's half of the handshake.
 type Conns struct {
 	Client, Server *net.TCPConn
-	Buffered       []byte // the server's answer
+	Buffered       []byte // read from the server after its 101
 }
 
-// Open relays a channel whose 101 the client has been sent, until it is over; it does not wait for that. Both sockets
-// belong to the table from now on.
+// Open starts to relay a channel for which the client has been sent the 101, and returns. Both sockets belong to the
+// table from now on.
 func (t *Table) Open(a Admission, server string, ends Conns, agreed handshake.Agreement) {
 	r := &relay{table: t, server: server}
 	rules := frameRules(agreed, &t.options)
@@ -218,7 +220,7 @@
 	r.start()
 }
 
-// closed takes in that a relay is over.
+// relayDone records that a relay has ended.
 func (t *Table) relayDone(r *relay) {
 	t.mu.Lock()
 	t.counts.toServers.Add(r.ends[plan.Client].forwarded.Load())
@@ -229,20 +231,20 @@
 	t.done.Done()
 }
 
-// broke notes that an end broke the protocol.
+// protocolError counts and logs that an end violated the protocol.
 func (t *Table) protocolError(r *relay, e *end, v *frame.Violation) {
 	t.counts.broken.Add(1)
 	t.log.Debug("channel broken", "server", r.server, "side", sideNames[e.side], "code", int(v.Code), "reason", v.Reason)
 }
 
-// Leave makes all channels move off, and lets none in any more.
+// BeginShutdown makes all channels leave, and stops admission. It does not wait for the channels.
 func (t *Table) BeginShutdown() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.plan.Shutdown(t.now(), t.options.RestartWindow)
 }
 
-// Resting is how many ends are waited for at the least cost.
+// Parked returns the number of ends that are parked.
 func (t *Table) Parked() (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -256,19 +258,19 @@
 	return n
 }
 
-// Len is how many channels are open.
+// Len returns the number of open channels.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.relays)
 }
 
-// LeaveWithin is how long after Leave channels may still be open.
+// ShutdownTimeout returns how long after BeginShutdown channels may still be open.
 func (t *Table) ShutdownTimeout() time.Duration {
 	return t.options.RestartWindow + t.options.CloseTimeout + 4*plan.TickInterval
 }
 
-// Close cuts what is open, and returns once nothing runs.
+// Close aborts all open channels, and returns once all goroutines of the table have ended.
 func (t *Table) Close() {
 	t.mu.Lock()
 	t.stopped = true
@@ -281,7 +283,7 @@
 	t.done.Wait()
 }
 
-// Append writes the channels' figures to text, one a line.
+// AppendFigures appends the channels' metrics to text, one on each line.
 func (t *Table) AppendFigures(text []byte) []byte {
 	line := func(name string, value int64, kind byte) {
 		text = figures.AppendLine(text, name, value, kind)
--- a/internal/channel/end.go
+++ b/internal/channel/end.go
@@ -24,61 +24,62 @@
 	raw     syscall.RawConn
 	mask    bool // frames to it are masked
 	buffers *bufferPool
-	// How long it may take nothing, and how long it may leave a Close unanswered.
+	// How long it may accept no data, and how long it may leave a Close unanswered.
 	writeTimeout, closeTimeout time.Duration
 
-	// Of what it sends; used by the goroutine that reads it, but for the atomics.
+	// State of what it sends. Except for the atomics, only the goroutine that reads it uses these fields.
 	checker     frame.Checker
-	unconsumed  []byte // read, and not enough yet to go on
-	lastRead    atomic.Int64
-	lastMessage atomic.Int64
-	frameStart  atomic.Int64 // since when a frame has been on its way; 0 for none
-	frameBytes  atomic.Int64 // bytes of that frame
-	blocked     atomic.Bool  // its bytes wait for the other end
-	parked      atomic.Bool  // a goroutine that does nothing else waits for it
-	discarded   int          // bytes that nobody takes any more
-	forwarded   atomic.Int64 // that have gone on
+	unconsumed  []byte       // read, but not enough to be parsed yet
+	lastRead    atomic.Int64 // see plan.Activity
+	lastMessage atomic.Int64 // see plan.Activity
+	frameStart  atomic.Int64 // when its unfinished frame began; 0 for none
+	frameBytes  atomic.Int64 // payload bytes of that frame that have been forwarded
+	blocked     atomic.Bool  // its data waits for the other end
+	parked      atomic.Bool  // a goroutine with a minimal stack waits for its data
+	discarded   int          // bytes that were read but could not be forwarded
+	forwarded   atomic.Int64 // bytes that were forwarded
 
-	// Of what goes to it.
+	// State of what is sent to it.
 	mu            sync.Mutex
-	writing       bool        // a write runs without mu
-	writeDeadline time.Time   // the socket's write deadline
-	midFrame      bool        // the last byte written stands within a frame
-	midMessage    bool        // a message to it has begun, and not ended
-	pending       []byte      // frames of the proxy's own that are still to be written; may begin within one
-	closing       bool        // a Close has been written to it or stands in pending, or it is gone: no data may follow
+	writing       bool        // a write is running without mu
+	writeDeadline time.Time   // the write deadline of the socket
+	midFrame      bool        // the last byte written is within a frame
+	midMessage    bool        // a message to it has begun but not ended
+	pending       []byte      // the proxy's own frames that are not written yet; the first may be written in part
+	closing       bool        // a Close has been written or is in pending, or the end is disconnected: no data may follow
 	disconnected  bool        // its socket is closed
-	closedByProxy bool        // that Close was the proxy's own word to go
-	parkRequested bool        // its read is broken off so that it can rest
-	polling       bool        // a look for room runs without mu, and writing is set; a frame that is put in breaks it off
-	deferredClose *closeFrame // to be told once the message at hand is over
+	closedByProxy bool        // that Close was sent by the proxy itself
+	parkRequested bool        // its read is interrupted so that it can be parked
+	polling       bool        // waitWritable is waiting without mu, and writing is set; a control frame interrupts it
+	deferredClose *closeFrame // to be sent after the current message
 
-	// What a read returns; kept here so that no read allocates.
+	// State of the current read, kept here so that reads do not allocate.
 	peekByte byte
 	reading  struct {
 		try       func(fd uintptr) bool
-		writable  bool // the other end has room for what is read
+		writable  bool // the other end is writable, or its state does not matter
 		buf       *buffer
 		n         int
 		err       error
-		exhausted bool
+		exhausted bool // no buffer was available
 	}
 }
 
 var (
-	errWriteStalled      = errors.New("the end takes nothing")
-	errTooMuchAfterClose = errors.New("the end goes on after its Close")
-	errParked            = errors.New("the end is quiet")
-	errCloseReceived     = errors.New("the end has sent its Close")
+	errWriteStalled      = errors.New("write stalled: the end accepts no data")
+	errTooMuchAfterClose = errors.New("too much data that cannot be forwarded")
+	errParked            = errors.New("the end is parked")
+	errCloseReceived     = errors.New("the end has sent a Close")
 )
 
+// newEnd returns the end of a channel on conn. buffered is data of it that has been read before.
 func newEnd(side plan.Side, conn *net.TCPConn, buffered []byte, rules frame.Rules, t *Table) (*end, error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	// The proxy's sockets have buffers for requests. They are small where there are many sockets, and smaller than a
-	// segment on loopback: the kernel then waits on its own timers within each long message.
+	// The proxy sizes the buffers of its sockets for requests. With many sockets they are small, and smaller than a
+	// segment on the loopback interface. The kernel then waits for its own timers within each long message.
 	size := int(t.options.SocketBuffer)
 	if err := errors.Join(conn.SetReadBuffer(size), conn.SetWriteBuffer(size)); err != nil {
 		return nil, err
@@ -95,7 +96,8 @@
 	return e, nil
 }
 
-// tryRead takes a buffer only once there is something to read, or before the first look.
+// tryRead reads without blocking, and reports whether the read is done. raw.Read calls it at once, and again whenever the
+// socket is readable. It holds no buffer in between.
 func (e *end) tryRead(fd uintptr) bool {
 	r := &e.reading
 	if r.buf == nil {
@@ -122,9 +124,10 @@
 	return true
 }
 
-// read returns a buffer with what the end sent, behind room for what was held. It holds no buffer while it waits:
-// a quiet channel costs its goroutines and its sockets. room is called where buffers are short, and waits until the
-// bytes can go on at once; nil where they need not.
+// read returns a buffer with data of the end, which begins at MaxUnconsumed to leave space for unconsumed bytes before it.
+// It holds no buffer while it waits for data, so an idle channel costs only its goroutines and sockets. When buffers are
+// scarce, read calls waitWritable, which waits until the data can be forwarded at once. waitWritable is nil if the data
+// is not forwarded.
 func (e *end) read(waitWritable func()) (*buffer, int, error) {
 	r := &e.reading
 	r.writable, r.buf = waitWritable == nil, nil
@@ -142,7 +145,7 @@
 			r.writable = true
 			continue
 		case r.exhausted:
-			// Something has come, and all buffers are in use. This end waits, and with it who sends there.
+			// There is data, but all buffers are in use. This end waits, and so does its sender.
 			e.whileBlocked(func() { r.buf = e.buffers.get() })
 			continue
 		case r.err == nil && r.n > 0:
@@ -156,13 +159,13 @@
 	}
 }
 
-// peek says whether a read would not wait. It must not use much of the stack.
+// peek reports whether a read would return at once. It must use little stack (see park).
 func (e *end) peek(fd uintptr) bool {
 	_, _, errno := syscall.Syscall6(syscall.SYS_RECVFROM, fd, uintptr(unsafe.Pointer(&e.peekByte)), 1, syscall.MSG_PEEK|syscall.MSG_DONTWAIT, 0, 0)
 	return errno != syscall.EAGAIN
 }
 
-// progress notes whether a frame is on its way, and how far it is.
+// trackFrame records whether a frame is unfinished, and how much of it has been forwarded.
 func (e *end) trackFrame(now time.Duration, partial bool) {
 	if e.checker.AtFrameBoundary() && !partial {
 		e.frameStart.Store(0)
@@ -174,7 +177,8 @@
 	}
 }
 
-// waitsFor calls f, in which the end's bytes wait for the other end. That is the other end's time, not its own.
+// whileBlocked calls f, which waits for the other end or for a buffer. That time does not count as the time of the end's
+// own frame.
 func (e *end) whileBlocked(f func()) {
 	started := e.now()
 	e.blocked.Store(true)
@@ -185,7 +189,7 @@
 	}
 }
 
-// rulesOf are the rules of both directions.
+// frameRules returns the rules for the frames of both ends.
 func frameRules(a handshake.Agreement, o *Options) [plan.NumSides]frame.Rules {
 	both := frame.Rules{ReservedBits: a.ReservedBits, MaxMessage: o.MaxMessage, CheckUTF8: a.UTF8 || o.CheckUTF8}
 	client := both
--- a/internal/channel/ending.go
+++ b/internal/channel/ending.go
@@ -9,13 +9,14 @@
 	"brasswell/internal/channel/plan"
 )
 
-// goodbye is a Close that the proxy sends of its own.
+// closeFrame holds the code and the reason of a Close that the proxy writes.
 type closeFrame struct {
 	code   frame.Code
 	reason string
 }
 
-// goneCode is what the other end is told of one that left without a Close. Clients are to come again.
+// disconnectCode returns the code for the other end when the given side left without a Close. ServiceRestart asks clients
+// to reconnect.
 func disconnectCode(side plan.Side) frame.Code {
 	if side == plan.Client {
 		return frame.GoingAway
@@ -23,11 +24,12 @@
 	return frame.ServiceRestart
 }
 
-// lives notes that the end has taken what it had left standing.
+// markAlive records that the end is alive, because it has accepted data for which it kept the proxy waiting.
 func (e *end) markAlive() { e.lastRead.Store(int64(e.now())) }
 
-// close writes a Close once no frame is in its way, unless one has been written; the answer has to come in time. It
-// reports false where the end stands within a frame, so that nothing can be put in.
+// sendClose writes a Close as soon as no frame is in progress, unless a Close was sent before, and sets the deadline for
+// its answer. It returns false if the last write ended within a frame and no write is running, so that nothing can be
+// inserted.
 func (e *end) sendClose(f closeFrame, byProxy bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -35,6 +37,7 @@
 	return !e.midFrame || e.writing
 }
 
+// sendCloseLocked is sendClose with e.mu held.
 func (e *end) sendCloseLocked(f closeFrame, byProxy bool) {
 	if e.closing {
 		return
@@ -48,7 +51,7 @@
 	}
 }
 
-// closeAfterMessage has a Close written once the message at hand is over, or at once if none is.
+// closeAfterMessage sends a Close after the current message, or at once if there is none.
 func (e *end) closeAfterMessage(f closeFrame) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -59,7 +62,7 @@
 	}
 }
 
-// breakOff makes the read that waits for the end return, so that a cheaper wait takes its place.
+// requestPark interrupts the read that waits for the end, so that park can replace it with a cheaper wait.
 func (e *end) requestPark() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -69,8 +72,9 @@
 	}
 }
 
-// afterBreak takes in what a read returned with. It says whether the end may rest now, or else be read on: it was to
-// rest, and a Close has been sent to it meanwhile, whose answer has a time of its own.
+// parkInterrupted handles the error that a read returned. If requestPark interrupted the read, park is true if the end may
+// be parked now, and retry is true if it must be read again, because a Close was sent meanwhile. The read deadline is then
+// the one for the answer to the Close.
 func (e *end) parkInterrupted(err error) (park, retry bool) {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false, false
@@ -89,7 +93,7 @@
 	return true, false
 }
 
-// stopAt is where a Close that waits could be put in.
+// closeBoundary returns the kind of boundary at which a waiting Close could be inserted.
 func (e *end) closeBoundary() frame.BoundaryKind {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -102,7 +106,7 @@
 	return frame.NoBoundary
 }
 
-// leave ends the socket of an end that is gone.
+// disconnect closes the socket of the end without a Close.
 func (e *end) disconnect() {
 	e.mu.Lock()
 	e.closing, e.disconnected = true, true
--- a/internal/channel/options.go
+++ b/internal/channel/options.go
@@ -6,20 +6,20 @@
 	"brasswell/internal/operator"
 )
 
-// Options are what an operator may set about channels.
+// Options are an operator's settings for channels.
 type Options struct {
-	Enabled bool // the file has the section
+	Enabled bool // the operator file has the section
 
-	MaxChannels       int // channels open at one time
-	MaxTenantChannels int // of one tenant; 0 for no bound
+	MaxChannels       int // open at one time
+	MaxTenantChannels int // of one tenant; 0 for no limit
 	Memory            int64
-	// SocketBuffer is the size of the kernel's buffers for each socket and direction. A slow reader's messages
-	// stand there.
+	// SocketBuffer is the size of the kernel's buffers for each socket and direction. They hold the messages for a slow
+	// reader.
 	SocketBuffer int64
-	Rate         float64 // upgrades let in a second
+	Rate         float64 // upgrades admitted in a second
 	NodeRate     float64 // upgrades a second to one warm server
 	MaxWait      time.Duration
-	KeyFile      string // a file with the key that seals tickets; "" for one drawn at the start
+	KeyFile      string // the path of the file with the key that seals tickets; "" for a random key of this process
 
 	MoveWindow    time.Duration
 	RestartWindow time.Duration
@@ -34,7 +34,7 @@
 	CheckUTF8     bool
 }
 
-// DefaultOptions hold where the file has the section and leaves a key out.
+// DefaultOptions returns the values of the keys that the section omits.
 func DefaultOptions() Options {
 	return Options{
 		MaxChannels: 1000, Memory: 16 << 20, SocketBuffer: 64 << 10, Rate: 200, NodeRate: 50, MaxWait: time.Minute,
@@ -74,11 +74,11 @@
 		},
 		Check: func() []operator.Problem {
 			if o.MaxTenantChannels > o.MaxChannels {
-				return []operator.Problem{{Key: "tenant", Text: "above most, so it would never count; lower it"}}
+				return []operator.Problem{{Key: "tenant", Text: "above most, so it has no effect; lower it"}}
 			}
 			if o.PongTimeout < o.WriteTimeout/stallSteps {
 				return []operator.Problem{{Key: "pong_timeout", Text: "under a quarter of write_timeout (" + o.WriteTimeout.String() +
-					"), so an end that is slow and moves would pass for dead; raise it or lower write_timeout"}}
+					"), so a slow end that makes progress could be taken for dead; raise it or lower write_timeout"}}
 			}
 			return nil
 		},
--- a/internal/channel/relay.go
+++ b/internal/channel/relay.go
@@ -8,20 +8,20 @@
 	"brasswell/internal/channel/plan"
 )
 
-// relay is one open channel. Each direction has a goroutine that reads one end and writes to the other; frames that
-// the proxy puts in itself are written by whoever finds the end's writing between two frames.
+// relay is one open channel. Each direction has a goroutine that reads from one end and writes to the other. The proxy's
+// own frames are written by any goroutine that holds the end's lock between two frames.
 type relay struct {
 	id     plan.ID
 	table  *Table
 	server string
 	ends   [plan.NumSides]*end
-	ping   [8]byte // the payload by which the proxy's own pings are known
+	ping   [8]byte // the payload that identifies the proxy's own pings
 
-	failed           atomic.Bool  // an end is at fault, and both have been told
-	activeDirections atomic.Int32 // directions that are carried
+	failed           atomic.Bool  // fail has been called
+	activeDirections atomic.Int32 // directions that are still forwarded
 }
 
-// pump carries what one end sends to the other until either is over.
+// pump forwards what one end sends to the other until one of them is closed or fails.
 func (r *relay) pump(from, to *end) {
 	err := r.forward(from, to)
 	if err == errParked {
@@ -32,8 +32,8 @@
 	var v *frame.Violation
 	switch {
 	case errors.Is(err, errCloseReceived):
-		// Nothing that follows means anything. The other direction goes on until the answer has come, or its
-		// time is over.
+		// Data after a Close has no meaning. The other direction continues until the answer to the Close has
+		// arrived, or its deadline has passed.
 		return
 	case errors.As(err, &v):
 		r.table.protocolError(r, from, v)
@@ -48,18 +48,19 @@
 	r.discard(from)
 }
 
-// rest waits for an end that is quiet. A goroutine that has carried bytes has a stack of 4 KiB for good; this one is new,
-// calls next to nothing, and keeps to the 2 KiB that it begins with.
+// park waits for data of a silent end. A goroutine that has forwarded data keeps a stack of 4 KiB. This one is new, calls
+// hardly anything, and so keeps its initial stack of 2 KiB.
 func (r *relay) park(from, to *end) {
-	// What is wrong with the wait, a read will find too.
+	// If the wait fails, so does the next read.
 	_ = from.raw.Read(from.peek)
 	from.parked.Store(false)
 	go r.pump(from, to)
 }
 
-// carry returns errClosed once the end's Close has gone on, or what was wrong.
+// forward forwards the data of one end to the other. It returns errCloseReceived after the end's Close, errParked if the
+// end is to be parked, or the error that ended it.
 func (r *relay) forward(from, to *end) error {
-	if len(from.unconsumed) > 0 { // what came behind the handshake
+	if len(from.unconsumed) > 0 { // data that followed the handshake
 		b := append([]byte(nil), from.unconsumed...)
 		from.unconsumed = nil
 		if err := r.process(from, to, b); err != nil {
@@ -97,7 +98,7 @@
 	}
 }
 
-// take carries on some bytes that have been read.
+// process handles data that has been read from an end.
 func (r *relay) process(from, to *end, b []byte) error {
 	for {
 		result, v := from.checker.Scan(b, to.closeBoundary())
@@ -118,7 +119,7 @@
 			}
 			from.trackFrame(r.table.now(), len(b) > 0)
 			return nil
-		case frame.AtBoundary: // pass has told the other end to go
+		case frame.AtBoundary: // forwardBytes has sent the waiting Close
 		case frame.ControlFrame:
 			if err := r.handleControl(from, to, b[:result.Size], result); err != nil {
 				return err
@@ -130,13 +131,13 @@
 	}
 }
 
-// pass writes sound bytes of one end to the other.
+// forwardBytes writes valid data of one end to the other.
 func (r *relay) forwardBytes(from, to *end, b []byte) error {
 	var taken bool
 	var err error
 	from.whileBlocked(func() { taken, err = to.write(b, !from.checker.AtFrameBoundary(), from.checker.InMessage()) })
 	if err != nil {
-		// It is the other end that is gone: this one is told, and read on until it answers.
+		// The other end has failed. This one gets a Close, and is read until it answers.
 		r.fail(to, 0, "", disconnectCode(to.side), "the other end takes nothing")
 	}
 	if taken && err == nil {
@@ -149,11 +150,11 @@
 	return nil
 }
 
-// control handles a whole control frame; errClosed after a Close.
+// handleControl handles a complete control frame. It returns errCloseReceived after a Close.
 func (r *relay) handleControl(from, to *end, raw []byte, f frame.Result) error {
 	switch {
 	case f.Opcode == frame.Pong && string(f.Payload) == string(r.ping[:]):
-		return nil // the answer to the proxy's own
+		return nil // the answer to the proxy's own ping
 	case f.Opcode != frame.Close:
 		return r.forwardBytes(from, to, raw)
 	}
@@ -161,7 +162,7 @@
 	closedByProxy := from.closedByProxy
 	from.mu.Unlock()
 	switch {
-	case closedByProxy: // its answer says nothing to the other end, which hears of it now
+	case closedByProxy: // the answer to the proxy's Close, of which the other end does not know yet
 		to.sendClose(closeFrame{disconnectCode(from.side), "moved"}, false)
 	case len(f.Payload) > 2:
 		to.sendClose(closeFrame{f.Code, string(f.Payload[2:])}, false)
@@ -171,8 +172,9 @@
 	return errCloseReceived
 }
 
-// finish ends the channel for a fault of one end: bad is told badCode, or nothing for 0 since it is gone; the other
-// end is told why. What stands within a frame cannot be told anything, and is closed.
+// fail ends the channel because one end, bad, has failed. bad gets a Close with badCode, or none if badCode is 0 because
+// it cannot be reached. The other end gets a Close with otherCode. An end within a frame cannot get a Close, and is
+// disconnected.
 func (r *relay) fail(bad *end, badCode frame.Code, badReason string, otherCode frame.Code, otherReason string) {
 	if r.failed.Swap(true) {
 		return
@@ -188,8 +190,8 @@
 	}
 }
 
-// drain reads on until the end closes or its time is over: a close of the socket with unread bytes would become a
-// reset, and take the Close with it.
+// discard reads and drops data until the end closes or its deadline passes. Closing a socket with unread data would reset
+// the connection, and the Close could be lost.
 func (r *relay) discard(from *end) {
 	for from.discarded <= maxDiscarded {
 		b, n, err := from.read(nil)
@@ -201,10 +203,10 @@
 	}
 }
 
-// mostDropped bounds what an end may still send once nobody takes it any more.
+// maxDiscarded limits the data that an end may still send when it is no longer forwarded.
 const maxDiscarded = 1 << 20
 
-// start carries the channel, in a goroutine for each direction.
+// start starts a goroutine for each direction.
 func (r *relay) start() {
 	client, server := r.ends[plan.Client], r.ends[plan.Server]
 	r.activeDirections.Store(2)
@@ -212,7 +214,7 @@
 	go r.pump(server, client)
 }
 
-// ended closes all once neither direction is carried any more.
+// directionDone closes both ends when the last direction is done.
 func (r *relay) directionDone() {
 	if r.activeDirections.Add(-1) > 0 {
 		return
@@ -220,7 +222,7 @@
 	for _, e := range r.ends {
 		e.mu.Lock()
 		if !e.midFrame {
-			e.flushPending() // the last Close may not have gone out at once
+			e.flushPending() // the last Close may not have been written completely
 		}
 		e.mu.Unlock()
 		e.conn.Close()
@@ -228,7 +230,7 @@
 	r.table.relayDone(r)
 }
 
-// do carries one of the plan's actions out. It never waits for an end.
+// perform performs an action of the planner. It never waits for an end.
 func (r *relay) perform(a plan.Action) {
 	client := r.ends[plan.Client]
 	switch a.Kind {
--- a/internal/channel/sending.go
+++ b/internal/channel/sending.go
@@ -14,15 +14,16 @@
 	"brasswell/internal/channel/plan"
 )
 
-// mostPending bounds the proxy's own frames that wait for one end: some pings and a Close.
+// maxPending limits the bytes of the proxy's own frames that wait for one end: some pings and a Close.
 const maxPending = 4 * (frame.MaxHeader + frame.MaxControlPayload)
 
-// write writes data to the end, and what waits behind it once that ends a frame. Data for an end that has been sent a
-// Close, or is gone, is not taken.
+// write writes data to the end. midFrame and midMessage say whether the data ends within a frame or a message. If it ends
+// a frame, the pending frames are written, too. taken is false if the data was not written because the end was sent a
+// Close or is disconnected.
 func (e *end) write(b []byte, midFrame, midMessage bool) (taken bool, err error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.midFrame { // else the frame has to come to its end, whatever waits
+	if !e.midFrame { // otherwise the frame has to be finished first
 		if err := e.flushPending(); err != nil || e.closing {
 			return false, err
 		}
@@ -44,14 +45,15 @@
 	return true, e.flushPending()
 }
 
-// waited tells a write that had to wait for the end from one that the kernel took at once, which says nothing.
+// blockedWrite is the duration from which a write is taken to have waited for the end. Data that the kernel buffers at once
+// does not show that the end is alive.
 const blockedWrite = 10 * time.Millisecond
 
-// pushSteps are the looks at whether an end takes anything within its patience.
+// stallSteps is the number of steps of writeTimeout. After each one the proxy checks whether the end has accepted data.
 const stallSteps = 4
 
-// push writes all of b, with e.mu given up meanwhile. An end that is slow and moves is waited for, and what it takes
-// after such a wait shows that it lives.
+// writeAll writes all of b. It is called with e.mu held, and releases it while it writes. It keeps waiting for an end that
+// is slow but makes progress. Data that the end accepts after such a wait shows that it is alive.
 func (e *end) writeAll(b []byte) error {
 	e.writing = true
 	e.mu.Unlock()
@@ -61,7 +63,7 @@
 	}()
 	step := e.writeTimeout / stallSteps
 	for stalls := 0; ; {
-		if now := time.Now(); e.writeDeadline.Sub(now) < step/2 { // each setting costs as much as a small write
+		if now := time.Now(); e.writeDeadline.Sub(now) < step/2 { // setting a deadline costs as much as a small write
 			e.writeDeadline = now.Add(step)
 			e.conn.SetWriteDeadline(e.writeDeadline)
 		}
@@ -87,13 +89,13 @@
 	}
 }
 
-// room waits until the end takes some bytes at once, or takes none any more, and holds no buffer meanwhile. One that is
-// slow and moves is waited for, as in push.
+// waitWritable waits until the end is writable, or is closed, or accepts no more data. The caller holds no buffer meanwhile.
+// Like writeAll, it keeps waiting for an end that is slow but makes progress.
 func (e *end) waitWritable() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	step := e.writeTimeout / stallSteps
-	queued := 0 // bytes that the end had not taken at the last look
+	queued := 0 // bytes in the socket's send queue at the last check
 	for stalls := 0; !e.closing && !e.disconnected; {
 		lastQueued := queued
 		e.writing, e.polling = true, true
@@ -136,7 +138,7 @@
 	return nil
 }
 
-// flush writes the proxy's own frames that wait; e.mu is held, and given up while it writes.
+// flushPending writes the proxy's own pending frames. It is called with e.mu held, and releases it while it writes.
 func (e *end) flushPending() error {
 	for len(e.pending) > 0 && !e.disconnected {
 		b := e.pending
@@ -148,7 +150,7 @@
 	return nil
 }
 
-// ask puts in a ping, unless too much waits already.
+// ping inserts a ping, unless too many frames are pending.
 func (e *end) ping(payload []byte) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -157,7 +159,7 @@
 	}
 }
 
-// newMask is nil for frames to a client.
+// maskKey returns a random masking key, or nil for frames to a client.
 func (e *end) maskKey() *[4]byte {
 	if !e.mask {
 		return nil
@@ -167,8 +169,8 @@
 	return mask
 }
 
-// put writes a frame of the proxy's own once no other is in its way, as far as the socket takes it at once; e.mu is
-// held. The rest goes with what is written next.
+// writeControl adds one of the proxy's own frames to the pending ones, and writes as much of them as the socket accepts at
+// once if no other frame is in progress. The rest is written with the next data. e.mu must be held.
 func (e *end) writeControl(b []byte) {
 	if len(e.pending)+len(b) > maxPending {
 		return
@@ -196,7 +198,7 @@
 	}
 }
 
-// newPing is a payload that no end sends by chance.
+// newPingPayload returns a payload that an end is unlikely to send by chance.
 func newPingPayload(id plan.ID) (p [8]byte) {
 	rand.Read(p[:4])
 	binary.BigEndian.PutUint32(p[4:], uint32(id))
