--- a/internal/channel/buffers.go
+++ b/internal/channel/buffers.go
@@ -25,36 +25,36 @@
 // newBufferPool returns a pool for the given number of bytes, and for at least two buffers.
 func newBufferPool(bytes int64) *bufferPool {
 	n := max(int(bytes/bufferBytes), 2)
-	g := &bufferPool{permits: make(chan struct{}, n), pool: sync.Pool{New: func() any { return new(buffer) }}}
+	p := &bufferPool{permits: make(chan struct{}, n), pool: sync.Pool{New: func() any { return new(buffer) }}}
 	for range n {
-		g.permits <- struct{}{}
+		p.permits <- struct{}{}
 	}
-	return g
+	return p
 }
 
 // tryGet returns a buffer, or nil if none is available. writable says that the receiving end has been seen to be
 // writable, so that the half of the buffers that is reserved for this case may be used.
-func (g *bufferPool) tryGet(writable bool) *buffer {
-	if !writable && len(g.permits) <= cap(g.permits)/2 {
+func (p *bufferPool) tryGet(writable bool) *buffer {
+	if !writable && len(p.permits) <= cap(p.permits)/2 {
 		return nil
 	}
 	select {
-	case <-g.permits:
-		return g.pool.Get().(*buffer)
+	case <-p.permits:
+		return p.pool.Get().(*buffer)
 	default:
 		return nil
 	}
 }
 
 // put returns a buffer to the pool.
-func (g *bufferPool) put(b *buffer) {
-	g.pool.Put(b)
-	g.permits <- struct{}{}
+func (p *bufferPool) put(b *buffer) {
+	p.pool.Put(b)
+	p.permits <- struct{}{}
 }
 
 // get waits for a buffer. Callers are served in the order of their calls, and before callers of tryGet. It hands over
 // the buffer itself: a caller that was only notified of a free buffer could find it taken again.
-func (g *bufferPool) get() *buffer {
-	<-g.permits
-	return g.pool.Get().(*buffer)
+func (p *bufferPool) get() *buffer {
+	<-p.permits
+	return p.pool.Get().(*buffer)
 }
--- a/internal/channel/channel.go
+++ b/internal/channel/channel.go
@@ -148,8 +148,8 @@
 func (t *Table) Admit(tenant int, tenantName, sealed string) Admission {
 	a := Admission{Tenant: tenant, tenantName: tenantName}
 	if sealed != "" {
-		if shown, err := t.sealer.Open(sealed, tenantName); err == nil {
-			a.ticket = &shown
+		if presented, err := t.sealer.Open(sealed, tenantName); err == nil {
+			a.ticket = &presented
 		}
 	}
 	t.mu.Lock()
@@ -195,18 +195,18 @@
 
 // Open starts to relay a channel for which the client has been sent the 101, and returns. Both sockets belong to the
 // table from now on.
-func (t *Table) Open(a Admission, server string, ends Conns, agreed handshake.Agreement) {
+func (t *Table) Open(a Admission, server string, conns Conns, agreed handshake.Agreement) {
 	r := &relay{table: t, server: server}
 	rules := frameRules(agreed, &t.options)
 	var errs [plan.NumSides]error
-	r.ends[plan.Client], errs[plan.Client] = newEnd(plan.Client, ends.Client, nil, rules[plan.Client], t)
-	r.ends[plan.Server], errs[plan.Server] = newEnd(plan.Server, ends.Server, ends.Buffered, rules[plan.Server], t)
+	r.ends[plan.Client], errs[plan.Client] = newEnd(plan.Client, conns.Client, nil, rules[plan.Client], t)
+	r.ends[plan.Server], errs[plan.Server] = newEnd(plan.Server, conns.Server, conns.Buffered, rules[plan.Server], t)
 	t.mu.Lock()
 	if t.stopped || errs[plan.Client] != nil || errs[plan.Server] != nil {
 		t.plan.OpenFailed(a.Tenant)
 		t.mu.Unlock()
-		ends.Client.Close()
-		ends.Server.Close()
+		conns.Client.Close()
+		conns.Server.Close()
 		return
 	}
 	t.lastID++
--- a/internal/channel/end.go
+++ b/internal/channel/end.go
@@ -124,10 +124,10 @@
 	return true
 }
 
-// read returns a buffer with data of the end, which begins at MaxUnconsumed to leave space for unconsumed bytes before it.
-// It holds no buffer while it waits for data, so an idle channel costs only its goroutines and sockets. When buffers are
-// scarce, read calls waitWritable, which waits until the data can be forwarded at once. waitWritable is nil if the data
-// is not forwarded.
+// read returns a buffer with data of the end, and its length. The data begins at MaxUnconsumed, to leave space for
+// unconsumed bytes before it. It holds no buffer while it waits for data, so an idle channel costs only its goroutines and
+// sockets. When buffers are scarce, read calls waitWritable, which waits until data can be forwarded at once. waitWritable
+// is nil if the data is not forwarded.
 func (e *end) read(waitWritable func()) (*buffer, int, error) {
 	r := &e.reading
 	r.writable, r.buf = waitWritable == nil, nil
--- a/internal/channel/ending.go
+++ b/internal/channel/ending.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// parkInterrupted handles the error that a read returned. If requestPark interrupted the read, park is true if the end may
-// be parked now, and retry is true if it must be read again, because a Close was sent meanwhile. The read deadline is then
-// the one for the answer to the Close.
+// parkInterrupted handles the error that a read returned. If requestPark interrupted the read, park is true if the end
+// may be parked now, and retry is true if it must be read again, because a Close was sent meanwhile. The read deadline
+// is then the one for the answer to the Close.
 func (e *end) parkInterrupted(err error) (park, retry bool) {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false, false
--- a/internal/channel/frame/frame_test.go
+++ b/internal/channel/frame/frame_test.go
@@ -265,18 +265,18 @@
 	b = append(b, buildFrame(0x80, []byte("c"), false)...)
 	first := len(b)
 	b = append(b, buildFrame(0x82, nil, false)...)
-	for _, k := range []struct {
+	for _, tc := range []struct {
 		until BoundaryKind
 		want  []int
 	}{{NoBoundary, []int{len(b)}}, {MessageEnd, []int{first, len(b)}}, {FrameEnd, []int{4, first, len(b)}}} {
 		c := Checker{}
-		for at, i := 0, 0; i < len(k.want); i++ {
-			r, v := c.Scan(b[at:], k.until)
-			if at += r.Pass; v != nil || at != k.want[i] {
-				t.Fatalf("boundary %d: stopped at %d, want %d (%v)", k.until, at, k.want[i], v)
+		for at, i := 0, 0; i < len(tc.want); i++ {
+			r, v := c.Scan(b[at:], tc.until)
+			if at += r.Pass; v != nil || at != tc.want[i] {
+				t.Fatalf("boundary %d: stopped at %d, want %d (%v)", tc.until, at, tc.want[i], v)
 			}
-			if c.InMessage() != (k.until == FrameEnd && i == 0) || !c.AtFrameBoundary() {
-				t.Errorf("boundary %d, stop %d: InMessage is %t, AtFrameBoundary is %t", k.until, i, c.InMessage(), c.AtFrameBoundary())
+			if c.InMessage() != (tc.until == FrameEnd && i == 0) || !c.AtFrameBoundary() {
+				t.Errorf("boundary %d, stop %d: InMessage is %t, AtFrameBoundary is %t", tc.until, i, c.InMessage(), c.AtFrameBoundary())
 			}
 		}
 	}
--- a/internal/channel/handshake/handshake_test.go
+++ b/internal/channel/handshake/handshake_test.go
@@ -26,16 +26,16 @@
 }
 
 func TestExtensionLists(t *testing.T) {
-	for _, k := range []struct {
+	for _, c := range []struct {
 		field string
 		names string // "-" for an error
 	}{
 		{"permessage-deflate", "permessage-deflate"}, {"a; x=1, b", "a b"}, {`a; q="1, 2", b`, "a b"}, {`a; q="\", c", b`, "a b"},
 		{" a , , b ", "a b"}, {"", ""}, {",", ""}, {"A;x", "a"}, {";", "-"}, {"a b", "-"}, {"\x7f", "-"}, {`a; q="open, b`, "a"},
 	} {
-		got, err := extensions([]string{k.field})
-		if text := strings.Join(got, " "); err != nil != (k.names == "-") || err == nil && text != k.names {
-			t.Errorf("%q: %q, %v; want %q", k.field, text, err, k.names)
+		got, err := extensions([]string{c.field})
+		if text := strings.Join(got, " "); err != nil != (c.names == "-") || err == nil && text != c.names {
+			t.Errorf("%q: %q, %v; want %q", c.field, text, err, c.names)
 		}
 	}
 }
@@ -48,7 +48,7 @@
 		}
 		return h
 	}
-	for _, k := range []struct {
+	for _, c := range []struct {
 		offer, chosen string
 		field, value  string
 		want          Agreement
@@ -61,19 +61,19 @@
 		{"Sec-WebSocket-Extensions: permessage-deflate\r\n", "", "", "", Agreement{}},
 		{"Sec-WebSocket-Extensions: own, permessage-deflate\r\n", "permessage-deflate, own", "", "", Agreement{ReservedBits: 0x70}},
 	} {
-		o, err := ParseOffer(request(t, k.offer))
+		o, err := ParseOffer(request(t, c.offer))
 		if err != nil {
 			t.Fatal(err)
 		}
 		h := answer()
-		if k.chosen != "" {
-			h.Set(ExtensionField, k.chosen)
+		if c.chosen != "" {
+			h.Set(ExtensionField, c.chosen)
 		}
-		if k.field != "" {
-			h.Set(k.field, k.value)
+		if c.field != "" {
+			h.Set(c.field, c.value)
 		}
-		if got, err := o.Check(h); err != nil || got != k.want {
-			t.Errorf("%+v: %+v, %v", k, got, err)
+		if got, err := o.Check(h); err != nil || got != c.want {
+			t.Errorf("%+v: %+v, %v", c, got, err)
 		}
 	}
 }
--- a/internal/channel/plan/line.go
+++ b/internal/channel/plan/line.go
@@ -139,9 +139,9 @@
 	q.full = q.tokens.Tokens >= maxTokens
 	if p.shuttingDown || len(p.channels)+p.opening >= p.settings.MaxChannels ||
 		p.settings.MaxTenantChannels > 0 && p.tenants[tenant] >= p.settings.MaxTenantChannels {
-		a := p.refuse(now, t, 0)
-		a.LimitReached = true
-		return a
+		d := p.refuse(now, t, 0)
+		d.LimitReached = true
+		return d
 	}
 	if rate > 0 && p.mayEnter(now, t) {
 		q.tokens.Tokens--
@@ -180,32 +180,32 @@
 // refuse allocates a slot to a client, or confirms the slot that it already has. With a rate of 0 no slots are
 // allocated.
 func (p *Planner) refuse(now time.Duration, t *ticket.Ticket, rate float64) Decision {
-	a := Decision{Ticket: ticket.Ticket{Nonce: p.rng.Uint64()}}
+	d := Decision{Ticket: ticket.Ticket{Nonce: p.rng.Uint64()}}
 	if t != nil {
-		a.Ticket = *t
+		d.Ticket = *t
 	}
-	hasSlot := a.Ticket.Slot > 0 && now < a.Ticket.Slot+graceBins*binWidth
+	hasSlot := d.Ticket.Slot > 0 && now < d.Ticket.Slot+graceBins*binWidth
 	if !hasSlot {
-		a.Ticket.Slot = 0
+		d.Ticket.Slot = 0
 	}
-	a.Ticket.Refusals = min(a.Ticket.Refusals+1, 1<<20)
+	d.Ticket.Refusals = min(d.Ticket.Refusals+1, 1<<20)
 	if !hasSlot && rate > 0 {
 		maxWait := p.settings.MaxWait
-		if a.Ticket.Refusals > 1 {
+		if d.Ticket.Refusals > 1 {
 			maxWait *= 2 // the second half of the queue is for clients that have waited before
 		}
-		a.Ticket.Slot = p.queue.allocate(now, rate, maxWait)
+		d.Ticket.Slot = p.queue.allocate(now, rate, maxWait)
 	}
-	switch wait := a.Ticket.Slot - now; {
-	case a.Ticket.Slot == 0:
+	switch wait := d.Ticket.Slot - now; {
+	case d.Ticket.Slot == 0:
 		// Clients without a slot are spread over the second half of the longest wait, so that they do not return at once.
-		a.RetryAfter = time.Duration((0.5 + 0.5*p.random()) * float64(p.settings.MaxWait))
+		d.RetryAfter = time.Duration((0.5 + 0.5*p.random()) * float64(p.settings.MaxWait))
 	case wait <= 0:
-		a.RetryAfter = dueRetryWait + time.Duration(p.random()*float64(dueRetryWait))
+		d.RetryAfter = dueRetryWait + time.Duration(p.random()*float64(dueRetryWait))
 	default:
-		a.RetryAfter = wait + time.Duration(p.random()*float64(min(time.Duration(waitJitter*float64(wait)), maxWaitJitter)))
+		d.RetryAfter = wait + time.Duration(p.random()*float64(min(time.Duration(waitJitter*float64(wait)), maxWaitJitter)))
 	}
-	return a
+	return d
 }
 
 func nonceKey(nonce uint64) string { return string(binary.BigEndian.AppendUint64(nil, nonce)) }
--- a/internal/channel/plan/plan.go
+++ b/internal/channel/plan/plan.go
@@ -65,7 +65,7 @@
 type Activity struct {
 	LastRead    time.Duration // when its last bytes were read
 	LastMessage time.Duration // when the last bytes of a message were read
-	FrameStart  time.Duration // when its unfinished frame began, later by the time spent waiting for the other end; 0 for none
+	FrameStart  time.Duration // when its unfinished frame began, plus the time it waited for the other end; 0 for none
 	FrameBytes  int64         // payload bytes of that frame that have been forwarded
 	Parked      bool          // its read is parked
 	Blocked     bool          // its data waits for the other end, so that nothing is read from it
--- a/internal/channel/plan/plan_test.go
+++ b/internal/channel/plan/plan_test.go
@@ -45,50 +45,50 @@
 }
 
 func newHarness(s Settings, nodes []Node) *harness {
-	b := &harness{Planner: New(s, 1), now: start, serverOf: map[ID]string{}}
-	b.SetNodes(b.now, nodes)
-	return b
+	h := &harness{Planner: New(s, 1), now: start, serverOf: map[ID]string{}}
+	h.SetNodes(h.now, nodes)
+	return h
 }
 
 // open opens n channels on a node, bypassing admission and the rate of the node.
-func (b *harness) open(node string, n int) {
+func (h *harness) open(node string, n int) {
 	for range n {
-		b.lastID++
-		b.opening++
-		b.tenants[0]++
-		b.Opened(b.now, b.lastID, node, 0)
-		b.serverOf[b.lastID] = node
+		h.lastID++
+		h.opening++
+		h.tenants[0]++
+		h.Opened(h.now, h.lastID, node, 0)
+		h.serverOf[h.lastID] = node
 	}
 }
 
 // alive is the activity of ends that answer each ping at once.
-func (b *harness) alive(ID) [NumSides]Activity {
-	return [NumSides]Activity{{LastRead: b.now, LastMessage: b.now}, {LastRead: b.now, LastMessage: b.now}}
+func (h *harness) alive(ID) [NumSides]Activity {
+	return [NumSides]Activity{{LastRead: h.now, LastMessage: h.now}, {LastRead: h.now, LastMessage: h.now}}
 }
 
 // run ticks for the duration d, and passes each action to f.
-func (b *harness) run(d time.Duration, activity func(ID) [NumSides]Activity, f func(Action)) {
-	for end := b.now + d; b.now < end; {
-		b.now += TickInterval
-		for _, a := range b.Tick(b.now, activity) {
+func (h *harness) run(d time.Duration, activity func(ID) [NumSides]Activity, f func(Action)) {
+	for end := h.now + d; h.now < end; {
+		h.now += TickInterval
+		for _, a := range h.Tick(h.now, activity) {
 			f(a)
 		}
 	}
 }
 
 func TestChannelsOfADrainedServerMoveOverTheWindow(t *testing.T) {
-	b := newHarness(settings(), usableNodes(0, 0, 0))
-	b.open("a", 500)
-	b.open("b", 100)
-	b.SetNodes(b.now, usableNodes(0, 0, 0)[1:])
-	drained := b.now
+	h := newHarness(settings(), usableNodes(0, 0, 0))
+	h.open("a", 500)
+	h.open("b", 100)
+	h.SetNodes(h.now, usableNodes(0, 0, 0)[1:])
+	drained := h.now
 	perSecond := map[int]int{}
-	b.run(12*time.Second, b.alive, func(a Action) {
-		if b.serverOf[a.ID] != "a" || a.Kind != CloseAfterMessage || a.Code != frame.ServiceRestart {
-			t.Fatalf("%+v on %s", a, b.serverOf[a.ID])
+	h.run(12*time.Second, h.alive, func(a Action) {
+		if h.serverOf[a.ID] != "a" || a.Kind != CloseAfterMessage || a.Code != frame.ServiceRestart {
+			t.Fatalf("%+v on %s", a, h.serverOf[a.ID])
 		}
-		perSecond[int((b.now-drained-1)/time.Second)]++
-		b.Closed(a.ID)
+		perSecond[int((h.now-drained-1)/time.Second)]++
+		h.Closed(a.ID)
 	})
 	total := 0
 	for second, n := range perSecond {
@@ -96,8 +96,8 @@
 			t.Errorf("%d channels moved in second %d, want about 50", n, second)
 		}
 	}
-	if total != 500 || b.Len() != 100 {
-		t.Errorf("%d channels moved and %d stay, want 500 and 100", total, b.Len())
+	if total != 500 || h.Len() != 100 {
+		t.Errorf("%d channels moved and %d stay, want 500 and 100", total, h.Len())
 	}
 }
 
@@ -106,21 +106,21 @@
 	s.NodeRate = 10
 	// One of the two remaining servers has just started. Together they accept 10 + 2 a second, and 10 + 6 as it warms up.
 	nodes := usableNodes(0, 0, start)
-	b := newHarness(s, nodes)
-	b.open("a", 500)
-	b.SetNodes(b.now, nodes[1:])
+	h := newHarness(s, nodes)
+	h.open("a", 500)
+	h.SetNodes(h.now, nodes[1:])
 	moved, forced := 0, 0
 	most := 0.0
 	perSecond := 0
 	for range 10 {
 		perSecond = 0
-		b.run(time.Second, b.alive, func(a Action) {
+		h.run(time.Second, h.alive, func(a Action) {
 			if a.Kind == CloseNow {
 				forced++
 			} else {
 				perSecond++
 			}
-			b.Closed(a.ID)
+			h.Closed(a.ID)
 		})
 		most = max(most, float64(perSecond))
 		moved += perSecond
@@ -128,18 +128,18 @@
 	if most > 16+3 || moved < 120 || moved > 145 {
 		t.Errorf("%d channels moved, at most %v in a second; want 120 to 145 and 16, give or take a burst", moved, most)
 	}
-	b.run(2*time.Second, b.alive, func(a Action) { forced++; b.Closed(a.ID) })
-	if moved+forced != 500 || b.Len() != 0 {
-		t.Errorf("%d channels moved, %d forced, %d left; want 500 in all and none left", moved, forced, b.Len())
+	h.run(2*time.Second, h.alive, func(a Action) { forced++; h.Closed(a.ID) })
+	if moved+forced != 500 || h.Len() != 0 {
+		t.Errorf("%d channels moved, %d forced, %d left; want 500 in all and none left", moved, forced, h.Len())
 	}
 }
 
 func TestRemainingChannelsAreClosedThenAborted(t *testing.T) {
-	b := newHarness(settings(), usableNodes(0, 0))
-	b.open("a", 20)
-	b.SetNodes(b.now, usableNodes(0, 0)[1:])
+	h := newHarness(settings(), usableNodes(0, 0))
+	h.open("a", 20)
+	h.SetNodes(h.now, usableNodes(0, 0)[1:])
 	kinds := map[ID][]Kind{}
-	b.run(15*time.Second, b.alive, func(a Action) { kinds[a.ID] = append(kinds[a.ID], a.Kind) })
+	h.run(15*time.Second, h.alive, func(a Action) { kinds[a.ID] = append(kinds[a.ID], a.Kind) })
 	for id, got := range kinds {
 		if !slices.Equal(got, []Kind{CloseAfterMessage, CloseNow, Abort}) {
 			t.Errorf("channel %d got the actions %v, want CloseAfterMessage, CloseNow, Abort", id, got)
@@ -151,15 +151,15 @@
 }
 
 func TestServerBackInServiceKeepsRemainingChannels(t *testing.T) {
-	b := newHarness(settings(), usableNodes(0, 0))
-	b.open("a", 100)
-	b.SetNodes(b.now, usableNodes(0, 0)[1:])
+	h := newHarness(settings(), usableNodes(0, 0))
+	h.open("a", 100)
+	h.SetNodes(h.now, usableNodes(0, 0)[1:])
 	moved := 0
-	count := func(a Action) { moved++; b.Closed(a.ID) }
-	b.run(5*time.Second, b.alive, count)
-	b.SetNodes(b.now, usableNodes(0, 0))
+	count := func(a Action) { moved++; h.Closed(a.ID) }
+	h.run(5*time.Second, h.alive, count)
+	h.SetNodes(h.now, usableNodes(0, 0))
 	movedBefore := moved
-	b.run(20*time.Second, b.alive, count)
+	h.run(20*time.Second, h.alive, count)
 	if moved != movedBefore || movedBefore < 45 || movedBefore > 55 {
 		t.Errorf("%d channels moved in half the window and %d in all, want about 50 and no more later", movedBefore, moved)
 	}
@@ -169,18 +169,18 @@
 	s := settings()
 	s.NodeRate = 20
 	nodes := usableNodes(0, 0, 0, 0, 0, 0)
-	b := newHarness(s, nodes)
+	h := newHarness(s, nodes)
 	for _, n := range nodes[:3] {
-		b.open(n.ID, 100)
+		h.open(n.ID, 100)
 	}
 	perSecond := map[int]int{}
-	begun := b.now
-	count := func(a Action) { perSecond[int((b.now-begun-1)/time.Second)]++; b.Closed(a.ID) }
+	begun := h.now
+	count := func(a Action) { perSecond[int((h.now-begun-1)/time.Second)]++; h.Closed(a.ID) }
 	for i := range 3 {
-		b.SetNodes(b.now, nodes[i+1:])
-		b.run(time.Second, b.alive, count)
+		h.SetNodes(h.now, nodes[i+1:])
+		h.run(time.Second, h.alive, count)
 	}
-	b.run(12*time.Second, b.alive, count)
+	h.run(12*time.Second, h.alive, count)
 	total := 0
 	for second, n := range perSecond {
 		total += n
@@ -194,37 +194,37 @@
 }
 
 func TestShutdownMovesAllChannels(t *testing.T) {
-	b := newHarness(settings(), usableNodes(0, 0))
-	b.open("a", 100)
-	b.open("b", 100)
-	b.Shutdown(b.now, 2*time.Second)
+	h := newHarness(settings(), usableNodes(0, 0))
+	h.open("a", 100)
+	h.open("b", 100)
+	h.Shutdown(h.now, 2*time.Second)
 	n := 0
-	b.run(2*time.Second+TickInterval, b.alive, func(a Action) {
+	h.run(2*time.Second+TickInterval, h.alive, func(a Action) {
 		if a.Code != frame.GoingAway {
 			t.Fatalf("unexpected action: %+v", a)
 		}
 		n++
-		b.Closed(a.ID)
+		h.Closed(a.ID)
 	})
 	if n != 200 {
 		t.Errorf("%d channels got an action, want 200", n)
 	}
-	if a := b.Admit(b.now, 0, nil); a.Admitted || a.RetryAfter <= 0 {
+	if a := h.Admit(h.now, 0, nil); a.Admitted || a.RetryAfter <= 0 {
 		t.Errorf("%+v while the proxy shuts down, want a refusal with a wait", a)
 	}
-	if b.AllowUpgrade(b.now, "a") {
+	if h.AllowUpgrade(h.now, "a") {
 		t.Error("an upgrade is allowed while the proxy shuts down")
 	}
 }
 
 func TestColdServerTakesItsShareOfUpgrades(t *testing.T) {
-	b := newHarness(settings(), usableNodes(0, start))
+	h := newHarness(settings(), usableNodes(0, start))
 	got := map[string]int{}
 	for range 100 {
-		b.now += 10 * ms
+		h.now += 10 * ms
 		for _, id := range []string{"a", "b"} {
 			for range 5 {
-				if b.AllowUpgrade(b.now, id) {
+				if h.AllowUpgrade(h.now, id) {
 					got[id]++
 				}
 			}
@@ -234,7 +234,7 @@
 		t.Errorf("upgrades in a second: %v, want about 100 and 20 to 24, plus a burst of a quarter second", got)
 	}
 	for _, id := range []string{"gone"} {
-		if b.AllowUpgrade(b.now, id) {
+		if h.AllowUpgrade(h.now, id) {
 			t.Errorf("an upgrade to the unknown server %s is allowed", id)
 		}
 	}
@@ -280,8 +280,8 @@
 			t.Fatal("refused without a time to retry")
 		}
 		c.refusals++
-		k := a.Ticket
-		c.ticket = &k
+		next := a.Ticket
+		c.ticket = &next
 		c.at += a.RetryAfter
 		heap.Push(q, c)
 	}
@@ -340,16 +340,16 @@
 	p := New(s, 1)
 	p.SetNodes(start, usableNodes(0, 0))
 	rng := rand.New(rand.NewPCG(2, 1))
-	old := arrivals(1000, 100*ms, rng)
-	var fresh []*client
+	waiting := arrivals(1000, 100*ms, rng)
+	var newer []*client
 	for _, c := range arrivals(1000, time.Second, rng) {
 		c.at += 3 * time.Second
-		fresh = append(fresh, c)
+		newer = append(newer, c)
 	}
-	storm(t, p, append(slices.Clone(old), fresh...), 5*time.Minute, nil)
-	lastOld, firstFresh := slices.MaxFunc(old, byAdmission).admittedAt, slices.MinFunc(fresh, byAdmission).admittedAt
-	if lastOld > firstFresh+2*time.Second {
-		t.Errorf("a new client is admitted %v before the last of the waiting ones, want at most 2s", lastOld-firstFresh)
+	storm(t, p, append(slices.Clone(waiting), newer...), 5*time.Minute, nil)
+	lastWaiting, firstNewer := slices.MaxFunc(waiting, byAdmission).admittedAt, slices.MinFunc(newer, byAdmission).admittedAt
+	if lastWaiting > firstNewer+2*time.Second {
+		t.Errorf("a new client is admitted %v before the last of the waiting ones, want at most 2s", lastWaiting-firstNewer)
 	}
 }
 
@@ -392,15 +392,15 @@
 		t.Fatal("the first client is not admitted")
 	}
 	a := p.Admit(start, 0, nil)
-	k := a.Ticket
+	issued := a.Ticket
 	now := start + a.RetryAfter
-	if !p.Admit(now, 0, &k).Admitted {
+	if !p.Admit(now, 0, &issued).Admitted {
 		t.Fatal("a client is not admitted at the time that its refusal named")
 	}
-	if p.Admit(now, 0, &k).Admitted {
+	if p.Admit(now, 0, &issued).Admitted {
 		t.Error("a ticket admits twice")
 	}
-	if p.Admit(now+10*ms, 0, &k).Ticket.Nonce == k.Nonce {
+	if p.Admit(now+10*ms, 0, &issued).Ticket.Nonce == issued.Nonce {
 		t.Error("a used ticket is issued again")
 	}
 }
@@ -444,24 +444,24 @@
 
 func TestSilentEndsArePingedThenTimeOut(t *testing.T) {
 	for _, dead := range []Side{Client, Server} {
-		b := newHarness(settings(), usableNodes(0))
-		b.open("a", 1)
-		opened := b.now
+		h := newHarness(settings(), usableNodes(0))
+		h.open("a", 1)
+		opened := h.now
 		heard := [NumSides]time.Duration{opened, opened}
 		activity := func(ID) [NumSides]Activity { return [NumSides]Activity{{LastRead: heard[0]}, {LastRead: heard[1]}} }
 		pings, endedAfter := 0, time.Duration(0)
-		b.run(5*time.Minute, activity, func(a Action) {
+		h.run(5*time.Minute, activity, func(a Action) {
 			switch {
 			case a.Kind == Park:
 			case endedAfter > 0:
 				t.Fatalf("%+v after the channel ended", a)
 			case a.Kind == Ping && a.Side != dead:
-				heard[a.Side] = b.now
+				heard[a.Side] = h.now
 				pings++
 			case a.Kind == Ping:
 			case a.Kind == PeerTimeout && a.Side == dead:
-				endedAfter = b.now - opened
-				b.Closed(a.ID)
+				endedAfter = h.now - opened
+				h.Closed(a.ID)
 			default:
 				t.Fatalf("unexpected action: %+v", a)
 			}
@@ -472,25 +472,25 @@
 	}
 }
 
-func TestQuietChannelsLiveOnAndCostAPingEach(t *testing.T) {
-	b := newHarness(settings(), usableNodes(0))
-	b.open("a", 1000)
+func TestSilentChannelsStayOpenAndArePinged(t *testing.T) {
+	h := newHarness(settings(), usableNodes(0))
+	h.open("a", 1000)
 	heard := map[ID][NumSides]time.Duration{}
 	type endID struct {
 		ID
 		Side
 	}
 	parked := map[endID]bool{}
-	opened := b.now
+	opened := h.now
 	activity := func(id ID) [NumSides]Activity {
-		h, ok := heard[id]
+		last, ok := heard[id]
 		if !ok {
-			h = [NumSides]time.Duration{opened, opened}
+			last = [NumSides]time.Duration{opened, opened}
 		}
-		return [NumSides]Activity{{LastRead: h[0], Parked: parked[endID{id, Client}]}, {LastRead: h[1], Parked: parked[endID{id, Server}]}}
+		return [NumSides]Activity{{LastRead: last[0], Parked: parked[endID{id, Client}]}, {LastRead: last[1], Parked: parked[endID{id, Server}]}}
 	}
 	pings := 0
-	b.run(5*time.Minute, activity, func(a Action) {
+	h.run(5*time.Minute, activity, func(a Action) {
 		if a.Kind == Park && !parked[endID{a.ID, a.Side}] {
 			parked[endID{a.ID, a.Side}] = true // for good: reading a pong does not unpark an end here
 			return
@@ -499,12 +499,12 @@
 			t.Fatalf("unexpected action: %+v", a)
 		}
 		pings++
-		h := heard[a.ID]
-		if h == ([NumSides]time.Duration{}) {
-			h = [NumSides]time.Duration{opened, opened}
+		last := heard[a.ID]
+		if last == ([NumSides]time.Duration{}) {
+			last = [NumSides]time.Duration{opened, opened}
 		}
-		h[a.Side] = b.now
-		heard[a.ID] = h
+		last[a.Side] = h.now
+		heard[a.ID] = last
 	})
 	if len(parked) != 2*1000 {
 		t.Errorf("%d ends are parked, want 2000", len(parked))
@@ -515,31 +515,31 @@
 }
 
 func TestSlowFrames(t *testing.T) {
-	for _, k := range []struct {
-		rate int64 // bytes a second
-		held bool
-		ends bool
+	for _, c := range []struct {
+		rate     int64 // bytes a second
+		blocked  bool
+		timesOut bool
 	}{{1, false, true}, {900, false, true}, {1100, false, false}, {1, true, false}} {
-		t.Run(fmt.Sprint(k.rate, k.held), func(t *testing.T) {
-			b := newHarness(settings(), usableNodes(0))
-			b.open("a", 1)
-			begun := b.now
+		t.Run(fmt.Sprint(c.rate, c.blocked), func(t *testing.T) {
+			h := newHarness(settings(), usableNodes(0))
+			h.open("a", 1)
+			begun := h.now
 			activity := func(ID) [NumSides]Activity {
-				a := b.alive(0)
-				a[Client].FrameStart, a[Client].Blocked = begun, k.held
-				a[Client].FrameBytes = int64((b.now - begun).Seconds() * float64(k.rate))
+				a := h.alive(0)
+				a[Client].FrameStart, a[Client].Blocked = begun, c.blocked
+				a[Client].FrameBytes = int64((h.now - begun).Seconds() * float64(c.rate))
 				return a
 			}
 			ended := false
-			b.run(2*time.Minute, activity, func(a Action) {
+			h.run(2*time.Minute, activity, func(a Action) {
 				if a.Kind != FrameTimeout || a.Side != Client {
 					t.Fatalf("unexpected action: %+v", a)
 				}
 				ended = true
-				b.Closed(a.ID)
+				h.Closed(a.ID)
 			})
-			if ended != k.ends {
-				t.Errorf("channel ended: %t, want %t", ended, k.ends)
+			if ended != c.timesOut {
+				t.Errorf("channel ended: %t, want %t", ended, c.timesOut)
 			}
 		})
 	}
@@ -548,18 +548,18 @@
 func TestIdleChannelsEnd(t *testing.T) {
 	s := settings()
 	s.IdleTimeout = time.Minute
-	b := newHarness(s, usableNodes(0))
-	b.open("a", 2)
-	opened := b.now
+	h := newHarness(s, usableNodes(0))
+	h.open("a", 2)
+	opened := h.now
 	activity := func(id ID) [NumSides]Activity {
-		a := b.alive(id)
+		a := h.alive(id)
 		if id == 1 {
 			a[0].LastMessage, a[1].LastMessage = opened, opened
 		}
 		return a
 	}
 	var got []Action
-	b.run(3*time.Minute, activity, func(a Action) { got = append(got, a) })
+	h.run(3*time.Minute, activity, func(a Action) { got = append(got, a) })
 	if len(got) != 1 || got[0].ID != 1 || got[0].Kind != CloseAfterMessage || got[0].Code != frame.GoingAway {
 		t.Errorf("%+v, want only channel 1 to be closed, after its message", got)
 	}
@@ -709,17 +709,17 @@
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{1000, 100_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			bed := newHarness(settings(), usableNodes(0, 0, 0))
-			bed.open("a", n)
+			h := newHarness(settings(), usableNodes(0, 0, 0))
+			h.open("a", n)
 			for b.Loop() {
-				bed.now += TickInterval
-				bed.Tick(bed.now, bed.alive)
+				h.now += TickInterval
+				h.Tick(h.now, h.alive)
 			}
 		})
 	}
 }
 
-func BenchmarkAskInAStorm(b *testing.B) {
+func BenchmarkAdmitInAStorm(b *testing.B) {
 	p := New(settings(), 1)
 	p.SetNodes(start, usableNodes(0, 0, 0))
 	now := start
--- a/internal/channel/sending.go
+++ b/internal/channel/sending.go
@@ -45,15 +45,15 @@
 	return true, e.flushPending()
 }
 
-// blockedWrite is the duration from which a write is taken to have waited for the end. Data that the kernel buffers at once
-// does not show that the end is alive.
+// blockedWrite is the duration from which a write is taken to have waited for the end. A write that the kernel buffers
+// at once does not show that the end is alive.
 const blockedWrite = 10 * time.Millisecond
 
 // stallSteps is the number of steps of writeTimeout. After each one the proxy checks whether the end has accepted data.
 const stallSteps = 4
 
-// writeAll writes all of b. It is called with e.mu held, and releases it while it writes. It keeps waiting for an end that
-// is slow but makes progress. Data that the end accepts after such a wait shows that it is alive.
+// writeAll writes all of b. It is called with e.mu held, and releases it while it writes. It keeps waiting for an end
+// that is slow but makes progress. Data that the end accepts after such a wait shows that it is alive.
 func (e *end) writeAll(b []byte) error {
 	e.writing = true
 	e.mu.Unlock()
@@ -89,8 +89,8 @@
 	}
 }
 
-// waitWritable waits until the end is writable, or is closed, or accepts no more data. The caller holds no buffer meanwhile.
-// Like writeAll, it keeps waiting for an end that is slow but makes progress.
+// waitWritable waits until the end is writable, or is closed, or accepts no more data. The caller holds no buffer
+// meanwhile. Like writeAll, it keeps waiting for an end that is slow but makes progress.
 func (e *end) waitWritable() error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -169,8 +169,8 @@
 	return mask
 }
 
-// writeControl adds one of the proxy's own frames to the pending ones, and writes as much of them as the socket accepts at
-// once if no other frame is in progress. The rest is written with the next data. e.mu must be held.
+// writeControl adds one of the proxy's own frames to the pending ones, and writes as much of them as the socket accepts
+// at once if no other frame is in progress. The rest is written with the next data. e.mu must be held.
 func (e *end) writeControl(b []byte) {
 	if len(e.pending)+len(b) > maxPending {
 		return
