--- a/internal/channel/plan/line.go
+++ b/internal/channel/plan/line.go
@@ -22,13 +22,13 @@
 // decides how closely slots are allocated. Otherwise part of the rate would go unused while the slots of clients that
 // have left pass.
 type slotQueue struct {
-	lastSlot     time.Duration   // the latest slot that is allocated
-	bins         []bin           // a ring, indexed by time
-	dueBin       int64           // the last bin whose slots are due
-	unclaimedDue int             // slots that fell due within the last graceBins and are not claimed yet
-	tokens       estimate.Bucket // one for each admission
-	full         bool            // the bucket overflows: no holder of a slot uses the tokens
-	claimRatio   float64         // a moving average of the share of slots that are claimed
+	lastSlot     time.Duration        // the latest slot that is allocated
+	bins         []bin                // a ring, indexed by time
+	dueBin       int64                // the last bin whose slots are due
+	unclaimedDue int                  // slots that fell due within the last graceBins and are not claimed yet
+	tokens       estimate.TokenBucket // one for each admission
+	full         bool                 // the bucket overflows: no holder of a slot uses the tokens
+	claimRatio   float64              // a moving average of the share of slots that are claimed
 }
 
 // bin counts the slots within one binWidth.
@@ -135,7 +135,7 @@
 	q := &p.queue
 	// Holders of due slots may arrive up to graceBins late; tokens are reserved for them until then.
 	maxTokens := max(burstSeconds*rate, 1) + float64(q.unclaimedDue)
-	q.tokens.Fill(now, rate, maxTokens)
+	q.tokens.Refill(now, rate, maxTokens)
 	q.full = q.tokens.Tokens >= maxTokens
 	if p.shuttingDown || len(p.channels)+p.opening >= p.settings.MaxChannels ||
 		p.settings.MaxTenantChannels > 0 && p.tenants[tenant] >= p.settings.MaxTenantChannels {
--- a/internal/channel/plan/move.go
+++ b/internal/channel/plan/move.go
@@ -38,10 +38,10 @@
 	if p.shuttingDown {
 		rate = p.settings.Rate // the clients reconnect through another proxy, whose servers are unknown here
 	}
-	if now-p.moveTokens.Last > time.Second {
+	if now-p.moveTokens.Updated > time.Second {
 		p.moveTokens = oneToken(now) // after a pause the rate does not accumulate
 	}
-	p.moveTokens.Fill(now, rate, max(burstSeconds*rate, 1))
+	p.moveTokens.Refill(now, rate, max(burstSeconds*rate, 1))
 	for _, n := range draining {
 		timeLeft := n.deadline - now
 		if timeLeft <= 0 {
--- a/internal/channel/plan/plan.go
+++ b/internal/channel/plan/plan.go
@@ -115,16 +115,16 @@
 	remaining      linked.List[channel, *channel] // no Close was requested
 	leaving        linked.List[channel, *channel] // a Close was requested
 	remainingCount int
-	open           int             // remaining and leaving
-	deadline       time.Duration   // by when all channels must have left; 0 if they may stay
-	pacedAt        time.Duration   // when movesDue was last updated
-	movesDue       float64         // how many of the remaining channels should have been closed by then
-	upgrades       estimate.Bucket // limits the upgrades that are sent to it
+	open           int                  // remaining and leaving
+	deadline       time.Duration        // by when all channels must have left; 0 if they may stay
+	pacedAt        time.Duration        // when movesDue was last updated
+	movesDue       float64              // how many of the remaining channels should have been closed by then
+	upgrades       estimate.TokenBucket // limits the upgrades that are sent to it
 }
 
 // oneToken returns a bucket that holds one token.
-func oneToken(now time.Duration) estimate.Bucket {
-	return estimate.Bucket{Tokens: 1, Last: now, Known: true}
+func oneToken(now time.Duration) estimate.TokenBucket {
+	return estimate.TokenBucket{Tokens: 1, Updated: now, Initialized: true}
 }
 
 // Planner makes the decisions about the channels of one proxy.
@@ -136,8 +136,8 @@
 	tenants      map[int]int // channels by tenant, including those being opened
 	opening      int         // admitted, and neither open nor failed
 	wheel        wheel
-	shuttingDown bool            // the proxy itself ends
-	moveTokens   estimate.Bucket // limits the channels that are moved
+	shuttingDown bool                 // the proxy itself ends
+	moveTokens   estimate.TokenBucket // limits the channels that are moved
 	queue        slotQueue
 	usedTickets  *recent.Set // the tickets that have admitted their clients
 
--- a/internal/front/head.go
+++ b/internal/front/head.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return a, fmt.Errorf("%s: %q is no whole number", RemainingField, r.Header.Get(RemainingField))
 	}
-	a.left = min(settings.Millis(float64(ms)), s.class[a.class].GiveUp)
+	a.left = min(settings.Millis(float64(ms)), s.class[a.class].ClientTimeout)
 	if c := callers.ConnOf(r); c != nil {
 		a.left -= c.TakeAcceptDelay()
 	}
@@ -67,8 +67,8 @@
 
 // fits says whether a request's method, key and body are those of its class.
 func (s *Front) fits(r *http.Request, effect balance.Effect) error {
-	method, keyed := http.MethodPost, effect == balance.Guarded
-	if effect == balance.Free {
+	method, keyed := http.MethodPost, effect == balance.Deduplicated
+	if effect == balance.Idempotent {
 		method = http.MethodGet
 	}
 	switch {
