--- a/internal/channel/channel.go
+++ b/internal/channel/channel.go
@@ -42,7 +42,7 @@
 	done   sync.WaitGroup // the ticker and the relays
 }
 
-// counts are the counters that AppendFigures writes.
+// counts are the counters that AppendFigures writes. They start at 0 with the Table.
 type counts struct{ opened, refused, moved, cut, broken, toClients, toServers atomic.Int64 }
 
 // ColdStart is what the platform states about the capacity of servers that have just started.
--- a/internal/channel/end.go
+++ b/internal/channel/end.go
@@ -125,8 +125,8 @@
 }
 
 // read returns a buffer with data of the end, and its length. The data begins at MaxUnconsumed, to leave space for
-// unconsumed bytes before it. It holds no buffer while it waits for data, so an idle channel costs only its goroutines and
-// sockets. When buffers are scarce, read calls waitWritable, which waits until data can be forwarded at once. waitWritable
+// unconsumed bytes before it. While read waits for data it holds no buffer, so an idle channel costs only its goroutines
+// and sockets. When buffers are scarce, read calls waitWritable, which waits until data can be forwarded at once. waitWritable
 // is nil if the data is not forwarded.
 func (e *end) read(waitWritable func()) (*buffer, int, error) {
 	r := &e.reading
--- a/internal/channel/plan/plan_test.go
+++ b/internal/channel/plan/plan_test.go
@@ -76,6 +76,7 @@
 	}
 }
 
+// TestChannelsOfADrainedServerMoveOverTheWindow guards against closing all channels of a drained server at one moment.
 func TestChannelsOfADrainedServerMoveOverTheWindow(t *testing.T) {
 	h := newHarness(settings(), usableNodes(0, 0, 0))
 	h.open("a", 500)
@@ -101,6 +102,8 @@
 	}
 }
 
+// TestMovesStayWithinCapacityOfRemainingServers guards against moving channels faster than the remaining servers accept
+// them. What cannot be moved within the window is closed at its end.
 func TestMovesStayWithinCapacityOfRemainingServers(t *testing.T) {
 	s := settings()
 	s.NodeRate = 10
@@ -134,6 +137,7 @@
 	}
 }
 
+// TestRemainingChannelsAreClosedThenAborted has clients that ignore each Close of their channel.
 func TestRemainingChannelsAreClosedThenAborted(t *testing.T) {
 	h := newHarness(settings(), usableNodes(0, 0))
 	h.open("a", 20)
@@ -150,6 +154,7 @@
 	}
 }
 
+// TestServerBackInServiceKeepsRemainingChannels cancels a drain in the middle of its window.
 func TestServerBackInServiceKeepsRemainingChannels(t *testing.T) {
 	h := newHarness(settings(), usableNodes(0, 0))
 	h.open("a", 100)
@@ -165,6 +170,8 @@
 	}
 }
 
+// TestZoneThatDrainsServerByServer drains three servers one after the other. Their moves share the capacity of the servers
+// that remain.
 func TestZoneThatDrainsServerByServer(t *testing.T) {
 	s := settings()
 	s.NodeRate = 20
@@ -310,6 +317,8 @@
 	return all
 }
 
+// TestStormIsAdmittedAtTheConfiguredRate guards against a rate that is exceeded, or left unused, when many clients
+// reconnect at once, and against clients that are refused again and again.
 func TestStormIsAdmittedAtTheConfiguredRate(t *testing.T) {
 	s := settings()
 	s.Rate = 500
@@ -355,6 +364,8 @@
 
 func byAdmission(a, b *client) int { return cmp.Compare(a.admittedAt, b.admittedAt) }
 
+// TestClientsThatIgnoreRetryAfterDoNotStarveOthers guards against a few clients that retry at once without end and take
+// the admissions of those that wait for their slots.
 func TestClientsThatIgnoreRetryAfterDoNotStarveOthers(t *testing.T) {
 	s := settings()
 	s.Rate = 100
@@ -514,6 +525,7 @@
 	}
 }
 
+// TestSlowFrames checks that a frame ends its channel if its sender is too slow, but not if it waits for the other end.
 func TestSlowFrames(t *testing.T) {
 	for _, c := range []struct {
 		rate     int64 // bytes a second
