--- a/internal/channel/frame/frame_test.go
+++ b/internal/channel/frame/frame_test.go
@@ -297,7 +297,7 @@
 		c := Checker{Rules: Rules{Masked: masked != nil}}
 		r, v := c.Scan(b, NoBoundary)
 		if v != nil || r.Stop != ControlFrame || r.Code != ServiceRestart || r.Size != len(b) || len(r.Payload) != 2+41*3 {
-			t.Errorf("%+v, %v", r, v)
+			t.Errorf("scan of a written Close: %+v, violation %v", r, v)
 		}
 	}
 }
--- a/internal/channel/handshake/handshake_test.go
+++ b/internal/channel/handshake/handshake_test.go
@@ -73,7 +73,7 @@
 			h.Set(c.field, c.value)
 		}
 		if got, err := o.Check(h); err != nil || got != c.want {
-			t.Errorf("%+v: %+v, %v", c, got, err)
+			t.Errorf("%+v: agreement is %+v, %v", c, got, err)
 		}
 	}
 }
--- a/internal/channel/ticket/ticket_test.go
+++ b/internal/channel/ticket/ticket_test.go
@@ -11,7 +11,7 @@
 	want := Ticket{Slot: 1_700_000_000 * time.Second, Refusals: 3, Nonce: 1 << 63}
 	text := s.Seal(want, "kita")
 	if got, err := s.Open(text, "kita"); err != nil || got != want {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("Open of a sealed ticket: %+v, %v", got, err)
 	}
 	if got, err := NewSealer([]byte("0123456789abcdef")).Open(text, "kita"); err != nil || got != want {
 		t.Errorf("another sealer with the same key: %+v, %v", got, err)
