--- a/internal/channel/plan/line.go
+++ b/internal/channel/plan/line.go
@@ -18,9 +18,9 @@
 
 // slotQueue allocates slots to clients that were refused. A slot is the time from which its holder may be admitted.
 //
-// Not all clients return: some give up, and some never keep their ticket. The share of slots that are claimed therefore
-// decides how closely slots are allocated. Otherwise part of the rate would go unused while the slots of clients that
-// have left pass.
+// Not all clients return: some give up, and some never keep their ticket. The smaller the share of slots that are claimed,
+// the more closely slots are therefore allocated. Otherwise part of the rate would go unused during the slots of clients
+// that have left.
 type slotQueue struct {
 	lastSlot     time.Duration        // the latest slot that is allocated
 	bins         []bin                // a ring, indexed by time
@@ -34,8 +34,8 @@
 // bin counts the slots within one binWidth.
 type bin struct {
 	step      int64
-	given     int
-	unclaimed int
+	given     int // slots that are allocated
+	unclaimed int // those of them that are not claimed yet
 }
 
 const (
@@ -52,6 +52,7 @@
 	dueRetryWait = 200 * time.Millisecond
 )
 
+// newSlotQueue returns an empty queue for the given longest wait.
 func newSlotQueue(maxWait time.Duration) slotQueue {
 	// Slots are at most twice the longest wait ahead (see refuse).
 	return slotQueue{bins: make([]bin, 2*int(maxWait/binWidth)+graceBins+2), claimRatio: 1}
--- a/internal/channel/relay.go
+++ b/internal/channel/relay.go
@@ -18,7 +18,7 @@
 	ping   [8]byte // the payload that identifies the proxy's own pings
 
 	failed           atomic.Bool  // fail has been called
-	activeDirections atomic.Int32 // directions that are still forwarded
+	activeDirections atomic.Int32 // directions that are not done yet
 }
 
 // pump forwards what one end sends to the other until one of them is closed or fails.
