--- a/internal/channel/channel.go
+++ b/internal/channel/channel.go
@@ -1,6 +1,6 @@
-// Package channel relays WebSocket channels (RFC 6455) between callers and servers. The bytes go on as they came; the
-// frames in them are followed, so that a ping or a Close can be put in between, and what breaks the protocol ends the
-// channel with the right code on both sides. It decides nothing: plan does.
+// Package channel relays WebSocket channels (RFC 6455) between callers and servers. Data is forwarded unchanged. The
+// relay parses the frames in it, so that it can insert a ping or a Close between two frames, and so that a violation of
+// the protocol ends the channel with the right code on both sides. The decisions are made by package plan.
 package channel
 
 import (
@@ -23,35 +23,35 @@
 	"brasswell/internal/figures"
 )
 
-// Table is the channels of one proxy. It is safe for concurrent use.
+// Table holds the channels of one proxy. It is safe for concurrent use.
 type Table struct {
 	options Options
 	log     *slog.Logger
-	gate    *gate
+	buffers *bufferPool
 	sealer  *ticket.Sealer
 	clock   clock.Steady
 
-	mu     sync.Mutex
-	plan   *plan.Planner
-	relays map[plan.ID]*relay
-	last   plan.ID
-	ended  bool // no channel opens any more
+	mu      sync.Mutex
+	plan    *plan.Planner
+	relays  map[plan.ID]*relay
+	lastID  plan.ID
+	stopped bool // no more channels are opened
 
 	counts counts
 	stop   context.CancelFunc
-	done   sync.WaitGroup // the ticks and the relays
+	done   sync.WaitGroup // the ticker and the relays
 }
 
-// counts are what figures tell, from 0 at the start.
+// counts are the counters that AppendFigures writes. They start at 0 with the Table.
 type counts struct{ opened, refused, moved, cut, broken, toClients, toServers atomic.Int64 }
 
-// Cold is what the platform says of servers that have just started.
+// ColdStart is what the platform states about the capacity of servers that have just started.
 type ColdStart struct {
-	Share  float64 // share of the capacity at the start
-	WarmUp time.Duration
+	Share  float64       // share of the capacity at the start
+	WarmUp time.Duration // until the full capacity is reached
 }
 
-// New returns a table without channels and begins to tick; Close ends it.
+// New returns a Table without channels and starts its ticker, which Close stops.
 func New(o Options, cold ColdStart, seed uint64, log *slog.Logger) (*Table, error) {
 	var key []byte
 	if o.KeyFile != "" {
@@ -59,12 +59,12 @@
 		if key, err = os.ReadFile(o.KeyFile); err != nil {
 			return nil, fmt.Errorf("channels: key: %w", err)
 		}
-		if len(key) < leastKey {
-			return nil, fmt.Errorf("channels: key: %s holds %d bytes, and must hold %d at least", o.KeyFile, len(key), leastKey)
+		if len(key) < minKeyBytes {
+			return nil, fmt.Errorf("channels: key: %s has %d bytes, but at least %d are required", o.KeyFile, len(key), minKeyBytes)
 		}
 	}
 	t := &Table{
-		options: o, log: log, gate: newGate(o.Memory), sealer: ticket.NewSealer(key),
+		options: o, log: log, buffers: newBufferPool(o.Memory), sealer: ticket.NewSealer(key),
 		clock: clock.NewSteady(), relays: map[plan.ID]*relay{},
 		plan: plan.New(plan.Settings{
 			Rate: o.Rate, NodeRate: o.NodeRate, MaxWait: o.MaxWait, MaxChannels: o.MaxChannels, MaxTenantChannels: o.MaxTenantChannels,
@@ -79,11 +79,12 @@
 	return t, nil
 }
 
-const leastKey = 16
+const minKeyBytes = 16
 
-// now is Unix time, as the list's start times are, but never steps.
+// now returns Unix time, as the start times in the server list are. It is not affected when the wall clock is set.
 func (t *Table) now() time.Duration { return t.clock.Now() }
 
+// tick performs the planner's actions until ctx is done.
 func (t *Table) tick(ctx context.Context) {
 	ticker := time.NewTicker(plan.TickInterval)
 	defer ticker.Stop()
@@ -94,10 +95,10 @@
 		case <-ticker.C:
 		}
 		t.mu.Lock()
-		actions := t.plan.Tick(t.now(), t.look)
-		due := make([]*relay, len(actions))
+		actions := t.plan.Tick(t.now(), t.activity)
+		targets := make([]*relay, len(actions))
 		for i, a := range actions {
-			due[i] = t.relays[a.ID]
+			targets[i] = t.relays[a.ID]
 		}
 		t.mu.Unlock()
 		for i, a := range actions {
@@ -106,49 +107,49 @@
 				t.counts.moved.Add(1)
 			case plan.Abort, plan.PeerTimeout, plan.FrameTimeout:
 				t.counts.cut.Add(1)
-				t.log.Debug("channel ended", "server", due[i].node, "reason", a.Reason, "side", sideNames[a.Side])
+				t.log.Debug("channel ended", "server", targets[i].server, "reason", a.Reason, "side", sideNames[a.Side])
 			}
-			due[i].do(a)
+			targets[i].perform(a)
 		}
 	}
 }
 
 var sideNames = [plan.NumSides]string{plan.Client: "client", plan.Server: "server"}
 
-// look says how a channel stands; t.mu is held.
-func (t *Table) look(id plan.ID) (a [plan.NumSides]plan.Activity) {
+// activity returns the state of a channel's ends. t.mu must be held.
+func (t *Table) activity(id plan.ID) (a [plan.NumSides]plan.Activity) {
 	for side, e := range t.relays[id].ends {
 		a[side] = plan.Activity{
-			LastRead: time.Duration(e.heard.Load()), LastMessage: time.Duration(e.spoke.Load()),
-			FrameStart: time.Duration(e.since.Load()), FrameBytes: e.moved.Load(), Blocked: e.blocked.Load(), Parked: e.resting.Load(),
+			LastRead: time.Duration(e.lastRead.Load()), LastMessage: time.Duration(e.lastMessage.Load()),
+			FrameStart: time.Duration(e.frameStart.Load()), FrameBytes: e.frameBytes.Load(), Blocked: e.blocked.Load(), Parked: e.parked.Load(),
 		}
 	}
 	return a
 }
 
-// Nodes takes in the servers that upgrades may go to, and those that are not to be used any more.
+// SetNodes sets the servers: those that upgrades may go to, and those that must not be used any more.
 func (t *Table) SetNodes(nodes []plan.Node) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.plan.SetNodes(t.now(), nodes)
 }
 
-// Admission is what becomes of a request for a channel.
+// Admission is the outcome of a request for a channel.
 type Admission struct {
 	plan.Decision
-	SealedTicket string // the ticket to show next time; "" for one that is let in
+	SealedTicket string // the ticket to present at the next request; "" if this one is admitted
 	Tenant       int
 	ticket       *ticket.Ticket
-	name         string
+	tenantName   string
 }
 
-// Ask says whether a request for a channel is let in. GivenUp or Open must follow one that is. name is the tenant's, and
-// seal what the client showed.
-func (t *Table) Admit(tenant int, name, seal string) Admission {
-	a := Admission{Tenant: tenant, name: name}
-	if seal != "" {
-		if shown, err := t.sealer.Open(seal, name); err == nil {
-			a.ticket = &shown
+// Admit decides whether a request for a channel is admitted. An admission must be followed by OpenFailed or Open. sealed
+// is the ticket that the client presents, or "".
+func (t *Table) Admit(tenant int, tenantName, sealed string) Admission {
+	a := Admission{Tenant: tenant, tenantName: tenantName}
+	if sealed != "" {
+		if presented, err := t.sealer.Open(sealed, tenantName); err == nil {
+			a.ticket = &presented
 		}
 	}
 	t.mu.Lock()
@@ -156,60 +157,61 @@
 	t.mu.Unlock()
 	if !a.Admitted {
 		t.counts.refused.Add(1)
-		a.SealedTicket = t.sealer.Seal(a.Decision.Ticket, name)
+		a.SealedTicket = t.sealer.Seal(a.Decision.Ticket, tenantName)
 	}
 	return a
 }
 
-// GivenUp takes in that an upgrade which was let in did not become a channel.
+// OpenFailed records that an admitted upgrade did not become a channel.
 func (t *Table) OpenFailed(a Admission) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.plan.OpenFailed(a.Tenant)
 }
 
-// Refused says when one may come again that was let in and then refused; GivenUp must have been called.
+// Refused decides when a client may retry that was admitted and then refused by the balancer. OpenFailed must have been
+// called before.
 func (t *Table) Refused(a Admission) Admission {
 	t.counts.refused.Add(1)
 	t.mu.Lock()
 	a.Decision = t.plan.Refused(t.now(), a.ticket)
 	t.mu.Unlock()
-	a.SealedTicket = t.sealer.Seal(a.Decision.Ticket, a.name)
+	a.SealedTicket = t.sealer.Seal(a.Decision.Ticket, a.tenantName)
 	return a
 }
 
-// MayOpen says whether an upgrade may go to a server now, and counts it if so.
+// AllowUpgrade reports whether an upgrade may go to a server now, and counts it if so.
 func (t *Table) AllowUpgrade(server string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.plan.AllowUpgrade(t.now(), server)
 }
 
-// Ends are the two sockets of a channel, and what has come behind each half of the handshake.
+// Conns are the two sockets of a channel, and the data that was read after the server's half of the handshake.
 type Conns struct {
 	Client, Server *net.TCPConn
-	Buffered       []byte // the server's answer
+	Buffered       []byte // read from the server after its 101
 }
 
-// Open relays a channel whose 101 the client has been sent, until it is over; it does not wait for that. Both sockets
-// belong to the table from now on.
-func (t *Table) Open(a Admission, server string, ends Conns, agreed handshake.Agreement) {
-	r := &relay{table: t, node: server}
-	rules := rulesOf(agreed, &t.options)
+// Open starts to relay a channel for which the client has been sent the 101, and returns. Both sockets belong to the
+// table from now on.
+func (t *Table) Open(a Admission, server string, conns Conns, agreed handshake.Agreement) {
+	r := &relay{table: t, server: server}
+	rules := frameRules(agreed, &t.options)
 	var errs [plan.NumSides]error
-	r.ends[plan.Client], errs[plan.Client] = newEnd(plan.Client, ends.Client, nil, rules[plan.Client], t)
-	r.ends[plan.Server], errs[plan.Server] = newEnd(plan.Server, ends.Server, ends.Buffered, rules[plan.Server], t)
+	r.ends[plan.Client], errs[plan.Client] = newEnd(plan.Client, conns.Client, nil, rules[plan.Client], t)
+	r.ends[plan.Server], errs[plan.Server] = newEnd(plan.Server, conns.Server, conns.Buffered, rules[plan.Server], t)
 	t.mu.Lock()
-	if t.ended || errs[plan.Client] != nil || errs[plan.Server] != nil {
+	if t.stopped || errs[plan.Client] != nil || errs[plan.Server] != nil {
 		t.plan.OpenFailed(a.Tenant)
 		t.mu.Unlock()
-		ends.Client.Close()
-		ends.Server.Close()
+		conns.Client.Close()
+		conns.Server.Close()
 		return
 	}
-	t.last++
-	r.id = t.last
-	r.ping = newPing(r.id)
+	t.lastID++
+	r.id = t.lastID
+	r.ping = newPingPayload(r.id)
 	t.relays[r.id] = r
 	t.plan.Opened(t.now(), r.id, server, a.Tenant)
 	t.counts.opened.Add(1)
@@ -218,37 +220,37 @@
 	r.start()
 }
 
-// closed takes in that a relay is over.
-func (t *Table) closed(r *relay) {
+// relayDone records that a relay has ended.
+func (t *Table) relayDone(r *relay) {
 	t.mu.Lock()
-	t.counts.toServers.Add(r.ends[plan.Client].bytes.Load())
-	t.counts.toClients.Add(r.ends[plan.Server].bytes.Load())
+	t.counts.toServers.Add(r.ends[plan.Client].forwarded.Load())
+	t.counts.toClients.Add(r.ends[plan.Server].forwarded.Load())
 	delete(t.relays, r.id)
 	t.plan.Closed(r.id)
 	t.mu.Unlock()
 	t.done.Done()
 }
 
-// broke notes that an end broke the protocol.
-func (t *Table) broke(r *relay, e *end, v *frame.Violation) {
+// protocolError counts and logs that an end violated the protocol.
+func (t *Table) protocolError(r *relay, e *end, v *frame.Violation) {
 	t.counts.broken.Add(1)
-	t.log.Debug("channel broken", "server", r.node, "side", sideNames[e.side], "code", int(v.Code), "reason", v.Reason)
+	t.log.Debug("channel broken", "server", r.server, "side", sideNames[e.side], "code", int(v.Code), "reason", v.Reason)
 }
 
-// Leave makes all channels move off, and lets none in any more.
+// BeginShutdown makes all channels leave, and stops admission. It does not wait for the channels.
 func (t *Table) BeginShutdown() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.plan.Shutdown(t.now(), t.options.RestartWindow)
 }
 
-// Resting is how many ends are waited for at the least cost.
+// Parked returns the number of ends that are parked.
 func (t *Table) Parked() (n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.relays {
 		for _, e := range r.ends {
-			if e.resting.Load() {
+			if e.parked.Load() {
 				n++
 			}
 		}
@@ -256,48 +258,48 @@
 	return n
 }
 
-// Len is how many channels are open.
+// Len returns the number of open channels.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.relays)
 }
 
-// LeaveWithin is how long after Leave channels may still be open.
+// ShutdownTimeout returns how long after BeginShutdown channels may still be open.
 func (t *Table) ShutdownTimeout() time.Duration {
 	return t.options.RestartWindow + t.options.CloseTimeout + 4*plan.TickInterval
 }
 
-// Close cuts what is open, and returns once nothing runs.
+// Close aborts all open channels, and returns once all goroutines of the table have ended.
 func (t *Table) Close() {
 	t.mu.Lock()
-	t.ended = true
+	t.stopped = true
 	open := slices.Collect(maps.Values(t.relays))
 	t.mu.Unlock()
 	t.stop()
 	for _, r := range open {
-		r.do(plan.Action{Kind: plan.Abort})
+		r.perform(plan.Action{Kind: plan.Abort})
 	}
 	t.done.Wait()
 }
 
-// Append writes the channels' figures to text, one a line.
+// AppendFigures appends the channels' metrics to text, one on each line.
 func (t *Table) AppendFigures(text []byte) []byte {
 	line := func(name string, value int64, kind byte) {
 		text = figures.AppendLine(text, name, value, kind)
 	}
 	t.mu.Lock()
-	held := t.plan.OpenByServer()
+	byServer := t.plan.OpenByServer()
 	toServers, toClients := t.counts.toServers.Load(), t.counts.toClients.Load()
 	for _, r := range t.relays {
-		toServers += r.ends[plan.Client].bytes.Load()
-		toClients += r.ends[plan.Server].bytes.Load()
+		toServers += r.ends[plan.Client].forwarded.Load()
+		toClients += r.ends[plan.Server].forwarded.Load()
 	}
 	open := len(t.relays)
 	t.mu.Unlock()
 	line("channels.open", int64(open), 'g')
-	for _, id := range slices.Sorted(maps.Keys(held)) {
-		line("channels.open."+id, int64(held[id]), 'g')
+	for _, id := range slices.Sorted(maps.Keys(byServer)) {
+		line("channels.open."+id, int64(byServer[id]), 'g')
 	}
 	line("channels.opened", t.counts.opened.Load(), 'c')
 	line("channels.refused", t.counts.refused.Load(), 'c')
--- a/internal/channel/handshake/handshake_test.go
+++ b/internal/channel/handshake/handshake_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// request reads a handshake with further fields, or in place of what it has by default.
+// request returns the request of a valid handshake with further fields. It skips the test if they are not valid HTTP.
 func request(t testing.TB, fields string) *http.Request {
 	t.Helper()
 	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader("GET / HTTP/1.1\r\nHost: x\r\nConnection: keep-alive, Upgrade\r\nUpgrade: WebSocket\r\n" +
@@ -18,7 +18,7 @@
 	return r
 }
 
-// TestSampleOfTheRFC is section 1.3's.
+// TestSampleOfTheRFC checks the sample in section 1.3 of RFC 6455.
 func TestSampleOfTheRFC(t *testing.T) {
 	if got := AcceptKey("dGhlIHNhbXBsZSBub25jZQ=="); got != "s3pPLMBiTxaQ9kYGzzhZRbK+xOo=" {
 		t.Error(got)
@@ -26,16 +26,16 @@
 }
 
 func TestExtensionLists(t *testing.T) {
-	for _, k := range []struct {
+	for _, c := range []struct {
 		field string
 		names string // "-" for an error
 	}{
 		{"permessage-deflate", "permessage-deflate"}, {"a; x=1, b", "a b"}, {`a; q="1, 2", b`, "a b"}, {`a; q="\", c", b`, "a b"},
 		{" a , , b ", "a b"}, {"", ""}, {",", ""}, {"A;x", "a"}, {";", "-"}, {"a b", "-"}, {"\x7f", "-"}, {`a; q="open, b`, "a"},
 	} {
-		got, err := extensions([]string{k.field})
-		if text := strings.Join(got, " "); err != nil != (k.names == "-") || err == nil && text != k.names {
-			t.Errorf("%q: %q, %v; want %q", k.field, text, err, k.names)
+		got, err := extensions([]string{c.field})
+		if text := strings.Join(got, " "); err != nil != (c.names == "-") || err == nil && text != c.names {
+			t.Errorf("%q: %q, %v; want %q", c.field, text, err, c.names)
 		}
 	}
 }
@@ -48,7 +48,7 @@
 		}
 		return h
 	}
-	for _, k := range []struct {
+	for _, c := range []struct {
 		offer, chosen string
 		field, value  string
 		want          Agreement
@@ -61,19 +61,19 @@
 		{"Sec-WebSocket-Extensions: permessage-deflate\r\n", "", "", "", Agreement{}},
 		{"Sec-WebSocket-Extensions: own, permessage-deflate\r\n", "permessage-deflate, own", "", "", Agreement{ReservedBits: 0x70}},
 	} {
-		o, err := ParseOffer(request(t, k.offer))
+		o, err := ParseOffer(request(t, c.offer))
 		if err != nil {
 			t.Fatal(err)
 		}
 		h := answer()
-		if k.chosen != "" {
-			h.Set(ExtensionField, k.chosen)
+		if c.chosen != "" {
+			h.Set(ExtensionField, c.chosen)
 		}
-		if k.field != "" {
-			h.Set(k.field, k.value)
+		if c.field != "" {
+			h.Set(c.field, c.value)
 		}
-		if got, err := o.Check(h); err != nil || got != k.want {
-			t.Errorf("%+v: %+v, %v", k, got, err)
+		if got, err := o.Check(h); err != nil || got != c.want {
+			t.Errorf("%+v: agreement is %+v, %v", c, got, err)
 		}
 	}
 }
@@ -96,13 +96,13 @@
 			return
 		}
 		if accept != AcceptKey(o.key) {
-			t.Error("an answer to another key is taken")
+			t.Error("a response for another key is accepted")
 		}
 		if protocol != "" && !strings.Contains(strings.Join(r.Header[ProtocolField], ","), protocol) {
-			t.Errorf("%q was not offered", protocol)
+			t.Errorf("the protocol %q is accepted, but was not offered", protocol)
 		}
 		if a.ReservedBits != 0 && len(o.extensions) == 0 {
-			t.Error("reserved bits without an extension")
+			t.Error("reserved bits are allowed without an extension")
 		}
 	})
 }
--- a/internal/channel/plan/keep.go
+++ b/internal/channel/plan/keep.go
@@ -6,61 +6,66 @@
 	"brasswell/internal/channel/frame"
 )
 
-// restAfter is how long an end has been quiet for its wait to be made cheap, which costs more than one read does.
-const restAfter = 3 * time.Second
+// parkAfter is how long an end must have been silent before it is parked. Parking an end costs more than one read does.
+const parkAfter = 3 * time.Second
 
-// lookEvery is how long a channel is not looked at: a frame may begin right after a look.
-func (p *Planner) lookEvery() time.Duration { return min(p.set.PingInterval, p.set.FrameGrace) }
+// checkInterval returns the longest time between two checks of a channel. It is no longer than FrameGrace, because a
+// frame may begin right after a check.
+func (p *Planner) checkInterval() time.Duration {
+	return min(p.settings.PingInterval, p.settings.FrameGrace)
+}
 
-// keep looks at one channel: whether its ends live, get on with what they send, and use it at all.
+// checkChannel checks one channel: whether both ends are alive, whether they finish the frames that they have begun, and
+// whether the channel is idle.
 //
-// Pings guard against peers that are gone without a word (half-open connections) and should keep boxes on the way from
-// forgetting a quiet one; they would harm an end that cannot answer within PongWithin. The pace of a frame guards
-// against peers that hold a channel in the midst of one, where neither a ping nor a Close can be put in; it would harm
-// one that begins a frame before it has what it says in it.
-func (p *Planner) keep(now time.Duration, c *channel, a [NumSides]Activity, actions []Action) []Action {
-	next := now + p.lookEvery()
-	if spoke := max(a[Client].LastMessage, a[Server].LastMessage); p.set.IdleTimeout > 0 && !c.told {
-		if now >= spoke+p.set.IdleTimeout {
-			actions = p.end(c, CloseAfterMessage, frame.GoingAway, "idle", actions)
+// Pings detect peers that are gone without closing (half-open connections), and should keep middleboxes from dropping
+// the state of an idle connection. They are wrong for an end that cannot answer within PongTimeout. The minimum rate of a
+// frame guards against peers that stop in the middle of one, where the proxy can insert neither a ping nor a Close. It is
+// wrong for a peer that begins a frame before it has the payload.
+func (p *Planner) checkChannel(now time.Duration, c *channel, a [NumSides]Activity, actions []Action) []Action {
+	next := now + p.checkInterval()
+	if lastMessage := max(a[Client].LastMessage, a[Server].LastMessage); p.settings.IdleTimeout > 0 && !c.closeSent {
+		if now >= lastMessage+p.settings.IdleTimeout {
+			actions = p.closeChannel(c, CloseAfterMessage, frame.GoingAway, "idle", actions)
 		} else {
-			next = min(next, spoke+p.set.IdleTimeout)
+			next = min(next, lastMessage+p.settings.IdleTimeout)
 		}
 	}
 	for side := range NumSides {
-		at := &a[side]
-		if at.Blocked {
-			// Its sender cannot be heard over what waits; the one that does not take it is found by its own pings.
+		end := &a[side]
+		if end.Blocked {
+			// Answers of this end cannot be read while its data waits for the other end. If the other end is dead, the
+			// pings to that end show it.
 			c.pinged[side] = 0
 			continue
 		}
-		if at.FrameStart > 0 {
-			end := at.FrameStart + p.set.FrameGrace + time.Duration(float64(at.FrameBytes)/float64(p.set.MinFrameRate)*float64(time.Second))
-			if now >= end {
+		if end.FrameStart > 0 {
+			frameDeadline := end.FrameStart + p.settings.FrameGrace + time.Duration(float64(end.FrameBytes)/float64(p.settings.MinFrameRate)*float64(time.Second))
+			if now >= frameDeadline {
 				p.wheel.put(&c.entry, now, next)
 				return append(actions, Action{ID: c.id, Kind: FrameTimeout, Side: side, Reason: "a frame that does not come to its end"})
 			}
-			next = min(next, end)
+			next = min(next, frameDeadline)
 		}
-		if !at.Parked && now >= at.LastRead+restAfter {
+		if !end.Parked && now >= end.LastRead+parkAfter {
 			actions = append(actions, Action{ID: c.id, Kind: Park, Side: side})
 		}
-		asked := c.pinged[side]
+		pinged := c.pinged[side]
 		switch {
-		case asked > 0 && at.LastRead >= asked:
+		case pinged > 0 && end.LastRead >= pinged:
 			c.pinged[side] = 0
-			next = min(next, at.LastRead+p.set.PingInterval)
-		case asked > 0 && now >= asked+p.set.PongTimeout:
+			next = min(next, end.LastRead+p.settings.PingInterval)
+		case pinged > 0 && now >= pinged+p.settings.PongTimeout:
 			p.wheel.put(&c.entry, now, next)
 			return append(actions, Action{ID: c.id, Kind: PeerTimeout, Side: side, Reason: "no sign of life"})
-		case asked > 0:
-			next = min(next, asked+p.set.PongTimeout)
-		case now >= at.LastRead+p.set.PingInterval:
+		case pinged > 0:
+			next = min(next, pinged+p.settings.PongTimeout)
+		case now >= end.LastRead+p.settings.PingInterval:
 			c.pinged[side] = now
-			next = min(next, now+p.set.PongTimeout)
+			next = min(next, now+p.settings.PongTimeout)
 			actions = append(actions, Action{ID: c.id, Kind: Ping, Side: side})
 		default:
-			next = min(next, at.LastRead+p.set.PingInterval)
+			next = min(next, end.LastRead+p.settings.PingInterval)
 		}
 	}
 	p.wheel.put(&c.entry, now, max(next, now+TickInterval))
--- a/internal/channel/plan/line.go
+++ b/internal/channel/plan/line.go
@@ -8,142 +8,148 @@
 	"brasswell/internal/estimate"
 )
 
-// Answer is what becomes of a request for a channel.
+// Decision is the outcome of a request for a channel.
 type Decision struct {
 	Admitted     bool
-	LimitReached bool          // refused for a limit, not for the rate
-	RetryAfter   time.Duration // how long one that is refused is asked to stay away
-	Ticket       ticket.Ticket // what it may show then
+	LimitReached bool          // refused because of a limit, not because of the rate
+	RetryAfter   time.Duration // how long a refused client should wait before it retries
+	Ticket       ticket.Ticket // the ticket that the client may present then
 }
 
-// line is the places given to those that were turned away. A place is a moment from which its holder may come in.
+// slotQueue allocates slots to clients that were refused. A slot is the time from which its holder may be admitted.
 //
-// Not all come back: some give up, some never keep a ticket. Places are given as closely as the share of them that
-// was claimed allows, or the rate would stand idle behind places of those that have left.
-type line struct {
-	tail   time.Duration        // the last place given
-	bins   []bin                // by time, a ring
-	from   int64                // the bin up to which places are due
-	due    int                  // places whose time has come within the last binGrace, not claimed yet
-	tokens estimate.TokenBucket // of what is let in
-	idle   bool                 // tokens are lost: nobody with a place wants them
-	claims float64              // the share of places that is claimed
+// Not all clients return: some give up, and some never keep their ticket. The smaller the share of slots that are claimed,
+// the more closely slots are therefore allocated. Otherwise part of the rate would go unused during the slots of clients
+// that have left.
+type slotQueue struct {
+	lastSlot     time.Duration        // the latest slot that is allocated
+	bins         []bin                // a ring, indexed by time
+	dueBin       int64                // the last bin whose slots are due
+	unclaimedDue int                  // slots that fell due within the last graceBins and are not claimed yet
+	tokens       estimate.TokenBucket // one for each admission
+	full         bool                 // the bucket overflows: no holder of a slot uses the tokens
+	claimRatio   float64              // a moving average of the share of slots that are claimed
 }
 
+// bin counts the slots within one binWidth.
 type bin struct {
 	step      int64
-	given     int
-	unclaimed int
+	given     int // slots that are allocated
+	unclaimed int // those of them that are not claimed yet
 }
 
 const (
-	binStep = 100 * time.Millisecond
-	// binGrace is how long a place is kept for its holder once its time has come. Clients' jitter and the way
-	// take up to a second.
-	binGrace = 15
-	// claimWeight of each bin's share goes into the mean, and claimsLeast bounds how closely places are given.
-	claimWeight, claimsLeast = 0.1, 0.2
-	// waitJitter bounds what is added to a wait, as a share of it and as such.
-	waitJitter     = 0.25
-	mostWaitJitter = time.Second
-	// shortWait is that of one whose time has come, and which finds no token.
-	shortWait = 200 * time.Millisecond
+	binWidth = 100 * time.Millisecond
+	// graceBins is how many bins a due slot is kept for its holder. The clients' jitter and the network take up to a
+	// second.
+	graceBins = 15
+	// claimWeight is the weight of one bin in claimRatio. minClaimRatio limits how closely slots are allocated.
+	claimWeight, minClaimRatio = 0.1, 0.2
+	// The random delay that is added to a wait is at most waitJitter of the wait, and at most maxWaitJitter.
+	waitJitter    = 0.25
+	maxWaitJitter = time.Second
+	// dueRetryWait is the wait of a client whose slot is due but which finds no token. Up to as much again is added.
+	dueRetryWait = 200 * time.Millisecond
 )
 
-func newLine(mostWait time.Duration) line {
-	// Places lie within twice the longest wait.
-	return line{bins: make([]bin, 2*int(mostWait/binStep)+binGrace+2), claims: 1}
+// newSlotQueue returns an empty queue for the given longest wait.
+func newSlotQueue(maxWait time.Duration) slotQueue {
+	// Slots are at most twice the longest wait ahead (see refuse).
+	return slotQueue{bins: make([]bin, 2*int(maxWait/binWidth)+graceBins+2), claimRatio: 1}
 }
 
-func (l *line) bin(step int64) *bin {
-	b := &l.bins[step%int64(len(l.bins))]
+// bin returns the bin of a step of time, and resets it if it still holds an earlier step.
+func (q *slotQueue) bin(step int64) *bin {
+	b := &q.bins[step%int64(len(q.bins))]
 	if b.step != step {
 		*b = bin{step: step}
 	}
 	return b
 }
 
-// advance makes places due, and frees those that nobody claimed in time.
-func (l *line) advance(now time.Duration) {
-	to := int64(now / binStep)
-	if l.from == 0 || to-l.from > int64(len(l.bins)) {
-		// After so long a pause nothing is left of any place.
-		clear(l.bins)
-		l.from, l.due = to, 0
+// advance makes slots due up to now, and discards those that were not claimed within the grace period.
+func (q *slotQueue) advance(now time.Duration) {
+	to := int64(now / binWidth)
+	if q.dueBin == 0 || to-q.dueBin > int64(len(q.bins)) {
+		// After so long a pause all slots have expired.
+		clear(q.bins)
+		q.dueBin, q.unclaimedDue = to, 0
 		return
 	}
-	for ; l.from < to; l.from++ {
-		l.due += l.bin(l.from + 1).unclaimed
-		old := l.bin(l.from + 1 - binGrace)
-		if old.given > 0 {
-			l.due -= old.unclaimed
-			l.claims += claimWeight * (1 - float64(old.unclaimed)/float64(old.given) - l.claims)
-			old.given, old.unclaimed = 0, 0
+	for ; q.dueBin < to; q.dueBin++ {
+		q.unclaimedDue += q.bin(q.dueBin + 1).unclaimed
+		expired := q.bin(q.dueBin + 1 - graceBins)
+		if expired.given > 0 {
+			q.unclaimedDue -= expired.unclaimed
+			q.claimRatio += claimWeight * (1 - float64(expired.unclaimed)/float64(expired.given) - q.claimRatio)
+			expired.given, expired.unclaimed = 0, 0
 		}
 	}
 }
 
-// give gives a place at a rate, no further off than so long; 0 if there is none.
-func (l *line) give(now time.Duration, rate float64, within time.Duration) time.Duration {
-	step := time.Duration(max(l.claims, claimsLeast) / max(rate, 1e-3) * float64(time.Second))
-	at := max(l.tail, now) + step
-	if at > now+within {
+// allocate returns the next free slot at the given rate, or 0 if that slot is more than maxWait ahead.
+func (q *slotQueue) allocate(now time.Duration, rate float64, maxWait time.Duration) time.Duration {
+	interval := time.Duration(max(q.claimRatio, minClaimRatio) / max(rate, 1e-3) * float64(time.Second))
+	slot := max(q.lastSlot, now) + interval
+	if slot > now+maxWait {
 		return 0
 	}
-	l.tail = at
-	b := l.bin(int64(at / binStep))
+	q.lastSlot = slot
+	b := q.bin(int64(slot / binWidth))
 	b.given++
 	b.unclaimed++
-	if b.step <= l.from {
-		l.due++
+	if b.step <= q.dueBin {
+		q.unclaimedDue++
 	}
-	return at
+	return slot
 }
 
-// claim takes a place out of the count, unless its grace is over.
-func (l *line) claim(at time.Duration) {
-	step := int64(at / binStep)
-	b := &l.bins[step%int64(len(l.bins))]
+// claim removes a slot from the unclaimed ones, unless its grace period is over.
+func (q *slotQueue) claim(slot time.Duration) {
+	step := int64(slot / binWidth)
+	b := &q.bins[step%int64(len(q.bins))]
 	if b.step != step || b.unclaimed == 0 {
 		return
 	}
 	b.unclaimed--
-	if step <= l.from {
-		l.due--
+	if step <= q.dueBin {
+		q.unclaimedDue--
 	}
 }
 
-// Ask says whether a request for a channel is let in. It is counted as being opened until Opened or GivenUp. t is the
-// ticket that the client shows; nil for none, or none of ours.
+// Admit decides whether a request for a channel is admitted. An admitted request counts as opening until Opened or
+// OpenFailed. t is the ticket that the client presents, or nil if it has none or an invalid one.
 //
-// Whose place has come goes first. A client that was turned away twice or more goes ahead of its place where a token is
-// left that no place needs; a new one only if nobody waits, or tokens would be lost since nobody with a place comes.
+// Clients whose slot is due come first. A client that was refused at least twice is admitted before its slot if there is
+// a token that no due slot needs. A new client is admitted only if nobody waits, or if tokens would be lost because no
+// holder of a slot returns.
 //
-// It guards against storms of clients that all come back at once, and should hold against those that do so without end:
-// they are answered at once and wait behind the others. It would harm clients that come in bursts as a rule.
+// This guards against storms of clients that all reconnect at once. It should also withstand clients that retry at once
+// without end: they are refused immediately and queue after the others. It is wrong for clients that normally arrive in
+// bursts.
 func (p *Planner) Admit(now time.Duration, tenant int, t *ticket.Ticket) Decision {
-	if t != nil && p.spent.Has(key(t.Nonce)) {
-		t = nil // it has let in once
+	if t != nil && p.usedTickets.Has(nonceKey(t.Nonce)) {
+		t = nil // a ticket admits once
 	}
 	rate := p.capacity(now)
-	p.line.advance(now)
-	l := &p.line
-	// What is due may come up to binGrace late: its tokens are kept for it.
-	most := max(burst*rate, 1) + float64(l.due)
-	l.tokens.Refill(now, rate, most)
-	l.idle = l.tokens.Tokens >= most
-	if p.leaving || len(p.channels)+p.opening >= p.set.MaxChannels ||
-		p.set.MaxTenantChannels > 0 && p.tenants[tenant] >= p.set.MaxTenantChannels {
-		a := p.refuse(now, t, 0)
-		a.LimitReached = true
-		return a
+	p.queue.advance(now)
+	q := &p.queue
+	// Holders of due slots may arrive up to graceBins late; tokens are reserved for them until then.
+	maxTokens := max(burstSeconds*rate, 1) + float64(q.unclaimedDue)
+	q.tokens.Refill(now, rate, maxTokens)
+	q.full = q.tokens.Tokens >= maxTokens
+	if p.shuttingDown || len(p.channels)+p.opening >= p.settings.MaxChannels ||
+		p.settings.MaxTenantChannels > 0 && p.tenants[tenant] >= p.settings.MaxTenantChannels {
+		d := p.refuse(now, t, 0)
+		d.LimitReached = true
+		return d
 	}
-	if rate > 0 && p.comesIn(now, t) {
-		l.tokens.Tokens--
+	if rate > 0 && p.mayEnter(now, t) {
+		q.tokens.Tokens--
 		if t != nil {
-			p.spent.Add(key(t.Nonce))
+			p.usedTickets.Add(nonceKey(t.Nonce))
 			if t.Slot > 0 {
-				l.claim(t.Slot)
+				q.claim(t.Slot)
 			}
 		}
 		p.opening++
@@ -153,53 +159,54 @@
 	return p.refuse(now, t, rate)
 }
 
-func (p *Planner) comesIn(now time.Duration, t *ticket.Ticket) bool {
-	l := &p.line
-	spare := l.tokens.Tokens - float64(l.due)
+// mayEnter reports whether a client is admitted, given its ticket and the tokens.
+func (p *Planner) mayEnter(now time.Duration, t *ticket.Ticket) bool {
+	q := &p.queue
+	spare := q.tokens.Tokens - float64(q.unclaimedDue)
 	switch {
 	case t != nil && t.Slot > 0 && now >= t.Slot:
-		return l.tokens.Tokens >= 1
+		return q.tokens.Tokens >= 1
 	case t != nil && t.Refusals >= 2:
 		return spare >= 1
 	}
-	return spare >= 1 && (l.tail <= now || l.idle)
+	return spare >= 1 && (q.lastSlot <= now || q.full)
 }
 
-// Refused says when a client may come again that was let in and then refused by the balancer.
+// Refused decides when a client may retry that was admitted here and then refused by the balancer.
 func (p *Planner) Refused(now time.Duration, t *ticket.Ticket) Decision {
-	p.line.advance(now)
+	p.queue.advance(now)
 	return p.refuse(now, t, p.capacity(now))
 }
 
-// refuse gives a client its place in the line, or tells it again of the one that it has. A rate of 0 stands for no
-// places at all.
+// refuse allocates a slot to a client, or confirms the slot that it already has. With a rate of 0 no slots are
+// allocated.
 func (p *Planner) refuse(now time.Duration, t *ticket.Ticket, rate float64) Decision {
-	a := Decision{Ticket: ticket.Ticket{Nonce: p.rng.Uint64()}}
+	d := Decision{Ticket: ticket.Ticket{Nonce: p.rng.Uint64()}}
 	if t != nil {
-		a.Ticket = *t
+		d.Ticket = *t
 	}
-	kept := a.Ticket.Slot > 0 && now < a.Ticket.Slot+binGrace*binStep
-	if !kept {
-		a.Ticket.Slot = 0
+	hasSlot := d.Ticket.Slot > 0 && now < d.Ticket.Slot+graceBins*binWidth
+	if !hasSlot {
+		d.Ticket.Slot = 0
 	}
-	a.Ticket.Refusals = min(a.Ticket.Refusals+1, 1<<20)
-	if !kept && rate > 0 {
-		within := p.set.MaxWait
-		if a.Ticket.Refusals > 1 {
-			within *= 2 // the line's second half is for those who have waited before
+	d.Ticket.Refusals = min(d.Ticket.Refusals+1, 1<<20)
+	if !hasSlot && rate > 0 {
+		maxWait := p.settings.MaxWait
+		if d.Ticket.Refusals > 1 {
+			maxWait *= 2 // the second half of the queue is for clients that have waited before
 		}
-		a.Ticket.Slot = p.line.give(now, rate, within)
+		d.Ticket.Slot = p.queue.allocate(now, rate, maxWait)
 	}
-	switch wait := a.Ticket.Slot - now; {
-	case a.Ticket.Slot == 0:
-		// Spread over the second half of the longest wait, so that they do not come at once either.
-		a.RetryAfter = time.Duration((0.5 + 0.5*p.random()) * float64(p.set.MaxWait))
+	switch wait := d.Ticket.Slot - now; {
+	case d.Ticket.Slot == 0:
+		// Clients without a slot are spread over the second half of the longest wait, so that they do not return at once.
+		d.RetryAfter = time.Duration((0.5 + 0.5*p.random()) * float64(p.settings.MaxWait))
 	case wait <= 0:
-		a.RetryAfter = shortWait + time.Duration(p.random()*float64(shortWait))
+		d.RetryAfter = dueRetryWait + time.Duration(p.random()*float64(dueRetryWait))
 	default:
-		a.RetryAfter = wait + time.Duration(p.random()*float64(min(time.Duration(waitJitter*float64(wait)), mostWaitJitter)))
+		d.RetryAfter = wait + time.Duration(p.random()*float64(min(time.Duration(waitJitter*float64(wait)), maxWaitJitter)))
 	}
-	return a
+	return d
 }
 
-func key(nonce uint64) string { return string(binary.BigEndian.AppendUint64(nil, nonce)) }
+func nonceKey(nonce uint64) string { return string(binary.BigEndian.AppendUint64(nil, nonce)) }
--- a/internal/channel/plan/move.go
+++ b/internal/channel/plan/move.go
@@ -8,91 +8,93 @@
 	"brasswell/internal/channel/frame"
 )
 
-// move tells channels to go from servers that are not to be used any more: spread over what is left of each window,
-// and never more in a second than the servers that remain take as upgrades. What a window leaves over goes at its end,
-// all at once; from there on the line (Ask) spaces who comes back.
+// moveChannels closes channels to servers that must not be used any more, so that their clients reconnect elsewhere. The
+// closes are spread over the rest of each server's window, at no more a second than the remaining servers accept as
+// upgrades. Channels that are left at the end of the window are closed at once; from there on Admit spaces the clients
+// that reconnect.
 //
-// It guards against the storm that a drained server's clients make when they are cut at one moment. It harms when
-// the window is longer than the server lives on: its channels then break instead of being moved.
-func (p *Planner) move(now time.Duration, actions []Action) []Action {
-	// Those that have least time go first. By id where it is equal: the order of a map must not decide.
-	var leaving []*node
+// This guards against the storm of reconnecting clients when all channels of a drained server end at one moment. It does
+// harm if the window is longer than the server's remaining lifetime: its channels then break instead of being moved.
+func (p *Planner) moveChannels(now time.Duration, actions []Action) []Action {
+	// Servers with the earliest deadline come first. Equal deadlines are ordered by ID, because the iteration order of a
+	// map must not affect the result.
+	var draining []*node
 	for _, n := range p.nodes {
-		if n.until > 0 && n.open > 0 {
-			leaving = append(leaving, n)
+		if n.deadline > 0 && n.open > 0 {
+			draining = append(draining, n)
 		}
 	}
 	const rounding = 1e-6
-	if leaving == nil {
+	if draining == nil {
 		return actions
 	}
-	slices.SortFunc(leaving, func(a, b *node) int {
-		if a.until != b.until {
-			return int(a.until - b.until)
+	slices.SortFunc(draining, func(a, b *node) int {
+		if a.deadline != b.deadline {
+			return int(a.deadline - b.deadline)
 		}
 		return strings.Compare(a.ID, b.ID)
 	})
 	rate := p.capacity(now)
-	if p.leaving {
-		rate = p.set.Rate // they come back by another proxy, whose servers we do not know
+	if p.shuttingDown {
+		rate = p.settings.Rate // the clients reconnect through another proxy, whose servers are unknown here
 	}
-	if now-p.moves.Updated > time.Second {
-		p.moves = single(now) // nothing moved before: there is nothing to catch up on
+	if now-p.moveTokens.Updated > time.Second {
+		p.moveTokens = oneToken(now) // after a pause the rate does not accumulate
 	}
-	p.moves.Refill(now, rate, max(burst*rate, 1))
-	for _, n := range leaving {
-		left := n.until - now
-		if left <= 0 {
-			actions = p.straggle(now, n, actions)
+	p.moveTokens.Refill(now, rate, max(burstSeconds*rate, 1))
+	for _, n := range draining {
+		timeLeft := n.deadline - now
+		if timeLeft <= 0 {
+			actions = p.closeRemaining(now, n, actions)
 			continue
 		}
-		// The pace at which the last one goes a tick before the window ends.
-		step := now - n.paced
-		n.paced = now
-		n.owed = min(n.owed+float64(n.staying)*step.Seconds()/max(left+step-TickInterval, step).Seconds(), float64(n.staying))
-		for n.owed >= 1-rounding && n.staying > 0 && p.moves.Tokens >= 1 {
-			n.owed--
-			p.moves.Tokens--
-			actions = p.tell(n.stay.Front(), CloseAfterMessage, actions)
+		// At this pace the last channel is closed one tick before the window ends.
+		elapsed := now - n.pacedAt
+		n.pacedAt = now
+		n.movesDue = min(n.movesDue+float64(n.remainingCount)*elapsed.Seconds()/max(timeLeft+elapsed-TickInterval, elapsed).Seconds(), float64(n.remainingCount))
+		for n.movesDue >= 1-rounding && n.remainingCount > 0 && p.moveTokens.Tokens >= 1 {
+			n.movesDue--
+			p.moveTokens.Tokens--
+			actions = p.moveChannel(n.remaining.Front(), CloseAfterMessage, actions)
 		}
 	}
 	return actions
 }
 
-// tell makes a channel go whose server is to be left.
-func (p *Planner) tell(c *channel, kind Kind, actions []Action) []Action {
-	if p.leaving {
-		return p.end(c, kind, frame.GoingAway, "proxy restarts", actions)
+// moveChannel closes a channel to a server that is being drained, or any channel while the proxy shuts down.
+func (p *Planner) moveChannel(c *channel, kind Kind, actions []Action) []Action {
+	if p.shuttingDown {
+		return p.closeChannel(c, kind, frame.GoingAway, "proxy restarts", actions)
 	}
-	return p.end(c, kind, frame.ServiceRestart, "server drains", actions)
+	return p.closeChannel(c, kind, frame.ServiceRestart, "server drains", actions)
 }
 
-// end tells a channel to go, for the first time or more urgently.
-func (p *Planner) end(c *channel, kind Kind, code frame.Code, text string, actions []Action) []Action {
-	if !c.told {
-		c.told = true
-		c.node.stay.Remove(c)
-		c.node.staying--
-		c.node.going.Push(c)
+// closeChannel requests a Close for a channel, either for the first time or with more urgency than before.
+func (p *Planner) closeChannel(c *channel, kind Kind, code frame.Code, reason string, actions []Action) []Action {
+	if !c.closeSent {
+		c.closeSent = true
+		c.node.remaining.Remove(c)
+		c.node.remainingCount--
+		c.node.leaving.Push(c)
 	}
-	c.pressed = kind == CloseNow
-	return append(actions, Action{ID: c.id, Kind: kind, Code: code, Reason: text})
+	c.closeNowSent = kind == CloseNow
+	return append(actions, Action{ID: c.id, Kind: kind, Code: code, Reason: reason})
 }
 
-// straggle ends what a window has left: each channel is told now, within a message too, and what is still there once a
-// Close has had its time is cut.
-func (p *Planner) straggle(now time.Duration, n *node, actions []Action) []Action {
-	for n.stay.Front() != nil {
-		actions = p.tell(n.stay.Front(), CloseNow, actions)
+// closeRemaining ends the channels that are left when a server's window ends. Each gets a Close at once, even in the
+// middle of a message, and is aborted if it is still open CloseTimeout later.
+func (p *Planner) closeRemaining(now time.Duration, n *node, actions []Action) []Action {
+	for n.remaining.Front() != nil {
+		actions = p.moveChannel(n.remaining.Front(), CloseNow, actions)
 	}
-	over := now >= n.until+p.set.CloseTimeout
-	for c := range n.going.All() {
+	expired := now >= n.deadline+p.settings.CloseTimeout
+	for c := range n.leaving.All() {
 		switch {
-		case over && !c.cut:
-			c.cut = true
+		case expired && !c.aborted:
+			c.aborted = true
 			actions = append(actions, Action{ID: c.id, Kind: Abort, Reason: "left over when its server's window ended"})
-		case !c.pressed:
-			actions = p.tell(c, CloseNow, actions)
+		case !c.closeNowSent:
+			actions = p.moveChannel(c, CloseNow, actions)
 		}
 	}
 	return actions
--- a/internal/channel/relay.go
+++ b/internal/channel/relay.go
@@ -8,102 +8,103 @@
 	"brasswell/internal/channel/plan"
 )
 
-// relay is one open channel. Each direction has a goroutine that reads one end and writes to the other; frames that
-// the proxy puts in itself are written by whoever finds the end's writing between two frames.
+// relay is one open channel. Each direction has a goroutine that reads from one end and writes to the other. The proxy's
+// own frames are written by any goroutine that holds the end's lock between two frames.
 type relay struct {
-	id    plan.ID
-	table *Table
-	node  string
-	ends  [plan.NumSides]*end
-	ping  [8]byte // the payload by which the proxy's own pings are known
-
-	faulty  atomic.Bool  // an end is at fault, and both have been told
-	pumping atomic.Int32 // directions that are carried
+	id     plan.ID
+	table  *Table
+	server string
+	ends   [plan.NumSides]*end
+	ping   [8]byte // the payload that identifies the proxy's own pings
+
+	failed           atomic.Bool  // fail has been called
+	activeDirections atomic.Int32 // directions that are not done yet
 }
 
-// pump carries what one end sends to the other until either is over.
+// pump forwards what one end sends to the other until one of them is closed or fails.
 func (r *relay) pump(from, to *end) {
-	err := r.carry(from, to)
-	if err == errRest {
-		go r.rest(from, to)
+	err := r.forward(from, to)
+	if err == errParked {
+		go r.park(from, to)
 		return
 	}
-	defer r.ended()
+	defer r.directionDone()
 	var v *frame.Violation
 	switch {
-	case errors.Is(err, errClosed):
-		// Nothing that follows means anything. The other direction goes on until the answer has come, or its
-		// time is over.
+	case errors.Is(err, errCloseReceived):
+		// Data after a Close has no meaning. The other direction continues until the answer to the Close has
+		// arrived, or its deadline has passed.
 		return
 	case errors.As(err, &v):
-		r.table.broke(r, from, v)
-		code := goneCode(from.side)
+		r.table.protocolError(r, from, v)
+		code := disconnectCode(from.side)
 		if from.side == plan.Server {
 			code = frame.InternalError
 		}
-		r.finish(from, v.Code, v.Reason, code, "the other end broke the protocol")
+		r.fail(from, v.Code, v.Reason, code, "the other end broke the protocol")
 	default:
-		r.finish(from, 0, "", goneCode(from.side), "the other end is gone")
+		r.fail(from, 0, "", disconnectCode(from.side), "the other end is gone")
 	}
-	r.drain(from)
+	r.discard(from)
 }
 
-// rest waits for an end that is quiet. A goroutine that has carried bytes has a stack of 4 KiB for good; this one is new,
-// calls next to nothing, and keeps to the 2 KiB that it begins with.
-func (r *relay) rest(from, to *end) {
-	// What is wrong with the wait, a read will find too.
+// park waits for data of a silent end. A goroutine that has forwarded data keeps a stack of 4 KiB. This one is new, calls
+// hardly anything, and so keeps its initial stack of 2 KiB.
+func (r *relay) park(from, to *end) {
+	// If the wait fails, so does the next read.
 	_ = from.raw.Read(from.peek)
-	from.resting.Store(false)
+	from.parked.Store(false)
 	go r.pump(from, to)
 }
 
-// carry returns errClosed once the end's Close has gone on, or what was wrong.
-func (r *relay) carry(from, to *end) error {
-	if len(from.held) > 0 { // what came behind the handshake
-		b := append([]byte(nil), from.held...)
-		from.held = nil
-		if err := r.take(from, to, b); err != nil {
+// forward forwards the data of one end to the other. It returns errCloseReceived after the end's Close, errParked if the
+// end is to be parked, or the error that ended it.
+func (r *relay) forward(from, to *end) error {
+	if len(from.unconsumed) > 0 { // data that followed the handshake
+		b := append([]byte(nil), from.unconsumed...)
+		from.unconsumed = nil
+		if err := r.process(from, to, b); err != nil {
 			return err
 		}
 	}
 	var stalled error
-	room := func() {
-		from.waitsFor(func() { stalled = to.room() })
+	waitWritable := func() {
+		from.whileBlocked(func() { stalled = to.waitWritable() })
 	}
 	for {
-		b, n, err := from.read(room)
+		b, n, err := from.read(waitWritable)
 		if stalled != nil {
-			r.finish(to, 0, "", goneCode(to.side), "the other end takes nothing")
+			r.fail(to, 0, "", disconnectCode(to.side), "the other end takes nothing")
 			stalled = nil
 		}
 		if err != nil {
-			switch rest, goOn := from.afterBreak(err); {
-			case rest:
-				return errRest
-			case goOn:
+			switch park, retry := from.parkInterrupted(err); {
+			case park:
+				return errParked
+			case retry:
 				continue
 			}
 			return err
 		}
-		from.heard.Store(int64(r.table.now()))
-		start := frame.MaxUnconsumed - len(from.held)
-		copy(b[start:], from.held)
-		from.held = nil
-		err = r.take(from, to, b[start:frame.MaxUnconsumed+n])
-		from.get.put(b)
+		from.lastRead.Store(int64(r.table.now()))
+		start := frame.MaxUnconsumed - len(from.unconsumed)
+		copy(b[start:], from.unconsumed)
+		from.unconsumed = nil
+		err = r.process(from, to, b[start:frame.MaxUnconsumed+n])
+		from.buffers.put(b)
 		if err != nil {
 			return err
 		}
 	}
 }
 
-// take carries on some bytes that have been read.
-func (r *relay) take(from, to *end, b []byte) error {
+// process handles data that has been read from an end.
+func (r *relay) process(from, to *end, b []byte) error {
 	for {
-		result, v := from.checker.Scan(b, to.stopAt())
+		result, v := from.checker.Scan(b, to.closeBoundary())
 		if result.Pass > 0 {
-			from.spoke.Store(from.heard.Load())
-			if err := r.pass(from, to, b[:result.Pass]); err != nil {
+			from.lastMessage.Store(from.lastRead.Load())
+			if err := r.forwardBytes(from, to, b[:result.Pass]); err != nil {
 				return err
 			}
 			b = b[result.Pass:]
@@ -114,141 +115,142 @@
 		switch result.Stop {
 		case frame.NeedMore:
 			if len(b) > 0 {
-				from.held = append([]byte(nil), b...)
+				from.unconsumed = append([]byte(nil), b...)
 			}
-			from.progress(r.table.now(), len(b) > 0)
+			from.trackFrame(r.table.now(), len(b) > 0)
 			return nil
-		case frame.AtBoundary: // pass has told the other end to go
+		case frame.AtBoundary: // forwardBytes has sent the waiting Close
 		case frame.ControlFrame:
-			if err := r.control(from, to, b[:result.Size], result); err != nil {
+			if err := r.handleControl(from, to, b[:result.Size], result); err != nil {
 				return err
 			}
 			b = b[result.Size:]
 		case frame.AfterClose:
-			return errClosed
+			return errCloseReceived
 		}
 	}
 }
 
-// pass writes sound bytes of one end to the other.
-func (r *relay) pass(from, to *end, b []byte) error {
+// forwardBytes writes valid data of one end to the other.
+func (r *relay) forwardBytes(from, to *end, b []byte) error {
 	var taken bool
 	var err error
-	from.waitsFor(func() { taken, err = to.write(b, !from.checker.AtFrameBoundary(), from.checker.InMessage()) })
+	from.whileBlocked(func() { taken, err = to.write(b, !from.checker.AtFrameBoundary(), from.checker.InMessage()) })
 	if err != nil {
-		// It is the other end that is gone: this one is told, and read on until it answers.
-		r.finish(to, 0, "", goneCode(to.side), "the other end takes nothing")
+		// The other end has failed. This one gets a Close, and is read until it answers.
+		r.fail(to, 0, "", disconnectCode(to.side), "the other end takes nothing")
 	}
 	if taken && err == nil {
-		from.bytes.Add(int64(len(b)))
+		from.forwarded.Add(int64(len(b)))
 		return nil
 	}
-	if from.dropped += len(b); from.dropped > mostDropped {
-		return errTooMuch
+	if from.discarded += len(b); from.discarded > maxDiscarded {
+		return errTooMuchAfterClose
 	}
 	return nil
 }
 
-// control handles a whole control frame; errClosed after a Close.
-func (r *relay) control(from, to *end, raw []byte, f frame.Result) error {
+// handleControl handles a complete control frame. It returns errCloseReceived after a Close.
+func (r *relay) handleControl(from, to *end, raw []byte, f frame.Result) error {
 	switch {
 	case f.Opcode == frame.Pong && string(f.Payload) == string(r.ping[:]):
-		return nil // the answer to the proxy's own
+		return nil // the answer to the proxy's own ping
 	case f.Opcode != frame.Close:
-		return r.pass(from, to, raw)
+		return r.forwardBytes(from, to, raw)
 	}
 	from.mu.Lock()
-	told := from.told
+	closedByProxy := from.closedByProxy
 	from.mu.Unlock()
 	switch {
-	case told: // its answer says nothing to the other end, which hears of it now
-		to.close(goodbye{goneCode(from.side), "moved"}, false)
+	case closedByProxy: // the answer to the proxy's Close, of which the other end does not know yet
+		to.sendClose(closeFrame{disconnectCode(from.side), "moved"}, false)
 	case len(f.Payload) > 2:
-		to.close(goodbye{f.Code, string(f.Payload[2:])}, false)
+		to.sendClose(closeFrame{f.Code, string(f.Payload[2:])}, false)
 	default:
-		to.close(goodbye{f.Code, ""}, false)
+		to.sendClose(closeFrame{f.Code, ""}, false)
 	}
-	return errClosed
+	return errCloseReceived
 }
 
-// finish ends the channel for a fault of one end: bad is told badCode, or nothing for 0 since it is gone; the other
-// end is told why. What stands within a frame cannot be told anything, and is closed.
-func (r *relay) finish(bad *end, badCode frame.Code, badText string, otherCode frame.Code, otherText string) {
-	if r.faulty.Swap(true) {
+// fail ends the channel because one end, bad, has failed. bad gets a Close with badCode, or none if badCode is 0 because
+// it cannot be reached. The other end gets a Close with otherCode. An end within a frame cannot get a Close, and is
+// disconnected.
+func (r *relay) fail(bad *end, badCode frame.Code, badReason string, otherCode frame.Code, otherReason string) {
+	if r.failed.Swap(true) {
 		return
 	}
 	other := r.ends[1-bad.side]
-	if badCode != 0 && bad.close(goodbye{badCode, badText}, true) {
+	if badCode != 0 && bad.sendClose(closeFrame{badCode, badReason}, true) {
 		bad.conn.CloseWrite()
 	} else {
-		bad.leave()
+		bad.disconnect()
 	}
-	if !other.close(goodbye{otherCode, otherText}, true) {
-		other.leave()
+	if !other.sendClose(closeFrame{otherCode, otherReason}, true) {
+		other.disconnect()
 	}
 }
 
-// drain reads on until the end closes or its time is over: a close of the socket with unread bytes would become a
-// reset, and take the Close with it.
-func (r *relay) drain(from *end) {
-	for from.dropped <= mostDropped {
+// discard reads and drops data until the end closes or its deadline passes. Closing a socket with unread data would reset
+// the connection, and the Close could be lost.
+func (r *relay) discard(from *end) {
+	for from.discarded <= maxDiscarded {
 		b, n, err := from.read(nil)
 		if err != nil {
 			return
 		}
-		from.dropped += n
-		from.get.put(b)
+		from.discarded += n
+		from.buffers.put(b)
 	}
 }
 
-// mostDropped bounds what an end may still send once nobody takes it any more.
-const mostDropped = 1 << 20
+// maxDiscarded limits the data that an end may still send when it is no longer forwarded.
+const maxDiscarded = 1 << 20
 
-// start carries the channel, in a goroutine for each direction.
+// start starts a goroutine for each direction.
 func (r *relay) start() {
 	client, server := r.ends[plan.Client], r.ends[plan.Server]
-	r.pumping.Store(2)
+	r.activeDirections.Store(2)
 	go r.pump(client, server)
 	go r.pump(server, client)
 }
 
-// ended closes all once neither direction is carried any more.
-func (r *relay) ended() {
-	if r.pumping.Add(-1) > 0 {
+// directionDone closes both ends when the last direction is done.
+func (r *relay) directionDone() {
+	if r.activeDirections.Add(-1) > 0 {
 		return
 	}
 	for _, e := range r.ends {
 		e.mu.Lock()
-		if !e.within {
-			e.flush() // the last Close may not have gone out at once
+		if !e.midFrame {
+			e.flushPending() // the last Close may not have been written completely
 		}
 		e.mu.Unlock()
 		e.conn.Close()
 	}
-	r.table.closed(r)
+	r.table.relayDone(r)
 }
 
-// do carries one of the plan's actions out. It never waits for an end.
-func (r *relay) do(a plan.Action) {
+// perform performs an action of the planner. It never waits for an end.
+func (r *relay) perform(a plan.Action) {
 	client := r.ends[plan.Client]
 	switch a.Kind {
 	case plan.Ping:
-		r.ends[a.Side].ask(r.ping[:])
+		r.ends[a.Side].ping(r.ping[:])
 	case plan.Park:
-		r.ends[a.Side].breakOff()
+		r.ends[a.Side].requestPark()
 	case plan.CloseAfterMessage:
-		client.closeAfterMessage(goodbye{a.Code, a.Reason})
+		client.closeAfterMessage(closeFrame{a.Code, a.Reason})
 	case plan.CloseNow:
-		if !client.close(goodbye{a.Code, a.Reason}, true) {
-			client.leave()
+		if !client.sendClose(closeFrame{a.Code, a.Reason}, true) {
+			client.disconnect()
 		}
 	case plan.Abort:
 		for _, e := range r.ends {
-			e.leave()
+			e.disconnect()
 		}
 	case plan.PeerTimeout:
-		r.finish(r.ends[a.Side], 0, "", goneCode(a.Side), a.Reason)
+		r.fail(r.ends[a.Side], 0, "", disconnectCode(a.Side), a.Reason)
 	case plan.FrameTimeout:
-		r.finish(r.ends[a.Side], frame.PolicyViolation, a.Reason, goneCode(a.Side), "the other end does not get on")
+		r.fail(r.ends[a.Side], frame.PolicyViolation, a.Reason, disconnectCode(a.Side), "the other end does not get on")
 	}
 }
