--- a/internal/host/attempt.go
+++ b/internal/host/attempt.go
@@ -16,12 +16,12 @@
 	number     int
 	to         backends.Endpoint
 	sent       time.Duration
-	mayStartAt time.Duration // when the backend can have started: sent, or when the whole body had arrived
-	dispatched bool          // writing was allowed, so the backend may have received it
-	neverRan   bool          // the outcome proves that it never ran
-	checkedAt  time.Duration // when the agreed rules were last checked for it
-	basis      rules.Ground  // the basis of that check
-	deadline   time.Duration // when the proxy stops waiting
+	mayStartAt time.Duration       // when the backend can have started: sent, or when the whole body had arrived
+	dispatched bool                // writing was allowed, so the backend may have received it
+	neverRan   bool                // the outcome proves that it never ran
+	checkedAt  time.Duration       // when the agreed rules were last checked for it
+	basis      rules.DecisionBasis // the basis of that check
+	deadline   time.Duration       // when the proxy stops waiting
 	ctx        context.Context
 	cancel     context.CancelCauseFunc
 	timer      *time.Timer
@@ -127,7 +127,7 @@
 // once; mu is held.
 func (i *Instance) allowedByRules(a *attempt) bool {
 	repeat, _ := a.otherAttempts()
-	var decision rules.Ruling
+	var decision rules.Decision
 	decision, a.basis = i.agreedRules.Rule(a.to.Server, a.request.message.Class, repeat)
 	a.checkedAt = i.now()
 	switch decision {
--- a/internal/host/carry.go
+++ b/internal/host/carry.go
@@ -70,7 +70,7 @@
 func (i *Instance) adopt(c balance.Snapshot, addresses map[string]string) {
 	for _, s := range c.Servers {
 		if address := addresses[s.Entry.ID]; s.Entry.State == balance.InService && address != "" {
-			i.endpoints[s.Entry.ID] = backends.Endpoint{Server: s.Entry.ID, Address: address, Boot: s.Entry.Boot}
+			i.endpoints[s.Entry.ID] = backends.Endpoint{Server: s.Entry.ID, Address: address, StartTime: s.Entry.Boot}
 		}
 	}
 	i.balancer.Restore(i.now(), c)
@@ -96,7 +96,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for _, to := range i.endpoints {
-		starts = append(starts, to.Boot)
+		starts = append(starts, to.StartTime)
 	}
 	return starts
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -71,7 +71,7 @@
 	Open(class int) bool
 	// Rule decides whether an attempt may be sent now and returns the basis of the decision. again means that an earlier
 	// attempt of the request may have run.
-	Rule(server string, class int, again bool) (rules.Ruling, rules.Ground)
+	Rule(server string, class int, again bool) (rules.Decision, rules.DecisionBasis)
 }
 
 // Caller is the client that waits for a request's answer. Gone is called while the instance is locked, so it must not
@@ -143,7 +143,7 @@
 	}
 	nodes := make([]plan.Node, 0, len(i.endpoints))
 	for id, to := range i.endpoints {
-		nodes = append(nodes, plan.Node{ID: id, StartTime: to.Boot, Usable: i.balancer.MaySend(id), InRoundRobin: i.balancer.InRoundRobin(id)})
+		nodes = append(nodes, plan.Node{ID: id, StartTime: to.StartTime, Usable: i.balancer.MaySend(id), InRoundRobin: i.balancer.InRoundRobin(id)})
 	}
 	i.channels.SetNodes(nodes)
 }
