--- a/internal/callers/accept_test.go
+++ b/internal/callers/accept_test.go
@@ -26,7 +26,7 @@
 }
 
 // TestAcceptFailsForAMoment: it is tried again soon, and the first request of who may have waited meanwhile has so much less time.
-func TestAcceptFailsForAMoment(t *testing.T) {
+func TestAcceptRetriesTemporaryErrors(t *testing.T) {
 	const outage = 300 * time.Millisecond
 	for _, err := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ECONNABORTED} {
 		set := NewSet(10, 10, time.Second)
@@ -44,7 +44,7 @@
 		if again := first.(*Conn).Waited(); again != 0 {
 			t.Errorf("%v: its second request is taken to have waited for %v", err, again)
 		}
-		time.Sleep(2 * drainTime)
+		time.Sleep(2 * backlogDrainTime)
 		later, acceptErr := l.Accept()
 		if acceptErr != nil {
 			t.Fatalf("%v: %v", err, acceptErr)
@@ -59,7 +59,7 @@
 }
 
 // TestAcceptThatFailsForGood: what will not come back is told.
-func TestAcceptThatFailsForGood(t *testing.T) {
+func TestAcceptReturnsPermanentErrors(t *testing.T) {
 	set := NewSet(10, 10, time.Second)
 	l := set.Listen(&failingListener{until: time.Now().Add(time.Minute), err: syscall.EBADF})
 	if _, err := l.Accept(); err == nil {
--- a/internal/callers/ahead_test.go
+++ b/internal/callers/ahead_test.go
@@ -13,52 +13,52 @@
 )
 
 // pieces is a connection whose reads bring one piece each, and then its end: a caller's, or that of net/http's patience.
-type pieces struct {
+type chunkedConn struct {
 	net.Conn
-	left [][]byte
-	end  error
+	chunks [][]byte
+	end    error
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
-	for len(p.left) > 0 && len(p.left[0]) == 0 {
-		p.left = p.left[1:]
+func (p *chunkedConn) Read(b []byte) (int, error) {
+	for len(p.chunks) > 0 && len(p.chunks[0]) == 0 {
+		p.chunks = p.chunks[1:]
 	}
-	if len(p.left) == 0 {
+	if len(p.chunks) == 0 {
 		return 0, p.end
 	}
-	n := copy(b, p.left[0])
-	p.left[0] = p.left[0][n:]
+	n := copy(b, p.chunks[0])
+	p.chunks[0] = p.chunks[0][n:]
 	return n, nil
 }
 
-func (p *pieces) Close() error { return nil }
+func (p *chunkedConn) Close() error { return nil }
 
 // FuzzReadAhead: whatever comes in whatever pieces behind an open request, what is handed on is the beginning of what came, in
 // order; all of it where it fits and the caller is still there, and nothing behind the end of one that has gone.
 func FuzzReadAhead(f *testing.F) {
 	f.Add([]byte("GET / HTTP/1.1\r\n\r\n"), uint16(3), true)
-	f.Add(bytes.Repeat([]byte("x"), 3*aheadMost), uint16(1000), true)
+	f.Add(bytes.Repeat([]byte("x"), 3*maxReadAhead), uint16(1000), true)
 	f.Add([]byte("G"), uint16(1), false)
-	f.Fuzz(func(t *testing.T, sent []byte, size uint16, stays bool) {
+	f.Fuzz(func(t *testing.T, sent []byte, size uint16, callerStays bool) {
 		if len(sent) == 0 {
 			return
 		}
-		p := &pieces{end: io.EOF}
-		if stays {
+		p := &chunkedConn{end: io.EOF}
+		if callerStays {
 			p.end = os.ErrDeadlineExceeded
 		}
 		for rest := sent; len(rest) > 0; {
 			n := min(len(rest), int(size)+1)
-			p.left, rest = append(p.left, rest[:n:n]), rest[n:]
+			p.chunks, rest = append(p.chunks, rest[:n:n]), rest[n:]
 		}
 		s := NewSet(1, 2, time.Hour)
 		k := s.admit(p)
 		s.Track(k, http.StateActive)
 		var got []byte
 		n, err := k.Read(make([]byte, 1)) // as net/http does while it answers
-		if !stays {
-			if n != 0 || err != io.EOF || len(k.ahead) > 0 {
-				t.Fatalf("%d bytes and %v of a caller that has gone, %d kept", n, err, len(k.ahead))
+		if !callerStays {
+			if n != 0 || err != io.EOF || len(k.buffered) > 0 {
+				t.Fatalf("%d bytes and %v of a caller that has gone, %d kept", n, err, len(k.buffered))
 			}
 			return
 		}
@@ -74,11 +74,11 @@
 				break
 			}
 		}
-		if want := sent[:min(len(sent), aheadMost)]; !bytes.Equal(got, want) {
+		if want := sent[:min(len(sent), maxReadAhead)]; !bytes.Equal(got, want) {
 			t.Fatalf("%d bytes handed on of %d, or others", len(got), len(sent))
 		}
-		if len(sent) > aheadMost != k.flooded {
-			t.Errorf("flooded %t by %d bytes", k.flooded, len(sent))
+		if len(sent) > maxReadAhead != k.overflowed {
+			t.Errorf("flooded %t by %d bytes", k.overflowed, len(sent))
 		}
 	})
 }
@@ -107,7 +107,7 @@
 			s.Track(k, http.StateActive)
 			s.Track(k, state)
 			io.WriteString(peer, "GET / HTTP/1.1\r\n")
-			for !k.unread() {
+			for !k.hasUnread() {
 				time.Sleep(time.Millisecond)
 			}
 			k.Close()
--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -19,7 +19,7 @@
 // queue never stands still. It would harm callers who pause for over silentGrace before a first request, or for over
 // headGrace within a head, while so many others do the same.
 type Set struct {
-	soft, hard int
+	softLimit, hardLimit int
 
 	mu sync.Mutex
 	// onceIdle is how long a connection that has carried a single request so far may idle, once others come. Many
@@ -30,29 +30,29 @@
 	active   int
 	// waiting holds the connections on which no request is open by what is known of them, in the order in which they
 	// became so.
-	waiting [kinds]linked.List[Conn, *Conn]
-	many    [kinds]int // how many are in each
+	byKind [numKinds]linked.List[Conn, *Conn]
+	counts [numKinds]int // how many are in each
 
 	parking *Parking // nil where none is parked; set before the first connection
 
-	closing   []net.Conn // to be closed once mu is let go of: a close waits for a read that may wait for mu
-	shut      bool       // no connection is taken in, and nothing more is read
-	lingering int
-	lingers   sync.WaitGroup
+	toClose     []net.Conn // to be closed once mu is let go of: a close waits for a read that may wait for mu
+	shutdown    bool       // no connection is taken in, and nothing more is read
+	lingering   int
+	lingerGroup sync.WaitGroup
 }
 
 // kind is what a connection on which no request is open is known for.
 type kind int
 
 const (
-	silent     kind = iota // has said nothing yet
-	once                   // idles after a single request
-	idling                 // idles after several
-	partial                // has begun a head, and not ended it
-	parkedOnce             // like once, and is parked or about to be
-	parkedIdle             // like idling
-	kinds
-	busy kind = -1 // has a request open
+	kindSilent     kind = iota // has said nothing yet
+	kindOnce                   // idles after a single request
+	kindIdle                   // idles after several
+	kindPartial                // has begun a head, and not ended it
+	kindParkedOnce             // like once, and is parked or about to be
+	kindParkedIdle             // like idling
+	numKinds
+	kindBusy kind = -1 // has a request open
 )
 
 const (
@@ -66,7 +66,7 @@
 
 // NewSet holds up to soft connections, and up to hard while some are open only to be refused.
 func NewSet(soft, hard int, onceIdle time.Duration) *Set {
-	return &Set{soft: soft, hard: hard, onceIdle: onceIdle, open: map[*Conn]struct{}{}}
+	return &Set{softLimit: soft, hardLimit: hard, onceIdle: onceIdle, open: map[*Conn]struct{}{}}
 }
 
 // admit takes a new connection in, or nil if there is no place for it.
@@ -74,26 +74,26 @@
 	c.mu.Lock()
 	defer c.unlock()
 	now := time.Now()
-	c.endFirst([]kind{parkedOnce, once}, mostAtOnce, func(k *Conn) bool { return now.Sub(k.since) >= c.onceIdle })
-	if c.shut || len(c.open) >= c.soft && !c.makeRoom(now) && len(c.open) >= c.hard {
+	c.evictDue([]kind{kindParkedOnce, kindOnce}, maxEvictBatch, func(k *Conn) bool { return now.Sub(k.since) >= c.onceIdle })
+	if c.shutdown || len(c.open) >= c.softLimit && !c.evictOne(now) && len(c.open) >= c.hardLimit {
 		return nil
 	}
-	k := &Conn{Conn: conn, raw: raw(conn), set: c, kind: busy}
+	k := &Conn{Conn: conn, raw: raw(conn), set: c, kind: kindBusy}
 	c.open[k] = struct{}{}
-	c.become(k, silent, now)
+	c.setKind(k, kindSilent, now)
 	return k
 }
 
 // makeRoom ends the connection that is missed least: the one that has been silent longest from the start, or
 // else has idled longest, of those that have carried a single request if there are any, or else the head that has stood
 // still longest.
-func (c *Set) makeRoom(now time.Time) bool {
+func (c *Set) evictOne(now time.Time) bool {
 	for _, q := range []struct {
 		kind  kind
 		grace time.Duration
-	}{{silent, silentGrace}, {parkedOnce, 0}, {once, 0}, {parkedIdle, 0}, {idling, 0}, {partial, headGrace}} {
-		if k := c.waiting[q.kind].Front(); k != nil && now.Sub(k.since) >= q.grace {
-			c.end(k)
+	}{{kindSilent, silentGrace}, {kindParkedOnce, 0}, {kindOnce, 0}, {kindParkedIdle, 0}, {kindIdle, 0}, {kindPartial, headGrace}} {
+		if k := c.byKind[q.kind].Front(); k != nil && now.Sub(k.since) >= q.grace {
+			c.evict(k)
 			return true
 		}
 	}
@@ -101,22 +101,22 @@
 }
 
 // become moves a connection to the end of the list of its new kind; c.mu must be held.
-func (c *Set) become(k *Conn, to kind, now time.Time) {
-	if k.kind != busy {
-		c.waiting[k.kind].Remove(k)
-		c.many[k.kind]--
+func (c *Set) setKind(k *Conn, to kind, now time.Time) {
+	if k.kind != kindBusy {
+		c.byKind[k.kind].Remove(k)
+		c.counts[k.kind]--
 	}
 	k.kind, k.since = to, now
-	if to != busy {
-		c.waiting[to].Push(k)
-		c.many[to]++
+	if to != kindBusy {
+		c.byKind[to].Push(k)
+		c.counts[to]++
 	}
 }
 
 // unlock lets go of c.mu, and closes the connections that were ended while it was held.
 func (c *Set) unlock() {
-	closing := c.closing
-	c.closing = nil
+	closing := c.toClose
+	c.toClose = nil
 	c.mu.Unlock()
 	for _, conn := range closing {
 		conn.Close()
@@ -125,20 +125,20 @@
 
 // end ends a connection on which no request is open; c.mu must be held, and unlock closes the connection. What the caller may have
 // sent meanwhile has not been read, so it may be sent again.
-func (c *Set) end(k *Conn) {
-	k.ended = true
-	c.forget(k)
+func (c *Set) evict(k *Conn) {
+	k.closed = true
+	c.remove(k)
 	if k.lot != nil {
-		k.lot.Drop(k.key)
+		k.lot.Drop(k.lotKey)
 		return
 	}
-	c.closing = append(c.closing, k.Conn)
+	c.toClose = append(c.toClose, k.Conn)
 }
 
-func (c *Set) forget(k *Conn) {
+func (c *Set) remove(k *Conn) {
 	if _, open := c.open[k]; open {
 		delete(c.open, k)
-		c.become(k, busy, k.since)
+		c.setKind(k, kindBusy, k.since)
 		if k.state == http.StateActive {
 			c.active--
 		}
@@ -151,7 +151,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if state == http.StateClosed || state == http.StateHijacked {
-		c.forget(k)
+		c.remove(k)
 		k.state = state
 		return
 	}
@@ -167,14 +167,14 @@
 	case state == http.StateActive:
 		c.active++
 		k.requests++
-		c.become(k, busy, now)
+		c.setKind(k, kindBusy, now)
 	case state != http.StateIdle:
 	case !k.framing.Between():
-		c.become(k, partial, now) // the next request has begun behind the last
+		c.setKind(k, kindPartial, now) // the next request has begun behind the last
 	case k.requests <= 1:
-		c.become(k, once, now)
+		c.setKind(k, kindOnce, now)
 	default:
-		c.become(k, idling, now)
+		c.setKind(k, kindIdle, now)
 	}
 }
 
@@ -182,18 +182,18 @@
 func (c *Set) Crowded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.active > c.soft
+	return c.active > c.softLimit
 }
 
 // CloseQuiet closes the connections on which no request has begun for so long, and counts the others.
-func (c *Set) CloseQuiet(quiet time.Duration) (others int) {
+func (c *Set) CloseQuiet(minIdle time.Duration) (others int) {
 	now := time.Now()
 	for {
 		c.mu.Lock()
-		ended := c.endFirst([]kind{silent, once, idling, parkedOnce, parkedIdle}, mostAtOnce, func(k *Conn) bool { return now.Sub(k.since) >= quiet })
+		ended := c.evictDue([]kind{kindSilent, kindOnce, kindIdle, kindParkedOnce, kindParkedIdle}, maxEvictBatch, func(k *Conn) bool { return now.Sub(k.since) >= minIdle })
 		others = len(c.open)
 		c.unlock()
-		if ended < mostAtOnce {
+		if ended < maxEvictBatch {
 			return others
 		}
 	}
@@ -204,19 +204,19 @@
 func (c *Set) Shut() (busy int) {
 	c.mu.Lock()
 	defer c.unlock()
-	c.shut = true
-	c.endFirst([]kind{silent, once, idling, partial, parkedOnce, parkedIdle}, len(c.open), func(*Conn) bool { return true })
+	c.shutdown = true
+	c.evictDue([]kind{kindSilent, kindOnce, kindIdle, kindPartial, kindParkedOnce, kindParkedIdle}, len(c.open), func(*Conn) bool { return true })
 	return len(c.open)
 }
 
 // mostAtOnce bounds the connections that are closed with the lock held, for which all others wait.
-const mostAtOnce = 256
+const maxEvictBatch = 256
 
 // endFirst ends so many connections of these kinds at most, the longest so first, while they are due; c.mu must be held.
-func (c *Set) endFirst(kinds []kind, most int, due func(*Conn) bool) (ended int) {
+func (c *Set) evictDue(kinds []kind, limit int, due func(*Conn) bool) (ended int) {
 	for _, kind := range kinds {
-		for k := c.waiting[kind].Front(); k != nil && ended < most && due(k); k = c.waiting[kind].Front() {
-			c.end(k)
+		for k := c.byKind[kind].Front(); k != nil && ended < limit && due(k); k = c.byKind[kind].Front() {
+			c.evict(k)
 			ended++
 		}
 	}
@@ -228,7 +228,7 @@
 func (c *Set) SetLimits(soft, hard int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.soft, c.hard = soft, hard
+	c.softLimit, c.hardLimit = soft, hard
 }
 
 // Len is how many connections are open.
@@ -250,10 +250,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	counts := map[string]int{
-		"silent": c.many[silent], "once": c.many[once] + c.many[parkedOnce], "idle": c.many[idling] + c.many[parkedIdle],
-		"partial": c.many[partial], "busy": len(c.open),
+		"silent": c.counts[kindSilent], "once": c.counts[kindOnce] + c.counts[kindParkedOnce], "idle": c.counts[kindIdle] + c.counts[kindParkedIdle],
+		"partial": c.counts[kindPartial], "busy": len(c.open),
 	}
-	for _, n := range c.many {
+	for _, n := range c.counts {
 		counts["busy"] -= n
 	}
 	return counts
--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -9,21 +9,21 @@
 )
 
 // dead is a connection that only notes whether it is closed.
-type dead struct {
+type stubConn struct {
 	net.Conn
 	closed bool
 }
 
-func (d *dead) Close() error { d.closed = true; return nil }
+func (d *stubConn) Close() error { d.closed = true; return nil }
 
-func (d *dead) Read(p []byte) (int, error) { return copy(p, "G"), nil }
+func (d *stubConn) Read(p []byte) (int, error) { return copy(p, "G"), nil }
 
 // longAgo makes a connection's last change lie so far back.
-func (k *Conn) longAgo(d time.Duration) { k.since = k.since.Add(-d) }
+func (k *Conn) backdate(d time.Duration) { k.since = k.since.Add(-d) }
 
-func admit(t *testing.T, s *Set) (*Conn, *dead) {
+func admit(t *testing.T, s *Set) (*Conn, *stubConn) {
 	t.Helper()
-	d := &dead{}
+	d := &stubConn{}
 	k := s.admit(d)
 	if k == nil {
 		t.Fatal("not admitted")
@@ -39,37 +39,37 @@
 }
 
 // TestWhoGoesFirst fills a set with one connection of each kind, and has newcomers take their places one by one.
-func TestWhoGoesFirst(t *testing.T) {
+func TestEvictionOrder(t *testing.T) {
 	s := NewSet(6, 8, time.Hour)
-	active, a := admit(t, s)
+	active, activeStub := admit(t, s)
 	s.Track(active, http.StateActive)
-	stuck, st := admit(t, s)
+	stuck, stuckStub := admit(t, s)
 	stuck.Read(make([]byte, 1))
-	stuck.longAgo(time.Minute)
-	moving, mo := admit(t, s)
+	stuck.backdate(time.Minute)
+	moving, movingStub := admit(t, s)
 	moving.Read(make([]byte, 1))
-	often, of := admit(t, s)
+	often, oftenStub := admit(t, s)
 	request(s, often)
 	request(s, often)
-	once, on := admit(t, s)
+	once, onceStub := admit(t, s)
 	request(s, once)
-	quiet, qu := admit(t, s)
-	quiet.longAgo(time.Minute)
-	for i, want := range []*dead{qu, on, of, st} {
+	silent, silentStub := admit(t, s)
+	silent.backdate(time.Minute)
+	for i, want := range []*stubConn{silentStub, onceStub, oftenStub, stuckStub} {
 		k, _ := admit(t, s)
 		s.Track(k, http.StateActive) // so that it does not go itself
 		if !want.closed {
-			t.Fatalf("newcomer %d: %v %v %v %v are closed", i, qu.closed, on.closed, of.closed, st.closed)
+			t.Fatalf("newcomer %d: %v %v %v %v are closed", i, silentStub.closed, onceStub.closed, oftenStub.closed, stuckStub.closed)
 		}
 	}
 	for range 2 { // up to hard
 		k, _ := admit(t, s)
 		s.Track(k, http.StateActive)
 	}
-	if s.admit(&dead{}) != nil {
+	if s.admit(&stubConn{}) != nil {
 		t.Error("admitted over the hard limit")
 	}
-	if a.closed || mo.closed {
+	if activeStub.closed || movingStub.closed {
 		t.Error("one with a request open, or whose head moves, was closed")
 	}
 	if !s.Crowded() {
@@ -78,14 +78,14 @@
 }
 
 // TestOldestOfItsKindGoes admits many of a kind; they go in the order of their last change.
-func TestOldestOfItsKindGoes(t *testing.T) {
+func TestOldestOfItsKindIsEvicted(t *testing.T) {
 	const n = 50
 	s := NewSet(n, n, time.Hour)
-	var all []*dead
+	var all []*stubConn
 	var conns []*Conn
 	for range n {
 		k, d := admit(t, s)
-		k.longAgo(time.Minute)
+		k.backdate(time.Minute)
 		all, conns = append(all, d), append(conns, k)
 	}
 	request(s, conns[0]) // not silent any more
@@ -100,16 +100,16 @@
 	}
 }
 
-func TestOnceIdleEndsWhenOthersCome(t *testing.T) {
+func TestOnceIdleConnectionsCloseOnNewConnection(t *testing.T) {
 	s := NewSet(100, 100, time.Second)
-	var old []*dead
+	var old []*stubConn
 	for range 5 {
 		k, d := admit(t, s)
 		request(s, k)
-		k.longAgo(2 * time.Second)
+		k.backdate(2 * time.Second)
 		old = append(old, d)
 	}
-	young, y := admit(t, s)
+	young, youngStub := admit(t, s)
 	request(s, young)
 	admit(t, s)
 	for i, d := range old {
@@ -117,7 +117,7 @@
 			t.Errorf("%d stays", i)
 		}
 	}
-	if y.closed || s.Len() != 2 {
+	if youngStub.closed || s.Len() != 2 {
 		t.Errorf("%d are left", s.Len())
 	}
 }
@@ -134,10 +134,10 @@
 	}
 }
 
-func TestEndedConnectionReadsNothing(t *testing.T) {
+func TestEvictedConnectionReadsNothing(t *testing.T) {
 	s := NewSet(1, 1, time.Hour)
 	k, _ := admit(t, s)
-	k.longAgo(time.Minute)
+	k.backdate(time.Minute)
 	admit(t, s)
 	if n, err := k.Read(make([]byte, 1)); n != 0 || err == nil {
 		t.Errorf("%d bytes, %v", n, err)
@@ -154,13 +154,13 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			s := NewSet(n, n, time.Hour)
 			for range n {
-				k := s.admit(&dead{})
+				k := s.admit(&stubConn{})
 				request(s, k)
 				request(s, k)
 			}
 			b.ResetTimer()
 			for b.Loop() {
-				k := s.admit(&dead{})
+				k := s.admit(&stubConn{})
 				request(s, k)
 				request(s, k)
 			}
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -18,22 +18,22 @@
 // Conn is one connection of a caller.
 type Conn struct {
 	net.Conn
-	set     *Set
-	framing framing.Follower // of what it sends; used by the one that reads
-	ahead   []byte           // read from the socket and not handed on yet; the same
-	flooded bool             // more came than is read ahead; the same
-	waited  time.Duration    // before it was accepted; the same
-	raw     syscall.RawConn  // nil where there is no socket
+	set         *Set
+	framing     framing.Follower // of what it sends; used by the one that reads
+	buffered    []byte           // read from the socket and not handed on yet; the same
+	overflowed  bool             // more came than is read ahead; the same
+	acceptDelay time.Duration    // before it was accepted; the same
+	raw         syscall.RawConn  // nil where there is no socket
 
 	// Guarded by set.mu.
-	state    http.ConnState
-	kind     kind
-	since    time.Time // when it became so; of a partial head, when its last bytes came
-	ended    bool
-	requests int       // begun so far
-	breaking bool      // its read is broken off, so that it can be parked
-	lot      *idle.Lot // where it is parked, or nil
-	key      int32     // by which it is known there
+	state       http.ConnState
+	kind        kind
+	since       time.Time // when it became so; of a partial head, when its last bytes came
+	closed      bool
+	requests    int       // begun so far
+	parkPending bool      // its read is broken off, so that it can be parked
+	lot         *idle.Lot // where it is parked, or nil
+	lotKey      int32     // by which it is known there
 
 	linked.Links[Conn] // in the list of its kind
 }
@@ -65,7 +65,7 @@
 func (k *Conn) busy() bool {
 	k.set.mu.Lock()
 	defer k.set.mu.Unlock()
-	return k.kind == busy
+	return k.kind == kindBusy
 }
 
 // serving says whether a request is open that has been read whole.
@@ -80,7 +80,7 @@
 // say, it is no.
 func (k *Conn) Gone() (gone bool) {
 	k.set.mu.Lock()
-	gone = k.ended
+	gone = k.closed
 	k.set.mu.Unlock()
 	if gone || k.raw == nil {
 		return gone
@@ -96,7 +96,7 @@
 // Close parks a connection whose read was broken off for that, and closes any other. Where more has come behind the request that was
 // answered last, it lingers: a close over unread bytes is a reset, which takes with it what the caller has not read of its answer.
 func (k *Conn) Close() error {
-	if p := k.set.parking; p != nil && p.take(k) {
+	if p := k.set.parking; p != nil && p.park(k) {
 		return nil
 	}
 	if k.set.linger(k) {
@@ -118,32 +118,32 @@
 // Waited is how long the first request of a connection may have stood before this process could take the connection; 0 for later ones.
 // It is for the one that reads.
 func (k *Conn) Waited() time.Duration {
-	waited := k.waited
-	k.waited = 0
-	return waited
+	delay := k.acceptDelay
+	k.acceptDelay = 0
+	return delay
 }
 
 // leastStood is the shortest time that Stood tells: the kernel counts in ticks of some milliseconds.
-const leastStood = 10 * time.Millisecond
+const minSinceData = 10 * time.Millisecond
 
 // Stood is for how long the last bytes that have come have been there, as the kernel knows it, whenever this process got to read them; 0 where it
 // does not say.
 //
 // It guards against a process that was stopped or starved and takes a request for a new one whose caller has waited meanwhile. It harms nobody who
 // sends no more behind a request, and says too little of who does.
-func (k *Conn) Stood() (stood time.Duration) {
+func (k *Conn) Stood() (age time.Duration) {
 	if k.raw == nil {
 		return 0
 	}
 	k.raw.Control(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-			stood = time.Duration(info.Last_data_recv) * time.Millisecond
+			age = time.Duration(info.Last_data_recv) * time.Millisecond
 		}
 	})
-	if stood < leastStood {
+	if age < minSinceData {
 		return 0
 	}
-	return stood
+	return age
 }
 
 // Chunked says whether the message read last is framed by chunks and no length.
--- a/internal/callers/crossing_test.go
+++ b/internal/callers/crossing_test.go
@@ -53,7 +53,7 @@
 
 // TestNothingIsReadOfAConnectionThatIsClosedAtRest: a request comes on a connection in the moment in which that is closed for its
 // rest. The caller sends it again only if it was not read, so it must stand unread in the socket, whoever comes first.
-func TestNothingIsReadOfAConnectionThatIsClosedAtRest(t *testing.T) {
+func TestConnectionClosedWhileIdleIsNotRead(t *testing.T) {
 	const sent = "GET / HTTP/1.1\r\n\r\n"
 	for _, requests := range []int{0, 1, 2} { // silent, once and idling
 		caller, accepted, watch := socketPair(t)
@@ -77,7 +77,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		time.Sleep(10 * time.Millisecond) // a reader that needs no lock has read them by now
-		set.end(conn)
+		set.evict(conn)
 		set.unlock()
 		if err := <-read; !errors.Is(err, net.ErrClosed) {
 			t.Errorf("%d requests: %v of a connection that was closed", requests, err)
@@ -90,7 +90,7 @@
 
 // TestReadErrorsAreTheNetPackages: net/http tells by the error whether a peer that is gone is owed an answer, and whether it broke the
 // read off itself.
-func TestReadErrorsAreTheNetPackages(t *testing.T) {
+func TestReadErrorsMatchNetPackage(t *testing.T) {
 	for name, c := range map[string]struct {
 		cause func(caller, accepted net.Conn)
 		want  error
--- a/internal/callers/linger.go
+++ b/internal/callers/linger.go
@@ -9,17 +9,17 @@
 )
 
 // Wait returns once no connection lingers any more.
-func (c *Set) Wait() { c.lingers.Wait() }
+func (c *Set) Wait() { c.lingerGroup.Wait() }
 
 const (
 	// lingerTime is how long a connection that lingers is read on, and lingerMost how much of it.
-	lingerTime, lingerMost = 200 * time.Millisecond, 256 << 10
+	lingerTime, lingerMaxBytes = 200 * time.Millisecond, 256 << 10
 	// mostLingering do so at one time; each holds a descriptor.
-	mostLingering = 16
+	maxLingering = 16
 )
 
 // unread says whether bytes stand in the socket.
-func (k *Conn) unread() (some bool) {
+func (k *Conn) hasUnread() (some bool) {
 	if k.raw == nil {
 		return false
 	}
@@ -37,18 +37,18 @@
 	half, ok := k.Conn.(interface{ CloseWrite() error })
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !ok || c.shut || k.ended || k.state != http.StateActive || c.lingering >= min(mostLingering, c.hard-c.soft) {
+	if !ok || c.shutdown || k.closed || k.state != http.StateActive || c.lingering >= min(maxLingering, c.hardLimit-c.softLimit) {
 		return false
 	}
-	if k.framing.Between() && len(k.ahead) == 0 && !k.unread() {
+	if k.framing.Between() && len(k.buffered) == 0 && !k.hasUnread() {
 		return false
 	}
-	k.ended = true
+	k.closed = true
 	c.lingering++
-	c.lingers.Go(func() {
+	c.lingerGroup.Go(func() {
 		half.CloseWrite()
 		k.Conn.SetReadDeadline(time.Now().Add(lingerTime))
-		io.Copy(io.Discard, io.LimitReader(k.Conn, lingerMost))
+		io.Copy(io.Discard, io.LimitReader(k.Conn, lingerMaxBytes))
 		k.Conn.Close()
 		c.mu.Lock()
 		defer c.mu.Unlock()
--- a/internal/callers/listener.go
+++ b/internal/callers/listener.go
@@ -12,15 +12,15 @@
 // Listener accepts only what there is room for, and closes the rest at once.
 type Listener struct {
 	net.Listener
-	set      *Set
-	accepted atomic.Pointer[time.Time] // when the last one was; nil before it
-	stopped  atomic.Bool
-	drained  atomic.Bool   // nothing more is accepted after Stop
-	closed   chan struct{} // closed by Close
+	set        *Set
+	lastAccept atomic.Pointer[time.Time] // when the last one was; nil before it
+	stopped    atomic.Bool
+	drained    atomic.Bool   // nothing more is accepted after Stop
+	closed     chan struct{} // closed by Close
 
 	// Of accepts that fail for a moment, one behind the other: used by Accept alone.
-	stallBegin, stallEnd time.Time
-	end                  sync.Once
+	failuresBegin, failuresEnd time.Time
+	closeOnce                  sync.Once
 }
 
 // Stop lets go of the socket, which another process goes on accepting from, and leaves the connections that were
@@ -37,7 +37,7 @@
 
 // Close ends the listener.
 func (l *Listener) Close() error {
-	l.end.Do(func() { close(l.closed) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	if l.stopped.Load() {
 		return nil
 	}
@@ -47,8 +47,8 @@
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
-		if err != nil && momentary(err) && !l.stopped.Load() {
-			l.stall()
+		if err != nil && temporary(err) && !l.stopped.Load() {
+			l.pauseAfterFailure()
 			continue
 		}
 		if err != nil {
@@ -59,9 +59,9 @@
 			return nil, err
 		}
 		now := time.Now()
-		l.accepted.Store(&now)
+		l.lastAccept.Store(&now)
 		if k := l.set.admit(conn); k != nil {
-			k.waited = l.stalled(now)
+			k.acceptDelay = l.acceptDelay(now)
 			return k, nil
 		}
 		conn.Close()
@@ -72,11 +72,11 @@
 	// acceptPause is waited behind an accept that failed for a moment. Callers wait meanwhile, and their time runs.
 	acceptPause = 5 * time.Millisecond
 	// drainTime behind such accepts all that had queued up is taken.
-	drainTime = 50 * time.Millisecond
+	backlogDrainTime = 50 * time.Millisecond
 )
 
 // momentary says whether accept has failed for want of something that may come back, or of a connection that is gone.
-func momentary(err error) bool {
+func temporary(err error) bool {
 	for _, one := range []error{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
 		if errors.Is(err, one) {
 			return true
@@ -86,24 +86,24 @@
 }
 
 // stall waits behind an accept that failed.
-func (l *Listener) stall() {
+func (l *Listener) pauseAfterFailure() {
 	now := time.Now()
-	if now.Sub(l.stallEnd) > drainTime {
-		l.stallBegin = now
+	if now.Sub(l.failuresEnd) > backlogDrainTime {
+		l.failuresBegin = now
 	}
 	select {
 	case <-l.closed:
 	case <-time.After(acceptPause):
 	}
-	l.stallEnd = time.Now()
+	l.failuresEnd = time.Now()
 }
 
 // stalled is how long a connection may have waited that is accepted now.
-func (l *Listener) stalled(now time.Time) time.Duration {
-	if l.stallEnd.IsZero() || now.Sub(l.stallEnd) > drainTime {
+func (l *Listener) acceptDelay(now time.Time) time.Duration {
+	if l.failuresEnd.IsZero() || now.Sub(l.failuresEnd) > backlogDrainTime {
 		return 0
 	}
-	return now.Sub(l.stallBegin)
+	return now.Sub(l.failuresBegin)
 }
 
 // Listen wraps a listener so that the set decides which connections are taken.
@@ -112,13 +112,13 @@
 }
 
 // longQuiet is longer than anybody waits for quiet.
-const longQuiet = time.Hour
+const maxSinceAccept = time.Hour
 
 // Quiet is how long no connection has come.
 func (l *Listener) Quiet() time.Duration {
-	last := l.accepted.Load()
+	last := l.lastAccept.Load()
 	if last == nil {
-		return longQuiet
+		return maxSinceAccept
 	}
 	return time.Since(*last)
 }
--- a/internal/callers/park.go
+++ b/internal/callers/park.go
@@ -22,10 +22,10 @@
 	lot   *idle.Lot
 	pace  idle.Pace
 	addr  net.Addr
-	woken chan *Conn
+	ready chan *Conn
 
-	closed chan struct{}
-	end    sync.Once
+	closed    chan struct{}
+	closeOnce sync.Once
 }
 
 // Park has the set's idle connections held. It is called before the server accepts any; the server must serve the
@@ -35,22 +35,22 @@
 	if err != nil {
 		return nil, err
 	}
-	c.parking = &Parking{set: c, lot: lot, pace: pace, addr: addr, woken: make(chan *Conn), closed: make(chan struct{})}
+	c.parking = &Parking{set: c, lot: lot, pace: pace, addr: addr, ready: make(chan *Conn), closed: make(chan struct{})}
 	return c.parking, nil
 }
 
 // Run parks connections and closes those that have idled for too long, until ctx is done; then it closes all.
 func (p *Parking) Run(ctx context.Context) error {
-	var waking sync.WaitGroup
+	var group sync.WaitGroup
 	failed := make(chan error, 1)
-	waking.Go(func() { failed <- p.lot.Run() })
+	group.Go(func() { failed <- p.lot.Run() })
 	ticker := time.NewTicker(p.pace.Every())
 	defer func() {
 		ticker.Stop()
 		p.Close()
 		p.lot.Close()
-		waking.Wait()
-		p.forget()
+		group.Wait()
+		p.dropParked()
 	}()
 	for {
 		select {
@@ -65,11 +65,11 @@
 }
 
 // forget ends what is still parked, or about to be: it is closed, and must not take places any more.
-func (p *Parking) forget() {
+func (p *Parking) dropParked() {
 	c := p.set
 	c.mu.Lock()
 	defer c.unlock()
-	c.endFirst([]kind{parkedOnce, parkedIdle}, len(c.open), func(*Conn) bool { return true })
+	c.evictDue([]kind{kindParkedOnce, kindParkedIdle}, len(c.open), func(*Conn) bool { return true })
 }
 
 // tick breaks off the reads of connections that are to be parked, and closes those whose time is over, so many at a time.
@@ -78,12 +78,12 @@
 	c.mu.Lock()
 	defer c.unlock()
 	batch := p.pace.Batch(len(c.open))
-	batch -= c.endFirst([]kind{parkedOnce, parkedIdle}, batch, func(k *Conn) bool { return p.pace.Close(k.since, now) })
-	for _, kind := range []kind{once, idling} {
-		for k := c.waiting[kind].Front(); k != nil && batch > 0 && p.pace.Hold(k.since, now); k = c.waiting[kind].Front() {
+	batch -= c.evictDue([]kind{kindParkedOnce, kindParkedIdle}, batch, func(k *Conn) bool { return p.pace.Close(k.since, now) })
+	for _, kind := range []kind{kindOnce, kindIdle} {
+		for k := c.byKind[kind].Front(); k != nil && batch > 0 && p.pace.Hold(k.since, now); k = c.byKind[kind].Front() {
 			// net/http ends what it reads no more from; Close parks it.
-			c.become(k, kind.parked(), k.since)
-			k.breaking = true
+			c.setKind(k, kind.parkedKind(), k.since)
+			k.parkPending = true
 			k.Conn.SetReadDeadline(time.Unix(1, 0))
 			batch--
 		}
@@ -91,33 +91,33 @@
 }
 
 // parked is the kind of one that idles and is parked.
-func (k kind) parked() kind {
-	if k == once {
-		return parkedOnce
+func (k kind) parkedKind() kind {
+	if k == kindOnce {
+		return kindParkedOnce
 	}
-	return parkedIdle
+	return kindParkedIdle
 }
 
 // take holds a connection that the server has closed because its read was broken off; false for any other.
-func (p *Parking) take(k *Conn) bool {
+func (p *Parking) park(k *Conn) bool {
 	c := p.set
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	tcp, plain := k.Conn.(*net.TCPConn)
-	if _, open := c.open[k]; !open || !k.breaking || !plain {
+	if _, open := c.open[k]; !open || !k.parkPending || !plain {
 		return false
 	}
 	// The server may still speak of k; it has ended there.
-	held := &Conn{set: c, framing: k.framing, kind: busy, requests: k.requests}
+	held := &Conn{set: c, framing: k.framing, kind: kindBusy, requests: k.requests}
 	kind, since := k.kind, k.since
-	c.forget(k)
-	key, err := p.lot.Hold(tcp, held)
+	c.remove(k)
+	lotKey, err := p.lot.Hold(tcp, held)
 	if err != nil {
 		return true // it is closed
 	}
-	held.key, held.lot = key, p.lot
+	held.lotKey, held.lot = lotKey, p.lot
 	c.open[held] = struct{}{}
-	c.become(held, kind, since)
+	c.setKind(held, kind, since)
 	return true
 }
 
@@ -128,7 +128,7 @@
 	}
 	k.set.mu.Lock()
 	defer k.set.mu.Unlock()
-	if k.breaking {
+	if k.parkPending {
 		return nil
 	}
 	return k.Conn.SetReadDeadline(t)
@@ -142,18 +142,18 @@
 		c.mu.Unlock()
 		return
 	}
-	conn, err := k.lot.Take(k.key)
+	conn, err := k.lot.Take(k.lotKey)
 	k.lot = nil
 	if err != nil {
-		c.forget(k)
+		c.remove(k)
 		c.mu.Unlock()
 		return
 	}
 	k.Conn, k.raw = conn, raw(conn)
-	c.become(k, partial, time.Now())
+	c.setKind(k, kindPartial, time.Now())
 	c.mu.Unlock()
 	select {
-	case c.parking.woken <- k:
+	case c.parking.ready <- k:
 	case <-c.parking.closed:
 		k.Close()
 		c.Track(k, http.StateClosed)
@@ -163,7 +163,7 @@
 // Accept returns a connection that was parked and has bytes.
 func (p *Parking) Accept() (net.Conn, error) {
 	select {
-	case k := <-p.woken:
+	case k := <-p.ready:
 		return k, nil
 	case <-p.closed:
 		return nil, net.ErrClosed
@@ -172,7 +172,7 @@
 
 // Close ends Accept.
 func (p *Parking) Close() error {
-	p.end.Do(func() { close(p.closed) })
+	p.closeOnce.Do(func() { close(p.closed) })
 	return nil
 }
 
--- a/internal/discovery/plan/model/core.go
+++ b/internal/discovery/plan/model/core.go
@@ -35,21 +35,21 @@
 
 // core is all that is played of package plan, and the only caller of it here: a follower, and a rule in place of its own, if there is one.
 type core struct {
-	follower *plan.Follower
-	rule     Rule          // nil for the follower's own
-	unread   bool          // something lies in discovery's sockets, behind a hold-up
-	ranUntil time.Duration // when the last hold-up began
-	goesOnAt time.Duration // when it ended
-	partAt   time.Duration // when a part of an answer came that has not come whole
-}
-
-func newCore(c Course, rule Rule, dice *rand.Rand) *core {
-	p := newCoreAt(firstAddress, firstVersion, c.Start, c.AskEvery, dice)
-	p.rule = rule
-	if c.Pushed {
-		p.follower.SetPushed(c.Start)
+	follower   *plan.Follower
+	rule       Rule          // nil for the follower's own
+	unread     bool          // something lies in discovery's sockets, behind a hold-up
+	stallBegan time.Duration // when the last hold-up began
+	stallEnded time.Duration // when it ended
+	partialAt  time.Duration // when a part of an answer came that has not come whole
+}
+
+func newCore(s Course, rule Rule, dice *rand.Rand) *core {
+	c := newCoreAt(firstAddress, firstVersion, s.Start, s.AskEvery, dice)
+	c.rule = rule
+	if s.Pushed {
+		c.follower.SetPushed(s.Start)
 	}
-	return p
+	return c
 }
 
 // newCoreAt returns the core of a process that starts at a time with a version of the list, and goes by the follower's own rule.
@@ -57,41 +57,41 @@
 	settings := plan.Settings{Hold: 2500 * time.Millisecond, Slack: 800 * time.Millisecond, AskEvery: askEvery}
 	f := plan.NewFollower(start, address, settings, dice.Float64)
 	f.SetVersion(version)
-	return &core{follower: f, partAt: -plan.PartTime}
+	return &core{follower: f, partialAt: -plan.PartTime}
 }
 
 func (c *core) watch(now time.Duration)                 { c.follower.Watch(now) }
-func (c *core) time(now time.Duration)                  { c.follower.Time(now) }
-func (c *core) next() (at time.Duration, ok bool)       { return c.follower.Next() }
+func (c *core) tick(now time.Duration)                  { c.follower.Time(now) }
+func (c *core) nextTick() (at time.Duration, ok bool)   { return c.follower.Next() }
 func (c *core) actions() []plan.Action                  { return c.follower.Actions() }
 func (c *core) progress(o *openCall, now time.Duration) { c.follower.Progress(o.ID, now) }
 
 // heldUp takes in that the process has not run since a time.
-func (c *core) heldUp(since, now time.Duration) {
-	c.ranUntil, c.goesOnAt = since, now
+func (c *core) resumed(since, now time.Duration) {
+	c.stallBegan, c.stallEnded = since, now
 	if c.rule != nil {
 		c.rule.HeldUp(since, now)
 	}
 }
 
-func (c *core) made(o *openCall) {
+func (c *core) callMade(o *openCall) {
 	if c.rule != nil {
 		c.rule.Made(o.Call, o.begun)
 	}
 }
 
 // givenUp takes in that a call was given up, as the follower said.
-func (c *core) givenUp(o *openCall, now time.Duration) {
+func (c *core) callGivenUp(o *openCall, now time.Duration) {
 	if c.rule != nil {
 		c.rule.GivenUp(o.Call, now)
 	}
 }
 
-func (c *core) move(address string, now time.Duration) {
+func (c *core) moved(address string, now time.Duration) {
 	if c.rule != nil {
 		c.rule.Moved(address, now)
 	}
-	c.follower.Move(address, c.seenRunning(now), now)
+	c.follower.Move(address, c.lastRan(now), now)
 }
 
 func (c *core) connected(o *openCall) {
@@ -108,19 +108,19 @@
 }
 
 func (c *core) listBegun(o *openCall, now time.Duration) {
-	c.follower.AnswerBegun(o.ID, c.seenRunning(now), now)
-	c.partAt = now
+	c.follower.AnswerBegun(o.ID, c.lastRan(now), now)
+	c.partialAt = now
 }
 
 // seenRunning is when the process was last seen to run.
-func (c *core) seenRunning(now time.Duration) time.Duration {
-	if now == c.goesOnAt {
-		return c.ranUntil
+func (c *core) lastRan(now time.Duration) time.Duration {
+	if now == c.stallEnded {
+		return c.stallBegan
 	}
 	return now
 }
 
-func (c *core) ended(o *openCall, end plan.CallEnd, now time.Duration) {
+func (c *core) callEnded(o *openCall, end plan.CallEnd, now time.Duration) {
 	if c.rule != nil {
 		c.rule.Ended(o.Call, end, o.begun, now)
 	}
@@ -129,12 +129,12 @@
 
 // received takes in a whole answer, whose first byte is seen now, and says whether its list is to be taken in; taken has to follow where it
 // is ok.
-func (c *core) received(o *openCall, version int64, whole bool, now time.Duration) (use, ok bool) {
+func (c *core) answerReceived(o *openCall, version int64, whole bool, now time.Duration) (use, ok bool) {
 	return c.follower.Received(o.ID, version, whole, now)
 }
 
-func (c *core) taken(o *openCall, use bool, now time.Duration) {
-	c.partAt = -plan.PartTime
+func (c *core) answerApplied(o *openCall, use bool, now time.Duration) {
+	c.partialAt = -plan.PartTime
 	if c.rule != nil {
 		c.rule.Answered(Answer{Call: o.Call, Sent: o.begun, Begun: now, News: o.whole || o.version != o.From, Used: use})
 	}
@@ -147,5 +147,5 @@
 	if c.rule != nil {
 		return c.rule.MayAct(now)
 	}
-	return !c.unread && now >= c.partAt+plan.PartTime && c.follower.Standing(now) != plan.Stale
+	return !c.unread && now >= c.partialAt+plan.PartTime && c.follower.Standing(now) != plan.Stale
 }
--- a/internal/discovery/plan/model/course.go
+++ b/internal/discovery/plan/model/course.go
@@ -32,7 +32,7 @@
 }
 
 // reachesNobody says whether no connection comes up.
-func (f Fate) reachesNobody() bool { return f == DialRefused || f == DialSilent }
+func (f Fate) unreachable() bool { return f == DialRefused || f == DialSilent }
 
 // Outage is a time in which discovery is down for all: what changes in it can be told from its end on.
 type Outage struct {
@@ -79,18 +79,18 @@
 	// callLatency is until a call that meets nothing amiss begins to be answered.
 	callLatency = time.Millisecond
 	// linePatience is how long discovery lets a call wait until it turns it away, and dialPatience how long a dial stays silent.
-	linePatience = 2 * time.Second
-	dialPatience = time.Second
+	queueTimeout = 2 * time.Second
+	dialTimeout  = time.Second
 	// slowest is the longest that a call waits in line, and latest that an answer is written behind its decision.
-	slowest, latest = 3 * time.Second, 3 * time.Second
+	maxQueueDelay, maxWriteDelay = 3 * time.Second, 3 * time.Second
 	// longestWay is the longest that an answer is on its way, which the grace has to cover, and latestDial until a late connection comes up.
-	longestWay, latestDial = 300 * time.Millisecond, 1500 * time.Millisecond
+	maxTransitDelay, maxDialDelay = 300 * time.Millisecond, 1500 * time.Millisecond
 	// longestHoldUp is of the process, and allowedHoldUp the longest that the pages allow for.
-	longestHoldUp, allowedHoldUp = 3 * time.Second, 150 * time.Millisecond
+	maxStall, maxAllowedStall = 3 * time.Second, 150 * time.Millisecond
 	// balancerMost is the longest that the balancer waits until it asks for a watch again.
-	balancerMost = time.Second
+	maxWatchDelay = time.Second
 	// quietTime at the end of a course nothing is amiss in.
-	quietTime = 15 * time.Second
+	faultFreeEnd = 15 * time.Second
 	// defaultAskEvery is ask_every_ms where a course does not say it.
 	defaultAskEvery = 10 * time.Second
 )
--- a/internal/discovery/plan/model/discovery.go
+++ b/internal/discovery/plan/model/discovery.go
@@ -11,38 +11,38 @@
 // openCall is one that was made.
 type openCall struct {
 	plan.Call
-	fate     Fate
-	begun    time.Duration
-	holds    bool          // it waits for news
-	broken   bool          // it fell silent for good
-	clear    bool          // nothing else was amiss as it was made, and the process and its agent have run since
-	closedAt time.Duration // when the process was done with it; never before that
-	decided  time.Duration // of which moment its answer tells
-	tells    int           // so many changes its answer tells
-	version  int64         // of its answer
-	whole    bool          // its answer is the whole list
+	outcome     Fate
+	begun       time.Duration
+	waiting     bool          // it waits for news
+	silenced    bool          // it fell silent for good
+	undisturbed bool          // nothing else was amiss as it was made, and the process and its agent have run since
+	closedAt    time.Duration // when the process was done with it; never before that
+	decidedAt   time.Duration // of which moment its answer tells
+	changes     int           // so many changes its answer tells
+	version     int64         // of its answer
+	whole       bool          // its answer is the whole list
 }
 
 // closed says whether the process is done with it.
 func (o *openCall) closed() bool { return o.closedAt != never }
 
 // fateOf is what the next call meets.
-func (p *play) fateOf() Fate {
-	p.calls++
-	p.verdict.Calls++
-	if p.down != nil {
-		return p.down.Fate
+func (r *run) nextOutcome() Fate {
+	r.calls++
+	r.result.Calls++
+	if r.outage != nil {
+		return r.outage.Fate
 	}
-	if p.calls <= len(p.course.Calls) {
-		return p.course.Calls[p.calls-1]
+	if r.calls <= len(r.schedule.Calls) {
+		return r.schedule.Calls[r.calls-1]
 	}
 	var shares []Share
-	for _, phase := range p.course.Phases {
-		if phase.From <= p.now {
+	for _, phase := range r.schedule.Phases {
+		if phase.From <= r.now {
 			shares = phase.Shares
 		}
 	}
-	draw := p.dice.Float64()
+	draw := r.dice.Float64()
 	for _, s := range shares {
 		if draw -= s.Of; draw < 0 {
 			return s.Fate
@@ -52,172 +52,172 @@
 }
 
 // drawn is a time up to a longest one.
-func (p *play) drawn(longest time.Duration) time.Duration {
-	return time.Duration(p.dice.Float64() * float64(longest))
+func (r *run) randomUpTo(limit time.Duration) time.Duration {
+	return time.Duration(r.dice.Float64() * float64(limit))
 }
 
 // call plays one call.
-func (p *play) call(c plan.Call) {
-	o := &openCall{Call: c, begun: p.now, fate: p.fateOf(), closedAt: never, clear: len(p.open) == 0 && p.down == nil && !p.notices.movedLately(p.now)}
-	for _, other := range p.open {
-		other.clear = false
+func (r *run) call(c plan.Call) {
+	o := &openCall{Call: c, begun: r.now, outcome: r.nextOutcome(), closedAt: never, undisturbed: len(r.open) == 0 && r.outage == nil && !r.notices.recentlyMoved(r.now)}
+	for _, other := range r.open {
+		other.undisturbed = false
 	}
-	p.open[c.ID] = o
-	p.core.made(o)
-	p.notices.called(o, p.now)
-	if p.course.Literal && c.Hold > 0 {
-		p.after(c.Hold, func() { p.notices.waitOver(p.now) })
+	r.open[c.ID] = o
+	r.core.callMade(o)
+	r.notices.callMade(o, r.now)
+	if r.schedule.Literal && c.Hold > 0 {
+		r.after(c.Hold, func() { r.notices.waitEnded(r.now) })
 	}
-	p.nothingElse = p.nothingElse && (o.fate == Well || p.down != nil && o.fate.reachesNobody())
-	if !p.kept || c.Beside {
-		p.dial(o)
+	r.onlyOutage = r.onlyOutage && (o.outcome == Well || r.outage != nil && o.outcome.unreachable())
+	if !r.connected || c.Beside {
+		r.dial(o)
 		return
 	}
-	if o.fate.reachesNobody() {
-		o.fate = Reset // its connection is there already
+	if o.outcome.unreachable() {
+		o.outcome = Reset // its connection is there already
 	}
-	p.serve(o)
+	r.handle(o)
 }
 
 // dial has a call's connection come up, or not.
-func (p *play) dial(o *openCall) {
+func (r *run) dial(o *openCall) {
 	up := time.Duration(0)
-	switch o.fate {
+	switch o.outcome {
 	case DialRefused:
-		p.after(callLatency, func() { p.deliver(o, func() { p.end(o, plan.Unreachable) }) })
+		r.after(callLatency, func() { r.deliver(o, func() { r.endCall(o, plan.Unreachable) }) })
 		return
 	case DialSilent:
-		up = dialPatience
+		up = dialTimeout
 	case DialLate:
-		up = p.drawn(latestDial)
+		up = r.randomUpTo(maxDialDelay)
 	}
-	if up >= dialPatience {
-		p.after(dialPatience, func() { p.deliver(o, func() { p.end(o, plan.Unreachable) }) })
+	if up >= dialTimeout {
+		r.after(dialTimeout, func() { r.deliver(o, func() { r.endCall(o, plan.Unreachable) }) })
 		return
 	}
 	connected := func() {
 		if !o.closed() {
-			p.core.connected(o)
-			p.serve(o)
+			r.core.connected(o)
+			r.handle(o)
 		}
 	}
 	if up == 0 {
 		connected()
 		return
 	}
-	p.after(up, func() { p.deliver(o, connected) })
+	r.after(up, func() { r.deliver(o, connected) })
 }
 
 // serve has discovery take a call.
-func (p *play) serve(o *openCall) {
-	p.kept = true
-	p.at(o.begun+o.Wait, func() { p.deliver(o, func() { p.end(o, plan.TimedOut) }) })
-	refuse := func() { p.deliver(o, func() { p.refuse(o) }) }
-	switch o.fate {
+func (r *run) handle(o *openCall) {
+	r.connected = true
+	r.at(o.begun+o.Wait, func() { r.deliver(o, func() { r.endCall(o, plan.TimedOut) }) })
+	refuse := func() { r.deliver(o, func() { r.refuse(o) }) }
+	switch o.outcome {
 	case Well, Lagged, Delayed, DialLate:
-		p.after(callLatency, func() { p.hold(o) })
+		r.after(callLatency, func() { r.waitForChange(o) })
 	case Slow:
-		p.after(callLatency+p.drawn(slowest), func() { p.hold(o) })
+		r.after(callLatency+r.randomUpTo(maxQueueDelay), func() { r.waitForChange(o) })
 	case Cut, Stalled:
-		if p.dice.IntN(2) == 0 {
-			p.after(callLatency, func() { p.hold(o) })
+		if r.dice.IntN(2) == 0 {
+			r.after(callLatency, func() { r.waitForChange(o) })
 		} else {
-			p.after(callLatency, func() { p.answer(o) })
+			r.after(callLatency, func() { r.answer(o) })
 		}
 	case Silent:
-		p.fallSilent(o)
+		r.silence(o)
 	case Reset:
-		p.after(callLatency, func() { p.deliver(o, func() { p.end(o, plan.NoAnswer) }) })
+		r.after(callLatency, func() { r.deliver(o, func() { r.endCall(o, plan.NoAnswer) }) })
 	case RefusedNow:
-		p.after(callLatency, refuse)
+		r.after(callLatency, refuse)
 	case RefusedLate:
-		p.after(linePatience, refuse)
+		r.after(queueTimeout, refuse)
 	}
 }
 
-func (p *play) fallSilent(o *openCall) {
-	o.holds = false
-	if p.down == nil {
-		o.broken = true
-		p.notices.silent(o, p.now)
+func (r *run) silence(o *openCall) {
+	o.waiting = false
+	if r.outage == nil {
+		o.silenced = true
+		r.notices.watchSilenced(o, r.now)
 	}
 }
 
 // hold has a call wait for news, or be answered where there are some.
-func (p *play) hold(o *openCall) {
-	if o.closed() || o.broken {
+func (r *run) waitForChange(o *openCall) {
+	if o.closed() || o.silenced {
 		return
 	}
-	if p.seen > p.told(o) || o.From < 0 || o.From > p.version() {
-		p.answer(o)
+	if r.changesMade > r.changesAt(o) || o.From < 0 || o.From > r.version() {
+		r.answer(o)
 		return
 	}
-	o.holds = true
-	p.at(max(p.now, o.begun+o.Hold), func() {
-		if o.holds {
-			p.answer(o)
+	o.waiting = true
+	r.at(max(r.now, o.begun+o.Hold), func() {
+		if o.waiting {
+			r.answer(o)
 		}
 	})
 }
 
 // told is how many changes there are up to the version that a call asks from.
-func (p *play) told(o *openCall) int { return int(o.From - firstVersion - p.offset) }
+func (r *run) changesAt(o *openCall) int { return int(o.From - firstVersion - r.versionOffset) }
 
 // version is discovery's.
-func (p *play) version() int64 { return firstVersion + int64(p.seen) + p.offset }
+func (r *run) version() int64 { return firstVersion + int64(r.changesMade) + r.versionOffset }
 
 // tell answers the watches that wait for news.
-func (p *play) tell() {
-	for _, o := range p.waiting() {
-		p.after(callLatency, func() {
-			if o.holds {
-				p.answer(o)
+func (r *run) answerWatches() {
+	for _, o := range r.waitingCalls() {
+		r.after(callLatency, func() {
+			if o.waiting {
+				r.answer(o)
 			}
 		})
 	}
 }
 
 // answer decides what a call is answered, and has it written.
-func (p *play) answer(o *openCall) {
+func (r *run) answer(o *openCall) {
 	if o.closed() {
 		return
 	}
-	o.holds, o.decided = false, p.now
-	o.tells, o.version, o.whole = p.seen, p.version(), o.From < 0 || p.dice.Float64() < p.course.WholeLists
+	o.waiting, o.decidedAt = false, r.now
+	o.changes, o.version, o.whole = r.changesMade, r.version(), o.From < 0 || r.dice.Float64() < r.schedule.WholeLists
 	lag := time.Duration(0)
-	if o.fate == Lagged {
-		lag = p.drawn(latest)
+	if o.outcome == Lagged {
+		lag = r.randomUpTo(maxWriteDelay)
 	}
-	p.after(lag, func() { p.write(o) })
+	r.after(lag, func() { r.write(o) })
 }
 
 // write has discovery write an answer, and the answer go its way.
-func (p *play) write(o *openCall) {
+func (r *run) write(o *openCall) {
 	if o.closed() {
 		return
 	}
-	if p.down != nil && !p.course.Pushed {
-		p.deliver(o, func() { p.end(o, plan.NoAnswer) })
+	if r.outage != nil && !r.schedule.Pushed {
+		r.deliver(o, func() { r.endCall(o, plan.NoAnswer) })
 		return
 	}
-	p.notices.written(o, p.now)
-	switch o.fate {
+	r.notices.answerWritten(o, r.now)
+	switch o.outcome {
 	case Cut:
-		p.deliver(o, func() { p.begin(o) })
-		p.after(callLatency, func() { p.deliver(o, func() { p.end(o, plan.CutOff) }) })
+		r.deliver(o, func() { r.readPartialAnswer(o) })
+		r.after(callLatency, func() { r.deliver(o, func() { r.endCall(o, plan.CutOff) }) })
 	case Stalled:
-		p.deliver(o, func() { p.begin(o) })
+		r.deliver(o, func() { r.readPartialAnswer(o) })
 	case Delayed:
-		p.after(p.drawn(longestWay), func() { p.deliver(o, func() { p.read(o) }) })
+		r.after(r.randomUpTo(maxTransitDelay), func() { r.deliver(o, func() { r.readAnswer(o) }) })
 	default:
-		p.deliver(o, func() { p.read(o) })
+		r.deliver(o, func() { r.readAnswer(o) })
 	}
 }
 
 // waiting are the calls that wait for news, in order.
-func (p *play) waiting() (calls []*openCall) {
-	for _, id := range slices.Sorted(maps.Keys(p.open)) {
-		if o := p.open[id]; o.holds {
+func (r *run) waitingCalls() (calls []*openCall) {
+	for _, id := range slices.Sorted(maps.Keys(r.open)) {
+		if o := r.open[id]; o.waiting {
 			calls = append(calls, o)
 		}
 	}
@@ -225,52 +225,52 @@
 }
 
 // endWatches ends the calls that wait for news.
-func (p *play) endWatches(end plan.CallEnd) {
-	for _, o := range p.waiting() {
-		o.holds = false
-		p.deliver(o, func() { p.end(o, end) })
+func (r *run) endWatches(end plan.CallEnd) {
+	for _, o := range r.waitingCalls() {
+		o.waiting = false
+		r.deliver(o, func() { r.endCall(o, end) })
 	}
 }
 
 // silenceWatches has the calls that wait for news stay silent.
-func (p *play) silenceWatches() {
-	p.nothingElse = false
-	for _, o := range p.waiting() {
-		p.fallSilent(o)
+func (r *run) silenceWatches() {
+	r.onlyOutage = false
+	for _, o := range r.waitingCalls() {
+		r.silence(o)
 	}
 }
 
-func (p *play) goDown(o *Outage) {
-	if o.To <= p.now {
+func (r *run) beginOutage(o *Outage) {
+	if o.To <= r.now {
 		return
 	}
-	p.down = o
-	if p.course.Pushed {
-		p.nothingElse = false
-		for _, o := range p.open {
-			o.holds, o.clear = false, false // until the agent is back
+	r.outage = o
+	if r.schedule.Pushed {
+		r.onlyOutage = false
+		for _, o := range r.open {
+			o.waiting, o.undisturbed = false, false // until the agent is back
 		}
 		return
 	}
-	p.kept = p.kept && !o.Fate.reachesNobody()
+	r.connected = r.connected && !o.Fate.unreachable()
 	end := plan.NoAnswer
 	if o.Fate == RefusedNow || o.Fate == RefusedLate {
 		end = plan.TurnedAway
 	}
-	p.endWatches(end)
+	r.endWatches(end)
 }
 
-func (p *play) comeBack() {
-	if p.down == nil {
+func (r *run) endOutage() {
+	if r.outage == nil {
 		return
 	}
-	p.down = nil
-	p.notices.back = p.now
-	if !p.course.Pushed {
+	r.outage = nil
+	r.notices.outageEnd = r.now
+	if !r.schedule.Pushed {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(p.open)) { // the agent answers all that wait
-		o := p.open[id]
-		p.after(callLatency, func() { p.hold(o) })
+	for _, id := range slices.Sorted(maps.Keys(r.open)) { // the agent answers all that wait
+		o := r.open[id]
+		r.after(callLatency, func() { r.waitForChange(o) })
 	}
 }
--- a/internal/discovery/plan/model/draw.go
+++ b/internal/discovery/plan/model/draw.go
@@ -8,39 +8,39 @@
 // Draw draws a course from a seed.
 func Draw(seed uint64) Course {
 	dice := rand.New(rand.NewPCG(seed, 0xd15c))
-	c := Course{Seed: seed, Pushed: dice.IntN(4) == 0, Length: 60 * time.Second}
-	end := c.Length - quietTime
+	s := Course{Seed: seed, Pushed: dice.IntN(4) == 0, Length: 60 * time.Second}
+	end := s.Length - faultFreeEnd
 	moment := func() time.Duration { return time.Duration(dice.Int64N(int64(end))) }
 	for range 1 + dice.IntN(4) {
-		c.Changes = insert(c.Changes, moment())
+		s.Changes = insert(s.Changes, moment())
 	}
-	c.Phases = drawPhases(dice, c.Pushed, end)
+	s.Phases = drawPhases(dice, s.Pushed, end)
 	if dice.IntN(2) == 0 {
-		c.Outages = append(c.Outages, drawOutage(dice, c.Pushed, end))
+		s.Outages = append(s.Outages, drawOutage(dice, s.Pushed, end))
 	}
-	for _, times := range []*[]time.Duration{&c.Resets, &c.Silences, &c.Moves} {
+	for _, times := range []*[]time.Duration{&s.Resets, &s.Silences, &s.Moves} {
 		for range dice.IntN(3) {
 			*times = insert(*times, moment())
 		}
 	}
-	if len(c.Moves) > 0 && dice.IntN(2) == 0 { // configurations in a row
-		c.Moves = insert(c.Moves, c.Moves[0]+time.Duration(dice.Int64N(int64(3*time.Second))))
+	if len(s.Moves) > 0 && dice.IntN(2) == 0 { // configurations in a row
+		s.Moves = insert(s.Moves, s.Moves[0]+time.Duration(dice.Int64N(int64(3*time.Second))))
 	}
 	if dice.IntN(4) == 0 {
-		c.Renumbered = append(c.Renumbered, moment())
+		s.Renumbered = append(s.Renumbered, moment())
 	}
 	if dice.IntN(4) == 0 {
-		c.Start = moment()
+		s.Start = moment()
 	}
 	if dice.IntN(4) == 0 {
-		c.HoldUps = drawHoldUps(dice, c.Pushed, end)
+		s.HoldUps = drawStalls(dice, s.Pushed, end)
 	}
 	askEvery := []time.Duration{500 * time.Millisecond, time.Second, 5 * time.Second, defaultAskEvery, time.Minute}
-	c.AskEvery = askEvery[dice.IntN(len(askEvery))]
+	s.AskEvery = askEvery[dice.IntN(len(askEvery))]
 	if dice.IntN(4) == 0 {
-		c.WholeLists = dice.Float64()
+		s.WholeLists = dice.Float64()
 	}
-	return c
+	return s
 }
 
 func drawPhases(dice *rand.Rand, pushed bool, end time.Duration) (phases []Phase) {
@@ -61,9 +61,9 @@
 	}
 	kinds, left := dice.IntN(5), 0.9*dice.Float64()
 	for range kinds {
-		of := left * dice.Float64()
-		left -= of
-		shares = append(shares, Share{fates[dice.IntN(len(fates))], of})
+		fraction := left * dice.Float64()
+		left -= fraction
+		shares = append(shares, Share{fates[dice.IntN(len(fates))], fraction})
 	}
 	if kinds > 0 {
 		shares[kinds-1].Of += left
@@ -83,10 +83,10 @@
 
 // drawHoldUps draws up to three, the second and third behind the one before. Where lists are pushed they are as long as the pages allow for:
 // what an agent is told behind the answer of a watch lies in no socket, and counts at once.
-func drawHoldUps(dice *rand.Rand, pushed bool, end time.Duration) (holdUps []HoldUp) {
-	longest := longestHoldUp
+func drawStalls(dice *rand.Rand, pushed bool, end time.Duration) (stalls []HoldUp) {
+	longest := maxStall
 	if pushed {
-		longest = allowedHoldUp
+		longest = maxAllowedStall
 	}
 	from := time.Duration(0)
 	for range 1 + dice.IntN(3) {
@@ -95,10 +95,10 @@
 		if from+length >= end {
 			break
 		}
-		holdUps = append(holdUps, HoldUp{from, length})
+		stalls = append(stalls, HoldUp{from, length})
 		from += length
 	}
-	return holdUps
+	return stalls
 }
 
 // insert keeps times in order.
--- a/internal/discovery/plan/model/fleet.go
+++ b/internal/discovery/plan/model/fleet.go
@@ -34,45 +34,45 @@
 	// replacementGap is between the end of a process and the start of the one that takes its place.
 	replacementGap = 300 * time.Millisecond
 	// balancerFirst is the longest pause of the balancer before a first watch; it doubles with each failure.
-	balancerFirst = defaultAskEvery / 16
+	firstWatchDelay = defaultAskEvery / 16
 	// balancerDoublings bounds that.
-	balancerDoublings = 3
+	maxWatchDoublings = 3
 	movedAddress      = "b"
 )
 
 // fleetCounts count, behind the move, the calls that are made and those of them that are refused at once.
 type fleetCounts struct {
-	moved         time.Duration
-	made, refused calls
+	moveAt        time.Duration
+	made, refused callCounts
 }
 
 // calls count calls by whether they wait for a change.
-type calls struct{ first, watches int }
+type callCounts struct{ initial, watches int }
 
-func (n *calls) add(c plan.Call) {
+func (n *callCounts) add(c plan.Call) {
 	if c.Hold > 0 {
 		n.watches++
 	} else {
-		n.first++
+		n.initial++
 	}
 }
 
 // madeAt counts a call.
-func (n *fleetCounts) madeAt(c plan.Call, now time.Duration) {
-	if now >= n.moved {
+func (n *fleetCounts) countMade(c plan.Call, now time.Duration) {
+	if now >= n.moveAt {
 		n.made.add(c)
 	}
 }
 
 // refusedAtOnce counts a call that the service had no room for.
-func (n *fleetCounts) refusedAtOnce(c *serviceCall, now time.Duration) {
-	if now >= n.moved {
+func (n *fleetCounts) countRefused(c *serviceCall, now time.Duration) {
+	if now >= n.moveAt {
 		n.refused.add(c.Call)
 	}
 }
 
 // fleet is a day that is under way.
-type fleet struct {
+type fleetSimulation struct {
 	clock
 	settings fleetSettings
 	dice     *rand.Rand
@@ -84,10 +84,10 @@
 }
 
 // playFleet plays a day and returns it.
-func playFleet(settings fleetSettings) *fleet {
-	f := &fleet{
+func simulateFleet(settings fleetSettings) *fleetSimulation {
+	f := &fleetSimulation{
 		settings: settings, dice: rand.New(rand.NewPCG(settings.Seed, 0xf1ee7)), address: firstAddress,
-		members: make([]*member, settings.Processes), counts: fleetCounts{moved: settings.Move},
+		members: make([]*member, settings.Processes), counts: fleetCounts{moveAt: settings.Move},
 	}
 	f.service = newListService(&f.clock, settings.Service, tiers, &f.counts)
 	f.schedule()
@@ -96,44 +96,44 @@
 	return f
 }
 
-func (f *fleet) drawn(longest time.Duration) time.Duration {
-	return time.Duration(f.dice.Float64() * float64(longest))
+func (f *fleetSimulation) randomUpTo(limit time.Duration) time.Duration {
+	return time.Duration(f.dice.Float64() * float64(limit))
 }
 
-func (f *fleet) schedule() {
+func (f *fleetSimulation) schedule() {
 	s := f.settings
 	for slot := range f.members {
-		f.at(f.drawn(s.StartWithin), func() { f.start(slot) })
+		f.at(f.randomUpTo(s.StartWithin), func() { f.start(slot) })
 	}
 	f.every(s.From, s.To, s.ChangeEvery, func() { f.service.change(firstTier, s.ChangeEntries) })
 	f.every(s.From, s.To, s.ReplaceEvery, func() { f.replace(f.dice.IntN(s.Processes)) })
-	f.every(0, s.Length, tick, f.observe)
+	f.every(0, s.Length, tick, f.sample)
 	f.at(s.Move, func() {
 		f.address = movedAddress
 		for _, m := range f.members {
 			if m != nil {
-				f.after(f.drawn(s.MoveWithin), m.move)
+				f.after(f.randomUpTo(s.MoveWithin), m.move)
 			}
 		}
 	})
 }
 
 // every has something happen at equal intervals.
-func (f *fleet) every(from, to, interval time.Duration, do func()) {
+func (f *fleetSimulation) every(from, to, interval time.Duration, do func()) {
 	for at := from; at < to; at += interval {
 		f.at(at, do)
 	}
 }
 
-func (f *fleet) start(slot int) {
+func (f *fleetSimulation) start(slot int) {
 	m := newMember(f, slot)
 	f.members[slot] = m
 	f.service.add(m.session)
-	m.watchSoon()
+	m.scheduleWatch()
 }
 
 // replace ends a process and starts another one in its place.
-func (f *fleet) replace(slot int) {
+func (f *fleetSimulation) replace(slot int) {
 	m := f.members[slot]
 	if m == nil {
 		return
@@ -144,10 +144,10 @@
 	f.after(replacementGap, func() { f.start(slot) })
 }
 
-func (f *fleet) observe() {
+func (f *fleetSimulation) sample() {
 	for _, m := range f.members {
 		if m != nil {
-			m.observe()
+			m.sample()
 		}
 	}
 }
--- a/internal/discovery/plan/model/lease_test.go
+++ b/internal/discovery/plan/model/lease_test.go
@@ -14,13 +14,13 @@
 	granted, answered time.Duration
 	moved             time.Duration
 	address           string
-	listened          bool
-	failed            int
-	outage            time.Duration
-	spoke             bool
-	told              time.Duration
-	dropped           bool
-	drop              time.Duration
+	reachable         bool
+	failedDials       int
+	outageBegan       time.Duration
+	responded         bool
+	notifiedAt        time.Duration
+	discarded         bool
+	discardedAt       time.Duration
 }
 
 func newDialLease(start time.Duration, pushed bool) *dialLease {
@@ -36,19 +36,19 @@
 	case a.Used:
 		*l = dialLease{pushed: l.pushed, granted: a.Begun, answered: a.Begun, moved: l.moved, address: l.address}
 		return
-	case !l.dropped:
-		l.dropped, l.drop = true, a.Begun
+	case !l.discarded:
+		l.discarded, l.discardedAt = true, a.Begun
 	}
-	l.taken()
+	l.callTaken()
 }
 
 func (l *dialLease) Moved(address string, now time.Duration) { l.moved, l.address = now, address }
-func (l *dialLease) AnswerBegun(time.Duration)               { l.taken() }
-func (l *dialLease) taken()                                  { l.listened, l.failed = true, 0 }
+func (l *dialLease) AnswerBegun(time.Duration)               { l.callTaken() }
+func (l *dialLease) callTaken()                              { l.reachable, l.failedDials = true, 0 }
 
 func (l *dialLease) Connected(goesOn bool) {
 	if !goesOn {
-		l.taken()
+		l.callTaken()
 	}
 }
 
@@ -59,19 +59,19 @@
 			l.dialFailed(begun)
 		}
 	case plan.TurnedAway, plan.CutOff, plan.NoAnswer:
-		if !l.spoke {
-			l.spoke, l.told = true, max(now, l.moved+4*time.Second)
+		if !l.responded {
+			l.responded, l.notifiedAt = true, max(now, l.moved+4*time.Second)
 		}
 	}
 }
 
 func (l *dialLease) dialFailed(begun time.Duration) {
-	if l.failed == 0 {
-		l.outage = begun
+	if l.failedDials == 0 {
+		l.outageBegan = begun
 	}
-	l.failed++
-	believed := !l.listened || l.failed >= 3
-	if believed && l.outage < l.granted+6*time.Second {
+	l.failedDials++
+	believed := !l.reachable || l.failedDials >= 3
+	if believed && l.outageBegan < l.granted+6*time.Second {
 		l.granted = max(l.granted, begun)
 	}
 }
@@ -81,12 +81,12 @@
 	end := l.granted + 6*time.Second + slack
 	if l.pushed {
 		end = never
-		if l.spoke {
-			end = l.told + slack
+		if l.responded {
+			end = l.notifiedAt + slack
 		}
 	}
-	if l.dropped {
-		end = min(end, l.drop+slack)
+	if l.discarded {
+		end = min(end, l.discardedAt+slack)
 	}
 	return now < end || now >= l.answered+serviceFailed
 }
--- a/internal/discovery/plan/model/member.go
+++ b/internal/discovery/plan/model/member.go
@@ -9,7 +9,7 @@
 
 // member is one process of a fleet.
 type member struct {
-	fleet    *fleet
+	fleet    *fleetSimulation
 	core     *core
 	session  *session
 	started  time.Duration
@@ -18,33 +18,33 @@
 	timer    int // the number of the event that is the follower's time; 0 for none
 	timerAt  time.Duration
 	open     map[plan.CallID]*openCall
-	observed
+	staleSamples
 }
 
 // observed is for how long a process may not act on its list.
-type observed struct {
-	held      bool
-	heldSince time.Duration
-	longest   time.Duration // behind the move
-	heldTicks int           // the same
-	ticks     int           // the same
+type staleSamples struct {
+	stale        bool
+	staleSince   time.Duration
+	longestStale time.Duration // behind the move
+	staleTicks   int           // the same
+	ticks        int           // the same
 }
 
-func newMember(f *fleet, slot int) *member {
+func newMember(f *fleetSimulation, slot int) *member {
 	tier := otherTiers
 	if slot < f.settings.FirstTier {
 		tier = firstTier
 	}
-	m := &member{fleet: f, started: f.now, open: map[plan.CallID]*openCall{}, observed: observed{held: true, heldSince: f.now}}
-	m.session = &session{caller: m, tier: tier}
+	m := &member{fleet: f, started: f.now, open: map[plan.CallID]*openCall{}, staleSamples: staleSamples{stale: true, staleSince: f.now}}
+	m.session = &session{client: m, tier: tier}
 	m.core = newCoreAt(f.address, f.service.versions[tier], f.now, defaultAskEvery, rand.New(rand.NewPCG(f.dice.Uint64(), 1)))
 	return m
 }
 
 // watchSoon has the balancer's pause go by, and then a watch begin.
-func (m *member) watchSoon() {
-	most := min(balancerFirst<<min(m.failures, balancerDoublings), balancerMost)
-	m.after(m.fleet.drawn(most), m.watch)
+func (m *member) scheduleWatch() {
+	limit := min(firstWatchDelay<<min(m.failures, maxWatchDoublings), maxWatchDelay)
+	m.after(m.fleet.randomUpTo(limit), m.watch)
 }
 
 // after has something happen that a process which has ended does not see.
@@ -58,7 +58,7 @@
 
 func (m *member) watch() {
 	m.core.watch(m.fleet.now)
-	m.carryOut()
+	m.runActions()
 }
 
 // move has a process told the new address.
@@ -67,20 +67,20 @@
 		return
 	}
 	now := m.fleet.now
-	m.core.heldUp(now-time.Microsecond, now) // it was last seen to run right before
-	m.core.move(movedAddress, now)
+	m.core.resumed(now-time.Microsecond, now) // it was last seen to run right before
+	m.core.moved(movedAddress, now)
 	m.watch()
-	m.after(oldAddressOpen, func() { m.fleet.service.closeOld(m.session, movedAddress) })
+	m.after(oldAddressOpen, func() { m.fleet.service.closeAtOldAddress(m.session, movedAddress) })
 }
 
 func (m *member) stop() {
 	m.stopped = true
-	m.fleet.service.end(m.session)
+	m.fleet.service.remove(m.session)
 	clear(m.open)
 }
 
 // carryOut carries out what the follower has decided.
-func (m *member) carryOut() {
+func (m *member) runActions() {
 	for _, action := range m.core.actions() {
 		switch a := action.(type) {
 		case plan.MakeCall:
@@ -89,36 +89,36 @@
 			m.giveUp(a.ID)
 		case plan.ReportFailure:
 			m.failures++
-			m.watchSoon()
+			m.scheduleWatch()
 		}
 	}
 	m.setTimer()
 }
 
 func (m *member) setTimer() {
-	at, ok := m.core.next()
+	at, ok := m.core.nextTick()
 	if !ok || m.timer != 0 && m.timerAt == at {
 		return
 	}
-	var mine int
-	mine = m.fleet.at(at, func() {
-		if m.stopped || mine != m.timer {
+	var event int
+	event = m.fleet.at(at, func() {
+		if m.stopped || event != m.timer {
 			return
 		}
 		m.timer = 0
-		m.core.time(m.fleet.now)
-		m.carryOut()
+		m.core.tick(m.fleet.now)
+		m.runActions()
 	})
-	m.timer, m.timerAt = mine, at
+	m.timer, m.timerAt = event, at
 }
 
 func (m *member) call(c plan.Call) {
 	o := &openCall{Call: c, begun: m.fleet.now, closedAt: never}
 	m.open[c.ID] = o
-	m.fleet.counts.madeAt(c, m.fleet.now)
+	m.fleet.counts.countMade(c, m.fleet.now)
 	m.after(c.Wait, func() {
 		if m.open[c.ID] == o {
-			m.fleet.service.abandon(m.session, c.ID)
+			m.fleet.service.cancel(m.session, c.ID)
 			m.failed(c.ID, plan.TimedOut)
 		}
 	})
@@ -134,7 +134,7 @@
 		return
 	}
 	delete(m.open, id)
-	m.fleet.service.abandon(m.session, id)
+	m.fleet.service.cancel(m.session, id)
 }
 
 // answered takes in a whole answer.
@@ -146,14 +146,14 @@
 	delete(m.open, id)
 	now := m.fleet.now
 	m.core.listBegun(o, now)
-	use, ok := m.core.received(o, version, whole, now)
+	use, ok := m.core.answerReceived(o, version, whole, now)
 	if !ok {
 		return
 	}
-	m.carryOut()
+	m.runActions()
 	m.failures = 0
-	m.core.taken(o, use, now)
-	m.carryOut()
+	m.core.answerApplied(o, use, now)
+	m.runActions()
 }
 
 // failed takes in the end of a call without a whole answer.
@@ -163,25 +163,25 @@
 		return
 	}
 	delete(m.open, id)
-	m.core.ended(o, end, m.fleet.now)
-	m.carryOut()
+	m.core.callEnded(o, end, m.fleet.now)
+	m.runActions()
 }
 
 // observe notes whether the process may act on its list.
-func (m *member) observe() {
+func (m *member) sample() {
 	now := m.fleet.now
-	behindMove := now >= m.fleet.settings.Move
+	afterMove := now >= m.fleet.settings.Move
 	held := !m.core.mayAct(now)
-	if held && !m.held {
-		m.heldSince = now
+	if held && !m.stale {
+		m.staleSince = now
 	}
-	m.held = held
-	if !behindMove {
+	m.stale = held
+	if !afterMove {
 		return
 	}
 	m.ticks++
 	if held {
-		m.heldTicks++
-		m.longest = max(m.longest, now-max(m.heldSince, m.fleet.settings.Move))
+		m.staleTicks++
+		m.longestStale = max(m.longestStale, now-max(m.staleSince, m.fleet.settings.Move))
 	}
 }
--- a/internal/discovery/plan/model/model_test.go
+++ b/internal/discovery/plan/model/model_test.go
@@ -15,49 +15,49 @@
 	"brasswell/internal/discovery/plan"
 )
 
-var courses = flag.Int("courses", 100_000, "how many drawn courses are played")
+var scheduleCount = flag.Int("courses", 100_000, "how many drawn courses are played")
 
 // sum is what came of many courses.
-type sum struct {
-	mu           sync.Mutex
-	late, pushed int
-	latest       time.Duration
-	worst        uint64
-	unconfirmed  int
-	outageHeld   int
-	calls        int
-	held, length time.Duration
-	by           map[Sentence]int // late courses, by the sentence that is broken furthest
-	lateCourses  []Course         // the first of them, by sentence
-	examples     []string
+type summary struct {
+	mu                sync.Mutex
+	late, pushed      int
+	latest            time.Duration
+	worstSeed         uint64
+	unconfirmedRuns   int
+	staleInOutage     int
+	calls             int
+	staleTime, length time.Duration
+	lateByRule        map[Sentence]int // late courses, by the sentence that is broken furthest
+	lateSchedules     []Course         // the first of them, by sentence
+	examples          []string
 }
 
 // fewLate bounds how many late courses are kept for one sentence.
-const fewLate = 20
+const maxLatePerRule = 20
 
-func (s *sum) add(c Course, v Verdict) {
+func (s *summary) add(c Course, v Verdict) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls += v.Calls
-	s.held += v.HeldBack
+	s.staleTime += v.HeldBack
 	s.length += c.Length - c.Start
 	if v.Late > 0 {
 		s.late++
-		if s.by[v.By]++; s.by[v.By] <= fewLate {
-			s.lateCourses = append(s.lateCourses, c)
+		if s.lateByRule[v.By]++; s.lateByRule[v.By] <= maxLatePerRule {
+			s.lateSchedules = append(s.lateSchedules, c)
 		}
 		if c.Pushed {
 			s.pushed++
 		}
 		if v.Late > s.latest {
-			s.latest, s.worst = v.Late, c.Seed
+			s.latest, s.worstSeed = v.Late, c.Seed
 		}
 	}
 	if !v.Confirmed {
-		s.unconfirmed++
+		s.unconfirmedRuns++
 	}
 	if v.OutageHeld > 0 {
-		s.outageHeld++
+		s.staleInOutage++
 	}
 	if !v.Confirmed && len(s.examples) < 5 {
 		s.examples = append(s.examples, fmt.Sprintf("%+v: %+v", c, v))
@@ -65,10 +65,10 @@
 }
 
 // shortest are the shortest late courses that are found, one for each sentence.
-func (s *sum) shortest(rule func(Course) Rule) (all []string) {
+func (s *summary) shortestLate(rule func(Course) Rule) (all []string) {
 	found := map[Sentence]Course{}
 	verdicts := map[Sentence]Verdict{}
-	for _, c := range s.lateCourses {
+	for _, c := range s.lateSchedules {
 		c, v := shorten(c, rule)
 		if old, has := found[v.By]; !has || size(c) < size(old) {
 			found[v.By], verdicts[v.By] = c, v
@@ -81,8 +81,8 @@
 }
 
 // playMany plays courses on all cores; rule makes a rule for each, nil for the follower's own.
-func playMany(n int, draw func(n int) Course, rule func(Course) Rule) *sum {
-	s := &sum{by: map[Sentence]int{}}
+func runMany(n int, draw func(n int) Course, rule func(Course) Rule) *summary {
+	s := &summary{lateByRule: map[Sentence]int{}}
 	var next atomic.Int64
 	var all sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
@@ -105,9 +105,9 @@
 	return s
 }
 
-func drawn(n int) Course { return Draw(uint64(n)) }
+func seededSchedule(n int) Course { return Draw(uint64(n)) }
 
-func drawnLiteral(n int) Course {
+func literalSchedule(n int) Course {
 	c := Draw(uint64(n))
 	c.Literal = true
 	return c
@@ -115,19 +115,19 @@
 
 // TestDrawnCourses: whatever calls meet, the list is not acted on behind the grace of a change that counts as told, and one whole answer ends
 // all holding back. For how long an outage holds back is logged: nothing tells it from a discovery that is there.
-func TestDrawnCourses(t *testing.T) {
+func TestRandomSchedules(t *testing.T) {
 	began := time.Now()
-	s := playMany(*courses, drawn, nil)
-	t.Logf("%d courses in %v, %d calls, %.3f of the time held back, %d in an outage", *courses, time.Since(began).Round(time.Millisecond), s.calls, s.held.Seconds()/s.length.Seconds(), s.outageHeld)
-	if s.late > 0 || s.unconfirmed > 0 {
+	s := runMany(*scheduleCount, seededSchedule, nil)
+	t.Logf("%d courses in %v, %d calls, %.3f of the time held back, %d in an outage", *scheduleCount, time.Since(began).Round(time.Millisecond), s.calls, s.staleTime.Seconds()/s.length.Seconds(), s.staleInOutage)
+	if s.late > 0 || s.unconfirmedRuns > 0 {
 		t.Errorf("%d courses late (%d pushed), by %v at most (seed %d), %v; %d not confirmed by an answer:\n%s",
-			s.late, s.pushed, s.latest, s.worst, s.by, s.unconfirmed, strings.Join(append(s.shortest(nil), s.examples...), "\n"))
+			s.late, s.pushed, s.latest, s.worstSeed, s.lateByRule, s.unconfirmedRuns, strings.Join(append(s.shortestLate(nil), s.examples...), "\n"))
 	}
 }
 
 // TestAllShortCourses: every way in which the first calls can end, behind a watch that goes on, is reset or falls silent, with a change
 // before and behind that.
-func TestAllShortCourses(t *testing.T) {
+func TestAllShortSchedules(t *testing.T) {
 	const depth = 4
 	fates := Fates()
 	ends := []func(*Course){
@@ -153,24 +153,24 @@
 		}
 		return c
 	}
-	s := playMany(all*len(ends), course, nil)
+	s := runMany(all*len(ends), course, nil)
 	t.Logf("%d courses, %d calls", all*len(ends), s.calls)
-	if s.late > 0 || s.unconfirmed > 0 {
+	if s.late > 0 || s.unconfirmedRuns > 0 {
 		t.Errorf("%d courses late, by %v at most, %v; %d not confirmed by an answer:\n%s",
-			s.late, s.latest, s.by, s.unconfirmed, strings.Join(append(s.shortest(nil), s.examples...), "\n"))
+			s.late, s.latest, s.lateByRule, s.unconfirmedRuns, strings.Join(append(s.shortestLate(nil), s.examples...), "\n"))
 	}
 }
 
 // TestConvictsEarlierRules: the rules of earlier versions are late.
-func TestConvictsEarlierRules(t *testing.T) {
+func TestEarlierRulesAreLate(t *testing.T) {
 	const n = 10_000
 	for name, rule := range map[string]func(Course) Rule{
 		"cd021f6 and 690a85e: any list is acted on": func(Course) Rule { return anyAge{} },
 		"1bb215d: signs of an outage":               func(Course) Rule { return &signs{} },
 		"af58041: a lease that dials renew":         func(c Course) Rule { return newDialLease(c.Start, c.Pushed) },
 	} {
-		s := playMany(n, drawn, rule)
-		t.Logf("%s: %d of %d courses late, by %v at most: %v", name, s.late, n, s.latest, s.by)
+		s := runMany(n, seededSchedule, rule)
+		t.Logf("%s: %d of %d courses late, by %v at most: %v", name, s.late, n, s.latest, s.lateByRule)
 		if s.late == 0 {
 			t.Errorf("%s: not convicted", name)
 		}
@@ -208,7 +208,7 @@
 	const promptRefusal = 250 * time.Millisecond
 	switch end {
 	case plan.CutOff:
-		r.signOfLife(now)
+		r.sawAlive(now)
 	case plan.Unreachable:
 		r.down = true
 	case plan.NoAnswer:
@@ -216,7 +216,7 @@
 	case plan.TurnedAway:
 		switch {
 		case now-begun <= promptRefusal:
-			r.signOfLife(now)
+			r.sawAlive(now)
 		case c.GoesOn:
 			r.down = true
 		case r.down || r.alive:
@@ -228,7 +228,7 @@
 	}
 }
 
-func (r *signs) signOfLife(now time.Duration) {
+func (r *signs) sawAlive(now time.Duration) {
 	if r.down || r.waited {
 		r.current = now
 	}
@@ -243,22 +243,22 @@
 
 // TestAProofHolds: a list that nothing but proof keeps in force is never late, so the adversary asks for nothing that cannot be had; and what
 // is measured as its price holds for no follower but the one whose calls it judges here.
-func TestAProofHolds(t *testing.T) {
+func TestProofRuleIsNeverLate(t *testing.T) {
 	const n = 10_000
-	s := playMany(n, drawn, func(c Course) Rule { return newProof(c) })
-	t.Logf("%d courses, %.3f of the time held back, %d not confirmed by an answer, %d held back in an outage", n, s.held.Seconds()/s.length.Seconds(), s.unconfirmed, s.outageHeld)
+	s := runMany(n, seededSchedule, func(c Course) Rule { return newProof(c) })
+	t.Logf("%d courses, %.3f of the time held back, %d not confirmed by an answer, %d held back in an outage", n, s.staleTime.Seconds()/s.length.Seconds(), s.unconfirmedRuns, s.staleInOutage)
 	if s.late > 0 {
-		t.Errorf("%d courses late (%d pushed), by %v at most: %v\n%s", s.late, s.pushed, s.latest, s.by, strings.Join(s.shortest(func(c Course) Rule { return newProof(c) }), "\n"))
+		t.Errorf("%d courses late (%d pushed), by %v at most: %v\n%s", s.late, s.pushed, s.latest, s.lateByRule, strings.Join(s.shortestLate(func(c Course) Rule { return newProof(c) }), "\n"))
 	}
 }
 
 // TestOlderSentencesByTheirLetter: what two older sentences ask for by their letter is judged where a course says so.
-func TestOlderSentencesByTheirLetter(t *testing.T) {
+func TestLiteralNoticeRules(t *testing.T) {
 	const n = 10_000
 	rule := func(c Course) Rule { return newDialLease(c.Start, c.Pushed) }
-	plain, literal := playMany(n, drawn, rule), playMany(n, drawnLiteral, rule)
-	t.Logf("af58041: %d of %d courses late, by their letter %d: %v", plain.late, n, literal.late, literal.by)
-	if literal.by[BehindWait] == 0 || literal.by[BetweenCalls] == 0 {
-		t.Errorf("a sentence convicts nobody: %v", literal.by)
+	plain, literal := runMany(n, seededSchedule, rule), runMany(n, literalSchedule, rule)
+	t.Logf("af58041: %d of %d courses late, by their letter %d: %v", plain.late, n, literal.late, literal.lateByRule)
+	if literal.lateByRule[BehindWait] == 0 || literal.lateByRule[BetweenCalls] == 0 {
+		t.Errorf("a sentence convicts nobody: %v", literal.lateByRule)
 	}
 }
--- a/internal/discovery/plan/model/movecrossing_test.go
+++ b/internal/discovery/plan/model/movecrossing_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-var moveCourses = flag.Int("move-courses", 4000, "how many drawn courses with moves in a row are played")
+var moveScheduleCount = flag.Int("move-courses", 4000, "how many drawn courses with moves in a row are played")
 
 // TestMovesInARowAreInTime plays drawn courses of some seconds in which discovery moves up to three times while watches are open, and anything befalls
 // the calls, with changes close to the moves.
-func TestMovesInARowAreInTime(t *testing.T) {
-	for seed := range uint64(*moveCourses) {
+func TestConsecutiveMovesAreInTime(t *testing.T) {
+	for seed := range uint64(*moveScheduleCount) {
 		dice := rand.New(rand.NewPCG(seed, 0x51de))
 		between := func(from, to time.Duration) time.Duration { return from + time.Duration(dice.Int64N(int64(to-from))) }
 		askEvery := []time.Duration{500 * time.Millisecond, time.Second, 5 * time.Second, defaultAskEvery, time.Minute}
@@ -39,7 +39,7 @@
 			c.Silences = append(c.Silences, between(c.Moves[0]-time.Second, at))
 		}
 		if dice.IntN(3) == 0 {
-			c.HoldUps = []HoldUp{{between(c.Moves[0]-100*time.Millisecond, at), between(1, allowedHoldUp)}}
+			c.HoldUps = []HoldUp{{between(c.Moves[0]-100*time.Millisecond, at), between(1, maxAllowedStall)}}
 		}
 		if v := Play(c, nil); v.Late > 0 {
 			t.Errorf("seed %d: acted on %v behind the grace (%s), first at %v: %+v", seed, v.Late, v.By, v.At, c)
@@ -49,7 +49,7 @@
 
 // TestACallThatBeginsAnotherWatchAtOnceDoesNotMakeUpForATimeWithout: a call at the address before is turned away right as the client goes over, so
 // the next one begins in the same moment. It goes on with no watch, and ask_every_ms was over.
-func TestACallThatBeginsAnotherWatchAtOnceDoesNotMakeUpForATimeWithout(t *testing.T) {
+func TestNewWatchAtOnceDoesNotCoverTimeWithoutCalls(t *testing.T) {
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	for refused := ms(2700); refused < ms(3200); refused += ms(10) {
 		c := Course{
--- a/internal/discovery/plan/model/notice.go
+++ b/internal/discovery/plan/model/notice.go
@@ -32,10 +32,10 @@
 )
 
 const (
-	toldWithin      = 6 * time.Second
-	movedToldWithin = 4 * time.Second
-	waitToldWithin  = 2 * time.Second
-	watchGap        = 200 * time.Millisecond
+	noticeWithin          = 6 * time.Second
+	noticeWithinAfterMove = 4 * time.Second
+	noticeWithinAfterWait = 2 * time.Second
+	watchGap              = 200 * time.Millisecond
 	// failedCallFactor lengthens the time for asking behind a call that failed.
 	failedCallFactor = 4
 	// grace is for how long behind a notice requests may still be sent, less the time for which a process may be held up before its write.
@@ -44,12 +44,12 @@
 
 // notice is when a change counts as told, and why.
 type notice struct {
-	at time.Duration
-	by Sentence
+	at   time.Duration
+	rule Sentence
 }
 
 // earlier keeps the earlier of two.
-func (n *notice) earlier(at time.Duration, by Sentence) {
+func (n *notice) keepEarlier(at time.Duration, by Sentence) {
 	if at < n.at {
 		*n = notice{at, by}
 	}
@@ -57,164 +57,164 @@
 
 // change is one of the list.
 type change struct {
-	made   time.Duration
-	had    time.Duration // from when on discovery had it and could be reached
-	events notice        // the earliest that something that happened gave
+	made      time.Duration
+	visibleAt time.Duration // from when on discovery had it and could be reached
+	byEvents  notice        // the earliest that something that happened gave
 }
 
 // move is a SIGHUP.
 type move struct {
-	at       time.Duration
-	answered time.Duration // the moment of which the first whole answer of the new address tells
+	at           time.Duration
+	answeredAsOf time.Duration // the moment of which the first whole answer of the new address tells
 }
 
 // silence is of one watch: discovery says nothing more on it.
-type silence struct {
-	from, waitOver time.Duration
-	call           *openCall
+type silentWatch struct {
+	from, waitEnd time.Duration
+	call          *openCall
 }
 
 // notices knows when each change counts as told, by what discovery and the operators do and never by what the process believes.
-type notices struct {
-	course    Course
-	changes   []change
-	moves     []move
-	silences  []silence
-	lastCall  time.Duration
-	failed    bool // it
-	back      time.Duration
-	lastWrite time.Duration
+type noticeTracker struct {
+	schedule       Course
+	changes        []change
+	moves          []move
+	silences       []silentWatch
+	lastCall       time.Duration
+	lastCallFailed bool // it
+	outageEnd      time.Duration
+	lastWrite      time.Duration
 }
 
 const never = time.Duration(1<<63 - 1)
 
-func newNotices(c Course) *notices {
-	n := &notices{course: c, lastCall: c.Start}
-	for _, at := range c.Changes {
+func newNoticeTracker(s Course) *noticeTracker {
+	n := &noticeTracker{schedule: s, lastCall: s.Start}
+	for _, at := range s.Changes {
 		had := at
-		for _, o := range c.Outages {
+		for _, o := range s.Outages {
 			if o.From <= at && at < o.To {
 				had = o.To
 			}
 		}
-		n.changes = append(n.changes, change{made: at, had: had, events: notice{at: never}})
+		n.changes = append(n.changes, change{made: at, visibleAt: had, byEvents: notice{at: never}})
 	}
 	return n
 }
 
 // written takes in that an answer with so many of the changes was written to the proxy.
-func (n *notices) written(o *openCall, now time.Duration) {
+func (n *noticeTracker) answerWritten(o *openCall, now time.Duration) {
 	by := Written
-	if o.fate == Cut || o.fate == Stalled {
+	if o.outcome == Cut || o.outcome == Stalled {
 		by = WrittenSpoilt
 	}
-	for i := range n.changes[:o.tells] {
-		n.changes[i].events.earlier(now, by)
+	for i := range n.changes[:o.changes] {
+		n.changes[i].byEvents.keepEarlier(now, by)
 	}
 	for i := range n.moves {
 		if m := &n.moves[i]; m.at <= o.begun && by == Written {
-			m.answered = min(m.answered, o.decided)
+			m.answeredAsOf = min(m.answeredAsOf, o.decidedAt)
 		}
 	}
 	n.lastWrite = now
 }
 
-func (n *notices) moved(now time.Duration) { n.moves = append(n.moves, move{now, never}) }
+func (n *noticeTracker) moved(now time.Duration) { n.moves = append(n.moves, move{now, never}) }
 
 // movedLately says whether a SIGHUP's time runs.
-func (n *notices) movedLately(now time.Duration) bool {
+func (n *noticeTracker) recentlyMoved(now time.Duration) bool {
 	last := len(n.moves) - 1
-	return last >= 0 && now < n.moves[last].at+movedToldWithin
+	return last >= 0 && now < n.moves[last].at+noticeWithinAfterMove
 }
 
-func (n *notices) silent(o *openCall, now time.Duration) {
-	n.silences = append(n.silences, silence{now, o.begun + o.Hold, o})
+func (n *noticeTracker) watchSilenced(o *openCall, now time.Duration) {
+	n.silences = append(n.silences, silentWatch{now, o.begun + o.Hold, o})
 }
 
 // called takes in a call, in time to go on with a watch or not.
-func (n *notices) called(o *openCall, now time.Duration) {
-	if o.GoesOn && now-n.lastWrite <= watchGap && n.course.Literal {
-		n.between(now)
+func (n *noticeTracker) callMade(o *openCall, now time.Duration) {
+	if o.GoesOn && now-n.lastWrite <= watchGap && n.schedule.Literal {
+		n.changesBetweenCalls(now)
 	}
-	n.lastCall, n.failed = now, false
+	n.lastCall, n.lastCallFailed = now, false
 }
 
-func (n *notices) between(now time.Duration) {
+func (n *noticeTracker) changesBetweenCalls(now time.Duration) {
 	for i := range n.changes {
-		if c := &n.changes[i]; c.had > n.lastWrite && c.had < now {
-			c.events.earlier(c.had, BetweenCalls)
+		if c := &n.changes[i]; c.visibleAt > n.lastWrite && c.visibleAt < now {
+			c.byEvents.keepEarlier(c.visibleAt, BetweenCalls)
 		}
 	}
 }
 
 // waitOver takes in that a call's time to wait for news is over.
-func (n *notices) waitOver(now time.Duration) {
+func (n *noticeTracker) waitEnded(now time.Duration) {
 	for i := range n.changes {
-		if c := &n.changes[i]; c.had <= now {
-			c.events.earlier(now+waitToldWithin, BehindWait)
+		if c := &n.changes[i]; c.visibleAt <= now {
+			c.byEvents.keepEarlier(now+noticeWithinAfterWait, BehindWait)
 		}
 	}
 }
 
 // unwatched takes in a moment in which there is no call.
-func (n *notices) unwatched(now time.Duration) {
-	wait := n.course.AskEvery
+func (n *noticeTracker) noOpenCall(now time.Duration) {
+	wait := n.schedule.AskEvery
 	if wait == 0 {
 		wait = defaultAskEvery
 	}
-	if n.failed {
+	if n.lastCallFailed {
 		wait *= failedCallFactor
 	}
 	for i := range n.changes {
 		c := &n.changes[i]
-		if at := max(c.had, n.lastCall, n.back) + wait; at <= now {
-			c.events.earlier(at, WithoutAsking)
+		if at := max(c.visibleAt, n.lastCall, n.outageEnd) + wait; at <= now {
+			c.byEvents.keepEarlier(at, WithoutAsking)
 		}
 	}
 }
 
 // toldAt is when a change counts as told.
-func (n *notices) toldAt(c *change) notice {
-	if n.course.Pushed {
-		return n.agentToldAt(c)
+func (n *noticeTracker) noticeAt(c *change) notice {
+	if n.schedule.Pushed {
+		return n.pushedNoticeAt(c)
 	}
-	told := notice{c.had + toldWithin, WithinSix}
-	told.earlier(c.events.at, c.events.by)
+	earliest := notice{c.visibleAt + noticeWithin, WithinSix}
+	earliest.keepEarlier(c.byEvents.at, c.byEvents.rule)
 	for _, m := range n.moves {
-		if c.had < m.at+movedToldWithin && m.answered > c.had {
-			told.earlier(m.at+movedToldWithin, BehindSIGHUP)
+		if c.visibleAt < m.at+noticeWithinAfterMove && m.answeredAsOf > c.visibleAt {
+			earliest.keepEarlier(m.at+noticeWithinAfterMove, BehindSIGHUP)
 		}
 	}
 	for _, s := range n.silences {
-		if s.misses(c.had) {
-			told.earlier(max(s.from+toldWithin, s.waitOver+waitToldWithin), BehindSilence)
+		if s.misses(c.visibleAt) {
+			earliest.keepEarlier(max(s.from+noticeWithin, s.waitEnd+noticeWithinAfterWait), BehindSilence)
 		}
 	}
-	return told
+	return earliest
 }
 
 // misses says whether a change came on the watch while it was silent. One that came right before was not written any more.
-func (s silence) misses(had time.Duration) bool {
+func (s silentWatch) misses(had time.Duration) bool {
 	return s.from-callLatency <= had && had < s.call.closedAt
 }
 
 // agentToldAt is when a change counts as told where lists are pushed: at once, but for a silent watch and behind SIGHUP.
-func (n *notices) agentToldAt(c *change) notice {
+func (n *noticeTracker) pushedNoticeAt(c *change) notice {
 	later := notice{at: never}
 	for _, s := range n.silences {
-		if s.misses(c.had) {
-			later.earlier(s.from+toldWithin, BehindSilence)
+		if s.misses(c.visibleAt) {
+			later.keepEarlier(s.from+noticeWithin, BehindSilence)
 		}
 	}
 	for _, m := range n.moves {
-		missed := later.at != never && c.had < m.at
-		if m.at+movedToldWithin > c.had && (m.at <= c.had || missed) && m.answered > c.had {
-			later.earlier(m.at+movedToldWithin, BehindSIGHUP)
+		missed := later.at != never && c.visibleAt < m.at
+		if m.at+noticeWithinAfterMove > c.visibleAt && (m.at <= c.visibleAt || missed) && m.answeredAsOf > c.visibleAt {
+			later.keepEarlier(m.at+noticeWithinAfterMove, BehindSIGHUP)
 		}
 	}
 	if later.at == never {
-		later = notice{max(c.had, n.course.Start), AgentHas}
+		later = notice{max(c.visibleAt, n.schedule.Start), AgentHas}
 	}
-	later.earlier(c.events.at, c.events.by)
+	later.keepEarlier(c.byEvents.at, c.byEvents.rule)
 	return later
 }
--- a/internal/discovery/plan/model/play.go
+++ b/internal/discovery/plan/model/play.go
@@ -34,123 +34,123 @@
 }
 
 // play is a course that is under way.
-type play struct {
+type run struct {
 	clock
-	course  Course
-	dice    *rand.Rand
-	core    *core
-	notices *notices
-	verdict Verdict
-	judged  time.Duration // the last moment that was
+	schedule  Course
+	dice      *rand.Rand
+	core      *core
+	notices   *noticeTracker
+	result    Verdict
+	checkedAt time.Duration // the last moment that was
 
 	// Of discovery.
-	calls  int
-	seen   int // changes that there were so far
-	offset int64
-	down   *Outage
+	calls         int
+	changesMade   int // changes that there were so far
+	versionOffset int64
+	outage        *Outage
 
 	// Of the process.
-	open      map[plan.CallID]*openCall
-	kept      bool // the connection of the last answer is there
-	timer     int  // the number of the event that is the follower's time; 0 for none
-	timerAt   time.Duration
-	held      int // changes in the list that is held
-	heldUntil time.Duration
-	waitingIn []delivery // for the end of a hold-up
+	open         map[plan.CallID]*openCall
+	connected    bool // the connection of the last answer is there
+	timer        int  // the number of the event that is the follower's time; 0 for none
+	timerAt      time.Duration
+	listChanges  int // changes in the list that is held
+	stalledUntil time.Duration
+	pending      []delivery // for the end of a hold-up
 
 	// nothingElse says that nothing but the outage's failed dials has been amiss so far.
-	nothingElse bool
+	onlyOutage bool
 }
 
 // Play plays a course; rule is nil for the follower's own.
-func Play(c Course, rule Rule) Verdict {
-	dice := rand.New(rand.NewPCG(c.Seed, 0x9a7e))
-	p := &play{
-		clock: clock{now: c.Start}, course: c, dice: dice, core: newCore(c, rule, dice), notices: newNotices(c),
-		open: map[plan.CallID]*openCall{}, judged: c.Start, verdict: Verdict{Confirmed: true},
-		nothingElse: c.Start == 0, // a process that starts anew has a list of any age
+func Play(s Course, rule Rule) Verdict {
+	dice := rand.New(rand.NewPCG(s.Seed, 0x9a7e))
+	r := &run{
+		clock: clock{now: s.Start}, schedule: s, dice: dice, core: newCore(s, rule, dice), notices: newNoticeTracker(s),
+		open: map[plan.CallID]*openCall{}, checkedAt: s.Start, result: Verdict{Confirmed: true},
+		onlyOutage: s.Start == 0, // a process that starts anew has a list of any age
 	}
-	p.schedule()
-	p.watch()
-	for p.now < c.Length && p.next() {
-		if !p.heldUp() {
-			p.carryOut()
-			p.judge()
+	r.scheduleEvents()
+	r.watch()
+	for r.now < s.Length && r.next() {
+		if !r.stalled() {
+			r.runActions()
+			r.check()
 		}
 	}
-	return p.verdict
+	return r.result
 }
 
 // schedule puts the course's own events into the queue. What discovery did before the process started has happened.
-func (p *play) schedule() {
-	c := p.course
-	before := func(at time.Duration) bool { return at < c.Start }
-	for i := range c.Changes {
-		if before(c.Changes[i]) {
-			p.seen = i + 1
+func (r *run) scheduleEvents() {
+	s := r.schedule
+	before := func(at time.Duration) bool { return at < s.Start }
+	for i := range s.Changes {
+		if before(s.Changes[i]) {
+			r.changesMade = i + 1
 			continue
 		}
-		p.at(c.Changes[i], func() { p.seen = i + 1; p.tell() })
+		r.at(s.Changes[i], func() { r.changesMade = i + 1; r.answerWatches() })
 	}
-	for i := range c.Outages {
-		p.at(c.Outages[i].From, func() { p.goDown(&c.Outages[i]) })
-		p.at(c.Outages[i].To, p.comeBack)
+	for i := range s.Outages {
+		r.at(s.Outages[i].From, func() { r.beginOutage(&s.Outages[i]) })
+		r.at(s.Outages[i].To, r.endOutage)
 	}
-	for _, at := range slices.DeleteFunc(slices.Clone(c.Resets), before) {
-		p.at(at, func() { p.nothingElse = false; p.endWatches(plan.NoAnswer) })
+	for _, at := range slices.DeleteFunc(slices.Clone(s.Resets), before) {
+		r.at(at, func() { r.onlyOutage = false; r.endWatches(plan.NoAnswer) })
 	}
-	for _, at := range slices.DeleteFunc(slices.Clone(c.Silences), before) {
-		p.at(at, p.silenceWatches)
+	for _, at := range slices.DeleteFunc(slices.Clone(s.Silences), before) {
+		r.at(at, r.silenceWatches)
 	}
-	for n, at := range slices.DeleteFunc(slices.Clone(c.Moves), before) {
-		p.at(at, func() { p.moveTo(n) })
+	for n, at := range slices.DeleteFunc(slices.Clone(s.Moves), before) {
+		r.at(at, func() { r.move(n) })
 	}
-	for _, at := range c.Renumbered {
-		p.at(at, func() { p.nothingElse = false; p.offset -= lowerBy; p.endWatches(plan.NoAnswer) })
+	for _, at := range s.Renumbered {
+		r.at(at, func() { r.onlyOutage = false; r.versionOffset -= lowerBy; r.endWatches(plan.NoAnswer) })
 	}
-	for _, h := range c.HoldUps {
-		if !before(h.From) {
-			p.at(h.From, func() { p.stopRunning(h) })
+	for _, stall := range s.HoldUps {
+		if !before(stall.From) {
+			r.at(stall.From, func() { r.beginStall(stall) })
 		}
 	}
 	var look func()
-	look = func() { p.after(tick, look) }
+	look = func() { r.after(tick, look) }
 	look()
 }
 
 // judge judges the present moment.
-func (p *play) judge() {
-	since := p.now - p.judged
-	p.judged = p.now
-	if len(p.open) == 0 {
-		p.notices.unwatched(p.now)
+func (r *run) check() {
+	since := r.now - r.checkedAt
+	r.checkedAt = r.now
+	if len(r.open) == 0 {
+		r.notices.noOpenCall(r.now)
 	}
-	if !p.core.mayAct(p.now) {
-		p.judgeHeldBack(since)
+	if !r.core.mayAct(r.now) {
+		r.checkStale(since)
 		return
 	}
-	for i := min(p.held, p.seen); i < p.seen; i++ {
-		told := p.notices.toldAt(&p.notices.changes[i])
-		late := p.now - told.at - grace
+	for i := min(r.listChanges, r.changesMade); i < r.changesMade; i++ {
+		notice := r.notices.noticeAt(&r.notices.changes[i])
+		late := r.now - notice.at - grace
 		if late <= 0 {
 			continue
 		}
-		if p.verdict.Late == 0 {
-			p.verdict.At = p.now
+		if r.result.Late == 0 {
+			r.result.At = r.now
 		}
-		if late > p.verdict.Late {
-			p.verdict.Late, p.verdict.By = late, told.by
+		if late > r.result.Late {
+			r.result.Late, r.result.By = late, notice.rule
 		}
 	}
 }
 
 // judgeHeldBack judges a time in which the list was not acted on.
-func (p *play) judgeHeldBack(since time.Duration) {
-	p.verdict.HeldBack += since
-	if p.down != nil && p.down.Fate.reachesNobody() && p.nothingElse {
-		p.verdict.OutageHeld += since
+func (r *run) checkStale(since time.Duration) {
+	r.result.HeldBack += since
+	if r.outage != nil && r.outage.Fate.unreachable() && r.onlyOutage {
+		r.result.OutageHeld += since
 	}
-	if p.now > p.course.Length-time.Second {
-		p.verdict.Confirmed = false
+	if r.now > r.schedule.Length-time.Second {
+		r.result.Confirmed = false
 	}
 }
--- a/internal/discovery/plan/model/process.go
+++ b/internal/discovery/plan/model/process.go
@@ -15,11 +15,11 @@
 }
 
 // heldUp says whether the process does not run.
-func (p *play) heldUp() bool { return p.now < p.heldUntil }
+func (r *run) stalled() bool { return r.now < r.stalledUntil }
 
 // deliver has the process take something in, once it runs; o is nil for what is not of a call.
-func (p *play) deliver(o *openCall, do func()) {
-	if !p.heldUp() {
+func (r *run) deliver(o *openCall, do func()) {
+	if !r.stalled() {
 		do()
 		return
 	}
@@ -27,31 +27,31 @@
 	if o != nil {
 		d.call = o.ID
 	}
-	p.waitingIn = append(p.waitingIn, d)
+	r.pending = append(r.pending, d)
 }
 
 // stopRunning begins a hold-up.
-func (p *play) stopRunning(h HoldUp) {
-	p.nothingElse = false
-	for _, o := range p.open {
-		o.clear = false
+func (r *run) beginStall(stall HoldUp) {
+	r.onlyOutage = false
+	for _, o := range r.open {
+		o.undisturbed = false
 	}
-	p.heldUntil = h.From + h.For
-	p.at(p.heldUntil, func() { p.runAgain(h.From) })
+	r.stalledUntil = stall.From + stall.For
+	r.at(r.stalledUntil, func() { r.endStall(stall.From) })
 }
 
 // runAgain ends a hold-up. The requests that were under way go on first; what lies in the sockets is read in any order, but for each call's
 // own.
-func (p *play) runAgain(since time.Duration) {
-	all := p.waitingIn
-	p.waitingIn = nil
-	p.core.heldUp(since, p.now)
-	p.core.unread = ofCalls(all)
-	p.judge()
+func (r *run) endStall(since time.Duration) {
+	all := r.pending
+	r.pending = nil
+	r.core.resumed(since, r.now)
+	r.core.unread = anyOfCall(all)
+	r.check()
 	place := map[plan.CallID]float64{}
 	for _, d := range all {
 		if _, has := place[d.call]; !has {
-			place[d.call] = p.dice.Float64()
+			place[d.call] = r.dice.Float64()
 		}
 	}
 	slices.SortStableFunc(all, func(a, b delivery) int {
@@ -59,122 +59,122 @@
 	})
 	for n, d := range all {
 		d.do()
-		p.core.unread = ofCalls(all[n+1:])
-		p.carryOut()
-		p.judge()
+		r.core.unread = anyOfCall(all[n+1:])
+		r.runActions()
+		r.check()
 	}
 }
 
 // ofCalls says whether any of what waits is of a call.
-func ofCalls(waiting []delivery) bool {
+func anyOfCall(waiting []delivery) bool {
 	return slices.ContainsFunc(waiting, func(d delivery) bool { return d.call != 0 })
 }
 
-func (p *play) watch() {
-	p.core.watch(p.now)
-	p.carryOut()
+func (r *run) watch() {
+	r.core.watch(r.now)
+	r.runActions()
 }
 
 // moveTo has SIGHUP sent.
-func (p *play) moveTo(n int) {
-	p.notices.moved(p.now)
-	for _, o := range p.open {
-		o.clear = false
-	}
-	p.kept, p.nothingElse = false, false
-	p.deliver(nil, func() {
-		p.kept = false
-		p.core.move(fmt.Sprint("b", n), p.now)
-		p.watch()
+func (r *run) move(n int) {
+	r.notices.moved(r.now)
+	for _, o := range r.open {
+		o.undisturbed = false
+	}
+	r.connected, r.onlyOutage = false, false
+	r.deliver(nil, func() {
+		r.connected = false
+		r.core.moved(fmt.Sprint("b", n), r.now)
+		r.watch()
 	})
 }
 
 // carryOut carries out what the follower has decided.
-func (p *play) carryOut() {
-	for _, action := range p.core.actions() {
+func (r *run) runActions() {
+	for _, action := range r.core.actions() {
 		switch a := action.(type) {
 		case plan.MakeCall:
-			p.call(a.Call)
+			r.call(a.Call)
 		case plan.GiveUp:
-			if o := p.open[a.ID]; o != nil {
-				p.close(o)
-				p.core.givenUp(o, p.now)
+			if o := r.open[a.ID]; o != nil {
+				r.closeCall(o)
+				r.core.callGivenUp(o, r.now)
 			}
 		case plan.CloseIdle:
-			p.kept = false
+			r.connected = false
 		case plan.EndWatch:
-			p.after(p.drawn(balancerMost), func() { p.deliver(nil, p.watch) })
+			r.after(r.randomUpTo(maxWatchDelay), func() { r.deliver(nil, r.watch) })
 		}
 	}
-	at, ok := p.core.next()
-	if !ok || p.timer != 0 && p.timerAt == at {
+	at, ok := r.core.nextTick()
+	if !ok || r.timer != 0 && r.timerAt == at {
 		return
 	}
-	var mine int
-	mine = p.at(at, func() {
-		p.deliver(nil, func() {
-			if mine == p.timer {
-				p.timer = 0
-				p.core.time(p.now)
+	var event int
+	event = r.at(at, func() {
+		r.deliver(nil, func() {
+			if event == r.timer {
+				r.timer = 0
+				r.core.tick(r.now)
 			}
 		})
 	})
-	p.timer, p.timerAt = mine, at
+	r.timer, r.timerAt = event, at
 }
 
 // close is done with a call.
-func (p *play) close(o *openCall) {
-	o.holds, o.closedAt = false, p.now
-	delete(p.open, o.ID)
+func (r *run) closeCall(o *openCall) {
+	o.waiting, o.closedAt = false, r.now
+	delete(r.open, o.ID)
 }
 
 // read has the process read a whole answer.
-func (p *play) read(o *openCall) {
+func (r *run) readAnswer(o *openCall) {
 	if o.closed() {
 		return
 	}
-	p.close(o)
-	p.core.answerBegun(p.now)
-	p.core.listBegun(o, p.now)
-	use, ok := p.core.received(o, o.version, o.whole, p.now)
+	r.closeCall(o)
+	r.core.answerBegun(r.now)
+	r.core.listBegun(o, r.now)
+	use, ok := r.core.answerReceived(o, o.version, o.whole, r.now)
 	if !ok {
 		return
 	}
-	p.carryOut()
+	r.runActions()
 	if use {
-		p.held = o.tells
+		r.listChanges = o.changes
 	}
-	p.core.taken(o, use, p.now)
-	if use && o.clear && p.now-o.begun <= confirmedWithin && !p.core.mayAct(p.now) {
-		p.verdict.Confirmed = false
+	r.core.answerApplied(o, use, r.now)
+	if use && o.undisturbed && r.now-o.begun <= confirmedWithin && !r.core.mayAct(r.now) {
+		r.result.Confirmed = false
 	}
 }
 
 // begin has the process read the begin of an answer that does not come whole.
-func (p *play) begin(o *openCall) {
+func (r *run) readPartialAnswer(o *openCall) {
 	if !o.closed() {
-		p.core.answerBegun(p.now)
-		p.core.listBegun(o, p.now)
-		p.core.progress(o, p.now)
+		r.core.answerBegun(r.now)
+		r.core.listBegun(o, r.now)
+		r.core.progress(o, r.now)
 	}
 }
 
-func (p *play) refuse(o *openCall) {
+func (r *run) refuse(o *openCall) {
 	if !o.closed() {
-		p.core.answerBegun(p.now)
-		p.end(o, plan.TurnedAway)
+		r.core.answerBegun(r.now)
+		r.endCall(o, plan.TurnedAway)
 	}
 }
 
 // end ends a call without a whole answer.
-func (p *play) end(o *openCall, end plan.CallEnd) {
+func (r *run) endCall(o *openCall, end plan.CallEnd) {
 	if o.closed() {
 		return
 	}
-	p.close(o)
-	p.notices.failed = true
+	r.closeCall(o)
+	r.notices.lastCallFailed = true
 	if end == plan.NoAnswer || end == plan.CutOff || end == plan.TimedOut {
-		p.kept = false
+		r.connected = false
 	}
-	p.core.ended(o, end, p.now)
+	r.core.callEnded(o, end, r.now)
 }
--- a/internal/discovery/plan/model/queue.go
+++ b/internal/discovery/plan/model/queue.go
@@ -29,16 +29,16 @@
 
 // clock is a virtual one, with what happens on it.
 type clock struct {
-	now   time.Duration
-	queue eventHeap
-	made  int // events
+	now       time.Duration
+	queue     eventHeap
+	scheduled int // events
 }
 
 // at has something happen at a time, or now if that is past, and returns its number.
 func (c *clock) at(t time.Duration, do func()) int {
-	c.made++
-	heap.Push(&c.queue, event{max(t, c.now), c.made, do})
-	return c.made
+	c.scheduled++
+	heap.Push(&c.queue, event{max(t, c.now), c.scheduled, do})
+	return c.scheduled
 }
 
 func (c *clock) after(d time.Duration, do func()) { c.at(c.now+d, do) }
--- a/internal/discovery/plan/model/renumbered_test.go
+++ b/internal/discovery/plan/model/renumbered_test.go
@@ -7,7 +7,7 @@
 
 // TestALeftCallsAnswerOfBeforeARenumberingIsNotTakenForNewer: discovery counts its versions from lower on while a late answer of before is on its
 // way. Once the whole list of the new count is held, the late one is older, though its version is higher.
-func TestALeftCallsAnswerOfBeforeARenumberingIsNotTakenForNewer(t *testing.T) {
+func TestLateAnswerFromBeforeRenumberingIsNotNewer(t *testing.T) {
 	const first, second, renumbered = 463895528, 646801246, 2893202568
 	c := Course{
 		Seed: 121625, Length: time.Minute, AskEvery: defaultAskEvery,
--- a/internal/discovery/plan/model/unasked_test.go
+++ b/internal/discovery/plan/model/unasked_test.go
@@ -8,7 +8,7 @@
 // TestACallThatGoesOnWithNoWatchDoesNotMakeUpForATimeWithout: behind a move a call is turned away, and the answer on the watch at the old address comes
 // late in the pause behind it. Until the next call nothing is out, and ask_every_ms is over: what the answer does not tell counts as told. The next call
 // begins another watch, at the new address, and stays silent.
-func TestACallThatGoesOnWithNoWatchDoesNotMakeUpForATimeWithout(t *testing.T) {
+func TestContinuingCallDoesNotCoverTimeWithoutCalls(t *testing.T) {
 	const askEvery = 200 * time.Millisecond
 	for seed := range uint64(2000) {
 		c := Course{
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -12,28 +12,28 @@
 
 // turnAway answers a request that is not taken on, and ends its connection: what else stands on it may be a body
 // that nobody has read. net/http still reads some of that, and would wait for a body that never comes.
-func (s *Front) turnAway(w http.ResponseWriter, a ask, status int, err error) {
+func (s *Front) reject(w http.ResponseWriter, info requestInfo, status int, err error) {
 	switch {
-	case a.class < 0: // no class to count it under
+	case info.class < 0: // no class to count it under
 	case status == http.StatusServiceUnavailable:
-		s.figures.Count(a.class, figures.Refused)
+		s.figures.Count(info.class, figures.Refused)
 	default:
-		s.figures.Count(a.class, figures.Failed)
+		s.figures.Count(info.class, figures.Failed)
 	}
 	control := http.NewResponseController(w)
-	control.SetReadDeadline(time.Now().Add(leftoverWait))
+	control.SetReadDeadline(time.Now().Add(unreadBodyWait))
 	control.SetWriteDeadline(time.Now().Add(s.options.Load().WriteTimeout))
 	w.Header().Set("Connection", "close")
 	http.Error(w, err.Error(), status)
 }
 
 // answer writes the one final answer, and counts it.
-func (s *Front) answer(w http.ResponseWriter, a ask, f host.Final) {
+func (s *Front) answer(w http.ResponseWriter, info requestInfo, f host.Final) {
 	if f.Verdict == host.Served && f.Reply.Rest != nil {
-		s.passOn(w, a, f.Reply)
+		s.streamAnswer(w, info, f.Reply)
 		return
 	}
-	s.figures.Count(a.class, outcomes[f.Verdict])
+	s.figures.Count(info.class, outcomes[f.Verdict])
 	control := http.NewResponseController(w)
 	control.SetWriteDeadline(time.Now().Add(s.options.Load().WriteTimeout))
 	header := w.Header()
@@ -51,14 +51,14 @@
 		http.Error(w, "failed", http.StatusBadGateway)
 		return
 	}
-	answerHeader(header, f.Reply)
+	setAnswerHeader(header, f.Reply)
 	w.WriteHeader(http.StatusOK)
 	text := f.Reply.Body
-	for len(text) > pieceBytes { // who reads slowly and moves is waited for
-		if _, err := w.Write(text[:pieceBytes]); err != nil {
+	for len(text) > chunkSize { // who reads slowly and moves is waited for
+		if _, err := w.Write(text[:chunkSize]); err != nil {
 			return
 		}
-		text = text[pieceBytes:]
+		text = text[chunkSize:]
 		control.SetWriteDeadline(time.Now().Add(s.options.Load().WriteTimeout))
 	}
 	w.Write(text)
@@ -70,7 +70,7 @@
 }
 
 // answerHeader makes the header of a backend's answer that of the caller's.
-func answerHeader(header http.Header, r *backends.Reply) {
+func setAnswerHeader(header http.Header, r *backends.Reply) {
 	copyEndToEnd(header, r.Header)
 	if header["Content-Type"] == nil {
 		header["Content-Type"] = nil // keeps net/http from guessing
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -26,42 +26,42 @@
 )
 
 // leftoverWait is how long what is left of a request that is turned away may hold its connection.
-const leftoverWait = 100 * time.Millisecond
+const unreadBodyWait = 100 * time.Millisecond
 
 // Front is the callers' side.
 type Front struct {
-	instance *host.Instance
-	bodies   *body.Budget
-	callers  *callers.Set
-	classes  map[string]int
-	tenants  map[string]int
-	class    []balance.Class
-	restart  *restart.Restart
-	options  atomic.Pointer[Options]
-	figures  *figures.Book
-	channels *channel.Table // nil where there are none
-
-	mu   sync.Mutex
-	open map[string]struct{} // the ids of the requests that are not answered yet
+	instance     *host.Instance
+	bodies       *body.Budget
+	callers      *callers.Set
+	classIndex   map[string]int
+	tenantIndex  map[string]int
+	classConfigs []balance.Class
+	restart      *restart.Restart
+	options      atomic.Pointer[Options]
+	figures      *figures.Book
+	channels     *channel.Table // nil where there are none
+
+	mu      sync.Mutex
+	openIDs map[string]struct{} // the ids of the requests that are not answered yet
 	// elsewhere holds those of another process of this proxy, as of when this one began.
-	elsewhere map[string]struct{}
+	openElsewhere map[string]struct{}
 }
 
 // New returns a front that hands requests to i. bodies and callers may be shared with other fronts.
 func New(s *settings.Settings, i *host.Instance, bodies *body.Budget, callers *callers.Set, r *restart.Restart, book *figures.Book, o Options) *Front {
-	srv := &Front{
+	front := &Front{
 		instance: i, bodies: bodies, callers: callers, restart: r, figures: book,
-		classes: map[string]int{}, tenants: map[string]int{}, class: s.Balancer.Classes,
-		open: map[string]struct{}{},
+		classIndex: map[string]int{}, tenantIndex: map[string]int{}, classConfigs: s.Balancer.Classes,
+		openIDs: map[string]struct{}{},
 	}
-	srv.options.Store(&o)
+	front.options.Store(&o)
 	for n, name := range s.Classes {
-		srv.classes[name] = n
+		front.classIndex[name] = n
 	}
 	for n, name := range s.Tenants {
-		srv.tenants[name] = n
+		front.tenantIndex[name] = n
 	}
-	return srv
+	return front
 }
 
 func (s *Front) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -72,38 +72,38 @@
 		s.health(w)
 		return
 	}
-	ask, err := s.read(r)
+	info, err := s.readHead(r)
 	if err != nil {
-		s.turnAway(w, ask, http.StatusBadRequest, err)
+		s.reject(w, info, http.StatusBadRequest, err)
 		return
 	}
-	if !s.begin(ask.id) {
-		s.turnAway(w, ask, http.StatusConflict, fmt.Errorf("%s: a request with this id is open", IDField))
+	if !s.begin(info.id) {
+		s.reject(w, info, http.StatusConflict, fmt.Errorf("%s: a request with this id is open", IDField))
 		return
 	}
-	defer s.finish(ask.id)
+	defer s.finish(info.id)
 	if s.callers.Crowded() {
 		// All sockets are busy. The request was never sent, so trying again is harmless.
-		s.turnAway(w, ask, http.StatusServiceUnavailable, errors.New("too many connections"))
+		s.reject(w, info, http.StatusServiceUnavailable, errors.New("too many connections"))
 		return
 	}
 	if s.channels != nil && handshake.Wanted(r) {
-		s.upgrade(w, r, ask)
+		s.upgrade(w, r, info)
 		return
 	}
-	kept, rest, err := s.readBody(w, r)
+	buffered, rest, err := s.readBody(w, r)
 	switch {
 	case err != nil:
-		s.turnAway(w, ask, badBody(err), err)
+		s.reject(w, info, bodyErrorStatus(err), err)
 	case rest != nil:
-		s.serveStream(w, r, ask, kept, rest)
+		s.serveStream(w, r, info, buffered, rest)
 	default:
-		s.serve(w, r, ask, kept)
+		s.serve(w, r, info, buffered)
 	}
 }
 
 // badBody is the status for a body that cannot be read.
-func badBody(err error) int {
+func bodyErrorStatus(err error) int {
 	switch {
 	case errors.Is(err, body.ErrTooLarge):
 		return http.StatusRequestEntityTooLarge
@@ -115,18 +115,18 @@
 	return http.StatusBadRequest
 }
 
-func (s *Front) serve(w http.ResponseWriter, r *http.Request, ask ask, kept *body.Body) {
+func (s *Front) serve(w http.ResponseWriter, r *http.Request, info requestInfo, buffered *body.Body) {
 	if r.TransferEncoding != nil {
 		w.Header().Set("Connection", "close") // framing does not follow it past the chunks
 	}
 	taken := time.Now()
 	s.figures.Taken()
 	defer s.figures.Ended()
-	f := s.await(r, s.submit(r, ask, kept))
+	f := s.await(r, s.submit(r, info, buffered))
 	if f.Verdict == host.Served {
 		s.restart.Answered(time.Since(taken))
 	}
-	s.answer(w, ask, f)
+	s.answer(w, info, f)
 }
 
 // await returns the request's final answer, which comes at once if its caller leaves or the proxy ends.
@@ -142,12 +142,12 @@
 }
 
 // submit hands a request to the balancer. The time of one that has come whole has run since its last byte came.
-func (s *Front) submit(r *http.Request, a ask, kept *body.Body) *host.Request {
-	left := a.left
-	if c := callers.ConnOf(r); c != nil && kept.Stream() == nil {
-		left -= c.Stood()
+func (s *Front) submit(r *http.Request, info requestInfo, buffered *body.Body) *host.Request {
+	remaining := info.remaining
+	if c := callers.ConnOf(r); c != nil && buffered.Stream() == nil {
+		remaining -= c.Stood()
 	}
-	return s.instance.Submit(callerOf(r), newMessage(r, a.class, kept), a.class, a.tenant, left, s.restart.Cap(left))
+	return s.instance.Submit(callerOf(r), newMessage(r, info.class, buffered), info.class, info.tenant, remaining, s.restart.Cap(remaining))
 }
 
 // callerOf is who waits for a request's answer; nil where the server does not track its connections.
@@ -166,13 +166,13 @@
 func (s *Front) begin(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, open := s.open[id]; open {
+	if _, open := s.openIDs[id]; open {
 		return false
 	}
-	if _, open := s.elsewhere[id]; open {
+	if _, open := s.openElsewhere[id]; open {
 		return false
 	}
-	s.open[id] = struct{}{}
+	s.openIDs[id] = struct{}{}
 	return true
 }
 
@@ -180,23 +180,23 @@
 func (s *Front) Open() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Collect(maps.Keys(s.open))
+	return slices.Collect(maps.Keys(s.openIDs))
 }
 
 // SetElsewhere names the ids of requests that another process of this proxy has open; nil for none.
 func (s *Front) SetElsewhere(ids []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.elsewhere = make(map[string]struct{}, len(ids))
+	s.openElsewhere = make(map[string]struct{}, len(ids))
 	for _, id := range ids {
-		s.elsewhere[id] = struct{}{}
+		s.openElsewhere[id] = struct{}{}
 	}
 }
 
 func (s *Front) finish(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, id)
+	delete(s.openIDs, id)
 }
 
 func (s *Front) health(w http.ResponseWriter) {
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestOnlyEndToEndHeadersGoOn(t *testing.T) {
+func TestOnlyEndToEndHeadersAreForwarded(t *testing.T) {
 	src := http.Header{
 		"Connection": {"close, X-Hop", "x-other"}, "X-Hop": {"1"}, "X-Other": {"2"}, "Keep-Alive": {"3"}, "Te": {"4"},
 		"Transfer-Encoding": {"chunked"}, "Content-Length": {"5"}, "Upgrade": {"h2c"}, "X-Txn": {"a"}, "Accept": {"b", "c"},
--- a/internal/front/head.go
+++ b/internal/front/head.go
@@ -22,51 +22,51 @@
 )
 
 // ask is what a request's head asks for.
-type ask struct {
+type requestInfo struct {
 	id            string
 	class, tenant int
-	left          time.Duration
+	remaining     time.Duration
 }
 
 // read takes a request's head, or says what is wrong with it. Nothing in it is guessed: a deadline or class made
 // up for a caller that sends nonsense would reach the backends, and the balancer would learn from it.
-func (s *Front) read(r *http.Request) (ask, error) {
-	a := ask{class: -1}
+func (s *Front) readHead(r *http.Request) (requestInfo, error) {
+	info := requestInfo{class: -1}
 	for _, field := range []string{IDField, ClassField, TenantField, RemainingField, KeyField} {
 		if len(r.Header[field]) > 1 {
-			return a, fmt.Errorf("%s: given more than once", field)
+			return info, fmt.Errorf("%s: given more than once", field)
 		}
 	}
 	if r.TransferEncoding != nil && !chunked(r) {
-		return a, errors.New("both Content-Length and Transfer-Encoding")
+		return info, errors.New("both Content-Length and Transfer-Encoding")
 	}
 	if c := callers.ConnOf(r); c != nil && c.Folded() {
-		return a, errors.New("a header field over two lines")
+		return info, errors.New("a header field over two lines")
 	}
-	if a.id = r.Header.Get(IDField); a.id == "" {
-		return a, fmt.Errorf("%s: missing", IDField)
+	if info.id = r.Header.Get(IDField); info.id == "" {
+		return info, fmt.Errorf("%s: missing", IDField)
 	}
-	class, known := s.classes[r.Header.Get(ClassField)]
+	class, known := s.classIndex[r.Header.Get(ClassField)]
 	if !known {
-		return a, fmt.Errorf("%s: unknown class %q", ClassField, r.Header.Get(ClassField))
+		return info, fmt.Errorf("%s: unknown class %q", ClassField, r.Header.Get(ClassField))
 	}
-	a.class = class
-	if a.tenant, known = s.tenants[r.Header.Get(TenantField)]; !known {
-		a.tenant = -1 // the balancer has no quota for it
+	info.class = class
+	if info.tenant, known = s.tenantIndex[r.Header.Get(TenantField)]; !known {
+		info.tenant = -1 // the balancer has no quota for it
 	}
 	ms, err := strconv.ParseInt(r.Header.Get(RemainingField), 10, 64)
 	if err != nil {
-		return a, fmt.Errorf("%s: %q is no whole number", RemainingField, r.Header.Get(RemainingField))
+		return info, fmt.Errorf("%s: %q is no whole number", RemainingField, r.Header.Get(RemainingField))
 	}
-	a.left = min(settings.Millis(float64(ms)), s.class[a.class].GiveUp)
+	info.remaining = min(settings.Millis(float64(ms)), s.classConfigs[info.class].GiveUp)
 	if c := callers.ConnOf(r); c != nil {
-		a.left -= c.Waited()
+		info.remaining -= c.Waited()
 	}
-	return a, s.fits(r, s.class[a.class].Effect)
+	return info, s.checkClass(r, s.classConfigs[info.class].Effect)
 }
 
 // fits says whether a request's method, key and body are those of its class.
-func (s *Front) fits(r *http.Request, effect balance.Effect) error {
+func (s *Front) checkClass(r *http.Request, effect balance.Effect) error {
 	method, keyed := http.MethodPost, effect == balance.Guarded
 	if effect == balance.Free {
 		method = http.MethodGet
--- a/internal/front/header.go
+++ b/internal/front/header.go
@@ -15,14 +15,14 @@
 	"Content-Length",
 }
 
-func newMessage(r *http.Request, class int, kept *body.Body) *backends.Message {
+func newMessage(r *http.Request, class int, buffered *body.Body) *backends.Message {
 	header := make(http.Header, len(r.Header)+1)
 	copyEndToEnd(header, r.Header)
 	if header["User-Agent"] == nil {
 		header["User-Agent"] = nil // keeps net/http from adding its own
 	}
 	return &backends.Message{
-		Class: class, Method: r.Method, URI: r.RequestURI, URL: r.URL, Host: r.Host, Header: header, Body: kept,
+		Class: class, Method: r.Method, URI: r.RequestURI, URL: r.URL, Host: r.Host, Header: header, Body: buffered,
 	}
 }
 
@@ -31,14 +31,14 @@
 func copyEndToEnd(dst, src http.Header) {
 	named := src["Connection"]
 	for name, values := range src {
-		if !slices.Contains(hopByHop, name) && !listed(named, name) {
+		if !slices.Contains(hopByHop, name) && !hasToken(named, name) {
 			dst[name] = values
 		}
 	}
 }
 
 // listed says whether one of the fields, which are lists, has a name.
-func listed(fields []string, name string) bool {
+func hasToken(fields []string, name string) bool {
 	for _, field := range fields {
 		for item := range strings.SplitSeq(field, ",") {
 			if strings.EqualFold(strings.TrimSpace(item), name) {
--- a/internal/front/options.go
+++ b/internal/front/options.go
@@ -68,8 +68,8 @@
 				return []operator.Problem{{Key: "park_after", Text: "not below idle_timeout (" + o.IdleTimeout.String() +
 					"), so it would never count; lower it or raise idle_timeout"}}
 			}
-			if o.ParkAfter > 0 && o.ParkAfter < leastParkAfter {
-				return []operator.Problem{{Key: "park_after", Text: "below " + leastParkAfter.String() +
+			if o.ParkAfter > 0 && o.ParkAfter < minParkAfter {
+				return []operator.Problem{{Key: "park_after", Text: "below " + minParkAfter.String() +
 					", so that callers who are about to ask again would be parked; raise it, or set 0 to park none"}}
 			}
 			if o.OnceIdle > o.IdleTimeout {
@@ -82,7 +82,7 @@
 }
 
 // leastParkAfter is far longer than callers pause who use their connection.
-const leastParkAfter = 100 * time.Millisecond
+const minParkAfter = 100 * time.Millisecond
 
 // streamGrace is what a slow caller may take beyond what StreamRate allows.
 const streamGrace = 10 * time.Second
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -14,25 +14,27 @@
 )
 
 // pieceBytes is how much of an answer is written at one go, under one deadline.
-const pieceBytes = 16 << 10
+const chunkSize = 16 << 10
 
 // pieces holds buffers of pieceBytes.
-var pieces = sync.Pool{New: func() any { return new([pieceBytes]byte) }}
+var chunkPool = sync.Pool{New: func() any { return new([chunkSize]byte) }}
 
 // clock adds up how long one peer has been waited for: while the other side is slow, its own time stands still.
-type clock struct {
+type transferClock struct {
 	transfer body.Transfer
 	waited   time.Duration
 }
 
-func newClock(p body.Pace) clock { return clock{transfer: p.Begin(0)} }
+func newTransferClock(pace body.Pace) transferClock { return transferClock{transfer: pace.Begin(0)} }
 
 // deadline is by when the peer must move if it is waited for from now on.
-func (c *clock) deadline(now time.Time) time.Time { return now.Add(c.transfer.Deadline() - c.waited) }
+func (c *transferClock) deadline(now time.Time) time.Time {
+	return now.Add(c.transfer.Deadline() - c.waited)
+}
 
 // moved takes in that the peer was waited for since begun, and moved n bytes.
-func (c *clock) moved(begun time.Time, n int) {
-	c.waited += time.Since(begun)
+func (c *transferClock) moved(since time.Time, n int) {
+	c.waited += time.Since(since)
 	c.transfer.Moved(c.waited, n)
 }
 
@@ -40,19 +42,19 @@
 type pacedReader struct {
 	from    io.Reader
 	control *http.ResponseController
-	clock   clock
+	clock   transferClock
 
 	mu      sync.Mutex
 	stopped bool
 }
 
-func newPacedReader(from io.Reader, control *http.ResponseController, p body.Pace) *pacedReader {
-	return &pacedReader{from: from, control: control, clock: newClock(p)}
+func newPacedReader(from io.Reader, control *http.ResponseController, pace body.Pace) *pacedReader {
+	return &pacedReader{from: from, control: control, clock: newTransferClock(pace)}
 }
 
 func (r *pacedReader) Read(p []byte) (int, error) {
 	begun := time.Now()
-	if !r.wait(r.clock.deadline(begun)) {
+	if !r.setDeadline(r.clock.deadline(begun)) {
 		return 0, errStopped
 	}
 	n, err := r.from.Read(p)
@@ -62,7 +64,7 @@
 
 var errStopped = errors.New("the rest of the body is not read")
 
-func (r *pacedReader) wait(until time.Time) bool {
+func (r *pacedReader) setDeadline(until time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.stopped {
@@ -82,19 +84,19 @@
 // serveStream serves a request whose body is passed on while it arrives. The answer may come before the body's end:
 // it is written at once, and the rest of the body is read and dropped, since a caller that is still writing would
 // take a close for the loss of its request.
-func (s *Front) serveStream(w http.ResponseWriter, r *http.Request, a ask, kept *body.Body, rest io.Reader) {
+func (s *Front) serveStream(w http.ResponseWriter, r *http.Request, info requestInfo, buffered *body.Body, rest io.Reader) {
 	control := http.NewResponseController(w)
 	control.EnableFullDuplex()
 	s.figures.Taken()
 	defer s.figures.Ended()
-	q := s.submit(r, a, kept)
+	q := s.submit(r, info, buffered)
 	paced := newPacedReader(rest, control, s.options.Load().bodyPace())
 	filled := make(chan error, 1)
 	var filling sync.WaitGroup
-	filling.Go(func() { filled <- s.fill(kept.Stream(), paced) })
+	filling.Go(func() { filled <- s.fill(buffered.Stream(), paced) })
 	defer func() {
 		if filled != nil {
-			kept.Stream().End(body.ErrEnded)
+			buffered.Stream().End(body.ErrEnded)
 			paced.stop()
 		}
 		filling.Wait()
@@ -115,7 +117,7 @@
 			s.instance.Drop(q)
 			f = <-q.Final()
 			if f.Verdict == host.Failed {
-				s.turnAway(w, a, badBody(err), err)
+				s.reject(w, info, bodyErrorStatus(err), err)
 				return
 			}
 			open = false
@@ -132,11 +134,11 @@
 		w.Header().Set("Connection", "close") // where the next request begins is not known, or not followed
 	}
 	if f.Verdict != host.Served {
-		kept.Stream().End(body.ErrEnded) // no attempt wants the rest
+		buffered.Stream().End(body.ErrEnded) // no attempt wants the rest
 	}
-	s.answer(w, a, f)
+	s.answer(w, info, f)
 	if filled != nil {
-		kept.Stream().End(body.ErrEnded)
+		buffered.Stream().End(body.ErrEnded)
 		control.Flush()
 		<-filled // the answer is out; the caller goes on writing
 	}
@@ -153,14 +155,14 @@
 }
 
 // passOn passes an answer on while it comes. One that breaks must not pass for whole: the connection ends within it.
-func (s *Front) passOn(w http.ResponseWriter, a ask, r *backends.Reply) {
+func (s *Front) streamAnswer(w http.ResponseWriter, info requestInfo, r *backends.Reply) {
 	err := s.copyAnswer(w, r)
 	r.Rest.Close(err)
 	if err == nil {
-		s.figures.Count(a.class, figures.Served)
+		s.figures.Count(info.class, figures.Served)
 		return
 	}
-	s.figures.Count(a.class, figures.Failed)
+	s.figures.Count(info.class, figures.Failed)
 	panic(http.ErrAbortHandler)
 }
 
@@ -171,9 +173,9 @@
 	if s.restart.Closing() {
 		w.Header().Set("Connection", "close")
 	}
-	answerHeader(w.Header(), r)
+	setAnswerHeader(w.Header(), r)
 	w.WriteHeader(http.StatusOK)
-	clock := newClock(s.options.Load().streamPace())
+	clock := newTransferClock(s.options.Load().streamPace())
 	write := func(text []byte) error {
 		begun := time.Now()
 		control.SetWriteDeadline(clock.deadline(begun))
@@ -189,18 +191,18 @@
 	}
 	text := r.Body
 	for len(text) > 0 {
-		n := min(len(text), pieceBytes)
+		n := min(len(text), chunkSize)
 		if err := write(text[:n]); err != nil {
 			return err
 		}
 		text = text[n:]
 	}
-	piece := pieces.Get().(*[pieceBytes]byte)
-	defer pieces.Put(piece)
+	chunk := chunkPool.Get().(*[chunkSize]byte)
+	defer chunkPool.Put(chunk)
 	for {
-		n, err := r.Rest.Read(piece[:])
+		n, err := r.Rest.Read(chunk[:])
 		if n > 0 {
-			if err := write(piece[:n]); err != nil {
+			if err := write(chunk[:n]); err != nil {
 				return err
 			}
 		}
--- a/internal/front/upgrade.go
+++ b/internal/front/upgrade.go
@@ -21,11 +21,11 @@
 // SetChannels lets requests for channels in; it is for a front that serves nobody yet.
 func (s *Front) SetChannels(t *channel.Table) { s.channels = t }
 
-var errEarly = errors.New("bytes before the answer of 101")
+var errEarlyData = errors.New("bytes before the answer of 101")
 
 // upgrade serves a request for a channel. Whatever becomes of it, its connection carries no other request: bytes that a
 // client sends behind a handshake which is refused must not be read as one.
-func (s *Front) upgrade(w http.ResponseWriter, r *http.Request, a ask) {
+func (s *Front) upgrade(w http.ResponseWriter, r *http.Request, info requestInfo) {
 	offer, err := handshake.ReadOffer(r)
 	if err != nil {
 		status := http.StatusBadRequest
@@ -34,44 +34,44 @@
 			w.Header().Set("Upgrade", "websocket")
 			w.Header().Set(handshake.VersionField, handshake.Version)
 		}
-		s.turnAway(w, a, status, err)
+		s.reject(w, info, status, err)
 		return
 	}
 	name := r.Header.Get(TenantField)
-	if a.tenant < 0 {
+	if info.tenant < 0 {
 		name = ""
 	}
-	admission := s.channels.Ask(a.tenant, name, shown(r))
+	admission := s.channels.Ask(info.tenant, name, ticketOf(r))
 	if !admission.Admitted {
-		s.sendAway(w, a, admission)
+		s.rejectUpgrade(w, info, admission)
 		return
 	}
 	s.figures.Taken()
 	defer s.figures.Ended()
-	m := newMessage(r, a.class, nil)
+	m := newMessage(r, info.class, nil)
 	m.Offer = offer
-	f := s.await(r, s.instance.Submit(callerOf(r), m, a.class, a.tenant, a.left, s.restart.Cap(a.left)))
+	f := s.await(r, s.instance.Submit(callerOf(r), m, info.class, info.tenant, info.remaining, s.restart.Cap(info.remaining)))
 	if f.Verdict != host.Served {
 		s.channels.GivenUp(admission)
 		if f.Verdict == host.Refused {
-			s.sendAway(w, a, s.channels.Refused(admission))
+			s.rejectUpgrade(w, info, s.channels.Refused(admission))
 			return
 		}
 		w.Header().Set("Connection", "close")
-		s.answer(w, a, f)
+		s.answer(w, info, f)
 		return
 	}
-	if err := s.change(w, f.Reply.Channel, admission); err != nil {
+	if err := s.switchProtocols(w, f.Reply.Channel, admission); err != nil {
 		s.channels.GivenUp(admission)
 		f.Reply.Channel.Conn.Close()
-		s.figures.Count(a.class, figures.Failed)
+		s.figures.Count(info.class, figures.Failed)
 		return
 	}
-	s.figures.Count(a.class, figures.Served)
+	s.figures.Count(info.class, figures.Served)
 }
 
 // shown is the ticket that a client brings back.
-func shown(r *http.Request) string {
+func ticketOf(r *http.Request) string {
 	if seal := r.Header.Get(ticket.Field); seal != "" {
 		return seal
 	}
@@ -82,23 +82,23 @@
 }
 
 // sendAway refuses a request for a channel, and says when and with what to come again.
-func (s *Front) sendAway(w http.ResponseWriter, a ask, to channel.Admission) {
+func (s *Front) rejectUpgrade(w http.ResponseWriter, info requestInfo, refusal channel.Admission) {
 	h := w.Header()
-	setRetryAfter(h, to.Wait)
-	h.Set(ticket.Field, to.Seal)
+	setRetryAfter(h, refusal.Wait)
+	h.Set(ticket.Field, refusal.Seal)
 	cookie := &http.Cookie{
-		Name: ticket.Cookie, Value: to.Seal, Path: "/", HttpOnly: true, SameSite: http.SameSiteStrictMode,
-		MaxAge: int(to.Wait/time.Second) + ticketLife,
+		Name: ticket.Cookie, Value: refusal.Seal, Path: "/", HttpOnly: true, SameSite: http.SameSiteStrictMode,
+		MaxAge: int(refusal.Wait/time.Second) + ticketLifeSeconds,
 	}
 	h.Set("Set-Cookie", cookie.String())
-	s.turnAway(w, a, http.StatusServiceUnavailable, errors.New("refused: come again for a channel as Retry-After says"))
+	s.reject(w, info, http.StatusServiceUnavailable, errors.New("refused: come again for a channel as Retry-After says"))
 }
 
 // ticketLife is how many seconds a browser keeps a ticket beyond its wait.
-const ticketLife = 60
+const ticketLifeSeconds = 60
 
 // change answers 101 and hands both connections to the channels. After an error the caller's connection is closed.
-func (s *Front) change(w http.ResponseWriter, c *backends.Channel, admission channel.Admission) (err error) {
+func (s *Front) switchProtocols(w http.ResponseWriter, c *backends.Channel, admission channel.Admission) (err error) {
 	conn, rw, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		panic(http.ErrAbortHandler) // no answer can be written, and none may pass for one
@@ -109,24 +109,24 @@
 		}
 	}()
 	conn.SetWriteDeadline(time.Now().Add(s.options.Load().WriteTimeout))
-	own, ok := conn.(*callers.Conn)
+	callerConn, ok := conn.(*callers.Conn)
 	if !ok {
 		return errors.New("a connection of unknown kind")
 	}
-	tcp, ok := own.Conn.(*net.TCPConn)
+	tcp, ok := callerConn.Conn.(*net.TCPConn)
 	if !ok {
 		return errors.New("a connection that is not TCP")
 	}
 	if rw.Reader.Buffered() > 0 {
-		text := errEarly.Error()
+		text := errEarlyData.Error()
 		fmt.Fprintf(conn, "HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
-		return errEarly
+		return errEarlyData
 	}
 	var head strings.Builder
 	head.WriteString("HTTP/1.1 101 Switching Protocols\r\nConnection: Upgrade\r\nUpgrade: websocket\r\n")
-	kept := http.Header{}
-	copyEndToEnd(kept, c.Header)
-	kept.Write(&head)
+	forwarded := http.Header{}
+	copyEndToEnd(forwarded, c.Header)
+	forwarded.Write(&head)
 	head.WriteString("\r\n")
 	if _, err := io.WriteString(conn, head.String()); err != nil {
 		return err
