--- a/derive/derive.go
+++ b/derive/derive.go
@@ -37,7 +37,7 @@
 	Window  time.Duration
 	Wanted  time.Duration // an answer later than this is of no use
 	GiveUp  time.Duration // how long a caller waits
-	Worth   float64       // against the other routes; 0 for derived
+	Value   float64       // against the other routes; 0 for derived
 	Body    int64         // the longest body, bytes
 	Uses    []string      // services that it calls, one after the other
 }
@@ -58,21 +58,21 @@
 	Field   string
 	Cause   string // what is wrong
 	Effect  string // what would happen in service
-	Mend    string
+	Fix     string
 }
 
 // Figure is one derived value and why it is so.
 type Figure struct {
-	Name, Value, Why string
+	Name, Value, Reason string
 }
 
 // Class is a route's class for the balancer.
 type Class struct {
-	Route    int
-	Class    balance.Class
-	Attempts int
-	Hops     []time.Duration // for each service that the route uses, how long its call may take
-	Why      []Figure
+	Route        int
+	Class        balance.Class
+	Attempts     int
+	CallTimeouts []time.Duration // for each service that the route uses, how long its call may take
+	Figures      []Figure
 }
 
 // Bulkhead is what one service may take of the sidecar, so that its failing starves no other.
@@ -80,7 +80,7 @@
 	Service int
 	Sockets int
 	Memory  int64
-	Why     []Figure
+	Figures []Figure
 }
 
 // Plan is what a sidecar needs.
@@ -104,7 +104,7 @@
 	// leastSockets of a service: fewer can't carry a request with a repeat.
 	leastSockets = 4
 	// LeastTime and MostTime bound every time that a description says.
-	LeastTime, MostTime = time.Millisecond, time.Hour
+	MinTime, MaxTime = time.Millisecond, time.Hour
 )
 
 // Derive makes the plan. Where a finding is an error there is no plan.
@@ -205,10 +205,10 @@
 		if x.field == "window" && (r.effect() != balance.Guarded || r.Window <= 0) {
 			continue // it has none, or that is told elsewhere
 		}
-		if x.v < LeastTime || x.v > MostTime {
+		if x.v < MinTime || x.v > MaxTime {
 			sane = false
 			d.route(i, false, "time-range", x.field, fmt.Sprintf("is %v", x.v), "no request could be served by it",
-				fmt.Sprintf("write a time from %v to %v", LeastTime, MostTime))
+				fmt.Sprintf("write a time from %v to %v", MinTime, MaxTime))
 		}
 	}
 	if sane && r.Wanted > r.GiveUp {
@@ -219,8 +219,8 @@
 		d.route(i, true, "window-short", "window", fmt.Sprintf("%v is shorter than give_up, %v, and a tenth for slack", r.Window, r.GiveUp),
 			"a failure that shows late is not repeated and its caller gets an error", "keep keys for longer, or lower give_up")
 	}
-	if math.IsNaN(r.Worth) || math.IsInf(r.Worth, 0) || r.Worth < 0 {
-		d.route(i, false, "worth-range", "worth", fmt.Sprintf("is %g", r.Worth), "requests could not be ordered", "write a figure above 0, or none")
+	if math.IsNaN(r.Value) || math.IsInf(r.Value, 0) || r.Value < 0 {
+		d.route(i, false, "worth-range", "worth", fmt.Sprintf("is %g", r.Value), "requests could not be ordered", "write a figure above 0, or none")
 	}
 	if bodies := ingressShare * bodyShare * float64(d.app.Memory); r.Body < 0 || bodies > 0 && float64(r.Body) > bodies {
 		d.route(i, false, "body-memory", "body", fmt.Sprintf("%d bytes, and %d are for all callers' bodies", r.Body, int64(bodies)),
@@ -279,9 +279,9 @@
 
 func (d *deriving) class(i int) Class {
 	r := &d.app.Routes[i]
-	c := Class{Route: i, Class: balance.Class{Aim: r.Wanted, GiveUp: r.GiveUp, Effect: r.effect(), Worth: r.Worth}, Attempts: mostAttempts}
+	c := Class{Route: i, Class: balance.Class{Aim: r.Wanted, GiveUp: r.GiveUp, Effect: r.effect(), Worth: r.Value}, Attempts: mostAttempts}
 	why := func(name string, value any, format string, v ...any) {
-		c.Why = append(c.Why, Figure{name, fmt.Sprint(value), fmt.Sprintf(format, v...)})
+		c.Figures = append(c.Figures, Figure{name, fmt.Sprint(value), fmt.Sprintf(format, v...)})
 	}
 	switch c.Class.Effect {
 	case balance.Free:
@@ -312,7 +312,7 @@
 	if n := len(r.Uses); n > 0 {
 		hop := time.Duration((1 - ownShare) * float64(r.GiveUp) / float64(n)).Truncate(time.Millisecond)
 		for range n {
-			c.Hops = append(c.Hops, hop)
+			c.CallTimeouts = append(c.CallTimeouts, hop)
 		}
 		why("hops", hop, "a fifth of %v is for its own work, and %d calls one after the other share the rest", r.GiveUp, n)
 	}
@@ -338,6 +338,6 @@
 		Sockets: leastSockets + int(share*float64(max(d.sockets()-len(d.app.Calls)*leastSockets, 0))),
 		Memory:  int64(share * (1 - ingressShare) * float64(d.app.Memory)),
 	}
-	b.Why = []Figure{{"sockets", fmt.Sprint(b.Sockets), why}, {"memory", fmt.Sprint(b.Memory), why}}
+	b.Figures = []Figure{{"sockets", fmt.Sprint(b.Sockets), why}, {"memory", fmt.Sprint(b.Memory), why}}
 	return b
 }
--- a/derive/derive_test.go
+++ b/derive/derive_test.go
@@ -21,7 +21,7 @@
 		Routes: []Route{
 			{Name: "search", Methods: []string{"GET"}, Reads: []string{"records"}, Wanted: 750 * time.Millisecond, GiveUp: 2 * s, Uses: []string{"index"}},
 			{Name: "hold", Methods: []string{"POST"}, Writes: []string{"holds"}, Key: "Idempotency-Key", Group: "zone", Window: 7 * s,
-				Wanted: 2 * s, GiveUp: 5 * s, Worth: 5, Uses: []string{"lending", "records"}},
+				Wanted: 2 * s, GiveUp: 5 * s, Value: 5, Uses: []string{"lending", "records"}},
 			{Name: "fine", Methods: []string{"POST"}, Reads: []string{"patrons"}, Writes: []string{"fines"}, Wanted: s, GiveUp: 3 * s, Uses: []string{"records"}},
 		},
 		Calls: []Service{{Name: "index", Servers: 3}, {Name: "lending", Servers: 4, Share: 0.5}, {Name: "records"}},
@@ -40,11 +40,11 @@
 	}
 	hops := [][]time.Duration{{1600 * time.Millisecond}, {2 * s, 2 * s}, {2400 * time.Millisecond}}
 	for i, c := range p.Classes {
-		if c.Class != want[i] || !slices.Equal(c.Hops, hops[i]) {
-			t.Errorf("route %d: %+v with hops %v, want %+v with %v", i, c.Class, c.Hops, want[i], hops[i])
+		if c.Class != want[i] || !slices.Equal(c.CallTimeouts, hops[i]) {
+			t.Errorf("route %d: %+v with hops %v, want %+v with %v", i, c.Class, c.CallTimeouts, want[i], hops[i])
 		}
-		for _, f := range c.Why {
-			if f.Why == "" || f.Value == "" {
+		for _, f := range c.Figures {
+			if f.Reason == "" || f.Value == "" {
 				t.Errorf("route %d: %s has no reason", i, f.Name)
 			}
 		}
@@ -77,8 +77,8 @@
 		{"time-range", false, func(a *App) { a.Routes[1].Window = 1 }, func(a *App) { a.Routes[1].Window = time.Hour }},
 		{"wanted-over-give-up", false, func(a *App) { a.Routes[0].Wanted = 2001 * time.Millisecond }, func(a *App) { a.Routes[0].Wanted = 2 * s }},
 		{"window-short", true, func(a *App) { a.Routes[1].Window = 5 * s }, func(a *App) { a.Routes[1].Window = 5600 * time.Millisecond }},
-		{"worth-range", false, func(a *App) { a.Routes[0].Worth = math.NaN() }, func(a *App) { a.Routes[0].Worth = 0.01 }},
-		{"worth-range", false, func(a *App) { a.Routes[0].Worth = -1 }, func(a *App) { a.Routes[0].Worth = 1e6 }},
+		{"worth-range", false, func(a *App) { a.Routes[0].Value = math.NaN() }, func(a *App) { a.Routes[0].Value = 0.01 }},
+		{"worth-range", false, func(a *App) { a.Routes[0].Value = -1 }, func(a *App) { a.Routes[0].Value = 1e6 }},
 		{"body-memory", false, func(a *App) { a.Routes[1].Body = 9 << 20 }, func(a *App) { a.Routes[1].Body = 8 << 20 }},
 		{"no-service", false, func(a *App) { a.Routes[0].Uses = []string{"index", "indes"} }, func(a *App) { a.Routes[0].Uses = []string{"index", "index"} }},
 		{"one-server", true, func(a *App) { a.Calls[1].Servers = 1 }, func(a *App) { a.Calls[0].Servers = 1 }},
@@ -95,7 +95,7 @@
 			t.Errorf("%s: plan %v, findings %+v", x.code, p != nil, found)
 		}
 		for _, f := range found {
-			if f.Field == "" || f.Cause == "" || f.Effect == "" || f.Mend == "" {
+			if f.Field == "" || f.Cause == "" || f.Effect == "" || f.Fix == "" {
 				t.Errorf("%s does not say enough: %+v", x.code, f)
 			}
 		}
@@ -137,7 +137,7 @@
 				Window: times("window", s, 20*s), Wanted: times("wanted", s, 2*s), GiveUp: times("give up", 2*s, 9*s),
 			}
 			if !often("worth left out") {
-				r.Worth = rapid.Float64().Draw(t, "worth")
+				r.Value = rapid.Float64().Draw(t, "worth")
 			}
 			a.Routes = append(a.Routes, r)
 		}
@@ -165,7 +165,7 @@
 				t.Fatalf("a window of %v of the servers' %v", c.Class.Window, r.Window)
 			}
 			var sum time.Duration
-			for _, h := range c.Hops {
+			for _, h := range c.CallTimeouts {
 				sum += h
 			}
 			if sum > r.GiveUp {
--- a/internal/description/description.go
+++ b/internal/description/description.go
@@ -114,10 +114,10 @@
 					operator.Choice("repeat", &x.Repeat, []string{"", "safe", "keyed", "never"}, "What its people believe of repeating it; it is checked against what it writes."),
 					operator.Text("key", &x.Key, "The header with the key under which repeats are dropped."),
 					operator.Choice("group", &x.Group, []string{"", "all", "zone", "cell"}, "Which servers share what they know of keys."),
-					operator.Duration("window", &x.Window, 0, derive.MostTime, "How long they remember a key."),
-					operator.Duration("wanted", &x.Wanted, derive.LeastTime, derive.MostTime, "An answer later than this is of no use.").MustBeSet(),
-					operator.Duration("give_up", &x.GiveUp, derive.LeastTime, derive.MostTime, "How long a caller waits.").MustBeSet(),
-					operator.Float("worth", &x.Worth, 0, 1e6, "Against the other routes; 0 for derived."),
+					operator.Duration("window", &x.Window, 0, derive.MaxTime, "How long they remember a key."),
+					operator.Duration("wanted", &x.Wanted, derive.MinTime, derive.MaxTime, "An answer later than this is of no use.").MustBeSet(),
+					operator.Duration("give_up", &x.GiveUp, derive.MinTime, derive.MaxTime, "How long a caller waits.").MustBeSet(),
+					operator.Float("worth", &x.Value, 0, 1e6, "Against the other routes; 0 for derived."),
 					operator.Size("body", &x.Body, 0, 1<<30, "Its longest body."),
 					operator.List("uses", &x.Uses, nil, "Services that it calls, one after the other."),
 				}, func() []operator.Problem {
@@ -252,7 +252,7 @@
 		case f.Service >= 0 && f.Field != "sockets":
 			table = fmt.Sprintf("calls[%d]", f.Service)
 		}
-		find(table, f.Field, f.Warning, "%s; %s; %s", f.Cause, f.Effect, f.Mend)
+		find(table, f.Field, f.Warning, "%s; %s; %s", f.Cause, f.Effect, f.Fix)
 	}
 	slices.SortStableFunc(found, func(a, b operator.Finding) int {
 		return cmp.Or(operator.ByPlace(a, b), strings.Compare(a.Text, b.Text))
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -42,8 +42,8 @@
 	}
 	switch f.Verdict {
 	case host.Refused:
-		if f.Wait > 0 {
-			setRetryAfter(header, f.Wait)
+		if f.RetryAfter > 0 {
+			setRetryAfter(header, f.RetryAfter)
 		}
 		http.Error(w, "refused: trying again is harmless", http.StatusServiceUnavailable)
 		return
--- a/internal/host/attempt.go
+++ b/internal/host/attempt.go
@@ -152,7 +152,7 @@
 	if out {
 		return
 	}
-	f := Final{Verdict: Refused, Wait: wait}
+	f := Final{Verdict: Refused, RetryAfter: wait}
 	if ran {
 		f = Final{Verdict: Failed}
 	}
--- a/internal/host/byhand.go
+++ b/internal/host/byhand.go
@@ -9,7 +9,7 @@
 // ByHand takes a server out or puts it back, and reports whether a list has ever named it. Once it has returned from
 // taking one out, nothing new begins to go there: a send that is decided and not yet written asks again right before its
 // first byte.
-func (i *Instance) ByHand(id string, out bool) (known bool) {
+func (i *Instance) SetBanned(id string, out bool) (known bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.closed {
@@ -35,7 +35,7 @@
 }
 
 // NoteByHand takes in which of the servers that Adopt has told to be out are so by hand.
-func (i *Instance) NoteByHand(ids []string) {
+func (i *Instance) RecordBans(ids []string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.noteByHand(i.now(), ids)
--- a/internal/host/carry.go
+++ b/internal/host/carry.go
@@ -11,35 +11,35 @@
 
 // State is how an instance stands, for people.
 type State struct {
-	Now     time.Duration // of the clock that all times here are of
-	Carried balance.Carried
-	Since   map[string]time.Duration // when servers began to drain or were taken out by hand, as far as that was seen
-	InTurns int                      // servers that turns go to
-	Open    map[int]int              // requests that are not answered yet, by class
+	Now          time.Duration // of the clock that all times here are of
+	Snapshot     balance.Carried
+	Since        map[string]time.Duration // when servers began to drain or were taken out by hand, as far as that was seen
+	InRoundRobin int                      // servers that turns go to
+	Unanswered   map[int]int              // requests that are not answered yet, by class
 }
 
 // State returns how the instance stands. It costs as much as there are servers and requests.
 func (i *Instance) State() State {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	s := State{Now: i.now(), Since: maps.Clone(i.drains), Open: map[int]int{}}
-	s.Carried = i.balancer.Carry(s.Now)
+	s := State{Now: i.now(), Since: maps.Clone(i.drains), Unanswered: map[int]int{}}
+	s.Snapshot = i.balancer.Carry(s.Now)
 	maps.Copy(s.Since, i.byHand)
 	for id := range i.address {
 		if i.balancer.InTurns(id) {
-			s.InTurns++
+			s.InRoundRobin++
 		}
 	}
 	for _, q := range i.requests {
 		if !q.answered {
-			s.Open[q.message.Class]++
+			s.Unanswered[q.message.Class]++
 		}
 	}
 	return s
 }
 
 // Carry returns what the balancer knows and where to dial the servers, for another instance to go on from.
-func (i *Instance) Carry() (balance.Carried, map[string]string) {
+func (i *Instance) Snapshot() (balance.Carried, map[string]string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	addresses := make(map[string]string, len(i.address))
@@ -78,7 +78,7 @@
 
 // Revive goes on from what was known before a start; it is for one that has taken nothing on yet. No start of a server before lost
 // is believed from then on: whoever ran before that is cold, whatever anybody says. 0 for any.
-func (i *Instance) Revive(c balance.Carried, addresses map[string]string, lost time.Duration) {
+func (i *Instance) Restore(c balance.Carried, addresses map[string]string, lost time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.lost = lost
@@ -90,7 +90,7 @@
 }
 
 // Births are when the servers in service were started, as far as that is believed.
-func (i *Instance) Births() (births []time.Duration) {
+func (i *Instance) StartTimes() (births []time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for _, to := range i.address {
@@ -103,7 +103,7 @@
 const carryStep = 256
 
 // CarryInSteps returns what Carry does, not as of one moment, and holds up nothing that serves for longer than carryStep servers take.
-func (i *Instance) CarryInSteps() (balance.Carried, map[string]string) {
+func (i *Instance) SnapshotInBatches() (balance.Carried, map[string]string) {
 	i.mu.Lock()
 	c := i.balancer.CarryRest(i.now())
 	ids := i.balancer.IDs()
--- a/internal/host/crossing_test.go
+++ b/internal/host/crossing_test.go
@@ -166,8 +166,8 @@
 	first := await(t, "the first connection", c.dials)
 	close(first)
 	second := await(t, "the second connection", c.dials)
-	c.ByHand("a", true)
-	c.ByHand("b", true) // whichever it goes to: it is taken out while its connection comes up
+	c.SetBanned("a", true)
+	c.SetBanned("b", true) // whichever it goes to: it is taken out while its connection comes up
 	close(second)
 	if f := await(t, "the answer", q.Final()); f.Verdict != Refused {
 		t.Errorf("verdict %v", f.Verdict)
--- a/internal/host/fleet.go
+++ b/internal/host/fleet.go
@@ -10,13 +10,13 @@
 )
 
 // LogParts is the line that says which part of what all proxies may do is this one's own.
-const LogParts = "fleet: parts"
+const LogFleetShares = "fleet: parts"
 
 // LogNumber is the line that says by which own number this proxy cuts the list.
-const LogNumber = "rules: number"
+const LogSubsetNumber = "rules: number"
 
 // Agreed takes in which servers are out at all proxies, and which share of their quotas tenants have.
-func (i *Instance) Agreed(bans map[string]rules.Ban, quota float64) {
+func (i *Instance) ApplyAgreed(bans map[string]rules.Ban, quota float64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if i.closed {
@@ -54,7 +54,7 @@
 }
 
 // SetPart tells the balancer which part of what the proxy may do is this instance's own, beside another at an upgrade.
-func (i *Instance) SetPart(part float64) {
+func (i *Instance) SetUpgradeShare(part float64) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.part = part
@@ -62,7 +62,7 @@
 }
 
 // SetFleet tells the balancer which part of what all proxies may do is this proxy's own.
-func (i *Instance) SetFleet(p parts.Parts) {
+func (i *Instance) SetFleetShares(p parts.Parts) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if p == i.fleet || i.closed {
@@ -70,7 +70,7 @@
 	}
 	i.fleet = p
 	i.setPart()
-	i.log.Info(LogParts, "soft", p.Soft, "hard", p.Hard)
+	i.log.Info(LogFleetShares, "soft", p.Soft, "hard", p.Hard)
 }
 
 func (i *Instance) setPart() { i.balancer.SetPart(i.part*i.fleet.Hard, i.quota*i.fleet.Soft) }
@@ -84,5 +84,5 @@
 	}
 	i.balancer.Renumber(i.now(), self, of)
 	i.tellChannels()
-	i.log.Info(LogNumber, "self", self, "of", of)
+	i.log.Info(LogSubsetNumber, "self", self, "of", of)
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -21,11 +21,11 @@
 type Instance struct {
 	clock    clock.Steady // Unix time, as the list's start times are
 	backends *backends.Pool
-	watch    func()     // starts a watch on the server list
-	channels Channels   // nil where there are none
-	gate     Gate       // nil where no rules are agreed on
-	door     Door       // nil where all are let in
-	list     ServerList // nil where the list that is held may always be acted on
+	watch    func()        // starts a watch on the server list
+	channels Channels      // nil where there are none
+	gate     AgreedRules   // nil where no rules are agreed on
+	door     AdmissionGate // nil where all are let in
+	list     ServerList    // nil where the list that is held may always be acted on
 	listWait time.Duration
 	heldBack atomic.Int64  // requests that were not sent for want of a fresh list
 	lost     time.Duration // no start of a server before it is believed; 0 for any
@@ -63,7 +63,7 @@
 
 // Gate says what the proxies of the fleet have agreed on. The calls come while the instance is locked, so none of them may block
 // or call back.
-type Gate interface {
+type AgreedRules interface {
 	// Open says whether requests of a class are taken now.
 	Open(class int) bool
 	// Rule says whether an attempt may be sent now, and on what that rests. again: an earlier one may have run.
@@ -78,7 +78,7 @@
 
 // Door says who is let in while a proxy comes back. The calls come while the instance is locked, so none of them may block or call
 // back.
-type Door interface {
+type AdmissionGate interface {
 	// Admit says whether a request of a class is let in now, and if not, for how long its caller is asked to stay away; 0 for no advice.
 	Admit(class int) (ok bool, wait time.Duration)
 	// Ready says whether any are.
@@ -105,10 +105,10 @@
 }
 
 // HeldBack is how many requests were not sent for want of a fresh list.
-func (i *Instance) HeldBack() int64 { return i.heldBack.Load() }
+func (i *Instance) StaleListUnserved() int64 { return i.heldBack.Load() }
 
 // SetDoor is for an instance that has taken nothing on yet.
-func (i *Instance) SetDoor(d Door) {
+func (i *Instance) SetAdmissionGate(d AdmissionGate) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.door = d
@@ -116,7 +116,7 @@
 
 // SetGate is for an instance that has taken nothing on yet. Callers whose requests the agreed rules don't let in are asked to stay
 // away for so long; 0 for no advice.
-func (i *Instance) SetGate(g Gate, wait time.Duration) {
+func (i *Instance) SetAgreedRules(g AgreedRules, wait time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.gate, i.gateWait = g, wait
--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -73,7 +73,7 @@
 }
 
 // Failing are those of some servers that are avoided now for what their answers were.
-func (i *Instance) Failing(ids []string) (failing []string) {
+func (i *Instance) Ejected(ids []string) (failing []string) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for _, id := range ids {
@@ -85,7 +85,7 @@
 }
 
 // Pool counts the servers in the list and those of them that are avoided.
-func (i *Instance) Pool() (listed, avoided int) {
+func (i *Instance) CountServers() (listed, avoided int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.balancer.Pool()
--- a/internal/host/request.go
+++ b/internal/host/request.go
@@ -20,9 +20,9 @@
 
 // Final is the one answer that a request gets.
 type Final struct {
-	Verdict Verdict
-	Reply   *backends.Reply // of a served request
-	Wait    time.Duration   // for how long a refused caller is asked to stay away; 0 for no advice
+	Verdict    Verdict
+	Reply      *backends.Reply // of a served request
+	RetryAfter time.Duration   // for how long a refused caller is asked to stay away; 0 for no advice
 }
 
 // Request is one request from its submission until it is answered and its last attempt has ended. Its life is
@@ -53,18 +53,18 @@
 	if i.door != nil {
 		if in, wait := i.door.Admit(class); !in {
 			i.traceUnserved(q, Refused, byDoor)
-			q.answer(Final{Verdict: Refused, Wait: wait})
+			q.answer(Final{Verdict: Refused, RetryAfter: wait})
 			return q
 		}
 	}
 	if i.gate != nil && !i.gate.Open(class) {
 		i.traceUnserved(q, Refused, byRules)
-		q.answer(Final{Verdict: Refused, Wait: i.gateWait})
+		q.answer(Final{Verdict: Refused, RetryAfter: i.gateWait})
 		return q
 	}
 	if i.list != nil && !i.list.Fresh() {
 		i.traceUnserved(q, Refused, byStaleList)
-		q.answer(Final{Verdict: Refused, Wait: i.listWait})
+		q.answer(Final{Verdict: Refused, RetryAfter: i.listWait})
 		return q
 	}
 	i.requests[q.id] = q
@@ -130,7 +130,7 @@
 
 // Refuse answers a request so that trying again is harmless.
 func (i *Instance) Refuse(id string, wait time.Duration) {
-	i.decide(id, Final{Verdict: Refused, Wait: wait})
+	i.decide(id, Final{Verdict: Refused, RetryAfter: wait})
 }
 
 // Fail answers a request without a promise.
--- a/internal/host/serverlist_test.go
+++ b/internal/host/serverlist_test.go
@@ -49,7 +49,7 @@
 	c.SetServerList(list, listWait)
 
 	list.stale.Store(true)
-	if got := await(t, "the answer", c.submit(nil).Final()); got.Verdict != Refused || got.Wait != listWait {
+	if got := await(t, "the answer", c.submit(nil).Final()); got.Verdict != Refused || got.RetryAfter != listWait {
 		t.Errorf("by a stale list: %+v", got)
 	}
 	list.stale.Store(false)
@@ -57,7 +57,7 @@
 	up := await(t, "a connection that is asked for", c.dials)
 	list.stale.Store(true)
 	close(up)
-	if got := await(t, "the answer", q.Final()); got.Verdict != Refused || got.Wait != listWait {
+	if got := await(t, "the answer", q.Final()); got.Verdict != Refused || got.RetryAfter != listWait {
 		t.Errorf("by a list that became stale before the write: %+v", got)
 	}
 	if n := s.took.Load(); n > 0 {
--- a/internal/host/trace.go
+++ b/internal/host/trace.go
@@ -12,7 +12,7 @@
 // count` reads these lines from all of them. Their names and fields are read there, so a change here is one there.
 const (
 	TraceAttempt  = "attempt"  // one that has ended
-	TraceAct      = "act"      // on what the sending of one that has ended rested
+	TraceBasis    = "act"      // on what the sending of one that has ended rested
 	TraceUnserved = "unserved" // a request refused or failed
 	TraceList     = "list"     // news of the server list
 )
@@ -28,7 +28,7 @@
 		"backend", a.to.Server, "outcome", outcome.String(), "sent_ms", a.sent.Milliseconds(),
 		"took_ms", (now - a.sent).Milliseconds())
 	if a.begun && i.gate != nil {
-		i.log.Debug(TraceAct, "backend", a.to.Server, "at_us", a.asked.Microseconds(), "version", a.ground.Version, "leased", a.ground.Leased)
+		i.log.Debug(TraceBasis, "backend", a.to.Server, "at_us", a.asked.Microseconds(), "version", a.ground.Version, "leased", a.ground.Leased)
 	}
 }
 
--- a/internal/proxy/begin_test.go
+++ b/internal/proxy/begin_test.go
@@ -13,9 +13,9 @@
 func TestWhatTheDiskKnowsDoesNotReplaceWhatDiscoveryHasTold(t *testing.T) {
 	g := newRig(t, nil, entry("s1", "127.0.0.1:1", "up"), entry("s2", "127.0.0.1:2", "up"))
 	disk := handover.Knowledge{}
-	disk.Balancer, disk.Addresses = g.host.Carry()
+	disk.Balancer, disk.Addresses = g.host.Snapshot()
 	g.registry.lists <- list(2, false, entry("s1", "127.0.0.1:1", "draining"))
-	for end := time.Now().Add(patient); g.host.State().InTurns != 1; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(patient); g.host.State().InRoundRobin != 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the news are never taken in")
 		}
@@ -24,7 +24,7 @@
 	if !g.discovery.Fresh() {
 		return // a list of the disk is not acted on
 	}
-	for _, s := range g.host.State().Carried.Servers {
+	for _, s := range g.host.State().Snapshot.Servers {
 		if s.Entry.ID == "s1" && s.Entry.State == balance.InService {
 			t.Error("a server that drains is in service again, by a list that is taken for confirmed")
 		}
--- a/internal/proxy/channel_test.go
+++ b/internal/proxy/channel_test.go
@@ -1032,7 +1032,7 @@
 	if code := all[3].client.code(); code != frame.ProtocolError {
 		t.Errorf("told %d", code)
 	}
-	g.host.ByHand("a", true)
+	g.host.SetBanned("a", true)
 	for _, p := range all[4:] {
 		if code := p.client.code(); code != frame.ServiceRestart {
 			t.Errorf("told %d", code)
@@ -1065,7 +1065,7 @@
 		})
 	}
 	on := len(a.heads) // which has come before its answer
-	if !g.host.ByHand("a", true) {
+	if !g.host.SetBanned("a", true) {
 		t.Fatal("not known")
 	}
 	g.holds(20 - on)
--- a/internal/proxy/desk.go
+++ b/internal/proxy/desk.go
@@ -20,10 +20,10 @@
 }
 
 func (d desk) Figures(text []byte) []byte {
-	listed, avoided := d.host.Pool()
+	listed, avoided := d.host.CountServers()
 	text = d.figures.Append(text, figures.Pool{Size: listed, Ejected: avoided})
 	text = d.discovery.AppendFigures(text)
-	text = figures.AppendLine(text, "list_held_back", d.host.HeldBack(), 'c')
+	text = figures.AppendLine(text, "list_held_back", d.host.StaleListUnserved(), 'c')
 	if d.channels != nil {
 		text = d.channels.Append(text)
 	}
@@ -61,7 +61,7 @@
 // ByHand takes a server out or puts it back, here and in the other process of this proxy, if there is one. Once it has
 // returned from taking one out, nothing new begins to go there.
 func (p *Proxy) ByHand(ctx context.Context, id string, out bool) error {
-	known := p.host.ByHand(id, out)
+	known := p.host.SetBanned(id, out)
 	joined := false
 	if p.upgrade != nil {
 		joined = p.upgrade.tell(ctx, id, out)
--- a/internal/proxy/following_test.go
+++ b/internal/proxy/following_test.go
@@ -92,7 +92,7 @@
 				if !p.discovery.Fresh() {
 					t.Fatal("the list is not acted on any more")
 				}
-				for _, s := range p.host.State().Carried.Servers {
+				for _, s := range p.host.State().Snapshot.Servers {
 					if s.Entry.ID == "s1" && s.Entry.State != balance.Draining {
 						t.Errorf("a server that drains is %v by a list that is taken for confirmed", s.Entry.State)
 					}
--- a/internal/proxy/heldover_test.go
+++ b/internal/proxy/heldover_test.go
@@ -55,7 +55,7 @@
 	}{"the process before": {first, before}, "the next process": {second, after}} {
 		process.rules.basis.Store(accepted)
 		process.rules.follow(accepted)
-		if listed, _ := process.proxy.host.Pool(); listed != 1 {
+		if listed, _ := process.proxy.host.CountServers(); listed != 1 {
 			t.Errorf("%s goes on with %d servers, and the newest list has one", name, listed)
 		}
 	}
@@ -95,13 +95,13 @@
 			t.Fatal("the news are never taken in")
 		}
 	}
-	if listed, _ := second.host.Pool(); listed != 5 {
+	if listed, _ := second.host.CountServers(); listed != 5 {
 		t.Errorf("%d servers are gone on with; the list has two, and three are held", listed)
 	}
 	accepted := basisOf(&rules.Document{Dropped: lost}, time.Hour)
 	after.basis.Store(accepted)
 	after.follow(accepted)
-	if listed, _ := second.host.Pool(); listed != 2 {
+	if listed, _ := second.host.CountServers(); listed != 2 {
 		t.Errorf("%d servers are gone on with, and the newest list has two", listed)
 	}
 }
@@ -110,7 +110,7 @@
 func TestAProcessThatHoldsNothingLetsGoAtAnUpgrade(t *testing.T) {
 	p, _, _ := holdingThree(t)
 	second := p.startHolding(agreeOn(&rules.Document{}))
-	if listed, _ := second.host.Pool(); listed != 1 {
+	if listed, _ := second.host.CountServers(); listed != 1 {
 		t.Errorf("%d servers are gone on with, and the newest list has one", listed)
 	}
 }
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -85,7 +85,7 @@
 	memory := max(part.Rest, leastPart)
 	p.backends.SetLimit(share(memory, l.backends))
 	p.bodies.Resize(int64(memory * float64(l.bodies)))
-	p.host.SetPart(part.Rest)
+	p.host.SetUpgradeShare(part.Rest)
 	if l.onPart != nil {
 		l.onPart(memory)
 	}
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -130,7 +130,7 @@
 		case <-time.After(askTraffic):
 		}
 		k.mu.Lock()
-		k.pass(k.judge.Gone(k.now(), k.host.Failing(k.judge.Held())))
+		k.pass(k.judge.Gone(k.now(), k.host.Ejected(k.judge.Held())))
 		if k.looking = len(k.judge.Held()) > 0; !k.looking {
 			k.mu.Unlock()
 			return
@@ -143,7 +143,7 @@
 func (k *keptLists) carry(to *handover.Knowledge) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	to.Balancer, to.Addresses = k.host.Carry()
+	to.Balancer, to.Addresses = k.host.Snapshot()
 	to.Lists = k.judge.Carry(k.now())
 }
 
@@ -173,7 +173,7 @@
 		p.lists.carry(to)
 		return
 	}
-	to.Balancer, to.Addresses = p.host.Carry()
+	to.Balancer, to.Addresses = p.host.Snapshot()
 }
 
 // adoptLists goes on with what the process before holds. Where nothing is held back any more, it is let go of: discovery does not say again that
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -121,10 +121,10 @@
 			p.lists = newKeptLists(p.ctx, &p.running, share, p.host, p.rules.Hold, c.Log)
 			update = p.lists.update
 		}
-		p.host.SetGate(gate{p.rules, s.Classes, p.lists}, wait)
+		p.host.SetAgreedRules(gate{p.rules, s.Classes, p.lists}, wait)
 	}
 	if p.recovery != nil {
-		p.host.SetDoor(p.recovery)
+		p.host.SetAdmissionGate(p.recovery)
 		update = p.listed(update)
 	}
 	p.discovery = discovery.New(c.Discovery, s.Zones, c.Options.Discovery, c.Log, update)
@@ -219,7 +219,7 @@
 
 // SetFleet takes in who of the fleet is there: this proxy's part of what all may do together follows from it.
 func (p *Proxy) SetFleet(c parts.Count) {
-	p.host.SetFleet(parts.Decide(p.settings.Balancer.Instances, c))
+	p.host.SetFleetShares(parts.Decide(p.settings.Balancer.Instances, c))
 }
 
 // Addr is where the proxy listens.
--- a/internal/proxy/recovery.go
+++ b/internal/proxy/recovery.go
@@ -23,7 +23,7 @@
 		s.host.BanAll(k.Balancer.Banned)
 		return
 	}
-	s.host.Revive(k.Balancer, k.Addresses, lost)
+	s.host.Restore(k.Balancer, k.Addresses, lost)
 	if len(k.Balancer.Servers) == 0 { // the file's list, as the platform last had it
 		if err := s.known(s.fileList); err != nil {
 			s.log.Error("the platform's list is not used", "error", err)
@@ -39,7 +39,7 @@
 
 func (s side) Known() handover.Knowledge {
 	k := handover.Knowledge{Seq: s.discovery.Seq(), Longest: s.restart.Longest(), Usual: s.restart.Usual()}
-	k.Balancer, k.Addresses = s.host.CarryInSteps()
+	k.Balancer, k.Addresses = s.host.SnapshotInBatches()
 	return k
 }
 
@@ -53,7 +53,7 @@
 	return asked, lost
 }
 
-func (s side) Births() []time.Duration { return s.host.Births() }
+func (s side) Births() []time.Duration { return s.host.StartTimes() }
 func (s side) Leased() bool            { return s.rules != nil && s.rules.Mode() == accord.Leased }
 func (s side) Banned() []string        { return s.host.Banned() }
 func (s side) Ban(ids []string)        { s.host.BanAll(ids) }
--- a/internal/proxy/rules.go
+++ b/internal/proxy/rules.go
@@ -38,7 +38,7 @@
 
 // agreed takes in on what acts rest.
 func (p *Proxy) agreed(b *accord.Basis) {
-	p.host.Agreed(b.Doc.Bans, b.Doc.Share())
+	p.host.ApplyAgreed(b.Doc.Bans, b.Doc.Share())
 	if self, of, ok := p.rules.Number(b); ok {
 		p.host.Renumber(self, of)
 	}
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -12,15 +12,15 @@
 // Status says how the proxy stands, as JSON.
 func (d desk) Status() ([]byte, error) {
 	h := d.host.State()
-	listed, _ := d.host.Pool()
+	listed, _ := d.host.CountServers()
 	s := status.Status{
-		Ready: d.Ready(), Leaving: d.restart.Begun(), Listed: listed, InTurns: h.InTurns, Limit: h.Carried.Limit, Open: map[string]int{},
-		Avoided: status.Servers(h.Now, d.settings.Balancer.WarmUp, h.Carried, h.Since),
+		Ready: d.Ready(), Leaving: d.restart.Begun(), Listed: listed, InTurns: h.InRoundRobin, Limit: h.Snapshot.Limit, Open: map[string]int{},
+		Avoided: status.Servers(h.Now, d.settings.Balancer.WarmUp, h.Snapshot, h.Since),
 		Callers: d.callers.States(), Backends: d.backends.States(),
 		MemoryMB: memoryMB(), Descriptors: descriptors(),
 	}
 	for n, name := range d.settings.Classes {
-		s.Open[name] = h.Open[n]
+		s.Open[name] = h.Unanswered[n]
 	}
 	if d.channels != nil {
 		s.Channels = d.channels.Len()
--- a/internal/proxy/status_test.go
+++ b/internal/proxy/status_test.go
@@ -38,7 +38,7 @@
 	await(t, "the watch", g.registry.calls)
 	g.registry.lists <- list(2, false, entry("s2", b.address, "draining"))
 	await(t, "the next watch", g.registry.calls)
-	g.host.ByHand("s1", true)
+	g.host.SetBanned("s1", true)
 	waits, idles := g.dial().send(head("never")), g.dial()
 	idles.send(head("a")).answer()
 	for range 2 {
@@ -55,7 +55,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	g.host.ByHand("s1", false)
+	g.host.SetBanned("s1", false)
 	if s := read(); len(s.Avoided) != 1 && len(s.Avoided) != 2 { // it is back, and cold where the settings know of that
 		t.Errorf("%+v", s.Avoided)
 	}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -255,7 +255,7 @@
 	if status, _ := g.dial().send(head("b")).answer(); status != 200 {
 		t.Errorf("after callers that left: %d", status)
 	}
-	if _, avoided := g.host.Pool(); avoided != 0 {
+	if _, avoided := g.host.CountServers(); avoided != 0 {
 		t.Error("the backend is blamed for callers that left")
 	}
 }
--- a/internal/proxy/upgrade.go
+++ b/internal/proxy/upgrade.go
@@ -47,7 +47,7 @@
 	if k.ByHand == nil {
 		k.ByHand = k.Balancer.Banned
 	}
-	p.host.NoteByHand(k.ByHand)
+	p.host.RecordBans(k.ByHand)
 	p.discovery.Resume(k.Seq)
 	p.front.SetElsewhere(k.Open)
 	p.restart.Resume(k.Longest, k.Usual)
@@ -109,7 +109,7 @@
 }
 
 func (u *upgrade) ban(from *handover.Peer, m handover.Message) {
-	known := u.proxy.host.ByHand(m.Server, m.Out)
+	known := u.proxy.host.SetBanned(m.Server, m.Out)
 	if known {
 		if err := u.proxy.kept(context.Background(), m.Server, m.Out, true); err != nil {
 			u.proxy.log.Error("by hand, at the other process: not on disk", "backend", m.Server, "error", err)
--- a/internal/rig/lists_test.go
+++ b/internal/rig/lists_test.go
@@ -87,7 +87,7 @@
 	holds := map[string]string{}
 	for _, e := range a.Events() {
 		switch {
-		case e.What == host.LogNumber:
+		case e.What == host.LogSubsetNumber:
 			for other, n := range holds {
 				if other != e.Who && n == e.Fields["self"] {
 					t.Errorf("%s takes number %s at %v, and %s has it", e.Who, n, e.At, other)
--- a/internal/rig/ruling/ruling.go
+++ b/internal/rig/ruling/ruling.go
@@ -110,7 +110,7 @@
 	for i := range events {
 		e := &events[i]
 		switch e.What {
-		case host.TraceAct:
+		case host.TraceBasis:
 			j.act(e, time.Duration(number(e, "at_us"))*time.Microsecond-zero)
 		case Answered:
 			id, n := e.Fields["id"], number(e, "version")
--- a/internal/rig/ruling/ruling_test.go
+++ b/internal/rig/ruling/ruling_test.go
@@ -39,7 +39,7 @@
 func act(seconds float64, who, backend, leased string) history.Event {
 	const zero = 100 * time.Second
 	at := time.Duration(seconds * float64(time.Second))
-	return history.Event{At: at, Who: who, What: host.TraceAct, Fields: fields("backend", backend, "version", "1", "leased", leased,
+	return history.Event{At: at, Who: who, What: host.TraceBasis, Fields: fields("backend", backend, "version", "1", "leased", leased,
 		"at_us", strconv.FormatInt((zero+at).Microseconds(), 10))}
 }
 
--- a/landscape/landscape.go
+++ b/landscape/landscape.go
@@ -29,27 +29,27 @@
 	App, Route string
 	GiveUp     time.Duration // how long the caller waits, over all attempts
 	Attempts   int           // at most
-	Times      int           // how often for one request, at most
+	PerRequest int           // how often for one request, at most
 }
 
 // Place is where in the descriptions a finding lies, by index; -1 where it concerns no route or call.
-type Place struct{ App, Route, Call int }
+type Location struct{ App, Route, Call int }
 
 // Code is what is wrong.
 type Code int
 
 // The codes. The first group is wrong wherever it stands; NoTime and Multiplies need all chains.
 const (
-	TwoNames    Code = iota // an application's name is taken
-	TwoRoutes               // a route's name is taken within its application
-	TwoListen               // an address is taken by another application
-	NoApp                   // a call to an application that no one provides
-	NoRoute                 // a call to a route that its application has not
-	Cycle                   // calls that lead back to their route
-	WaitsLonger             // a call may take longer than the route that makes it
-	WorksLonger             // the called route works on when its caller has stopped waiting
-	NoTime                  // calls one after the other take longer than their route has
-	Multiplies              // one request becomes more attempts than the bound
+	DuplicateApp         Code = iota // an application's name is taken
+	DuplicateRoute                   // a route's name is taken within its application
+	DuplicateAddress                 // an address is taken by another application
+	UnknownApp                       // a call to an application that no one provides
+	UnknownRoute                     // a call to a route that its application has not
+	Cycle                            // calls that lead back to their route
+	CallTimeoutTooLong               // a call may take longer than the route that makes it
+	CalleeTimeoutTooLong             // the called route works on when its caller has stopped waiting
+	CallsExceedTimeout               // calls one after the other take longer than their route has
+	TooManyAttempts                  // one request becomes more attempts than the bound
 )
 
 func (c Code) String() string {
@@ -60,19 +60,19 @@
 
 // Finding is one thing that is wrong.
 type Finding struct {
-	Code  Code
-	Place Place
-	Other Place    // the other place, for what takes two
-	Chain []string // "app/route" from the first to the last, for Cycle and Multiplies
+	Code          Code
+	Location      Location
+	OtherLocation Location // the other place, for what takes two
+	Chain         []string // "app/route" from the first to the last, for Cycle and Multiplies
 	// Has and Needs are the two times of a finding on deadlines.
-	Has, Needs time.Duration
+	Available, Required time.Duration
 	// Attempts is how many one request becomes, for Multiplies.
 	Attempts float64
 }
 
 // Chain is what one route leads to at worst.
 type Chain struct {
-	Place    Place
+	Location Location
 	Attempts float64 // at the far end of the worst chain, for one request
 	Path     []string
 }
@@ -81,14 +81,14 @@
 // chain. Findings come in the order of the descriptions, none that only follows from another: calls to what does
 // not exist and calls within a cycle are left out of the chains.
 func Check(apps []App, bound float64) ([]Finding, []Chain) {
-	c := &check{apps: apps, byName: map[string]int{}, routes: map[Place]*node{}}
+	c := &check{apps: apps, byName: map[string]int{}, routes: map[Location]*node{}}
 	c.names()
 	c.link()
 	c.cycles()
 	c.times()
 	chains := c.chains(bound)
 	slices.SortStableFunc(c.found, func(a, b Finding) int {
-		return cmp.Or(a.Place.App-b.Place.App, a.Place.Route-b.Place.Route, a.Place.Call-b.Place.Call, int(a.Code-b.Code))
+		return cmp.Or(a.Location.App-b.Location.App, a.Location.Route-b.Location.Route, a.Location.Call-b.Location.Call, int(a.Code-b.Code))
 	})
 	return c.found, chains
 }
@@ -96,14 +96,14 @@
 type check struct {
 	apps   []App
 	byName map[string]int
-	routes map[Place]*node // by app and route
+	routes map[Location]*node // by app and route
 	order  []*node
 	found  []Finding
 }
 
 // node is a route with its calls resolved.
 type node struct {
-	place Place
+	place Location
 	name  string
 	calls []*node // nil where a call leads nowhere
 	loops []bool  // whether a call lies on a cycle
@@ -123,13 +123,13 @@
 	listen := map[string]int{}
 	for i, a := range c.apps {
 		if other, taken := c.byName[a.Name]; taken {
-			c.find(Finding{Code: TwoNames, Place: Place{i, -1, -1}, Other: Place{other, -1, -1}})
+			c.find(Finding{Code: DuplicateApp, Location: Location{i, -1, -1}, OtherLocation: Location{other, -1, -1}})
 		} else {
 			c.byName[a.Name] = i
 		}
 		for _, address := range a.Listen {
 			if other, taken := listen[address]; taken && other != i {
-				c.find(Finding{Code: TwoListen, Place: Place{i, -1, -1}, Other: Place{other, -1, -1}})
+				c.find(Finding{Code: DuplicateAddress, Location: Location{i, -1, -1}, OtherLocation: Location{other, -1, -1}})
 			} else {
 				listen[address] = i
 			}
@@ -137,11 +137,11 @@
 		names := map[string]int{}
 		for j, r := range a.Routes {
 			if other, taken := names[r.Name]; taken {
-				c.find(Finding{Code: TwoRoutes, Place: Place{i, j, -1}, Other: Place{i, other, -1}})
+				c.find(Finding{Code: DuplicateRoute, Location: Location{i, j, -1}, OtherLocation: Location{i, other, -1}})
 			} else {
 				names[r.Name] = j
 			}
-			n := &node{place: Place{i, j, -1}, name: a.Name + "/" + r.Name}
+			n := &node{place: Location{i, j, -1}, name: a.Name + "/" + r.Name}
 			c.routes[n.place] = n
 			c.order = append(c.order, n)
 		}
@@ -154,18 +154,18 @@
 		calls := c.route(n).Calls
 		n.calls, n.loops = make([]*node, len(calls)), make([]bool, len(calls))
 		for k, call := range calls {
-			at := Place{n.place.App, n.place.Route, k}
+			at := Location{n.place.App, n.place.Route, k}
 			app, known := c.byName[call.App]
 			if !known {
-				c.find(Finding{Code: NoApp, Place: at})
+				c.find(Finding{Code: UnknownApp, Location: at})
 				continue
 			}
 			route := slices.IndexFunc(c.apps[app].Routes, func(r Route) bool { return r.Name == call.Route })
 			if route < 0 {
-				c.find(Finding{Code: NoRoute, Place: at, Other: Place{app, -1, -1}})
+				c.find(Finding{Code: UnknownRoute, Location: at, OtherLocation: Location{app, -1, -1}})
 				continue
 			}
-			n.calls[k] = c.routes[Place{app, route, -1}]
+			n.calls[k] = c.routes[Location{app, route, -1}]
 		}
 	}
 }
@@ -240,7 +240,7 @@
 			n.loops[k] = true
 			if !shown[n.component] {
 				shown[n.component] = true
-				c.find(Finding{Code: Cycle, Place: Place{n.place.App, n.place.Route, k}, Chain: c.cycle(n, m)})
+				c.find(Finding{Code: Cycle, Location: Location{n.place.App, n.place.Route, k}, Chain: c.cycle(n, m)})
 			}
 		}
 	}
@@ -277,18 +277,18 @@
 		var sum time.Duration
 		over := false
 		for k, call := range r.Calls {
-			at := Place{n.place.App, n.place.Route, k}
+			at := Location{n.place.App, n.place.Route, k}
 			if call.GiveUp > r.GiveUp {
 				over = true
-				c.find(Finding{Code: WaitsLonger, Place: at, Has: r.GiveUp, Needs: call.GiveUp})
+				c.find(Finding{Code: CallTimeoutTooLong, Location: at, Available: r.GiveUp, Required: call.GiveUp})
 			}
 			if m := n.calls[k]; m != nil && !n.loops[k] && c.route(m).GiveUp > call.GiveUp {
-				c.find(Finding{Code: WorksLonger, Place: at, Other: m.place, Has: call.GiveUp, Needs: c.route(m).GiveUp})
+				c.find(Finding{Code: CalleeTimeoutTooLong, Location: at, OtherLocation: m.place, Available: call.GiveUp, Required: c.route(m).GiveUp})
 			}
-			sum = add(sum, call.GiveUp, max(call.Times, 1))
+			sum = add(sum, call.GiveUp, max(call.PerRequest, 1))
 		}
 		if !over && sum > r.GiveUp {
-			c.find(Finding{Code: NoTime, Place: n.place, Has: r.GiveUp, Needs: sum})
+			c.find(Finding{Code: CallsExceedTimeout, Location: n.place, Available: r.GiveUp, Required: sum})
 		}
 	}
 }
@@ -317,7 +317,7 @@
 				continue
 			}
 			m.called = true
-			if worst := float64(max(call.Attempts, 1)) * float64(max(call.Times, 1)) * m.worst; worst > n.worst || n.next < 0 {
+			if worst := float64(max(call.Attempts, 1)) * float64(max(call.PerRequest, 1)) * m.worst; worst > n.worst || n.next < 0 {
 				n.worst, n.next = worst, k
 			}
 		}
@@ -327,14 +327,14 @@
 		if n.called {
 			continue // the chains that lead here tell of it
 		}
-		chain := Chain{Place: n.place, Attempts: n.worst, Path: []string{n.name}}
+		chain := Chain{Location: n.place, Attempts: n.worst, Path: []string{n.name}}
 		for at := n; at.next >= 0; {
 			at = at.calls[at.next]
 			chain.Path = append(chain.Path, at.name)
 		}
 		chains = append(chains, chain)
 		if n.worst > bound {
-			c.find(Finding{Code: Multiplies, Place: n.place, Chain: chain.Path, Attempts: n.worst})
+			c.find(Finding{Code: TooManyAttempts, Location: n.place, Chain: chain.Path, Attempts: n.worst})
 		}
 	}
 	return chains
--- a/landscape/landscape_test.go
+++ b/landscape/landscape_test.go
@@ -19,7 +19,7 @@
 }
 
 func call(to string, giveUp time.Duration, attempts int) Call {
-	return Call{App: to, Route: "r", GiveUp: giveUp, Attempts: attempts, Times: 1}
+	return Call{App: to, Route: "r", GiveUp: giveUp, Attempts: attempts, PerRequest: 1}
 }
 
 func TestCheck(t *testing.T) {
@@ -30,52 +30,52 @@
 	}{
 		{"a sound chain", []App{app("a", 3*s, call("b", 2*s, 2)), app("b", 2*s, call("c", s, 2)), app("c", s)}, nil},
 		{"nobody", nil, nil},
-		{"a name twice", []App{app("a", s), {Name: "a"}}, []Finding{{Code: TwoNames, Place: Place{1, -1, -1}, Other: Place{0, -1, -1}}}},
+		{"a name twice", []App{app("a", s), {Name: "a"}}, []Finding{{Code: DuplicateApp, Location: Location{1, -1, -1}, OtherLocation: Location{0, -1, -1}}}},
 		{"a route twice", []App{{Name: "a", Routes: []Route{{"r", s, nil}, {"r", s, nil}}}},
-			[]Finding{{Code: TwoRoutes, Place: Place{0, 1, -1}, Other: Place{0, 0, -1}}}},
+			[]Finding{{Code: DuplicateRoute, Location: Location{0, 1, -1}, OtherLocation: Location{0, 0, -1}}}},
 		{"an address twice", []App{{Name: "a", Listen: []string{"x:1", "x:2"}}, {Name: "b", Listen: []string{"x:2"}}},
-			[]Finding{{Code: TwoListen, Place: Place{1, -1, -1}, Other: Place{0, -1, -1}}}},
-		{"nobody provides it", []App{app("a", 3*s, call("b", s, 1))}, []Finding{{Code: NoApp, Place: Place{0, 0, 0}}}},
+			[]Finding{{Code: DuplicateAddress, Location: Location{1, -1, -1}, OtherLocation: Location{0, -1, -1}}}},
+		{"nobody provides it", []App{app("a", 3*s, call("b", s, 1))}, []Finding{{Code: UnknownApp, Location: Location{0, 0, 0}}}},
 		{"it has no such route", []App{app("a", 3*s, Call{App: "b", Route: "x", GiveUp: s}), app("b", s)},
-			[]Finding{{Code: NoRoute, Place: Place{0, 0, 0}, Other: Place{1, -1, -1}}}},
-		{"calls itself", []App{app("a", s, call("a", s, 1))}, []Finding{{Code: Cycle, Place: Place{0, 0, 0}, Chain: []string{"a/r", "a/r"}}}},
+			[]Finding{{Code: UnknownRoute, Location: Location{0, 0, 0}, OtherLocation: Location{1, -1, -1}}}},
+		{"calls itself", []App{app("a", s, call("a", s, 1))}, []Finding{{Code: Cycle, Location: Location{0, 0, 0}, Chain: []string{"a/r", "a/r"}}}},
 		{"a cycle, told once, and no chain through it", []App{
 			app("z", 9*s, call("a", 3*s, 50)),
 			app("a", 3*s, call("b", 3*s, 9)), app("b", 3*s, call("c", 3*s, 9)), app("c", 3*s, call("a", 3*s, 9)),
 		}, []Finding{
-			{Code: Cycle, Place: Place{1, 0, 0}, Chain: []string{"a/r", "b/r", "c/r", "a/r"}},
-			{Code: Multiplies, Place: Place{0, 0, -1}, Chain: []string{"z/r", "a/r"}, Attempts: 50},
+			{Code: Cycle, Location: Location{1, 0, 0}, Chain: []string{"a/r", "b/r", "c/r", "a/r"}},
+			{Code: TooManyAttempts, Location: Location{0, 0, -1}, Chain: []string{"z/r", "a/r"}, Attempts: 50},
 		}},
 		{"two cycles", []App{app("a", s, call("b", s, 1)), app("b", s, call("a", s, 1)), app("c", s, call("d", s, 1)), app("d", s, call("c", s, 1))},
 			[]Finding{
-				{Code: Cycle, Place: Place{0, 0, 0}, Chain: []string{"a/r", "b/r", "a/r"}},
-				{Code: Cycle, Place: Place{2, 0, 0}, Chain: []string{"c/r", "d/r", "c/r"}},
+				{Code: Cycle, Location: Location{0, 0, 0}, Chain: []string{"a/r", "b/r", "a/r"}},
+				{Code: Cycle, Location: Location{2, 0, 0}, Chain: []string{"c/r", "d/r", "c/r"}},
 			}},
 		{"applications that call each other, on other routes", []App{
 			{Name: "a", Routes: []Route{{"x", 3 * s, []Call{{"b", "y", s, 1, 1}}}, {"z", s, nil}}},
 			{Name: "b", Routes: []Route{{"y", s, []Call{{"a", "z", s, 1, 1}}}}},
 		}, nil},
 		{"waits longer than it has", []App{app("a", s, call("b", 2*s, 1)), app("b", 2*s)},
-			[]Finding{{Code: WaitsLonger, Place: Place{0, 0, 0}, Has: s, Needs: 2 * s}}},
+			[]Finding{{Code: CallTimeoutTooLong, Location: Location{0, 0, 0}, Available: s, Required: 2 * s}}},
 		{"works on for nobody", []App{app("a", 3*s, call("b", s, 1)), app("b", 2*s)},
-			[]Finding{{Code: WorksLonger, Place: Place{0, 0, 0}, Other: Place{1, 0, -1}, Has: s, Needs: 2 * s}}},
+			[]Finding{{Code: CalleeTimeoutTooLong, Location: Location{0, 0, 0}, OtherLocation: Location{1, 0, -1}, Available: s, Required: 2 * s}}},
 		{"two calls, one after the other", []App{app("a", 3*s, call("b", 2*s, 1), call("b", 2*s, 1)), app("b", 2*s)},
-			[]Finding{{Code: NoTime, Place: Place{0, 0, -1}, Has: 3 * s, Needs: 4 * s}}},
+			[]Finding{{Code: CallsExceedTimeout, Location: Location{0, 0, -1}, Available: 3 * s, Required: 4 * s}}},
 		{"a call that is made often", []App{app("a", 3*s, Call{"b", "r", s, 1, 4}), app("b", s)},
-			[]Finding{{Code: NoTime, Place: Place{0, 0, -1}, Has: 3 * s, Needs: 4 * s}}},
+			[]Finding{{Code: CallsExceedTimeout, Location: Location{0, 0, -1}, Available: 3 * s, Required: 4 * s}}},
 		{"a call made without end does not wrap round", []App{app("a", 3*s, Call{"b", "r", s, 1, 1 << 62}), app("b", s)},
 			[]Finding{
-				{Code: NoTime, Place: Place{0, 0, -1}, Has: 3 * s, Needs: 1<<63 - 1},
-				{Code: Multiplies, Place: Place{0, 0, -1}, Chain: []string{"a/r", "b/r"}, Attempts: 1 << 62},
+				{Code: CallsExceedTimeout, Location: Location{0, 0, -1}, Available: 3 * s, Required: 1<<63 - 1},
+				{Code: TooManyAttempts, Location: Location{0, 0, -1}, Chain: []string{"a/r", "b/r"}, Attempts: 1 << 62},
 			}},
 		{"three at each of three tiers", []App{
 			app("a", 4*s, call("b", 3*s, 3)), app("b", 3*s, call("c", 2*s, 3), call("d", s, 1)), app("c", 2*s, call("d", s, 3)), app("d", s),
-		}, []Finding{{Code: Multiplies, Place: Place{0, 0, -1}, Chain: []string{"a/r", "b/r", "c/r", "d/r"}, Attempts: 27}}},
+		}, []Finding{{Code: TooManyAttempts, Location: Location{0, 0, -1}, Chain: []string{"a/r", "b/r", "c/r", "d/r"}, Attempts: 27}}},
 		{"told of the first of a chain only", []App{app("b", 3*s, call("c", 2*s, 20)), app("c", 2*s), app("a", 4*s, call("b", 3*s, 2))},
-			[]Finding{{Code: Multiplies, Place: Place{2, 0, -1}, Chain: []string{"a/r", "b/r", "c/r"}, Attempts: 40}}},
+			[]Finding{{Code: TooManyAttempts, Location: Location{2, 0, -1}, Chain: []string{"a/r", "b/r", "c/r"}, Attempts: 40}}},
 	} {
 		got, _ := Check(x.apps, 12)
-		slices.SortStableFunc(x.want, func(a, b Finding) int { return a.Place.App - b.Place.App })
+		slices.SortStableFunc(x.want, func(a, b Finding) int { return a.Location.App - b.Location.App })
 		if !reflect.DeepEqual(got, x.want) {
 			t.Errorf("%s:\ngot  %+v\nwant %+v", x.name, got, x.want)
 		}
@@ -164,7 +164,7 @@
 			return worst
 		}
 		for _, c := range chains {
-			if want := walk(c.Place.App); c.Attempts != want {
+			if want := walk(c.Location.App); c.Attempts != want {
 				t.Fatalf("chain %s: %v attempts, want %v", strings.Join(c.Path, " > "), c.Attempts, want)
 			}
 		}
--- a/route/overlap.go
+++ b/route/overlap.go
@@ -6,30 +6,30 @@
 )
 
 // Kind is how two routes overlap.
-type Kind int
+type OverlapKind int
 
 // The kinds of overlap.
 const (
 	// Shadowed: the second is never taken; every request that fits it is the first's.
-	Shadowed Kind = iota
+	Shadowed OverlapKind = iota
 	// ByOrder: some requests fit both, and only the order in the file decides.
 	ByOrder
 	// ByPath: some requests fit both paths; the one with the literal further left takes them.
 	ByPath
 )
 
-func (k Kind) String() string { return [...]string{"shadowed", "by order", "by path"}[k] }
+func (k OverlapKind) String() string { return [...]string{"shadowed", "by order", "by path"}[k] }
 
 // Overlap is two routes that some requests fit both. First is the one that takes them.
 type Overlap struct {
-	Kind          Kind
+	Kind          OverlapKind
 	First, Second int
 	Example       string // a request that fits both, as "METHOD /path"
 }
 
 // MostCrossed is how many routes are compared by path with each other; of a longer list, only routes with the same
 // path are.
-const MostCrossed = 2000
+const MaxPathCompared = 2000
 
 // Overlaps finds the routes that get in each other's way. The routes must be sound, as Compile says. A route that is
 // shadowed is not told of again for the same other route.
@@ -64,7 +64,7 @@
 			}
 		}
 	}
-	if len(routes) <= MostCrossed {
+	if len(routes) <= MaxPathCompared {
 		for i := range entries {
 			for j := range entries[:i] {
 				a, b := &entries[j], &entries[i]
--- a/route/route.go
+++ b/route/route.go
@@ -18,11 +18,11 @@
 
 const (
 	// MostSegments of a path, a pattern's or a request's. More is nobody's address.
-	MostSegments = 64
+	MaxSegments = 64
 	// MostVariants is how many routes may share one path: they are tried one after the other.
-	MostVariants = 32
+	MaxVariants = 32
 	// MostConditions is how many headers one route may ask for.
-	MostConditions = 8
+	MaxConditions = 8
 )
 
 // Condition is what a header must be: Value, or anything if Any is set. Names compare without regard to case
@@ -54,9 +54,9 @@
 
 // PatternError says what is wrong with a pattern, and the mend.
 type PatternError struct {
-	Path string
-	At   int // the byte at which it is wrong
-	Text string
+	Path   string
+	Offset int // the byte at which it is wrong
+	Text   string
 }
 
 func (e *PatternError) Error() string { return fmt.Sprintf("path %q: %s", e.Path, e.Text) }
@@ -77,8 +77,8 @@
 	at := 1
 	for part := range strings.SplitSeq(path[1:], "/") {
 		switch {
-		case len(p.Segments) == MostSegments:
-			return wrong(at, "has over %d segments", MostSegments)
+		case len(p.Segments) == MaxSegments:
+			return wrong(at, "has over %d segments", MaxSegments)
 		case len(p.Segments) > 0 && p.Segments[len(p.Segments)-1].Rest:
 			return wrong(at, "goes on after {%s...}, which takes all that follows; make it the last", p.Segments[len(p.Segments)-1].Name)
 		}
@@ -184,8 +184,8 @@
 				fault(i, "methods", "%q is no method; write one like GET or POST", m)
 			}
 		}
-		if len(r.Headers) > MostConditions {
-			fault(i, "headers", "%d conditions; %d at most", len(r.Headers), MostConditions)
+		if len(r.Headers) > MaxConditions {
+			fault(i, "headers", "%d conditions; %d at most", len(r.Headers), MaxConditions)
 		}
 		v := r.variant(i)
 		for n, c := range v.headers {
@@ -197,7 +197,7 @@
 			}
 		}
 		if err == nil && !t.add(p, v) {
-			fault(i, "path", "over %d routes share %s; give them paths of their own", MostVariants, r.Path)
+			fault(i, "path", "over %d routes share %s; give them paths of their own", MaxVariants, r.Path)
 		}
 	}
 	if len(faults) > 0 {
@@ -231,7 +231,7 @@
 		}
 		list = &n.here
 	}
-	if len(*list) == MostVariants {
+	if len(*list) == MaxVariants {
 		return false
 	}
 	at := len(*list)
@@ -288,7 +288,7 @@
 	Verdict Verdict
 	Index   int      // of the route, if one was found
 	Allow   []string // the methods that the path has, sorted, if only the method does not fit
-	Why     string   // what is wrong with a bad path
+	Reason  string   // what is wrong with a bad path
 }
 
 // Choose finds a request's route. A path that others might read in another way is turned away, not guessed at: a
@@ -298,7 +298,7 @@
 	var room [16]string
 	segments, why := split(r.Path, room[:0])
 	if why != "" {
-		return Choice{Verdict: BadPath, Index: -1, Why: why}
+		return Choice{Verdict: BadPath, Index: -1, Reason: why}
 	}
 	c := Choice{Verdict: NoPath, Index: -1}
 	if t.root.choose(segments, &r, &c) {
@@ -368,8 +368,8 @@
 	for rest, more := path[1:], true; more; {
 		var part string
 		part, rest, more = strings.Cut(rest, "/")
-		if len(segments) == MostSegments {
-			return nil, fmt.Sprintf("it has over %d segments", MostSegments)
+		if len(segments) == MaxSegments {
+			return nil, fmt.Sprintf("it has over %d segments", MaxSegments)
 		}
 		if strings.IndexByte(part, '%') >= 0 {
 			decoded, err := url.PathUnescape(part)
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -88,8 +88,8 @@
 		{"GET", "/records/1%5c2", nil, "bad path: a slash, a backslash or a NUL is hidden in it by encoding"},
 		{"GET", `/records\12`, nil, "bad path: it has a backslash"},
 		{"GET", "/records/%zz", nil, "bad path: a percent sign in it begins no two hexadecimal digits"},
-		{"GET", strings.Repeat("/a", MostSegments+1), nil, "bad path: it has over 64 segments"},
-		{"GET", strings.Repeat("/a", MostSegments), nil, "no path"},
+		{"GET", strings.Repeat("/a", MaxSegments+1), nil, "bad path: it has over 64 segments"},
+		{"GET", strings.Repeat("/a", MaxSegments), nil, "no path"},
 	} {
 		got := c.Choose(Request{x.method, x.path, headers(x.header)})
 		text := got.Verdict.String()
@@ -99,7 +99,7 @@
 		case NoMethod:
 			text += " " + strings.Join(got.Allow, " ")
 		case BadPath:
-			text += ": " + got.Why
+			text += ": " + got.Reason
 		}
 		if text != x.want {
 			t.Errorf("%s %s %v: %q, want %q", x.method, x.path, x.header, text, x.want)
@@ -121,7 +121,7 @@
 }
 
 func TestCompileFindsEveryFault(t *testing.T) {
-	long := strings.Repeat("/a", MostSegments+1)
+	long := strings.Repeat("/a", MaxSegments+1)
 	routes := []Route{
 		{Path: "a"},
 		{Path: "/a?b"},
@@ -141,12 +141,12 @@
 		{Path: long},
 		{Path: "/a", Methods: []string{"GET", "PO ST", ""}},
 		{Path: "/a", Headers: []Condition{{Header: "X:"}, {Header: "X-A", Any: true}, {Header: "x-a", Value: "1"}}},
-		{Path: "/a", Headers: make([]Condition, MostConditions+1)},
+		{Path: "/a", Headers: make([]Condition, MaxConditions+1)},
 	}
 	_, faults := Compile(routes)
 	var got []string
 	for _, f := range faults {
-		if len(routes[f.Index].Headers) <= MostConditions { // whose empty names are faults as well
+		if len(routes[f.Index].Headers) <= MaxConditions { // whose empty names are faults as well
 			got = append(got, f.Error())
 		}
 	}
@@ -175,7 +175,7 @@
 	if !slices.Equal(got, want) {
 		t.Errorf("got\n%s\nwant\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
-	if _, faults := Compile(slices.Repeat([]Route{{Path: "/{a}"}}, MostVariants+1)); len(faults) != 1 || faults[0].Index != MostVariants {
+	if _, faults := Compile(slices.Repeat([]Route{{Path: "/{a}"}}, MaxVariants+1)); len(faults) != 1 || faults[0].Index != MaxVariants {
 		t.Errorf("too many variants: %v", faults)
 	}
 }
