--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -18,7 +18,7 @@
 const pushRetry = 250 * time.Millisecond
 
 // Update takes in a list, or the word that a call has failed, with the addresses to dial beside the entries.
-type Update func(kind balance.ListKind, entries []balance.Entry, addresses map[string]string)
+type UpdateFunc func(kind balance.ListKind, entries []balance.Entry, addresses map[string]string)
 
 // Client follows the server list.
 type Client struct {
@@ -26,7 +26,7 @@
 	client  *http.Client
 	conns   *openConns
 	log     *slog.Logger
-	update  Update
+	update  UpdateFunc
 	started time.Time
 	kick    chan struct{} // holds one where the plan has changed, and the watch has to look
 
@@ -35,12 +35,12 @@
 	askEvery time.Duration
 	plan     *plan.Follower
 	calls    map[plan.CallEnd]int64 // that have ended so
-	stood    plan.Standing          // what Fresh has found last
+	stood    plan.Status            // what Fresh has found last
 	ran      time.Duration          // when this process was last seen to run
 }
 
 // New returns a client that makes no call yet. update is called from one goroutine at a time.
-func New(address string, zones []string, o Options, log *slog.Logger, update Update) *Client {
+func New(address string, zones []string, o Options, log *slog.Logger, update UpdateFunc) *Client {
 	conns := &openConns{open: map[*openConn]struct{}{}}
 	d := &Client{
 		zones: map[string]int{}, client: newHTTPClient(conns), conns: conns, log: log, update: update, started: time.Now(), kick: make(chan struct{}, 1),
@@ -115,7 +115,7 @@
 }
 
 // Known takes in the list that the process starts with.
-func (d *Client) Known(c *Catalog) {
+func (d *Client) LoadCached(c *Catalog) {
 	before := d.Seq()
 	d.Resume(c.Seq)
 	d.pass(c, balance.Cached, before)
@@ -173,7 +173,7 @@
 func (d *Client) noteProgress(id plan.CallID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.plan.Progress(id, d.now())
+	d.plan.AnswerProgress(id, d.now())
 	d.wake()
 }
 
--- a/internal/discovery/freshness_test.go
+++ b/internal/discovery/freshness_test.go
@@ -51,11 +51,11 @@
 // or resets it, or no connection comes up. The list may be acted on until what discovery had counts as told, and again once it has answered.
 func TestAListThatCannotBeConfirmedIsNotActedOn(t *testing.T) {
 	const back = 10 * time.Second
-	const slack = plan.LeaseTime - toldWithin
+	const slack = plan.LeaseDuration - toldWithin
 	hold := DefaultOptions().Hold
 	silentFor := hold + 2*time.Second + slack // a watch that has answered once stays open
 	ends := map[fault]time.Duration{
-		turned: plan.LeaseTime, resetAt: plan.LeaseTime, silent: silentFor, unborn: silentFor, rejected: silentFor,
+		turned: plan.LeaseDuration, resetAt: plan.LeaseDuration, silent: silentFor, unborn: silentFor, rejected: silentFor,
 		cut: hold, // what the first part of an answer says counts as told
 	}
 	for meets, end := range ends {
@@ -117,7 +117,7 @@
 // TestAnAgentThatDoesNotAnswerHoldsTheListBack: what an agent on this machine has counts as told at once, also where it refuses calls; its
 // silence is held to the time of a silent watch.
 func TestAnAgentThatDoesNotAnswerHoldsTheListBack(t *testing.T) {
-	const slack = plan.LeaseTime - toldWithin
+	const slack = plan.LeaseDuration - toldWithin
 	hold := DefaultOptions().Hold
 	for meets, end := range map[fault]time.Duration{turned: 0, cut: hold, silent: hold + 2*time.Second + slack} {
 		t.Run(string(meets), func(t *testing.T) {
--- a/internal/discovery/line_test.go
+++ b/internal/discovery/line_test.go
@@ -153,7 +153,7 @@
 			d.Move("discovery:2")
 			d.Watch(ctx)
 			d.CloseIdle()
-			if told < toldWithin || told > toldWithin+plan.TurnedAwayMost {
+			if told < toldWithin || told > toldWithin+plan.TurnedAwayDelayMax {
 				t.Errorf("told after %v; it could be reached after %v", told, toldWithin)
 			}
 			_, calls := s.made()
--- a/internal/discovery/move_test.go
+++ b/internal/discovery/move_test.go
@@ -118,7 +118,7 @@
 		d.Move("discovery:2")
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			if age := d.Age(); age > plan.LeaseTime || !d.Fresh() {
+			if age := d.Age(); age > plan.LeaseDuration || !d.Fresh() {
 				t.Errorf("nothing may be sent; the last answer was %v ago", age)
 				break
 			}
--- a/internal/discovery/options.go
+++ b/internal/discovery/options.go
@@ -20,14 +20,14 @@
 }
 
 const (
-	toldWithin = plan.ToldWithin
+	toldWithin = plan.NotifiedWithin
 	// answerRoom of that is left for the answer of the call that gets one.
 	answerRoom = 900 * time.Millisecond
 )
 
 // lastCall is how long after a watch was opened the third call of its round begins at the latest: the first two may stay
 // silent, and what has changed meanwhile is still told in time.
-func (o *Options) lastCall() time.Duration { return o.Hold + o.Slack + plan.Overlap }
+func (o *Options) lastCall() time.Duration { return o.Hold + o.Slack + plan.HedgeDelay }
 
 func (o *Options) settings() plan.Settings { return plan.Settings{Hold: o.Hold, Slack: o.Slack} }
 
@@ -49,7 +49,7 @@
 				"How long after that a call counts as silent and is made again.").OnReload(),
 		},
 		Check: func() []operator.Problem {
-			if most := toldWithin - answerRoom - plan.Overlap; o.Hold+o.Slack > most {
+			if most := toldWithin - answerRoom - plan.HedgeDelay; o.Hold+o.Slack > most {
 				return []operator.Problem{{Key: "slack", Text: fmt.Sprintf("hold and slack must stay within %v together: what changed counts as told %v after it did, and by then "+
 					"two more calls must have asked; lower either", most, toldWithin)}}
 			}
--- a/internal/discovery/overlap_test.go
+++ b/internal/discovery/overlap_test.go
@@ -20,7 +20,7 @@
 	defer close(ending.over)
 	d.plan.Watch(0)
 	d.plan.Actions() // the first call is out
-	d.plan.Ended(1, plan.NoAnswer, 0)
+	d.plan.CallFailed(1, plan.NoAnswer, 0)
 	d.plan.Watch(0)
 	ending.carryOut()
 	if ending.ended && len(ending.calls) > 0 {
--- a/internal/discovery/plan/answer.go
+++ b/internal/discovery/plan/answer.go
@@ -17,7 +17,7 @@
 
 // Received takes in a whole answer to a call, and says whether the list in it is to be taken in; Taken has to follow in either case. ok is
 // false where the answer comes too late to count.
-func (f *Follower) Received(id CallID, version int64, whole bool, now time.Duration) (use, ok bool) {
+func (f *Follower) AnswerReceived(id CallID, version int64, whole bool, now time.Duration) (use, ok bool) {
 	c, out := f.outCall(id)
 	if !out {
 		return false, false
@@ -57,7 +57,7 @@
 }
 
 // Taken takes in that the list of the answer that was received last is in use, or was thrown away, and goes on with the watch.
-func (f *Follower) Taken(now time.Duration) {
+func (f *Follower) AnswerApplied(now time.Duration) {
 	r := f.receipt
 	f.version = r.version
 	switch {
--- a/internal/discovery/plan/asking_test.go
+++ b/internal/discovery/plan/asking_test.go
@@ -11,12 +11,12 @@
 		l.called(Call{ID: 1}, seconds(0.2))
 		ended := seconds(3)
 		l.callEnded(1, end, ended)
-		l.called(Call{ID: 2, GoesOn: goesOn}, ended)
+		l.called(Call{ID: 2, ContinuesWatch: goesOn}, ended)
 		want := Stale
 		if goesOn {
 			want = Confirmed
 		}
-		if got := l.Standing(ended); got != want {
+		if got := l.Status(ended); got != want {
 			t.Errorf("behind a call that was %s the list is %s, want %s", end, got, want)
 		}
 	}
--- a/internal/discovery/plan/backoff.go
+++ b/internal/discovery/plan/backoff.go
@@ -5,7 +5,7 @@
 const (
 	// TurnedAwayMost is the longest that is waited after a call that discovery had no room for, beside what the balancer waits: who asks
 	// again at once keeps the line full, for all that ask.
-	TurnedAwayMost = 1200 * time.Millisecond
+	TurnedAwayDelayMax = 1200 * time.Millisecond
 	// turnedAwayLeast is waited at least where a question has waited in discovery's line, for longWait or more, until it was turned away.
 	// Calls that have waited in vain and are made again at once can keep a line so full that nobody's turn comes in time, long after there
 	// was cause for it. It holds from youngFor after the start of the process on: one that has just started has an older list than all
@@ -60,7 +60,7 @@
 	if now-begun >= longWait && now-f.started > youngFor {
 		wait = turnedAwayLeast
 	}
-	return wait + time.Duration(f.random()*float64(TurnedAwayMost))
+	return wait + time.Duration(f.random()*float64(TurnedAwayDelayMax))
 }
 
 // end ends the watch, unless discovery has moved since so many moves: who moved it counts on the watch that runs.
--- a/internal/discovery/plan/dating_test.go
+++ b/internal/discovery/plan/dating_test.go
@@ -14,18 +14,18 @@
 	}
 	begun := seconds(0.1)
 	f.AnswerBegun(watch.ID, begun, begun) // discovery decided before this
-	f.Progress(watch.ID, begun)
+	f.AnswerProgress(watch.ID, begun)
 	beside, _ := next(t, f)
 	told := watch.Hold - seconds(0.1)
-	if use, ok := f.Received(beside.ID, 2, false, told); !use || !ok {
+	if use, ok := f.AnswerReceived(beside.ID, 2, false, told); !use || !ok {
 		t.Fatalf("the news is not taken: %t, %t", use, ok)
 	}
-	f.Taken(told)
+	f.AnswerApplied(told)
 	came := watch.Hold + seconds(0.1)
-	if use, ok := f.Received(watch.ID, 2, false, came); !use || !ok {
+	if use, ok := f.AnswerReceived(watch.ID, 2, false, came); !use || !ok {
 		t.Fatalf("the same news is not taken: %t, %t", use, ok)
 	}
-	f.Taken(came)
+	f.AnswerApplied(came)
 	if latest := begun + stallTime; f.asOf > latest {
 		t.Errorf("the list is taken for that of %v, and no answer was decided on behind %v", f.asOf, latest)
 	}
@@ -42,7 +42,7 @@
 	l.Moved(moved)
 	asOf := moved - seconds(0.1) // behind the others, and not behind this one
 	l.Confirm(of(asOf), moved)
-	if at := moved + moveToldWithin + leaseSlack; l.Standing(at) == Confirmed {
+	if at := moved + moveToldWithin + leaseSlack; l.Status(at) == Confirmed {
 		t.Errorf("the list of %v is acted on at %v, %v behind a move", asOf, at, at-moved)
 	}
 }
@@ -53,7 +53,7 @@
 	l.Moved(seconds(1))
 	l.Confirm(of(seconds(1.1)), seconds(1.2))
 	l.Confirm(of(seconds(0.5)), seconds(2))
-	if at := seconds(1) + moveToldWithin + leaseSlack; l.Standing(at) != Confirmed {
+	if at := seconds(1) + moveToldWithin + leaseSlack; l.Status(at) != Confirmed {
 		t.Errorf("%v behind a move that was answered nothing is acted on", at-seconds(1))
 	}
 }
@@ -67,22 +67,22 @@
 	moved := seconds(0.5)
 	f.Move("b", moved, moved)
 	asked := moved + moveWait
-	f.Time(asked)
+	f.Tick(asked)
 	c := one(t, f)
 	if c.Address != "b" {
 		t.Fatalf("the call behind the move is %+v", c)
 	}
-	if use, ok := f.Received(c.ID, 3, true, asked+seconds(0.1)); !use || !ok {
+	if use, ok := f.AnswerReceived(c.ID, 3, true, asked+seconds(0.1)); !use || !ok {
 		t.Fatalf("the new address's list is not taken: %t, %t", use, ok)
 	}
-	f.Taken(asked + seconds(0.1))
+	f.AnswerApplied(asked + seconds(0.1))
 	came := asked + seconds(0.3)
-	use, ok := f.Received(before.ID, 51, true, came)
+	use, ok := f.AnswerReceived(before.ID, 51, true, came)
 	if !ok {
 		t.Fatal("the watch at the address before is out no more")
 	}
-	f.Taken(came)
-	if use && f.Standing(came) == Confirmed {
+	f.AnswerApplied(came)
+	if use && f.Status(came) == Confirmed {
 		t.Errorf("version %d of the address before is acted on in place of version 3 of the new one", f.Version())
 	}
 }
--- a/internal/discovery/plan/discard_test.go
+++ b/internal/discovery/plan/discard_test.go
@@ -13,11 +13,11 @@
 		l.discard(seconds(at))
 	}
 	l.Confirm(of(seconds(3)), seconds(5))
-	if got := l.Standing(seconds(5)); got != Stale {
+	if got := l.Status(seconds(5)); got != Stale {
 		t.Errorf("behind a list of 3 s, and a part of one that came at 4 s, the list is %s", got)
 	}
 	l.Confirm(of(seconds(4)), seconds(6))
-	if got := l.Standing(seconds(6)); got != Confirmed {
+	if got := l.Status(seconds(6)); got != Confirmed {
 		t.Errorf("behind a list of 4 s the list is %s", got)
 	}
 }
@@ -27,10 +27,10 @@
 func TestNoWatchAtAnAgentHoldsTheListBack(t *testing.T) {
 	for name, refuse := range map[string]func(t *testing.T, f *Follower, call Call, moved, came time.Duration){
 		"call": func(_ *testing.T, f *Follower, call Call, _, came time.Duration) {
-			f.Ended(call.ID, TurnedAway, came-seconds(0.01))
+			f.CallFailed(call.ID, TurnedAway, came-seconds(0.01))
 		},
 		"watch": func(t *testing.T, f *Follower, call Call, moved, _ time.Duration) {
-			f.Ended(answer(t, f, call.ID, moved).ID, TurnedAway, moved+seconds(0.01))
+			f.CallFailed(answer(t, f, call.ID, moved).ID, TurnedAway, moved+seconds(0.01))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -43,14 +43,14 @@
 			moved := came - seconds(0.2)
 			f.Move("b", moved, moved)
 			refuse(t, f, one(t, f), moved, came)
-			if _, ok := f.Received(before.ID, 1, false, came); !ok {
+			if _, ok := f.AnswerReceived(before.ID, 1, false, came); !ok {
 				t.Fatal("the watch at the address before is out no more")
 			}
-			f.Taken(came)
+			f.AnswerApplied(came)
 			if made := calls(f); len(made) > 0 {
 				t.Fatal("a watch is open again")
 			}
-			if got := f.Standing(came + leaseSlack); got != Stale {
+			if got := f.Status(came + leaseSlack); got != Stale {
 				t.Errorf("%v behind an answer, with no watch open, the list is %s", leaseSlack, got)
 			}
 		})
--- a/internal/discovery/plan/follower.go
+++ b/internal/discovery/plan/follower.go
@@ -20,13 +20,13 @@
 
 // Call is one call for the server list.
 type Call struct {
-	ID      CallID
-	Address string
-	From    int64         // the version held; below 0 for the whole list
-	Hold    time.Duration // for how long discovery may wait for news
-	Wait    time.Duration // when the call is given up as timed out
-	GoesOn  bool          // it goes on with a watch that was answered right before
-	Beside  bool          // it is made beside one that is overdue, and needs a connection of its own
+	ID             CallID
+	Address        string
+	From           int64         // the version held; below 0 for the whole list
+	Hold           time.Duration // for how long discovery may wait for news
+	Timeout        time.Duration // when the call is given up as timed out
+	ContinuesWatch bool          // it goes on with a watch that was answered right before
+	Hedged         bool          // it is made beside one that is overdue, and needs a connection of its own
 }
 
 // Action is what a client has to do.
@@ -37,20 +37,20 @@
 	// MakeCall makes a call; its events come back under its ID.
 	MakeCall struct{ Call Call }
 	// GiveUp ends a call. It needs no event any more.
-	GiveUp struct{ ID CallID }
+	CancelCall struct{ ID CallID }
 	// CloseIdle closes the connections that no call uses: they may lead to a machine that is gone.
-	CloseIdle struct{}
+	CloseIdleConns struct{}
 	// ReportFailure tells the balancer that a call has failed.
 	ReportFailure struct{}
 	// EndWatch ends the watch: the balancer says when the next one begins.
 	EndWatch struct{}
 )
 
-func (MakeCall) action()      {}
-func (GiveUp) action()        {}
-func (CloseIdle) action()     {}
-func (ReportFailure) action() {}
-func (EndWatch) action()      {}
+func (MakeCall) action()       {}
+func (CancelCall) action()     {}
+func (CloseIdleConns) action() {}
+func (ReportFailure) action()  {}
+func (EndWatch) action()       {}
 
 // Follower decides which calls are made for the server list, and whether the list may be acted on. Its events are methods; what is to be
 // done for them is in Actions afterwards, and Next says when Time is due.
@@ -127,7 +127,7 @@
 
 // Watch begins to ask, unless the follower does already, and says whether it did not.
 func (f *Follower) Watch(now time.Duration) (begun bool) {
-	f.Time(now)
+	f.Tick(now)
 	if f.watching {
 		return false
 	}
@@ -153,7 +153,7 @@
 }
 
 // Progress takes in a part of an answer to a call.
-func (f *Follower) Progress(id CallID, now time.Duration) {
+func (f *Follower) AnswerProgress(id CallID, now time.Duration) {
 	if q := f.question; q != nil && id == q.newest {
 		// Discovery has come to this call, which has no place in line to lose: the rest comes soon, or never.
 		q.late = now + stallTime
@@ -183,7 +183,7 @@
 }
 
 // Ended takes in the end of a call without a whole answer.
-func (f *Follower) Ended(id CallID, end CallEnd, now time.Duration) {
+func (f *Follower) CallFailed(id CallID, end CallEnd, now time.Duration) {
 	c, out := f.outCall(id)
 	if !out {
 		return
@@ -191,7 +191,7 @@
 	f.callEnded(id, end, now)
 	f.callFailed(end, now)
 	f.answerLost(id)
-	if end == TimedOut && now > c.at+c.Wait+lateEnd {
+	if end == TimedOut && now > c.at+c.Timeout+lateEnd {
 		f.discard(now) // this process was held up, and an answer may have come meanwhile that nobody has read
 	}
 	if _, left := f.left.out[id]; left && end == CutOff {
@@ -216,7 +216,7 @@
 const lateEnd = 150 * time.Millisecond
 
 // Next is when Time is due; ok is false where there is nothing to wait for.
-func (f *Follower) Next() (at time.Duration, ok bool) {
+func (f *Follower) NextTick() (at time.Duration, ok bool) {
 	at = never
 	if f.series.pending {
 		at = f.series.due
@@ -231,7 +231,7 @@
 }
 
 // Time does what is due.
-func (f *Follower) Time(now time.Duration) {
+func (f *Follower) Tick(now time.Duration) {
 	if f.series.pending && now >= f.series.due {
 		f.goOver(now)
 	}
--- a/internal/discovery/plan/follower_test.go
+++ b/internal/discovery/plan/follower_test.go
@@ -49,11 +49,11 @@
 func next(t *testing.T, f *Follower) (c Call, at time.Duration) {
 	t.Helper()
 	for range 10 {
-		at, ok := f.Next()
+		at, ok := f.NextTick()
 		if !ok {
 			break
 		}
-		f.Time(at)
+		f.Tick(at)
 		if made := calls(f); len(made) > 0 {
 			return made[0], at
 		}
@@ -65,10 +65,10 @@
 // answer answers a call at once with nothing new, and returns the next one.
 func answer(t *testing.T, f *Follower, id CallID, at time.Duration) Call {
 	t.Helper()
-	if use, ok := f.Received(id, f.Version(), false, at); !use || !ok {
+	if use, ok := f.AnswerReceived(id, f.Version(), false, at); !use || !ok {
 		t.Fatalf("an answer is not taken: %t, %t", use, ok)
 	}
-	f.Taken(at)
+	f.AnswerApplied(at)
 	return one(t, f)
 }
 
@@ -94,9 +94,9 @@
 	expect("behind the first answer after a move", f.settings.Hold)
 	watch = c
 	f.Move("c", seconds(10), seconds(10))
-	f.Ended(watch.ID, NoAnswer, seconds(10.1))
+	f.CallFailed(watch.ID, NoAnswer, seconds(10.1))
 	c = one(t, f)
-	f.Ended(c.ID, TurnedAway, seconds(10.5))
+	f.CallFailed(c.ID, TurnedAway, seconds(10.5))
 	c, _ = next(t, f)
 	expect("after a refusal since the move", 0)
 	c = answer(t, f, c.ID, seconds(12))
@@ -118,8 +118,8 @@
 		t.Errorf("with a silent watch and a silent call, the second call is made %v behind the move", at-movedAt)
 	}
 	const answerRoom = 900 * time.Millisecond
-	if second := crowdedHold + defaults().Slack; second+answerRoom > ToldWithin {
-		t.Errorf("the call behind a silent watch of a crowded discovery is made after %v, too late for %v", second, ToldWithin)
+	if second := crowdedHold + defaults().Slack; second+answerRoom > NotifiedWithin {
+		t.Errorf("the call behind a silent watch of a crowded discovery is made after %v, too late for %v", second, NotifiedWithin)
 	}
 }
 
@@ -128,7 +128,7 @@
 func TestTurnedAwayWaits(t *testing.T) {
 	for _, draw := range []float64{0, 0.5, 0.999} {
 		f := NewFollower(0, "a", defaults(), func() float64 { return draw })
-		drawn := time.Duration(draw * float64(TurnedAwayMost))
+		drawn := time.Duration(draw * float64(TurnedAwayDelayMax))
 		settled := youngFor + longWait + 1
 		for _, c := range []struct {
 			what       string
@@ -178,16 +178,16 @@
 // watch runs, so that one must go on at the new address.
 func TestAMoveBehindAFailureKeepsTheWatch(t *testing.T) {
 	f := holding(t)
-	f.Ended(one(t, f).ID, TurnedAway, seconds(1))
+	f.CallFailed(one(t, f).ID, TurnedAway, seconds(1))
 	f.Move("b", seconds(1.1), seconds(1.1))
 	if f.Watch(seconds(1.2)) {
 		t.Fatal("a second watch begins")
 	}
-	at, ok := f.Next()
+	at, ok := f.NextTick()
 	if !ok {
 		t.Fatal("the follower waits for nothing")
 	}
-	f.Time(at)
+	f.Tick(at)
 	if c := one(t, f); c.Address != "b" {
 		t.Errorf("the next call goes to %q", c.Address)
 	}
@@ -199,7 +199,7 @@
 	f.Stop()
 	f.Move("b", seconds(1), seconds(1))
 	f.Move("c", seconds(1.5), seconds(1.5))
-	f.Time(seconds(60))
+	f.Tick(seconds(60))
 	if made := calls(f); len(made) > 0 {
 		t.Errorf("without a watch %+v", made)
 	}
@@ -212,10 +212,10 @@
 // TestAMoveWhileNewsIsTakenIn: an answer of the old address that is being taken in as discovery moves is no answer of the new one.
 func TestAMoveWhileNewsIsTakenIn(t *testing.T) {
 	f := holding(t)
-	f.Received(one(t, f).ID, 2, false, seconds(1))
+	f.AnswerReceived(one(t, f).ID, 2, false, seconds(1))
 	f.Move("b", seconds(1), seconds(1))
-	f.Taken(seconds(1))
-	if c := one(t, f); c.Address != "b" || c.Hold != 0 || c.GoesOn {
+	f.AnswerApplied(seconds(1))
+	if c := one(t, f); c.Address != "b" || c.Hold != 0 || c.ContinuesWatch {
 		t.Errorf("behind the move: %+v", c)
 	}
 }
@@ -225,23 +225,23 @@
 func TestVersionsThatGoBack(t *testing.T) {
 	f := holding(t)
 	f.SetVersion(7)
-	use, ok := f.Received(one(t, f).ID, 3, false, seconds(1))
+	use, ok := f.AnswerReceived(one(t, f).ID, 3, false, seconds(1))
 	if use || !ok {
 		t.Fatalf("a version that went back: use %t, ok %t", use, ok)
 	}
-	f.Taken(seconds(1))
+	f.AnswerApplied(seconds(1))
 	c := one(t, f)
 	if c.From >= 0 {
 		t.Errorf("changes from %d are asked for, want the whole list", c.From)
 	}
-	if got := f.Standing(seconds(1.3)); got != Stale {
+	if got := f.Status(seconds(1.3)); got != Stale {
 		t.Errorf("the list is %s", got)
 	}
-	if use, _ := f.Received(c.ID, 3, true, seconds(2)); !use {
+	if use, _ := f.AnswerReceived(c.ID, 3, true, seconds(2)); !use {
 		t.Error("the whole list is not taken in")
 	}
-	f.Taken(seconds(2))
-	if got := f.Standing(seconds(2)); got != Confirmed || f.Version() != 3 {
+	f.AnswerApplied(seconds(2))
+	if got := f.Status(seconds(2)); got != Confirmed || f.Version() != 3 {
 		t.Errorf("the list is %s, version %d", got, f.Version())
 	}
 }
@@ -256,30 +256,30 @@
 		c, _ := next(t, f)
 		beside = append(beside, c)
 	}
-	f.Received(first.ID, 1, false, seconds(6))
-	f.Taken(seconds(6))
+	f.AnswerReceived(first.ID, 1, false, seconds(6))
+	f.AnswerApplied(seconds(6))
 	watch := one(t, f)
 	if watch.Hold > leftTime {
 		t.Errorf("the next call holds for %v", watch.Hold)
 	}
-	if use, ok := f.Received(beside[0].ID, 2, false, seconds(6.1)); !use || !ok {
+	if use, ok := f.AnswerReceived(beside[0].ID, 2, false, seconds(6.1)); !use || !ok {
 		t.Errorf("news to a call beside: use %t, ok %t", use, ok)
 	}
-	f.Taken(seconds(6.1))
-	f.Received(watch.ID, 2, false, seconds(6)+leftTime) // with the same news, so it may be of any time since its sending
-	f.Taken(seconds(6) + leftTime)
+	f.AnswerApplied(seconds(6.1))
+	f.AnswerReceived(watch.ID, 2, false, seconds(6)+leftTime) // with the same news, so it may be of any time since its sending
+	f.AnswerApplied(seconds(6) + leftTime)
 	watch = one(t, f)
-	f.Received(watch.ID, 2, false, seconds(7))
-	f.Taken(seconds(7))
+	f.AnswerReceived(watch.ID, 2, false, seconds(7))
+	f.AnswerApplied(seconds(7))
 	made := f.Actions()
-	if !slices.Contains(made, Action(GiveUp{beside[1].ID})) {
+	if !slices.Contains(made, Action(CancelCall{beside[1].ID})) {
 		t.Error("the other call beside is not given up")
 	}
 	if again := made[len(made)-1].(MakeCall).Call; again.Hold != 0 {
 		t.Errorf("the call behind that holds for %v, though an answer to the other may have been on its way", again.Hold)
 	}
-	f.Ended(beside[1].ID, TimedOut, seconds(8))
-	if _, ok := f.Received(beside[1].ID, 3, false, seconds(8)); ok || len(f.question.out) != 1 {
+	f.CallFailed(beside[1].ID, TimedOut, seconds(8))
+	if _, ok := f.AnswerReceived(beside[1].ID, 3, false, seconds(8)); ok || len(f.question.out) != 1 {
 		t.Errorf("a call that was given up is taken in; %d are out", len(f.question.out))
 	}
 }
@@ -304,7 +304,7 @@
 	t.Helper()
 	f, watch = moved(t)
 	call, at := next(t, f)
-	if at != movedAt+moveWait || call.Address != "b" || call.Hold != 0 || !call.Beside {
+	if at != movedAt+moveWait || call.Address != "b" || call.Hold != 0 || !call.Hedged {
 		t.Errorf("%v behind the move the call %+v is made, want one at %v", at-movedAt, call, moveWait)
 	}
 	return f, watch, call
@@ -313,15 +313,15 @@
 // TestNewsOnAWatchThatAMoveCrosses guards against news that are written on the watch to the old address as discovery moves, and counted as told.
 func TestNewsOnAWatchThatAMoveCrosses(t *testing.T) {
 	f, watch := moved(t)
-	if use, ok := f.Received(watch.ID, 2, false, seconds(1.1)); !use || !ok {
+	if use, ok := f.AnswerReceived(watch.ID, 2, false, seconds(1.1)); !use || !ok {
 		t.Errorf("news on the watch: use %t, ok %t", use, ok)
 	}
-	f.Taken(seconds(1.1))
+	f.AnswerApplied(seconds(1.1))
 	call := one(t, f)
-	if !call.GoesOn || call.Address != "b" || call.From != 2 || call.Hold != 0 {
+	if !call.ContinuesWatch || call.Address != "b" || call.From != 2 || call.Hold != 0 {
 		t.Errorf("the next call is %+v", call)
 	}
-	if again := answer(t, f, call.ID, seconds(1.2)); !again.GoesOn || again.Address != "b" || again.Hold != f.settings.Hold {
+	if again := answer(t, f, call.ID, seconds(1.2)); !again.ContinuesWatch || again.Address != "b" || again.Hold != f.settings.Hold {
 		t.Errorf("the call behind that is %+v", again)
 	}
 }
@@ -331,8 +331,8 @@
 	for _, end := range []CallEnd{NoAnswer, TurnedAway, CutOff, Unreachable} {
 		f, watch := moved(t)
 		closed := movedAt + seconds(1.5)
-		f.Ended(watch.ID, end, closed)
-		if c := one(t, f); c.Address != "b" || c.GoesOn || c.Hold != 0 {
+		f.CallFailed(watch.ID, end, closed)
+		if c := one(t, f); c.Address != "b" || c.ContinuesWatch || c.Hold != 0 {
 			t.Errorf("%s: the next call is %+v", end, c)
 		}
 	}
@@ -342,28 +342,28 @@
 // News may be on their way on the one before as it is given up, so nothing is sent then until a later call is answered.
 func TestNoWatchIsOpenedBesideTheOneBeforeAMove(t *testing.T) {
 	f, watch, call := movedAndAsked(t)
-	f.Received(call.ID, 1, false, seconds(2.7))
-	f.Taken(seconds(2.7))
+	f.AnswerReceived(call.ID, 1, false, seconds(2.7))
+	f.AnswerApplied(seconds(2.7))
 	if made := f.Actions(); len(made) > 0 {
 		t.Fatalf("beside the watch before the move: %+v", made)
 	}
 	overdue := seconds(0.1) + watch.Hold + f.settings.Slack
-	if at, _ := f.Next(); at != overdue {
+	if at, _ := f.NextTick(); at != overdue {
 		t.Errorf("the next call is made at %v, want %v", at, overdue)
 	}
-	f.Time(overdue)
+	f.Tick(overdue)
 	made := f.Actions()
-	if len(made) != 2 || made[0] != Action(GiveUp{watch.ID}) {
+	if len(made) != 2 || made[0] != Action(CancelCall{watch.ID}) {
 		t.Fatalf("behind a silent watch: %+v", made)
 	}
 	next := made[1].(MakeCall).Call
-	if got := f.Standing(overdue); next.Hold != 0 || got != Stale {
+	if got := f.Status(overdue); next.Hold != 0 || got != Stale {
 		t.Errorf("the list is %s, the next call holds for %v; news may be on their way on the watch that was given up", got, next.Hold)
 	}
 	if again := answer(t, f, next.ID, overdue+1); again.Hold != f.settings.Hold {
 		t.Errorf("the watch behind that holds for %v", again.Hold)
 	}
-	if got := f.Standing(overdue + 1); got != Confirmed {
+	if got := f.Status(overdue + 1); got != Confirmed {
 		t.Errorf("behind an answer to a later call the list is %s", got)
 	}
 }
@@ -371,8 +371,8 @@
 // TestTheWatchBeforeAMoveStaysOutWhileCallsFail guards against news that are written on it before the new address has answered.
 func TestTheWatchBeforeAMoveStaysOutWhileCallsFail(t *testing.T) {
 	f, watch, call := movedAndAsked(t)
-	f.Ended(call.ID, TurnedAway, seconds(2.7))
-	if use, ok := f.Received(watch.ID, 2, false, seconds(3)); !use || !ok {
+	f.CallFailed(call.ID, TurnedAway, seconds(2.7))
+	if use, ok := f.AnswerReceived(watch.ID, 2, false, seconds(3)); !use || !ok {
 		t.Errorf("news on the watch: use %t, ok %t", use, ok)
 	}
 }
@@ -381,20 +381,20 @@
 func TestAnOlderAnswerReplacesNothing(t *testing.T) {
 	for _, whole := range []bool{false, true} {
 		f, watch, call := movedAndAsked(t)
-		f.Received(watch.ID, 3, false, seconds(2.7))
-		f.Taken(seconds(2.7))
+		f.AnswerReceived(watch.ID, 3, false, seconds(2.7))
+		f.AnswerApplied(seconds(2.7))
 		one(t, f)
-		use, ok := f.Received(call.ID, 2, whole, seconds(2.8))
+		use, ok := f.AnswerReceived(call.ID, 2, whole, seconds(2.8))
 		if use || !ok || f.Version() != 3 {
 			t.Errorf("whole %t: use %t, ok %t, version %d", whole, use, ok, f.Version())
 		}
-		f.Taken(seconds(2.8))
+		f.AnswerApplied(seconds(2.8))
 		again, at := next(t, f)
 		if again.From != 3 || again.Hold != 0 || at != seconds(2.8) {
 			t.Errorf("whole %t: the next call, at %v, is %+v", whole, at, again)
 		}
 		answer(t, f, again.ID, seconds(2.9))
-		if got := f.Standing(seconds(3.2)); got != Confirmed {
+		if got := f.Status(seconds(3.2)); got != Confirmed {
 			t.Errorf("whole %t: the list is %s", whole, got)
 		}
 	}
@@ -405,10 +405,10 @@
 	f := holding(t)
 	watch := answer(t, f, one(t, f).ID, seconds(0.1))
 	f.turnedAway(seconds(0.1), seconds(0.1)) // crowded: watches hold for longer
-	f.Received(watch.ID, 2, false, seconds(3.4))
-	f.Taken(seconds(3.4))
+	f.AnswerReceived(watch.ID, 2, false, seconds(3.4))
+	f.AnswerApplied(seconds(3.4))
 	next := one(t, f)
-	if end := seconds(3.4) + next.Hold; end+answerTime > f.asOf+LeaseTime {
+	if end := seconds(3.4) + next.Hold; end+answerTime > f.asOf+LeaseDuration {
 		t.Errorf("a watch is answered at %v, and the lease ends at %v", end, f.ends())
 	}
 }
--- a/internal/discovery/plan/lease.go
+++ b/internal/discovery/plan/lease.go
@@ -10,18 +10,18 @@
 
 const (
 	// ToldWithin is when what discovery had while it could be reached counts as told, whatever became of the calls.
-	ToldWithin = 6 * time.Second
+	NotifiedWithin = 6 * time.Second
 	// moveToldWithin behind a move to another address of discovery all that it has by then counts as told.
 	moveToldWithin = 4 * time.Second
 	// leaseSlack is the part of the grace behind a notice, 500 ms, for which the list is still acted on. The rest is for a process that is
 	// held up between this decision and its write.
 	leaseSlack = 300 * time.Millisecond
 	// LeaseTime is for how long a confirmation lets the list be acted on.
-	LeaseTime = ToldWithin + leaseSlack
+	LeaseDuration = NotifiedWithin + leaseSlack
 	// startWait is for how long a process that starts waits for its first answer until it counts as ready without one.
 	startWait = 5 * time.Second
 	// PartTime is for how long a client holds requests back for the rest of an answer of which a part has come.
-	PartTime = 250 * time.Millisecond
+	PartialAnswerWait = 250 * time.Millisecond
 	// mostMoves bounds the moves that are remembered; behind more of them the oldest ones decide.
 	mostMoves = 16
 )
@@ -38,30 +38,30 @@
 	Unreachable CallEnd = "unreachable" // no connection came up
 	TimedOut    CallEnd = "timed_out"   // it was given up for staying silent
 	Superseded  CallEnd = "superseded"  // calls that were made behind it were answered
-	NoMeans     CallEnd = "no_means"    // this process has no descriptor, port or memory for it now
+	NoResources CallEnd = "no_means"    // this process has no descriptor, port or memory for it now
 )
 
 // CallEnds are all of them.
 func CallEnds() []CallEnd {
-	return []CallEnd{Answered, TurnedAway, CutOff, NoAnswer, Unreachable, TimedOut, Superseded, NoMeans}
+	return []CallEnd{Answered, TurnedAway, CutOff, NoAnswer, Unreachable, TimedOut, Superseded, NoResources}
 }
 
 // failsInSight says whether a call has ended by what discovery or the network did, and not by being given up.
 func (e CallEnd) failsInSight() bool {
 	switch e {
-	case TurnedAway, CutOff, NoAnswer, Unreachable, NoMeans:
+	case TurnedAway, CutOff, NoAnswer, Unreachable, NoResources:
 		return true
 	}
 	return false
 }
 
 // Standing is how far the list that is held can be relied on.
-type Standing string
+type Status string
 
 // The standings.
 const (
-	Confirmed Standing = "confirmed" // discovery gave a whole answer recently enough
-	Stale     Standing = "stale"     // it did not: the list is not acted on
+	Confirmed Status = "confirmed" // discovery gave a whole answer recently enough
+	Stale     Status = "stale"     // it did not: the list is not acted on
 )
 
 // Confirmation is the proof that a list is no older than a time: a whole answer of discovery that was taken in. Only confirmedBy makes one.
@@ -108,7 +108,7 @@
 }
 
 // ends is until when the list is acted on beside it. Until PartTime is over nothing is.
-func (p part) ends() time.Duration { return max(p.told+leaseSlack, p.came+PartTime) }
+func (p part) ends() time.Duration { return max(p.told+leaseSlack, p.came+PartialAnswerWait) }
 
 // NewLease returns the lease of a process that starts at a time. pushed says that the address is an agent on this machine, which answers at
 // once with what it has.
@@ -146,7 +146,7 @@
 
 // called takes in a call.
 func (l *Lease) called(c Call, now time.Duration) {
-	l.asking.began(c.GoesOn, now)
+	l.asking.began(c.ContinuesWatch, now)
 	l.silences.began(c, now)
 }
 
@@ -203,7 +203,7 @@
 }
 
 // Standing says how far the list can be relied on.
-func (l *Lease) Standing(now time.Duration) Standing {
+func (l *Lease) Status(now time.Duration) Status {
 	if !l.confirmed || l.untaken.come || now >= l.ends() {
 		return Stale
 	}
@@ -221,7 +221,7 @@
 
 // ends is until when the list may be acted on.
 func (l *Lease) ends() time.Duration {
-	told := min(l.asOf+ToldWithin, l.silences.told(), l.asking.told())
+	told := min(l.asOf+NotifiedWithin, l.silences.told(), l.asking.told())
 	if len(l.moves) > 0 {
 		told = min(told, l.moves[0]+moveToldWithin)
 	}
@@ -240,5 +240,5 @@
 	if l.untaken.come || l.ends() <= now {
 		return 0
 	}
-	return max(min(l.asOf+LeaseTime-answerTime, l.silences.told())-now, 0)
+	return max(min(l.asOf+LeaseDuration-answerTime, l.silences.told())-now, 0)
 }
--- a/internal/discovery/plan/lease_test.go
+++ b/internal/discovery/plan/lease_test.go
@@ -102,10 +102,10 @@
 		last := seconds(c.stale) - 1
 		if c.stale == 0 { // from the moment on at which it is known
 			last = -1
-		} else if got := l.Standing(last); got == Stale {
+		} else if got := l.Status(last); got == Stale {
 			t.Errorf("%s: stale before %v s", name, c.stale)
 		}
-		if got := l.Standing(last + 1); got != Stale {
+		if got := l.Status(last + 1); got != Stale {
 			t.Errorf("%s: %s at %v s, want it stale", name, got, c.stale)
 		}
 	}
@@ -123,7 +123,7 @@
 	for _, pushed := range []bool{false, true} {
 		l := NewLease(seconds(5), pushed)
 		for _, at := range []float64{5, 5.1, 8, 400} {
-			if got := l.Standing(seconds(at)); got != Stale {
+			if got := l.Status(seconds(at)); got != Stale {
 				t.Errorf("pushed %t: at %v s the first list is %s", pushed, at, got)
 			}
 		}
@@ -132,7 +132,7 @@
 		}
 		l.called(Call{ID: openCallID}, seconds(6))
 		l.Confirm(of(seconds(6)), seconds(6))
-		if got := l.Standing(seconds(6.1)); got != Confirmed || !l.Ready(seconds(6.1)) {
+		if got := l.Status(seconds(6.1)); got != Confirmed || !l.Ready(seconds(6.1)) {
 			t.Errorf("pushed %t: behind an answer the list is %s", pushed, got)
 		}
 	}
@@ -189,10 +189,10 @@
 		"refused twice, moved before": {refusedAt(5.1, 1), 5.3},
 	} {
 		last := seconds(c.stale) - 1
-		if got := c.lease.Standing(last); got != Confirmed {
+		if got := c.lease.Status(last); got != Confirmed {
 			t.Errorf("%s: %s before %v s", name, got, c.stale)
 		}
-		if got := c.lease.Standing(last + 1); got != Stale {
+		if got := c.lease.Status(last + 1); got != Stale {
 			t.Errorf("%s: %s at %v s", name, got, c.stale)
 		}
 	}
--- a/internal/discovery/plan/left.go
+++ b/internal/discovery/plan/left.go
@@ -60,7 +60,7 @@
 	for _, id := range f.left.ids() {
 		f.callEnded(id, Superseded, now)
 		f.answerLost(id)
-		f.act(GiveUp{id})
+		f.act(CancelCall{id})
 	}
 	clear(f.left.out)
 }
--- a/internal/discovery/plan/model/core.go
+++ b/internal/discovery/plan/model/core.go
@@ -57,14 +57,14 @@
 	settings := plan.Settings{Hold: 2500 * time.Millisecond, Slack: 800 * time.Millisecond, AskEvery: askEvery}
 	f := plan.NewFollower(start, address, settings, dice.Float64)
 	f.SetVersion(version)
-	return &core{follower: f, partialAt: -plan.PartTime}
+	return &core{follower: f, partialAt: -plan.PartialAnswerWait}
 }
 
 func (c *core) watch(now time.Duration)                 { c.follower.Watch(now) }
-func (c *core) tick(now time.Duration)                  { c.follower.Time(now) }
-func (c *core) nextTick() (at time.Duration, ok bool)   { return c.follower.Next() }
+func (c *core) tick(now time.Duration)                  { c.follower.Tick(now) }
+func (c *core) nextTick() (at time.Duration, ok bool)   { return c.follower.NextTick() }
 func (c *core) actions() []plan.Action                  { return c.follower.Actions() }
-func (c *core) progress(o *openCall, now time.Duration) { c.follower.Progress(o.ID, now) }
+func (c *core) progress(o *openCall, now time.Duration) { c.follower.AnswerProgress(o.ID, now) }
 
 // heldUp takes in that the process has not run since a time.
 func (c *core) resumed(since, now time.Duration) {
@@ -96,7 +96,7 @@
 
 func (c *core) connected(o *openCall) {
 	if c.rule != nil {
-		c.rule.Connected(o.GoesOn)
+		c.rule.Connected(o.ContinuesWatch)
 	}
 }
 
@@ -124,21 +124,21 @@
 	if c.rule != nil {
 		c.rule.Ended(o.Call, end, o.begun, now)
 	}
-	c.follower.Ended(o.ID, end, now)
+	c.follower.CallFailed(o.ID, end, now)
 }
 
 // received takes in a whole answer, whose first byte is seen now, and says whether its list is to be taken in; taken has to follow where it
 // is ok.
 func (c *core) answerReceived(o *openCall, version int64, whole bool, now time.Duration) (use, ok bool) {
-	return c.follower.Received(o.ID, version, whole, now)
+	return c.follower.AnswerReceived(o.ID, version, whole, now)
 }
 
 func (c *core) answerApplied(o *openCall, use bool, now time.Duration) {
-	c.partialAt = -plan.PartTime
+	c.partialAt = -plan.PartialAnswerWait
 	if c.rule != nil {
 		c.rule.Answered(Answer{Call: o.Call, Sent: o.begun, Begun: now, News: o.whole || o.version != o.From, Used: use})
 	}
-	c.follower.Taken(now)
+	c.follower.AnswerApplied(now)
 }
 
 // mayAct says whether the list may be acted on. What has come is read first, and its rest waited for: a client asks
@@ -147,5 +147,5 @@
 	if c.rule != nil {
 		return c.rule.MayAct(now)
 	}
-	return !c.unread && now >= c.partialAt+plan.PartTime && c.follower.Standing(now) != plan.Stale
+	return !c.unread && now >= c.partialAt+plan.PartialAnswerWait && c.follower.Status(now) != plan.Stale
 }
--- a/internal/discovery/plan/model/discovery.go
+++ b/internal/discovery/plan/model/discovery.go
@@ -69,7 +69,7 @@
 		r.after(c.Hold, func() { r.notices.waitEnded(r.now) })
 	}
 	r.onlyOutage = r.onlyOutage && (o.outcome == Well || r.outage != nil && o.outcome.unreachable())
-	if !r.connected || c.Beside {
+	if !r.connected || c.Hedged {
 		r.dial(o)
 		return
 	}
@@ -111,7 +111,7 @@
 // serve has discovery take a call.
 func (r *run) handle(o *openCall) {
 	r.connected = true
-	r.at(o.begun+o.Wait, func() { r.deliver(o, func() { r.endCall(o, plan.TimedOut) }) })
+	r.at(o.begun+o.Timeout, func() { r.deliver(o, func() { r.endCall(o, plan.TimedOut) }) })
 	refuse := func() { r.deliver(o, func() { r.refuse(o) }) }
 	switch o.outcome {
 	case Well, Lagged, Delayed, DialLate:
--- a/internal/discovery/plan/model/member.go
+++ b/internal/discovery/plan/model/member.go
@@ -85,7 +85,7 @@
 		switch a := action.(type) {
 		case plan.MakeCall:
 			m.call(a.Call)
-		case plan.GiveUp:
+		case plan.CancelCall:
 			m.giveUp(a.ID)
 		case plan.ReportFailure:
 			m.failures++
@@ -116,7 +116,7 @@
 	o := &openCall{Call: c, begun: m.fleet.now, closedAt: never}
 	m.open[c.ID] = o
 	m.fleet.counts.countMade(c, m.fleet.now)
-	m.after(c.Wait, func() {
+	m.after(c.Timeout, func() {
 		if m.open[c.ID] == o {
 			m.fleet.service.cancel(m.session, c.ID)
 			m.failed(c.ID, plan.TimedOut)
--- a/internal/discovery/plan/model/model_test.go
+++ b/internal/discovery/plan/model/model_test.go
@@ -212,12 +212,12 @@
 	case plan.Unreachable:
 		r.down = true
 	case plan.NoAnswer:
-		r.down = r.down || c.GoesOn
+		r.down = r.down || c.ContinuesWatch
 	case plan.TurnedAway:
 		switch {
 		case now-begun <= promptRefusal:
 			r.sawAlive(now)
-		case c.GoesOn:
+		case c.ContinuesWatch:
 			r.down = true
 		case r.down || r.alive:
 		case r.answered:
--- a/internal/discovery/plan/model/notice.go
+++ b/internal/discovery/plan/model/notice.go
@@ -133,7 +133,7 @@
 
 // called takes in a call, in time to go on with a watch or not.
 func (n *noticeTracker) callMade(o *openCall, now time.Duration) {
-	if o.GoesOn && now-n.lastWrite <= watchGap && n.schedule.Literal {
+	if o.ContinuesWatch && now-n.lastWrite <= watchGap && n.schedule.Literal {
 		n.changesBetweenCalls(now)
 	}
 	n.lastCall, n.lastCallFailed = now, false
--- a/internal/discovery/plan/model/process.go
+++ b/internal/discovery/plan/model/process.go
@@ -95,12 +95,12 @@
 		switch a := action.(type) {
 		case plan.MakeCall:
 			r.call(a.Call)
-		case plan.GiveUp:
+		case plan.CancelCall:
 			if o := r.open[a.ID]; o != nil {
 				r.closeCall(o)
 				r.core.callGivenUp(o, r.now)
 			}
-		case plan.CloseIdle:
+		case plan.CloseIdleConns:
 			r.connected = false
 		case plan.EndWatch:
 			r.after(r.randomUpTo(maxWatchDelay), func() { r.deliver(nil, r.watch) })
--- a/internal/discovery/plan/move.go
+++ b/internal/discovery/plan/move.go
@@ -21,7 +21,7 @@
 	}
 	waiting := f.question != nil || f.pause.untilMove || f.pause.untilLeft
 	f.leaveQuestion(now + leftTime)
-	f.act(CloseIdle{})
+	f.act(CloseIdleConns{})
 	if f.watching && waiting {
 		f.pause = pause{}
 		f.ask(now)
--- a/internal/discovery/plan/move_test.go
+++ b/internal/discovery/plan/move_test.go
@@ -9,7 +9,7 @@
 // address stay silent, and the third one begins before all that there is counts as told.
 func TestTwoSilentCallsBehindAWatchThatAMoveEnds(t *testing.T) {
 	f, watch := moved(t)
-	f.Ended(watch.ID, NoAnswer, movedAt+seconds(1.5))
+	f.CallFailed(watch.ID, NoAnswer, movedAt+seconds(1.5))
 	one(t, f)
 	next(t, f)
 	if _, at := next(t, f); at > movedAt+moveToldWithin {
@@ -30,19 +30,19 @@
 // Discovery closes it 1.5 s behind that. One call stays silent, and the next one is made in time for its answer to keep the list in use.
 func TestOneSilentCallBehindTheLastMoveOfASeries(t *testing.T) {
 	f, watch := moved(t)
-	f.Received(watch.ID, 1, false, movedAt+seconds(0.1))
-	f.Taken(movedAt + seconds(0.1))
+	f.AnswerReceived(watch.ID, 1, false, movedAt+seconds(0.1))
+	f.AnswerApplied(movedAt + seconds(0.1))
 	watch = answer(t, f, one(t, f).ID, movedAt+seconds(0.2))
 	last := movedAt + seconds(1)
 	f.Move("c", last, last)
-	wentOver, _ := f.Next()
-	f.Time(wentOver)
+	wentOver, _ := f.NextTick()
+	f.Tick(wentOver)
 	if _, at := next(t, f); at != last+moveWait {
 		t.Errorf("a call beside the watch is made %v behind the move", at-last)
 	}
-	f.Ended(watch.ID, NoAnswer, wentOver+seconds(1.5))
-	if _, at := next(t, f); f.Standing(at) != Confirmed {
-		t.Errorf("the call behind a silent one is made %v behind the move, and the list is %s by then", at-last, f.Standing(at))
+	f.CallFailed(watch.ID, NoAnswer, wentOver+seconds(1.5))
+	if _, at := next(t, f); f.Status(at) != Confirmed {
+		t.Errorf("the call behind a silent one is made %v behind the move, and the list is %s by then", at-last, f.Status(at))
 	}
 }
 
@@ -59,8 +59,8 @@
 		t.Fatalf("calls are made to %q and %q", call.Address, last.Address)
 	}
 	now += seconds(0.01)
-	f.Received(last.ID, 3, false, now)
-	f.Taken(now)
+	f.AnswerReceived(last.ID, 3, false, now)
+	f.AnswerApplied(now)
 	if made := f.Actions(); len(made) > 0 {
 		t.Fatalf("beside the watch that is left: %+v", made)
 	}
@@ -73,7 +73,7 @@
 // wantMadeUpFor fails the test unless the list is out of use, and another call is made soon.
 func wantMadeUpFor(t *testing.T, f *Follower, now time.Duration) {
 	t.Helper()
-	if got := f.Standing(now); got != Stale {
+	if got := f.Status(now); got != Stale {
 		t.Fatalf("the list is %s", got)
 	}
 	if _, at := next(t, f); at > now+soon {
@@ -86,10 +86,10 @@
 func TestAnAnswerThatIsThrownAwayBesideALeftWatchIsMadeUpFor(t *testing.T) {
 	f, _, call, now := leftWithWatch(t)
 	now += seconds(0.1)
-	if use, ok := f.Received(call.ID, 2, false, now); use || !ok {
+	if use, ok := f.AnswerReceived(call.ID, 2, false, now); use || !ok {
 		t.Fatalf("the older answer: use %t, ok %t", use, ok)
 	}
-	f.Taken(now)
+	f.AnswerApplied(now)
 	wantMadeUpFor(t, f, now)
 }
 
@@ -98,7 +98,7 @@
 	f, _, call, now := leftWithWatch(t)
 	now += seconds(0.1)
 	f.AnswerBegun(call.ID, now, now)
-	f.Ended(call.ID, CutOff, now)
+	f.CallFailed(call.ID, CutOff, now)
 	wantMadeUpFor(t, f, now)
 }
 
@@ -107,9 +107,9 @@
 	f, watch, _, now := leftWithWatch(t)
 	now += seconds(0.1)
 	f.AnswerBegun(watch.ID, now, now)
-	f.Progress(watch.ID, now)
+	f.AnswerProgress(watch.ID, now)
 	if _, at := next(t, f); at > now+soon {
-		t.Errorf("the next call is made %v later; the list is %s from %v on", at-now, f.Standing(now+leaseSlack), leaseSlack)
+		t.Errorf("the next call is made %v later; the list is %s from %v on", at-now, f.Status(now+leaseSlack), leaseSlack)
 	}
 }
 
@@ -119,19 +119,19 @@
 	f := holding(t)
 	first := one(t, f)
 	f.turnedAway(0, 0)
-	f.Received(first.ID, 1, false, seconds(0.1))
-	f.Taken(seconds(0.1))
+	f.AnswerReceived(first.ID, 1, false, seconds(0.1))
+	f.AnswerApplied(seconds(0.1))
 	watch := one(t, f)
 	f.Move("b", movedAt, movedAt)
 	f.Move("a", movedAt+seconds(0.1), movedAt+seconds(0.1))
-	wentOver, _ := f.Next()
-	f.Time(wentOver)
+	wentOver, _ := f.NextTick()
+	f.Tick(wentOver)
 	call := answer(t, f, watch.ID, wentOver+seconds(0.4))
 	if call.Hold != 0 {
 		t.Errorf("the first call behind the moves waits for news for %v", call.Hold)
 	}
-	if came := wentOver + seconds(0.4) + call.Hold; f.Standing(came) != Confirmed {
-		t.Errorf("%v behind the move, as it is answered, the list is %s", came-movedAt, f.Standing(came))
+	if came := wentOver + seconds(0.4) + call.Hold; f.Status(came) != Confirmed {
+		t.Errorf("%v behind the move, as it is answered, the list is %s", came-movedAt, f.Status(came))
 	}
 }
 
@@ -144,9 +144,9 @@
 	f.Move("b", movedAt, movedAt)
 	call, _ := next(t, f)
 	again := movedAt + seriesGap + seconds(0.1)
-	f.Received(call.ID, 1, false, again)
+	f.AnswerReceived(call.ID, 1, false, again)
 	f.Move("c", again, again)
-	f.Taken(again)
+	f.AnswerApplied(again)
 	if c, at := next(t, f); c.Address != "c" || at > again+moveWait {
 		t.Errorf("the next call, to %q, is made %v behind the move", c.Address, at-again)
 	}
@@ -159,8 +159,8 @@
 	answer(t, f, one(t, f).ID, seconds(0.9))
 	f.Move("b", movedAt, movedAt)
 	call, _ := next(t, f)
-	f.Received(call.ID, 1, false, seconds(2.7))
-	f.Taken(seconds(2.7))
+	f.AnswerReceived(call.ID, 1, false, seconds(2.7))
+	f.AnswerApplied(seconds(2.7))
 	again := movedAt + seriesGap + seconds(0.1)
 	f.Move("c", again, again)
 	if made := calls(f); len(made) > 0 {
--- a/internal/discovery/plan/notice_test.go
+++ b/internal/discovery/plan/notice_test.go
@@ -115,7 +115,7 @@
 		// Calls that met anything else.
 		"calls that are refused":           {play: func() *Follower { f := answered(); callsFail(f, TurnedAway, 1, 50); return f }, told: 6},
 		"calls that are reset":             {play: func() *Follower { f := answered(); callsFail(f, NoAnswer, 1, 50); return f }, told: 6},
-		"calls that there is no means for": {play: func() *Follower { f := answered(); callsFail(f, NoMeans, 1, 50); return f }, told: 6},
+		"calls that there is no means for": {play: func() *Follower { f := answered(); callsFail(f, NoResources, 1, 50); return f }, told: 6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := c.play()
@@ -125,7 +125,7 @@
 			}
 			from := max(seconds(c.told)+actedOnFor, f.started)
 			for at := from; at <= seconds(last); at += 50 * time.Millisecond {
-				if got := f.Standing(at); got != Stale {
+				if got := f.Status(at); got != Stale {
 					t.Fatalf("the list is %s at %v, %v behind the notice", got, at, at-seconds(c.told))
 				}
 			}
@@ -138,22 +138,22 @@
 func TestAnAnswerThatIsNotReadFirst(t *testing.T) {
 	f := holding(t)
 	older := answer(t, f, one(t, f).ID, 0)
-	at, _ := f.Next()
-	f.Time(at)
+	at, _ := f.NextTick()
+	f.Tick(at)
 	newer := one(t, f)
-	if use, ok := f.Received(older.ID, 1, false, at); !use || !ok {
+	if use, ok := f.AnswerReceived(older.ID, 1, false, at); !use || !ok {
 		t.Fatal("the older call's answer is not taken in")
 	}
-	f.Taken(at)
+	f.AnswerApplied(at)
 	next := one(t, f)
-	if use, ok := f.Received(newer.ID, 2, true, at); !use || !ok {
+	if use, ok := f.AnswerReceived(newer.ID, 2, true, at); !use || !ok {
 		t.Error("the newer call's news is not taken in")
 	}
-	f.Taken(at)
-	if use, ok := f.Received(older.ID, 0, true, at); use || ok || f.Version() != 2 {
+	f.AnswerApplied(at)
+	if use, ok := f.AnswerReceived(older.ID, 0, true, at); use || ok || f.Version() != 2 {
 		t.Error("a list of a lower version is taken in from a call that is over")
 	}
-	if use, _ := f.Received(next.ID, 2, false, at); !use {
+	if use, _ := f.AnswerReceived(next.ID, 2, false, at); !use {
 		t.Error("the next call's answer is not taken in")
 	}
 }
@@ -163,19 +163,19 @@
 func TestAWholeListOfALowerVersion(t *testing.T) {
 	f := holding(t)
 	first := one(t, f)
-	at, _ := f.Next()
-	f.Time(at)
+	at, _ := f.NextTick()
+	f.Tick(at)
 	second := one(t, f)
-	if use, _ := f.Received(second.ID, 9, true, at); !use {
+	if use, _ := f.AnswerReceived(second.ID, 9, true, at); !use {
 		t.Fatal("the newer call's answer is not taken in")
 	}
-	f.Taken(at)
-	if use, _ := f.Received(first.ID, 8, true, at); use || f.Version() != 9 {
+	f.AnswerApplied(at)
+	if use, _ := f.AnswerReceived(first.ID, 8, true, at); use || f.Version() != 9 {
 		t.Errorf("the older call's list is taken in behind the newer one's: version %d", f.Version())
 	}
-	f.Taken(at)
-	use, _ := f.Received(one(t, f).ID, 5, true, at+1)
-	f.Taken(at + 1)
+	f.AnswerApplied(at)
+	use, _ := f.AnswerReceived(one(t, f).ID, 5, true, at+1)
+	f.AnswerApplied(at + 1)
 	if !use || f.Version() != 5 {
 		t.Errorf("a whole list of a discovery that counts anew is not taken in: version %d", f.Version())
 	}
@@ -189,7 +189,7 @@
 	c := answer(t, f, one(t, f).ID, now)
 	for range 50 {
 		for came := now + c.Hold + defaults().Slack; now < came; now += 10 * time.Millisecond {
-			if got := f.Standing(now); got != Confirmed {
+			if got := f.Status(now); got != Confirmed {
 				t.Fatalf("the list is %s at %v, and each call was answered", got, now)
 			}
 		}
--- a/internal/discovery/plan/question.go
+++ b/internal/discovery/plan/question.go
@@ -5,10 +5,10 @@
 const (
 	// CallWait is how long a call that does not hold may take: discovery works calls off in turn, and who gives up sooner loses a place in
 	// the line.
-	CallWait = 3500 * time.Millisecond
+	CallTimeout = 3500 * time.Millisecond
 	// Overlap is how long a call may be overdue before another is made beside it, on a connection of its own. A silent call cannot be told
 	// from one that waits in line, or whose news are on their way; it ends at its CallWait.
-	Overlap = CallWait / 2
+	HedgeDelay = CallTimeout / 2
 	// answerTime of the lease is left, where it may be, for an answer to come that waits for news.
 	answerTime = 500 * time.Millisecond
 	// stallTime is how long an answer that has begun may pause before another call is made beside it.
@@ -89,15 +89,15 @@
 func (f *Follower) call(now time.Duration) {
 	q := f.question
 	f.lastCall++
-	c := Call{ID: f.lastCall, Address: f.address, From: f.version, GoesOn: q.goesOn && q.made == 0, Beside: q.made > 0}
-	overdue := Overlap
-	c.Wait = CallWait
+	c := Call{ID: f.lastCall, Address: f.address, From: f.version, ContinuesWatch: q.goesOn && q.made == 0, Hedged: q.made > 0}
+	overdue := HedgeDelay
+	c.Timeout = CallTimeout
 	switch {
 	case f.version < 0: // answered at once with the whole list, once it is its turn
-		overdue, c.Wait = CallWait, CallWait+Overlap
+		overdue, c.Timeout = CallTimeout, CallTimeout+HedgeDelay
 	case q.made == 0:
 		c.Hold = q.hold
-		overdue, c.Wait = q.overdue, max(q.hold, f.settings.Hold)+CallWait
+		overdue, c.Timeout = q.overdue, max(q.hold, f.settings.Hold)+CallTimeout
 	}
 	switch {
 	case q.made != 1:
@@ -106,8 +106,8 @@
 	case q.overdue == moveOverdue && !f.refusedBehindMove():
 		overdue = min(overdue, max(f.series.last.at+moveToldWithin-now, behindSilence))
 	}
-	if c.Beside {
-		f.act(CloseIdle{})
+	if c.Hedged {
+		f.act(CloseIdleConns{})
 	}
 	if q.made > 1 {
 		f.act(ReportFailure{})
--- a/internal/discovery/plan/silences.go
+++ b/internal/discovery/plan/silences.go
@@ -30,9 +30,9 @@
 // told is when what the call misses counts as told.
 func (c openCall) told() time.Duration {
 	if c.hold > 0 && !c.confirmed {
-		return c.sent + min(c.hold+waitToldWithin, ToldWithin)
+		return c.sent + min(c.hold+waitToldWithin, NotifiedWithin)
 	}
-	return c.sent + ToldWithin
+	return c.sent + NotifiedWithin
 }
 
 func (s *silences) began(c Call, now time.Duration) { s.out[c.ID] = openCall{sent: now, hold: c.Hold} }
--- a/internal/discovery/plan/walk_test.go
+++ b/internal/discovery/plan/walk_test.go
@@ -47,7 +47,7 @@
 		switch a := action.(type) {
 		case MakeCall:
 			w.made(a.Call)
-		case GiveUp:
+		case CancelCall:
 			if _, out := w.out[a.ID]; !out {
 				w.Errorf("call %d is given up, and is not out", a.ID)
 			}
@@ -82,7 +82,7 @@
 	if f.asking.out != len(w.out) || len(f.silences.out) != len(w.out) {
 		w.Errorf("%d calls are out; asking knows %d, silences %d", len(w.out), f.asking.out, len(f.silences.out))
 	}
-	at, ok := f.Next()
+	at, ok := f.NextTick()
 	switch {
 	case f.watching && f.question == nil && !f.pause.on, f.watching && !ok:
 		w.Error("the follower watches, and waits for nothing")
@@ -97,7 +97,7 @@
 
 // step plays one event.
 func (w *walk) step() {
-	if at, ok := w.f.Next(); ok && w.dice.IntN(3) == 0 {
+	if at, ok := w.f.NextTick(); ok && w.dice.IntN(3) == 0 {
 		w.now = max(w.now, at)
 		w.timeGoesOn()
 		return
@@ -127,8 +127,8 @@
 
 // timeGoesOn has the follower do what is due, after which nothing is.
 func (w *walk) timeGoesOn() {
-	w.f.Time(w.now)
-	if at, ok := w.f.Next(); ok && at <= w.now {
+	w.f.Tick(w.now)
+	if at, ok := w.f.NextTick(); ok && at <= w.now {
 		w.Errorf("behind its time %v the follower's next is %v", w.now, at)
 	}
 }
@@ -151,14 +151,14 @@
 	c := w.out[id]
 	delete(w.out, id)
 	version := max(c.From, 0) + int64(w.dice.IntN(4)) - int64(w.dice.IntN(8)/7*5)
-	if _, ok := w.f.Received(id, max(version, 0), c.From < 0 || w.dice.IntN(4) == 0, w.now); !ok {
+	if _, ok := w.f.AnswerReceived(id, max(version, 0), c.From < 0 || w.dice.IntN(4) == 0, w.now); !ok {
 		w.Errorf("the answer to call %d, which is out, is not taken", id)
 		return
 	}
 	if w.dice.IntN(4) == 0 {
 		w.f.Move(string(rune('a'+w.dice.IntN(3))), w.now, w.now)
 	}
-	w.f.Taken(w.now)
+	w.f.AnswerApplied(w.now)
 }
 
 // end ends a call without an answer.
@@ -168,14 +168,14 @@
 		return
 	}
 	delete(w.out, id)
-	ends := []CallEnd{TurnedAway, CutOff, NoAnswer, Unreachable, TimedOut, NoMeans}
-	w.f.Ended(id, ends[w.dice.IntN(len(ends))], w.now)
+	ends := []CallEnd{TurnedAway, CutOff, NoAnswer, Unreachable, TimedOut, NoResources}
+	w.f.CallFailed(id, ends[w.dice.IntN(len(ends))], w.now)
 }
 
 // part has a part of an answer come.
 func (w *walk) part() {
 	if id, out := w.any(); out {
-		w.f.Progress(id, w.now)
+		w.f.AnswerProgress(id, w.now)
 		w.f.AnswerBegun(id, w.now, w.now)
 	}
 }
--- a/internal/discovery/standing.go
+++ b/internal/discovery/standing.go
@@ -10,7 +10,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	standing := d.plan.Standing(now)
+	standing := d.plan.Status(now)
 	if standing != d.stood {
 		d.logStanding(standing, now)
 		d.stood = standing
@@ -41,7 +41,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
-	standing := d.plan.Standing(now)
+	standing := d.plan.Status(now)
 	text = figures.AppendLine(text, "list_age_ms", d.plan.Age(now).Milliseconds(), 'g')
 	text = figures.AppendLine(text, "list_stale", oneIf(standing == plan.Stale), 'g')
 	for _, end := range plan.CallEnds() {
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -26,7 +26,7 @@
 func TestNewsFitsBehindTwoSilentCalls(t *testing.T) {
 	o := DefaultOptions()
 	watch := o.lastCall()
-	whole := plan.CallWait // for the second: a proxy with no list cannot be held to one, and must be ready within 10 s
+	whole := plan.CallTimeout // for the second: a proxy with no list cannot be held to one, and must be ready within 10 s
 	t.Logf("the third call begins within %v of a watch, the second within %v of a call for the whole list", watch, whole)
 	if watch+answerRoom > toldWithin || 2*whole+answerRoom > 10*time.Second {
 		t.Errorf("%v and %v must leave %v of %v", watch, whole, answerRoom, toldWithin)
@@ -264,7 +264,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.Known(known)
+		d.LoadCached(known)
 		time.Sleep(changed)
 		close(s.change)
 		select {
@@ -379,7 +379,7 @@
 		d.Watch(ctx)
 		d.CloseIdle()
 		o := DefaultOptions()
-		want := 1 + int((time.Minute-o.Hold-o.Slack)/plan.Overlap) // beside the first
+		want := 1 + int((time.Minute-o.Hold-o.Slack)/plan.HedgeDelay) // beside the first
 		if _, calls := s.made(); calls != want+1 || failed != want-1 {
 			t.Errorf("%d calls, %d failed; want %d, and all but two", calls, failed, want+1)
 		}
@@ -516,7 +516,7 @@
 				t.Fatal(err)
 			}
 		}
-		d.Known(have)
+		d.LoadCached(have)
 	}
 	return h
 }
--- a/internal/discovery/trace.go
+++ b/internal/discovery/trace.go
@@ -31,7 +31,7 @@
 		return plan.CutOff
 	case errors.Is(err, syscall.EMFILE), errors.Is(err, syscall.ENFILE), errors.Is(err, syscall.ENOBUFS), errors.Is(err, syscall.ENOMEM),
 		errors.Is(err, syscall.EADDRNOTAVAIL):
-		return plan.NoMeans
+		return plan.NoResources
 	case errors.As(err, &dial) && dial.Op == "dial", errors.Is(err, syscall.ECONNREFUSED):
 		return plan.Unreachable
 	case errors.As(err, &timeout) && timeout.Timeout():
@@ -54,7 +54,7 @@
 }
 
 // logStanding writes the line of a change in how far the list can be relied on, with the calls that have failed since the start; mu is held.
-func (d *Client) logStanding(standing plan.Standing, now time.Duration) {
+func (d *Client) logStanding(standing plan.Status, now time.Duration) {
 	fields := []any{"before", d.stood, "now", standing, "age_ms", d.plan.Age(now).Milliseconds(), "seq", d.plan.Version(), "failed_calls", d.failedCalls()}
 	switch standing {
 	case plan.Stale:
--- a/internal/discovery/unread.go
+++ b/internal/discovery/unread.go
@@ -127,7 +127,7 @@
 func (c *openConn) unread(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.came.IsZero() && (c.whole || !c.waiting || now.Sub(c.came) < plan.PartTime) {
+	if !c.came.IsZero() && (c.whole || !c.waiting || now.Sub(c.came) < plan.PartialAnswerWait) {
 		return true
 	}
 	return c.readable()
--- a/internal/discovery/unread_test.go
+++ b/internal/discovery/unread_test.go
@@ -54,7 +54,7 @@
 	expect("once it was read", true)
 	conn.taken()
 	expect("once it was taken in", false)
-	conn.came, conn.waiting = time.Now().Add(-plan.PartTime), true
+	conn.came, conn.waiting = time.Now().Add(-plan.PartialAnswerWait), true
 	expect("while the rest does not come", false)
 	conn.complete()
 	expect("once it has come whole", true)
@@ -97,7 +97,7 @@
 	select {
 	case <-caught:
 		t.Error("caught up with news that are not taken in")
-	case <-time.After(2 * plan.PartTime):
+	case <-time.After(2 * plan.PartialAnswerWait):
 	}
 	close(goOn)
 	<-caught
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -65,7 +65,7 @@
 		case <-w.kick:
 		case <-timer.C:
 			w.mu.Lock()
-			w.plan.Time(w.now())
+			w.plan.Tick(w.now())
 			w.mu.Unlock()
 		case r := <-w.results:
 			w.take(r)
@@ -81,7 +81,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ran = w.now()
-	at, ok := w.plan.Next()
+	at, ok := w.plan.NextTick()
 	if !ok {
 		return idleWait
 	}
@@ -95,13 +95,13 @@
 	if r.list == nil {
 		w.mu.Lock()
 		w.last = r.err
-		w.plan.Ended(r.id, r.end, w.now())
+		w.plan.CallFailed(r.id, r.end, w.now())
 		w.mu.Unlock()
 		return
 	}
 	w.mu.Lock()
 	before := w.plan.Version()
-	use, ok := w.plan.Received(r.id, r.list.Seq, r.list.Whole, w.now())
+	use, ok := w.plan.AnswerReceived(r.id, r.list.Seq, r.list.Whole, w.now())
 	w.mu.Unlock()
 	if !ok {
 		return
@@ -111,7 +111,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.plan.Taken(w.now())
+	w.plan.AnswerApplied(w.now())
 }
 
 // carryOut carries out what the plan has decided.
@@ -123,9 +123,9 @@
 		switch a := action.(type) {
 		case plan.MakeCall:
 			w.begin(a.Call)
-		case plan.GiveUp:
+		case plan.CancelCall:
 			w.giveUp(a.ID)
-		case plan.CloseIdle:
+		case plan.CloseIdleConns:
 			w.client.CloseIdleConnections()
 		case plan.ReportFailure:
 			w.update(balance.ListFailed, nil, nil)
@@ -138,11 +138,11 @@
 
 // begin makes a call.
 func (w *watch) begin(c plan.Call) {
-	if c.Beside {
+	if c.Hedged {
 		w.log.Info("a call for the server list is overdue; another is made beside it")
 	}
 	ctx, cancel := context.WithCancelCause(w.ctx)
-	timed, stop := context.WithTimeout(ctx, c.Wait)
+	timed, stop := context.WithTimeout(ctx, c.Timeout)
 	w.calls[c.ID] = cancel
 	w.running.Go(func() {
 		defer cancel(nil)
--- a/internal/discovery/written_test.go
+++ b/internal/discovery/written_test.go
@@ -193,7 +193,7 @@
 			time.Sleep(time.Second)
 			s.pipes.disconnect()
 			close(s.change)
-			expectStale(t, d, s.start, time.Second+plan.ToldWithin)
+			expectStale(t, d, s.start, time.Second+plan.NotifiedWithin)
 		})
 	}
 }
@@ -249,6 +249,6 @@
 		s.fate = func(int) fault { return turned }
 		d, end := watched(t, s, func(balance.ListKind) {})
 		defer end()
-		expectStale(t, d, s.start, plan.ToldWithin-behind)
+		expectStale(t, d, s.start, plan.NotifiedWithin-behind)
 	})
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -200,7 +200,7 @@
 			return fmt.Errorf("known: %w", err)
 		}
 	}
-	p.discovery.Known(c)
+	p.discovery.LoadCached(c)
 	return nil
 }
 
