--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -118,10 +118,10 @@
 
 // unlock releases c.mu and closes the connections that were evicted while it was held.
 func (c *Set) unlock() {
-	closing := c.toClose
+	toClose := c.toClose
 	c.toClose = nil
 	c.mu.Unlock()
-	for _, conn := range closing {
+	for _, conn := range toClose {
 		conn.Close()
 	}
 }
@@ -194,10 +194,10 @@
 	now := time.Now()
 	for {
 		c.mu.Lock()
-		ended := c.evictDue([]kind{kindSilent, kindOnce, kindIdle, kindParkedOnce, kindParkedIdle}, maxEvictBatch, func(k *Conn) bool { return now.Sub(k.since) >= minIdle })
+		evicted := c.evictDue([]kind{kindSilent, kindOnce, kindIdle, kindParkedOnce, kindParkedIdle}, maxEvictBatch, func(k *Conn) bool { return now.Sub(k.since) >= minIdle })
 		others = len(c.open)
 		c.unlock()
-		if ended < maxEvictBatch {
+		if evicted < maxEvictBatch {
 			return others
 		}
 	}
@@ -219,14 +219,14 @@
 
 // evictDue evicts connections of the given kinds while they are due, those that have been of their kind longest
 // first and at most limit in all. It returns their number. c.mu must be held.
-func (c *Set) evictDue(kinds []kind, limit int, due func(*Conn) bool) (ended int) {
+func (c *Set) evictDue(kinds []kind, limit int, due func(*Conn) bool) (evicted int) {
 	for _, kind := range kinds {
-		for k := c.byKind[kind].Front(); k != nil && ended < limit && due(k); k = c.byKind[kind].Front() {
+		for k := c.byKind[kind].Front(); k != nil && evicted < limit && due(k); k = c.byKind[kind].Front() {
 			c.evict(k)
-			ended++
+			evicted++
 		}
 	}
-	return ended
+	return evicted
 }
 
 // SetLimits changes how many connections are kept. Connections over the new limits stay until their capacity is
--- a/internal/callers/listener.go
+++ b/internal/callers/listener.go
@@ -18,7 +18,7 @@
 	drained    atomic.Bool   // nothing more is accepted after Stop
 	closed     chan struct{} // closed by Close
 
-	// The first and the last failure in the current run of temporary accept errors; used by Accept only.
+	// Begin of the first and end of the last pause in a run of temporary accept errors; used by Accept only.
 	failuresBegin, failuresEnd time.Time
 	closeOnce                  sync.Once
 }
@@ -74,15 +74,16 @@
 	// acceptPause is the wait after a temporary accept error. Callers wait meanwhile, and their remaining time runs
 	// down.
 	acceptPause = 5 * time.Millisecond
-	// backlogDrainTime after such an error, all connections that had queued up have been accepted.
+	// backlogDrainTime is how long after such an error connections that had queued up may still be in the accept
+	// queue.
 	backlogDrainTime = 50 * time.Millisecond
 )
 
 // temporary reports whether accept failed because of a resource that may become available again, or of a connection
 // that is gone.
 func temporary(err error) bool {
-	for _, one := range []error{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
-		if errors.Is(err, one) {
+	for _, retryable := range []error{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
+		if errors.Is(err, retryable) {
 			return true
 		}
 	}
--- a/internal/callers/park.go
+++ b/internal/callers/park.go
@@ -108,21 +108,21 @@
 	c := p.set
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	tcp, plain := k.Conn.(*net.TCPConn)
-	if _, open := c.open[k]; !open || !k.parkPending || !plain {
+	tcp, isTCP := k.Conn.(*net.TCPConn)
+	if _, open := c.open[k]; !open || !k.parkPending || !isTCP {
 		return false
 	}
 	// The server may still refer to k, for which the connection has ended, so the parked connection gets a new Conn.
-	held := &Conn{set: c, framing: k.framing, kind: kindBusy, requests: k.requests}
+	parked := &Conn{set: c, framing: k.framing, kind: kindBusy, requests: k.requests}
 	kind, since := k.kind, k.since
 	c.remove(k)
-	lotKey, err := p.lot.Hold(tcp, held)
+	lotKey, err := p.lot.Hold(tcp, parked)
 	if err != nil {
 		return true // Hold has closed the connection
 	}
-	held.lotKey, held.lot = lotKey, p.lot
-	c.open[held] = struct{}{}
-	c.setKind(held, kind, since)
+	parked.lotKey, parked.lot = lotKey, p.lot
+	c.open[parked] = struct{}{}
+	c.setKind(parked, kind, since)
 	return true
 }
 
--- a/internal/discovery/plan/model/core.go
+++ b/internal/discovery/plan/model/core.go
@@ -11,7 +11,7 @@
 type StalenessRule interface {
 	// CallMade records that a call is made.
 	CallMade(c plan.Call, now time.Duration)
-	// AnswerReceived records a complete answer.
+	// Answered records a complete answer.
 	Answered(a Answer)
 	Moved(address string, now time.Duration)
 	Connected(goesOn bool)
@@ -84,7 +84,7 @@
 }
 
 // callCanceled records that a call was canceled on the follower's decision.
-func (c *core) callGivenUp(o *openCall, now time.Duration) {
+func (c *core) callCanceled(o *openCall, now time.Duration) {
 	if c.rule != nil {
 		c.rule.CallCanceled(o.Call, now)
 	}
--- a/internal/discovery/plan/model/course.go
+++ b/internal/discovery/plan/model/course.go
@@ -34,7 +34,7 @@
 }
 
 // unreachable reports whether no connection is established.
-func (f Outcome) unreachable() bool { return f == DialRefused || f == DialTimeout }
+func (o Outcome) unreachable() bool { return o == DialRefused || o == DialTimeout }
 
 // Outage is a period in which discovery is down for all processes. Changes that happen in it can be reported from
 // its end on.
@@ -76,7 +76,7 @@
 	Start                      time.Duration   // of the process, which has the initial list then
 	AskEvery                   time.Duration   // ask_every_ms of the settings; 0 for the default
 	WholeLists                 float64         // fraction of the answers that contain the whole list, requested or not
-	Literal                    bool            // two older notice rules, AfterWait and BetweenCalls, are checked literally as well
+	Literal                    bool            // AfterWait and BetweenCalls are checked as well
 }
 
 const (
--- a/internal/discovery/plan/model/draw.go
+++ b/internal/discovery/plan/model/draw.go
@@ -10,9 +10,9 @@
 	dice := rand.New(rand.NewPCG(seed, 0xd15c))
 	s := Schedule{Seed: seed, Pushed: dice.IntN(4) == 0, Length: 60 * time.Second}
 	end := s.Length - faultFreeEnd
-	moment := func() time.Duration { return time.Duration(dice.Int64N(int64(end))) }
+	randomTime := func() time.Duration { return time.Duration(dice.Int64N(int64(end))) }
 	for range 1 + dice.IntN(4) {
-		s.Changes = insert(s.Changes, moment())
+		s.Changes = insert(s.Changes, randomTime())
 	}
 	s.Phases = drawPhases(dice, s.Pushed, end)
 	if dice.IntN(2) == 0 {
@@ -20,17 +20,17 @@
 	}
 	for _, times := range []*[]time.Duration{&s.WatchResets, &s.WatchSilences, &s.Moves} {
 		for range dice.IntN(3) {
-			*times = insert(*times, moment())
+			*times = insert(*times, randomTime())
 		}
 	}
 	if len(s.Moves) > 0 && dice.IntN(2) == 0 { // several configurations in a row
 		s.Moves = insert(s.Moves, s.Moves[0]+time.Duration(dice.Int64N(int64(3*time.Second))))
 	}
 	if dice.IntN(4) == 0 {
-		s.Renumberings = append(s.Renumberings, moment())
+		s.Renumberings = append(s.Renumberings, randomTime())
 	}
 	if dice.IntN(4) == 0 {
-		s.Start = moment()
+		s.Start = randomTime()
 	}
 	if dice.IntN(4) == 0 {
 		s.Stalls = drawStalls(dice, s.Pushed, end)
@@ -55,15 +55,15 @@
 // drawShares draws up to four kinds of failing calls, with at most nine in ten of the calls in all. An agent on the
 // proxy's own machine answers at once, or is silent while discovery is down.
 func drawShares(dice *rand.Rand, pushed bool) (shares []Share) {
-	fates := Outcomes()[1:]
+	outcomes := Outcomes()[1:]
 	if pushed {
-		fates = []Outcome{Truncated, Reset, RefusedAtOnce}
+		outcomes = []Outcome{Truncated, Reset, RefusedAtOnce}
 	}
 	kinds, left := dice.IntN(5), 0.9*dice.Float64()
 	for range kinds {
 		fraction := left * dice.Float64()
 		left -= fraction
-		shares = append(shares, Share{fates[dice.IntN(len(fates))], fraction})
+		shares = append(shares, Share{outcomes[dice.IntN(len(outcomes))], fraction})
 	}
 	if kinds > 0 {
 		shares[kinds-1].Fraction += left
@@ -72,11 +72,11 @@
 }
 
 func drawOutage(dice *rand.Rand, pushed bool, end time.Duration) Outage {
-	fates := []Outcome{NoResponse, Reset, RefusedAtOnce, RefusedLate, DialRefused, DialTimeout}
+	outcomes := []Outcome{NoResponse, Reset, RefusedAtOnce, RefusedLate, DialRefused, DialTimeout}
 	if pushed {
-		fates = []Outcome{NoResponse}
+		outcomes = []Outcome{NoResponse}
 	}
-	o := Outage{From: time.Duration(dice.Int64N(int64(end))), Outcome: fates[dice.IntN(len(fates))]}
+	o := Outage{From: time.Duration(dice.Int64N(int64(end))), Outcome: outcomes[dice.IntN(len(outcomes))]}
 	o.To = o.From + time.Duration(dice.Int64N(int64(end-o.From)))
 	return o
 }
--- a/internal/discovery/plan/model/fleet.go
+++ b/internal/discovery/plan/model/fleet.go
@@ -11,7 +11,8 @@
 type fleetSettings struct {
 	Seed    uint64
 	Service serviceSettings
-	// Processes is the number of processes, of which only those of the first tier get changes.
+	// Processes is the number of processes. The first FirstTier of them use the list of the first tier, the only
+	// list that changes.
 	Processes, FirstTier int
 	// StartWithin is the time over which all processes start.
 	StartWithin time.Duration
@@ -91,7 +92,7 @@
 		members: make([]*member, settings.Processes), counts: fleetCounts{moveAt: settings.Move},
 	}
 	f.service = newListService(&f.clock, settings.Service, tiers, &f.counts)
-	f.schedule()
+	f.scheduleEvents()
 	for f.now < settings.Length && f.next() {
 	}
 	return f
@@ -101,7 +102,7 @@
 	return time.Duration(f.dice.Float64() * float64(limit))
 }
 
-func (f *fleetSimulation) schedule() {
+func (f *fleetSimulation) scheduleEvents() {
 	s := f.settings
 	for slot := range f.members {
 		f.at(f.randomUpTo(s.StartWithin), func() { f.start(slot) })
--- a/internal/discovery/plan/model/fleet_test.go
+++ b/internal/discovery/plan/model/fleet_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// maxStaleGap is the longest time without a usable list that the operators accept without limiting the number of
-// proxies. They let only few proxies serve nothing for longer.
+// maxStaleGap bounds the time at a stretch for which a proxy may be unable to act on its list. The operators let
+// only few proxies exceed it.
 const maxStaleGap = 4 * time.Second
 
 // rollingRestart is a fleet whose processes are replaced one after another while the service moves to another
@@ -37,26 +37,25 @@
 }
 
 func (f *fleetSimulation) report() (r fleetReport) {
-	ticks, heldTicks := 0, 0
+	ticks, staleTicks := 0, 0
 	for _, m := range slices.Concat(f.ended, f.members) {
 		if m == nil || m.ticks == 0 {
 			continue
 		}
 		r.processes++
 		ticks += m.ticks
-		heldTicks += m.staleTicks
+		staleTicks += m.staleTicks
 		r.longestStale = max(r.longestStale, m.longestStale)
 		if m.longestStale > maxStaleGap {
 			r.overMaxGap++
 		}
 	}
-	r.usableShare = 1 - float64(heldTicks)/float64(ticks)
+	r.usableShare = 1 - float64(staleTicks)/float64(ticks)
 	return r
 }
 
-// TestMoveLeavesFewProcessesWithoutUsableList guards against a fleet that has to begin its watches anew after a move
-// and thereby overloads the service: at most one process in ten may be unable to act on its list for more than 4 s
-// at a stretch.
+// TestMoveLeavesFewProcessesWithoutUsableList guards against a fleet that has to begin its watches anew after a
+// move: at most one process in ten may be unable to act on its list for more than 4 s at a stretch.
 func TestMoveLeavesFewProcessesWithoutUsableList(t *testing.T) {
 	const oneIn = 10
 	for seed := range uint64(6) {
--- a/internal/discovery/plan/model/lease_test.go
+++ b/internal/discovery/plan/model/lease_test.go
@@ -12,21 +12,21 @@
 // After 5 minutes without an answer the old list is in force again. The limit of 4 s after a move applies to an
 // agent only.
 type dialLease struct {
-	pushed            bool
-	granted, answered time.Duration
-	moved             time.Duration
-	address           string
-	reachable         bool
-	failedDials       int
-	outageBegan       time.Duration
-	responded         bool
-	notifiedAt        time.Duration
-	discarded         bool
-	discardedAt       time.Duration
+	pushed                bool
+	renewedAt, answeredAt time.Duration
+	movedAt               time.Duration
+	address               string
+	callAccepted          bool
+	failedDials           int
+	outageBegan           time.Duration
+	responded             bool
+	notifiedAt            time.Duration
+	discarded             bool
+	discardedAt           time.Duration
 }
 
 func newDialLease(start time.Duration, pushed bool) *dialLease {
-	return &dialLease{pushed: pushed, granted: start, answered: start, moved: start - 4*time.Second, address: firstAddress}
+	return &dialLease{pushed: pushed, renewedAt: start, answeredAt: start, movedAt: start - 4*time.Second, address: firstAddress}
 }
 
 func (*dialLease) CallMade(plan.Call, time.Duration)     {}
@@ -36,21 +36,21 @@
 func (l *dialLease) Answered(a Answer) {
 	switch {
 	case a.Applied:
-		*l = dialLease{pushed: l.pushed, granted: a.Begun, answered: a.Begun, moved: l.moved, address: l.address}
+		*l = dialLease{pushed: l.pushed, renewedAt: a.Begun, answeredAt: a.Begun, movedAt: l.movedAt, address: l.address}
 		return
 	case !l.discarded:
 		l.discarded, l.discardedAt = true, a.Begun
 	}
-	l.callTaken()
+	l.recordAccepted()
 }
 
-func (l *dialLease) Moved(address string, now time.Duration) { l.moved, l.address = now, address }
-func (l *dialLease) AnswerBegun(time.Duration)               { l.callTaken() }
-func (l *dialLease) callTaken()                              { l.reachable, l.failedDials = true, 0 }
+func (l *dialLease) Moved(address string, now time.Duration) { l.movedAt, l.address = now, address }
+func (l *dialLease) AnswerBegun(time.Duration)               { l.recordAccepted() }
+func (l *dialLease) recordAccepted()                         { l.callAccepted, l.failedDials = true, 0 }
 
 func (l *dialLease) Connected(goesOn bool) {
 	if !goesOn {
-		l.callTaken()
+		l.recordAccepted()
 	}
 }
 
@@ -62,7 +62,7 @@
 		}
 	case plan.TurnedAway, plan.CutOff, plan.NoAnswer:
 		if !l.responded {
-			l.responded, l.notifiedAt = true, max(now, l.moved+4*time.Second)
+			l.responded, l.notifiedAt = true, max(now, l.movedAt+4*time.Second)
 		}
 	}
 }
@@ -72,15 +72,15 @@
 		l.outageBegan = begun
 	}
 	l.failedDials++
-	believed := !l.reachable || l.failedDials >= 3
-	if believed && l.outageBegan < l.granted+6*time.Second {
-		l.granted = max(l.granted, begun)
+	believed := !l.callAccepted || l.failedDials >= 3
+	if believed && l.outageBegan < l.renewedAt+6*time.Second {
+		l.renewedAt = max(l.renewedAt, begun)
 	}
 }
 
 func (l *dialLease) MayAct(now time.Duration) bool {
 	const slack, serviceFailed = 300 * time.Millisecond, 5 * time.Minute
-	end := l.granted + 6*time.Second + slack
+	end := l.renewedAt + 6*time.Second + slack
 	if l.pushed {
 		end = never
 		if l.responded {
@@ -90,5 +90,5 @@
 	if l.discarded {
 		end = min(end, l.discardedAt+slack)
 	}
-	return now < end || now >= l.answered+serviceFailed
+	return now < end || now >= l.answeredAt+serviceFailed
 }
--- a/internal/discovery/plan/model/leftcall_test.go
+++ b/internal/discovery/plan/model/leftcall_test.go
@@ -14,14 +14,14 @@
 	const seeds = 4
 	for changed := moveAt - 100*time.Millisecond; changed < until; changed += step {
 		for seed := range uint64(seeds) {
-			c := Schedule{
+			s := Schedule{
 				Seed: seed, Length: 40 * time.Second, AskEvery: defaultAskEvery,
 				CallOutcomes: calls, Moves: []time.Duration{moveAt}, Changes: []time.Duration{changed},
 			}
 			if stall > 0 {
-				c.Stalls = []Stall{{changed - before, stall}}
+				s.Stalls = []Stall{{changed - before, stall}}
 			}
-			if v := Run(c, nil); v.Late > 0 {
+			if v := Run(s, nil); v.Late > 0 {
 				t.Errorf("%v: a change at %v, seed %d: acted on %v after the grace (%s), first at %v", calls, changed, seed, v.Late, v.LateRule, v.FirstLateAt)
 				return
 			}
@@ -32,16 +32,16 @@
 // TestUpdateOnCancelledCallIsNotLost: the watch at the address before a move may be given up after a stall of the
 // process that is no longer than the operators' pages allow for. A change that was written on it during the stall
 // counts as notified, and the calls at the new address get no answer.
-func TestUpdateOnCancelledCallIsNotLost(t *testing.T) {
-	for _, behind := range [][]Outcome{{NoResponse, NoResponse}, {Normal, NoResponse}, {RefusedAtOnce, NoResponse}, {Normal, Normal, NoResponse}} {
-		runCrossings(t, append([]Outcome{Normal, Normal}, behind...), maxAllowedStall)
+func TestUpdateOnCanceledCallIsNotLost(t *testing.T) {
+	for _, next := range [][]Outcome{{NoResponse, NoResponse}, {Normal, NoResponse}, {RefusedAtOnce, NoResponse}, {Normal, Normal, NoResponse}} {
+		runCrossings(t, append([]Outcome{Normal, Normal}, next...), maxAllowedStall)
 	}
 }
 
 // TestUpdateInTransitToCancelledCallIsNotLost: the same if the process runs, and the change is in transit for as
 // long as the grace covers.
-func TestUpdateInTransitToCancelledCallIsNotLost(t *testing.T) {
-	for _, behind := range [][]Outcome{{NoResponse, NoResponse}, {Normal, NoResponse}, {RefusedAtOnce, NoResponse}, {Normal, Normal, NoResponse}} {
-		runCrossings(t, append([]Outcome{Normal, DeliveredLate}, behind...), 0)
+func TestUpdateInTransitToCanceledCallIsNotLost(t *testing.T) {
+	for _, next := range [][]Outcome{{NoResponse, NoResponse}, {Normal, NoResponse}, {RefusedAtOnce, NoResponse}, {Normal, Normal, NoResponse}} {
+		runCrossings(t, append([]Outcome{Normal, DeliveredLate}, next...), 0)
 	}
 }
--- a/internal/discovery/plan/model/listservice.go
+++ b/internal/discovery/plan/model/listservice.go
@@ -118,14 +118,14 @@
 // is queued already.
 func (s *listService) enqueue(c *serviceCall, lines float64) {
 	s.busyUntil = max(s.busyUntil, s.now)
-	free := s.busyUntil + time.Duration(lines/s.settings.Rate*float64(time.Second))
-	if free-s.now > s.settings.MaxQueueDelay {
+	doneAt := s.busyUntil + time.Duration(lines/s.settings.Rate*float64(time.Second))
+	if doneAt-s.now > s.settings.MaxQueueDelay {
 		s.counts.countRefused(c, s.now)
 		s.after(refusalLatency, func() { s.fail(c, plan.TurnedAway) })
 		return
 	}
-	s.busyUntil = free
-	s.at(free, func() {
+	s.busyUntil = doneAt
+	s.at(doneAt, func() {
 		if !c.done && s.mustWait(c) {
 			s.holdWatch(c)
 			return
--- a/internal/discovery/plan/model/member.go
+++ b/internal/discovery/plan/model/member.go
@@ -86,7 +86,7 @@
 		case plan.MakeCall:
 			m.call(a.Call)
 		case plan.CancelCall:
-			m.giveUp(a.ID)
+			m.cancelCall(a.ID)
 		case plan.ReportFailure:
 			m.failures++
 			m.scheduleWatch()
@@ -129,7 +129,7 @@
 	})
 }
 
-func (m *member) giveUp(id plan.CallID) {
+func (m *member) cancelCall(id plan.CallID) {
 	if m.open[id] == nil {
 		return
 	}
@@ -171,16 +171,16 @@
 func (m *member) sample() {
 	now := m.fleet.now
 	afterMove := now >= m.fleet.settings.Move
-	held := !m.core.mayAct(now)
-	if held && !m.stale {
+	stale := !m.core.mayAct(now)
+	if stale && !m.stale {
 		m.staleSince = now
 	}
-	m.stale = held
+	m.stale = stale
 	if !afterMove {
 		return
 	}
 	m.ticks++
-	if held {
+	if stale {
 		m.staleTicks++
 		m.longestStale = max(m.longestStale, now-max(m.staleSince, m.fleet.settings.Move))
 	}
--- a/internal/discovery/plan/model/model_test.go
+++ b/internal/discovery/plan/model/model_test.go
@@ -35,22 +35,22 @@
 // maxLatePerRule bounds how many late schedules are kept for one notice rule.
 const maxLatePerRule = 20
 
-func (s *summary) add(c Schedule, v Result) {
+func (s *summary) add(schedule Schedule, v Result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls += v.Calls
 	s.staleTime += v.StaleTime
-	s.length += c.Length - c.Start
+	s.length += schedule.Length - schedule.Start
 	if v.Late > 0 {
 		s.late++
 		if s.lateByRule[v.LateRule]++; s.lateByRule[v.LateRule] <= maxLatePerRule {
-			s.lateSchedules = append(s.lateSchedules, c)
+			s.lateSchedules = append(s.lateSchedules, schedule)
 		}
-		if c.Pushed {
+		if schedule.Pushed {
 			s.pushed++
 		}
 		if v.Late > s.latest {
-			s.latest, s.worstSeed = v.Late, c.Seed
+			s.latest, s.worstSeed = v.Late, schedule.Seed
 		}
 	}
 	if !v.Confirmed {
@@ -60,22 +60,22 @@
 		s.staleInOutage++
 	}
 	if !v.Confirmed && len(s.examples) < 5 {
-		s.examples = append(s.examples, fmt.Sprintf("%+v: %+v", c, v))
+		s.examples = append(s.examples, fmt.Sprintf("%+v: %+v", schedule, v))
 	}
 }
 
 // shortestLate returns the shortest late schedule that shorten finds for each notice rule.
 func (s *summary) shortestLate(rule func(Schedule) StalenessRule) (all []string) {
 	found := map[NoticeRule]Schedule{}
-	verdicts := map[NoticeRule]Result{}
-	for _, c := range s.lateSchedules {
-		c, v := shorten(c, rule)
-		if old, has := found[v.LateRule]; !has || size(c) < size(old) {
-			found[v.LateRule], verdicts[v.LateRule] = c, v
+	results := map[NoticeRule]Result{}
+	for _, schedule := range s.lateSchedules {
+		shortest, v := shorten(schedule, rule)
+		if old, has := found[v.LateRule]; !has || size(shortest) < size(old) {
+			found[v.LateRule], results[v.LateRule] = shortest, v
 		}
 	}
 	for _, by := range slices.Sorted(maps.Keys(found)) {
-		all = append(all, fmt.Sprintf("%s: %+v: %+v", by, found[by], verdicts[by]))
+		all = append(all, fmt.Sprintf("%s: %+v: %+v", by, found[by], results[by]))
 	}
 	return all
 }
@@ -92,12 +92,12 @@
 				if i >= n {
 					return
 				}
-				c := draw(i)
+				schedule := draw(i)
 				var r StalenessRule
 				if rule != nil {
-					r = rule(c)
+					r = rule(schedule)
 				}
-				s.add(c, Run(c, r))
+				s.add(schedule, Run(schedule, r))
 			}
 		})
 	}
@@ -108,9 +108,9 @@
 func seededSchedule(n int) Schedule { return RandomSchedule(uint64(n)) }
 
 func literalSchedule(n int) Schedule {
-	c := RandomSchedule(uint64(n))
-	c.Literal = true
-	return c
+	s := RandomSchedule(uint64(n))
+	s.Literal = true
+	return s
 }
 
 // TestRandomSchedules: whatever happens to the calls, the list must not be acted on after the grace of a change that
@@ -131,31 +131,31 @@
 // reset, falls silent or ends in an outage, with a change before and after that.
 func TestAllShortSchedules(t *testing.T) {
 	const depth = 4
-	fates := Outcomes()
+	outcomes := Outcomes()
 	ends := []func(*Schedule){
 		func(*Schedule) {},
-		func(c *Schedule) { c.WatchResets = []time.Duration{500 * time.Millisecond} },
-		func(c *Schedule) { c.WatchSilences = []time.Duration{500 * time.Millisecond} },
-		func(c *Schedule) {
-			c.Outages = []Outage{{From: 500 * time.Millisecond, To: 5 * time.Second, Outcome: RefusedLate}}
+		func(s *Schedule) { s.WatchResets = []time.Duration{500 * time.Millisecond} },
+		func(s *Schedule) { s.WatchSilences = []time.Duration{500 * time.Millisecond} },
+		func(s *Schedule) {
+			s.Outages = []Outage{{From: 500 * time.Millisecond, To: 5 * time.Second, Outcome: RefusedLate}}
 		},
 	}
 	changes := []time.Duration{400 * time.Millisecond, 600 * time.Millisecond, 5500 * time.Millisecond}
 	all := 1
 	for range depth {
-		all *= len(fates)
+		all *= len(outcomes)
 	}
-	course := func(n int) Schedule {
-		c := Schedule{Seed: uint64(n), Length: 30 * time.Second, Changes: changes, CallOutcomes: []Outcome{Normal}}
-		ends[n%len(ends)](&c)
+	schedule := func(n int) Schedule {
+		s := Schedule{Seed: uint64(n), Length: 30 * time.Second, Changes: changes, CallOutcomes: []Outcome{Normal}}
+		ends[n%len(ends)](&s)
 		n /= len(ends)
 		for range depth {
-			c.CallOutcomes = append(c.CallOutcomes, fates[n%len(fates)])
-			n /= len(fates)
+			s.CallOutcomes = append(s.CallOutcomes, outcomes[n%len(outcomes)])
+			n /= len(outcomes)
 		}
-		return c
+		return s
 	}
-	s := runMany(all*len(ends), course, nil)
+	s := runMany(all*len(ends), schedule, nil)
 	t.Logf("%d schedules, %d calls", all*len(ends), s.calls)
 	if s.late > 0 || s.unconfirmedRuns > 0 {
 		t.Errorf("%d schedules late, by %v at most, %v; %d not confirmed by an answer:\n%s",
--- a/internal/discovery/plan/model/notice.go
+++ b/internal/discovery/plan/model/notice.go
@@ -65,7 +65,7 @@
 type change struct {
 	made      time.Duration
 	visibleAt time.Duration // from then on discovery had it and could be reached
-	byEvents  notice        // earliest notice by the events so far
+	byEvents  notice        // earliest notice caused by the events so far
 }
 
 // move is a SIGHUP that sets another address.
@@ -86,7 +86,7 @@
 	schedule       Schedule
 	changes        []change
 	moves          []move
-	silences       []silentWatch
+	silentWatches  []silentWatch
 	lastCall       time.Duration
 	lastCallFailed bool // whether that call failed
 	outageEnd      time.Duration
@@ -98,13 +98,13 @@
 func newNoticeTracker(s Schedule) *noticeTracker {
 	n := &noticeTracker{schedule: s, lastCall: s.Start}
 	for _, at := range s.Changes {
-		had := at
+		visibleAt := at
 		for _, o := range s.Outages {
 			if o.From <= at && at < o.To {
-				had = o.To
+				visibleAt = o.To
 			}
 		}
-		n.changes = append(n.changes, change{made: at, visibleAt: had, byEvents: notice{at: never}})
+		n.changes = append(n.changes, change{made: at, visibleAt: visibleAt, byEvents: notice{at: never}})
 	}
 	return n
 }
@@ -135,10 +135,10 @@
 }
 
 func (n *noticeTracker) watchSilenced(o *openCall, now time.Duration) {
-	n.silences = append(n.silences, silentWatch{now, o.begun + o.Hold, o})
+	n.silentWatches = append(n.silentWatches, silentWatch{now, o.begun + o.Hold, o})
 }
 
-// callMade records a call. It may be too late to continue a watch.
+// callMade records a call, which continues a watch only if it is made within watchGap of the last answer.
 func (n *noticeTracker) callMade(o *openCall, now time.Duration) {
 	if o.ContinuesWatch && now-n.lastWrite <= watchGap && n.schedule.Literal {
 		n.changesBetweenCalls(now)
@@ -192,7 +192,7 @@
 			earliest.keepEarlier(m.at+noticeWithinAfterMove, AfterSIGHUP)
 		}
 	}
-	for _, s := range n.silences {
+	for _, s := range n.silentWatches {
 		if s.misses(c.visibleAt) {
 			earliest.keepEarlier(max(s.from+noticeWithin, s.waitEnd+noticeWithinAfterWait), AfterSilence)
 		}
@@ -202,15 +202,15 @@
 
 // misses reports whether a change happened while the watch was silent. A change right before the silence was not
 // written any more, so it counts too.
-func (s silentWatch) misses(had time.Duration) bool {
-	return s.from-callLatency <= had && had < s.call.closedAt
+func (s silentWatch) misses(visibleAt time.Duration) bool {
+	return s.from-callLatency <= visibleAt && visibleAt < s.call.closedAt
 }
 
 // pushedNoticeAt returns when a change counts as notified if lists are pushed: at once, except on a silent watch and
 // after SIGHUP.
 func (n *noticeTracker) pushedNoticeAt(c *change) notice {
 	later := notice{at: never}
-	for _, s := range n.silences {
+	for _, s := range n.silentWatches {
 		if s.misses(c.visibleAt) {
 			later.keepEarlier(s.from+noticeWithin, AfterSilence)
 		}
--- a/internal/discovery/plan/model/play.go
+++ b/internal/discovery/plan/model/play.go
@@ -15,8 +15,8 @@
 	firstVersion, lowerBy = 1000, 100
 	// firstAddress is discovery's address until it moves.
 	firstAddress = "a"
-	// confirmedWithin is how old a call may be for its answer to have to make the list usable again: the answer to
-	// an older call is out of date.
+	// confirmedWithin bounds the age of a call whose answer must make the list usable again: the content of an
+	// answer to an older call is out of date.
 	confirmedWithin = 3500 * time.Millisecond
 )
 
@@ -25,8 +25,8 @@
 	// Late is the longest time between the end of a change's grace and an act on a list without the change; 0 for
 	// none.
 	Late        time.Duration
-	LateRule    NoticeRule    // the notice rule for Late
-	FirstLateAt time.Duration // the first late act
+	LateRule    NoticeRule    // the notice rule by which Late is measured
+	FirstLateAt time.Duration // time of the first late act
 	StaleTime   time.Duration // how long the list was not acted on
 	Calls       int
 	// Confirmed reports whether the list was acted on after each complete answer to a call that was made with no
@@ -86,8 +86,8 @@
 	return r.result
 }
 
-// scheduleEvents queues the events of the schedule. What discovery did before the process started is applied at
-// once.
+// scheduleEvents queues the events of the schedule. Changes of discovery's state before the start of the process are
+// applied at the start.
 func (r *run) scheduleEvents() {
 	s := r.schedule
 	before := func(at time.Duration) bool { return at < s.Start }
@@ -124,7 +124,7 @@
 	look()
 }
 
-// check checks whether acting on the list is late at the current time.
+// check records whether an act on the list at the current time would be late.
 func (r *run) check() {
 	since := r.now - r.checkedAt
 	r.checkedAt = r.now
--- a/internal/discovery/plan/model/process.go
+++ b/internal/discovery/plan/model/process.go
@@ -66,8 +66,8 @@
 }
 
 // anyOfCall reports whether any of the deliveries belongs to a call.
-func anyOfCall(waiting []delivery) bool {
-	return slices.ContainsFunc(waiting, func(d delivery) bool { return d.call != 0 })
+func anyOfCall(deliveries []delivery) bool {
+	return slices.ContainsFunc(deliveries, func(d delivery) bool { return d.call != 0 })
 }
 
 func (r *run) watch() {
@@ -98,7 +98,7 @@
 		case plan.CancelCall:
 			if o := r.open[a.ID]; o != nil {
 				r.closeCall(o)
-				r.core.callGivenUp(o, r.now)
+				r.core.callCanceled(o, r.now)
 			}
 		case plan.CloseIdleConns:
 			r.connected = false
--- a/internal/discovery/plan/model/proof_test.go
+++ b/internal/discovery/plan/model/proof_test.go
@@ -31,8 +31,8 @@
 
 const proofSlack = 300 * time.Millisecond
 
-func newProof(c Schedule) *proof {
-	p := &proof{pushed: c.Pushed, askEvery: c.AskEvery, address: firstAddress, until: never, moveDeadline: never, stallEnd: -1, lastCall: c.Start, openCalls: map[plan.CallID]time.Duration{}}
+func newProof(s Schedule) *proof {
+	p := &proof{pushed: s.Pushed, askEvery: s.AskEvery, address: firstAddress, until: never, moveDeadline: never, stallEnd: -1, lastCall: s.Start, openCalls: map[plan.CallID]time.Duration{}}
 	if p.askEvery == 0 {
 		p.askEvery = defaultAskEvery
 	}
--- a/internal/discovery/plan/model/unasked_test.go
+++ b/internal/discovery/plan/model/unasked_test.go
@@ -12,12 +12,12 @@
 func TestContinuingCallDoesNotCoverTimeWithoutCalls(t *testing.T) {
 	const askEvery = 200 * time.Millisecond
 	for seed := range uint64(2000) {
-		c := Schedule{
+		s := Schedule{
 			Seed: seed, Length: 10 * time.Second, AskEvery: askEvery,
 			CallOutcomes: []Outcome{Normal, WrittenLate, RefusedAtOnce, NoResponse}, Moves: []time.Duration{time.Second},
 			Changes: []time.Duration{1100 * time.Millisecond, 1200 * time.Millisecond},
 		}
-		if v := Run(c, nil); v.Late > 0 {
+		if v := Run(s, nil); v.Late > 0 {
 			t.Errorf("seed %d: acted on %v after the grace (%s), first at %v", seed, v.Late, v.LateRule, v.FirstLateAt)
 		}
 	}
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -55,7 +55,8 @@
 	setAnswerHeader(header, f.Reply)
 	w.WriteHeader(http.StatusOK)
 	text := f.Reply.Body
-	for len(text) > chunkSize { // each chunk has its own deadline, so a caller that reads slowly but steadily gets the whole answer
+	// Each chunk has its own deadline, so a caller that reads slowly but steadily gets the whole answer.
+	for len(text) > chunkSize {
 		if _, err := w.Write(text[:chunkSize]); err != nil {
 			return
 		}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -209,7 +209,7 @@
 	}
 }
 
-// readBody reads a short body whole. For a long one, it returns the reader that supplies the rest.
+// readBody reads a short body whole. For a long body, it also returns the reader that supplies the rest.
 func (s *Front) readBody(w http.ResponseWriter, r *http.Request) (*body.Body, io.Reader, error) {
 	if r.ContentLength == 0 {
 		return nil, nil, nil
--- a/internal/front/options.go
+++ b/internal/front/options.go
@@ -11,14 +11,14 @@
 type Options struct {
 	HeadTimeout  time.Duration // for a request's head, and for the silence after a connection is opened
 	BodyTimeout  time.Duration // longest silence within the body
-	BodyRate     int64         // bytes per second that a body must reach, in addition to BodyGrace
+	BodyRate     int64         // minimum bytes per second of a body, not counting BodyGrace
 	BodyGrace    time.Duration
 	IdleTimeout  time.Duration // how long a connection may be idle between requests
 	OnceIdle     time.Duration // the same after a single request, once new connections arrive
 	ParkAfter    time.Duration // idle time before a connection is parked; 0 for never
 	WriteTimeout time.Duration // how long a caller may leave its answer unread
 	// StreamTimeout is how long a caller may read nothing of a streamed answer, and StreamRate how slowly it may
-	// read it, in bytes per second. They apply apart from WriteTimeout because streamed answers are long, and no
+	// read one, in bytes per second. They are separate from WriteTimeout because streamed answers are long, and no
 	// other proxy or backend can supply the rest.
 	StreamTimeout time.Duration
 	StreamRate    int64
--- a/internal/front/upgrade.go
+++ b/internal/front/upgrade.go
@@ -102,7 +102,7 @@
 func (s *Front) switchProtocols(w http.ResponseWriter, c *backends.Channel, admission channel.Admission) (err error) {
 	conn, rw, err := http.NewResponseController(w).Hijack()
 	if err != nil {
-		panic(http.ErrAbortHandler) // no answer can be written, and nothing else may look like one
+		panic(http.ErrAbortHandler) // no answer can be written, and net/http must not write an implicit one
 	}
 	defer func() {
 		if err != nil {
