--- a/internal/discovery/plan/model/leftcall_test.go
+++ b/internal/discovery/plan/model/leftcall_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// TestUpdateOnCancelledCallIsNotLost: the watch at the address before a move may be given up after a stall of the
+// TestUpdateOnCanceledCallIsNotLost: the watch at the address before a move may be given up after a stall of the
 // process that is no longer than the operators' pages allow for. A change that was written on it during the stall
 // counts as notified, and the calls at the new address get no answer.
 func TestUpdateOnCanceledCallIsNotLost(t *testing.T) {
@@ -38,7 +38,7 @@
 	}
 }
 
-// TestUpdateInTransitToCancelledCallIsNotLost: the same if the process runs, and the change is in transit for as
+// TestUpdateInTransitToCanceledCallIsNotLost: the same if the process runs, and the change is in transit for as
 // long as the grace covers.
 func TestUpdateInTransitToCanceledCallIsNotLost(t *testing.T) {
 	for _, next := range [][]Outcome{{NoResponse, NoResponse}, {Normal, NoResponse}, {RefusedAtOnce, NoResponse}, {Normal, Normal, NoResponse}} {
