--- a/balance/admission.go
+++ b/balance/admission.go
@@ -45,19 +45,19 @@
 // upper tier's work.)
 func (b *Balancer) useful(now time.Duration, q *request) time.Duration {
 	c := q.class
-	if b.set.Layer > 0 || c.LateWorth > 0 {
-		return q.Left
+	if b.set.Tier > 0 || c.LateValue > 0 {
+		return q.Remaining
 	}
 	// A try with the usual patience may be the first. Any other is its client's last: it has all that is left
 	// of the client's patience, which tells how much has passed.
 	aim := c.Aim
-	if !b.patience[q.Class].Near(q.Left, patienceSlack) {
-		aim -= c.GiveUp - q.Left
+	if !b.patience[q.Class].Near(q.Remaining, patienceSlack) {
+		aim -= c.ClientTimeout - q.Remaining
 	}
-	if aim > 0 && (c.Effect == SingleShot || c.Effect == Guarded && c.Group != GroupAll) {
+	if aim > 0 && (c.Effect == AtMostOnce || c.Effect == Deduplicated && c.DedupScope != DedupAll) {
 		q.end = min(q.end, now+aim)
 	}
-	return min(aim, q.Left) - time.Duration(float64(b.cost[q.Class])*float64(time.Second))
+	return min(aim, q.Remaining) - time.Duration(float64(b.cost[q.Class])*float64(time.Second))
 }
 
 // hold puts a request in the queue that all requests pass; it is empty again at once while there is room.
@@ -106,7 +106,7 @@
 	took := r.Latency.Seconds()
 	if r.Outcome == OK {
 		b.cost[q.Class].Observe(max(took, minCost), costQuantile, quantileStep)
-		b.patience[q.Class].Observe(q.Left, patienceSlack, votesMost)
+		b.patience[q.Class].Observe(q.Remaining, patienceSlack, votesMost)
 		b.mean[q.Class].Observe(took, meanStep)
 	}
 	if t := &b.tail[q.Class]; r.Outcome == OK || t.known() && took > float64(t.Quantile) {
@@ -160,7 +160,7 @@
 			b.answer(now, q) // its window has ended
 			continue
 		}
-		if b.set.Layer > 0 || b.load()+1 <= b.room(now) {
+		if b.set.Tier > 0 || b.load()+1 <= b.room(now) {
 			if s := b.pick(now, q); s != nil {
 				b.send(now, q, s)
 				continue
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -63,14 +63,14 @@
 	requests map[string]*request
 	held     []*request // by worth for the time they take, then by age
 	holding  bool
-	inFlight int                 // requests with an attempt out
-	limit    float64             // how many of them are admitted
-	tail     []tail              // by class, the time after which an attempt is late for its class
-	cost     []estimate.Quantile // by class, a low quantile of its answers' seconds
-	mean     []estimate.Mean     // by class, its answers' mean seconds
-	base     []estimate.Mean     // by class, the same of attempts that met no crowd
-	patience []estimate.Majority // by class, how long a client's try may take
-	quota    []estimate.Bucket   // by tenant
+	inFlight int                    // requests with an attempt out
+	limit    float64                // how many of them are admitted
+	tail     []tail                 // by class, the time after which an attempt is late for its class
+	cost     []estimate.Quantile    // by class, a low quantile of its answers' seconds
+	mean     []estimate.Mean        // by class, its answers' mean seconds
+	base     []estimate.Mean        // by class, the same of attempts that met no crowd
+	patience []estimate.Majority    // by class, how long a client's try may take
+	quota    []estimate.TokenBucket // by tenant
 	retries  float64
 	part     float64       // of what an instance may do; less than 1 beside another at an upgrade
 	soft     float64       // of tenants' quotas, in the same way; over 1 where others are gone
@@ -101,7 +101,7 @@
 		mean:     make([]estimate.Mean, len(settings.Classes)),
 		base:     make([]estimate.Mean, len(settings.Classes)),
 		patience: make([]estimate.Majority, len(settings.Classes)),
-		quota:    make([]estimate.Bucket, len(settings.Tenants)),
+		quota:    make([]estimate.TokenBucket, len(settings.Tenants)),
 	}, nil
 }
 
@@ -115,31 +115,31 @@
 		return
 	}
 	c := &b.set.Classes[r.Class]
-	q := &request{Request: r, class: c, end: now + r.Left, since: now}
-	if r.Within > 0 {
-		q.end = min(q.end, now+r.Within)
+	q := &request{Request: r, class: c, end: now + r.Remaining, since: now}
+	if r.LocalBudget > 0 {
+		q.end = min(q.end, now+r.LocalBudget)
 	}
 	b.requests[r.ID] = q
 	useful := b.useful(now, q)
-	if r.Left <= 0 || useful <= 0 && b.load()+1 > nearLimit*b.room(now) {
+	if r.Remaining <= 0 || useful <= 0 && b.load()+1 > nearLimit*b.room(now) {
 		// Its time is over, or it is a client's repeat that comes too late to earn anything where others
 		// want the room: sending it on would be waste.
 		b.answer(now, q)
 		return
 	}
-	q.worth = c.Worth * b.tenantWorth(now, r.Tenant)
+	q.worth = c.Value * b.tenantWorth(now, r.Tenant)
 	b.retries = min(b.retries+retryRatio, retryBurst)
-	if !q.Arriving {
+	if !q.BodyPending {
 		b.afterFor(q, q.end-now, func(now time.Duration) { b.giveUp(now, q) })
 	}
 	b.hold(q)
 	b.retryHeld(now)
 	if q.held {
 		share := holdShare
-		if c.Effect == Free {
+		if c.Effect == Idempotent {
 			share = holdFree
 		}
-		b.afterFor(q, min(time.Duration(share*float64(c.Aim)), r.Left/2), func(now time.Duration) {
+		b.afterFor(q, min(time.Duration(share*float64(c.Aim)), r.Remaining/2), func(now time.Duration) {
 			if q.held && !q.answered {
 				b.answer(now, q)
 			}
@@ -155,11 +155,11 @@
 	s.trial = s.ejected > 0
 	b.spendCold(now, s)
 	left := q.end - now
-	if q.Arriving {
+	if q.BodyPending {
 		left = q.end - q.since
 	}
 	b.host.Send(q.ID, s.id, left)
-	if !q.Arriving {
+	if !q.BodyPending {
 		b.count(now, q, len(q.attempts)-1)
 	}
 }
@@ -184,9 +184,9 @@
 		return
 	}
 	a := &q.attempts[r.Attempt]
-	a.over, a.unrun, a.unsent = true, r.Outcome.ProvesUnrun(), r.Outcome == Ignored
+	a.over, a.unrun, a.unsent = true, r.Outcome.ProvesNotExecuted(), r.Outcome == Ignored
 	q.out--
-	q.spent = q.spent || r.Spent
+	q.spent = q.spent || r.BodyConsumed
 	if !a.judged {
 		b.take(now, q, a, r)
 	} else if r.Outcome != OK {
@@ -269,7 +269,7 @@
 
 // Started takes in that the answer to a request has begun to stream: no further send, no deadline. The time
 // of its first byte is what tells how busy the server is; its last one depends on who reads it.
-func (b *Balancer) Started(now time.Duration, id string, attempt int) {
+func (b *Balancer) ResponseStarted(now time.Duration, id string, attempt int) {
 	q := b.requests[id]
 	if q == nil || attempt < 0 || attempt >= len(q.attempts) || q.attempts[attempt].over || q.started {
 		return
@@ -282,12 +282,12 @@
 
 // Received takes in that the last byte of a request that was arriving has come. Its time counts from now, and
 // so does that of its server, which has not begun before.
-func (b *Balancer) Received(now time.Duration, id string) {
+func (b *Balancer) BodyReceived(now time.Duration, id string) {
 	q := b.requests[id]
-	if q == nil || !q.Arriving {
+	if q == nil || !q.BodyPending {
 		return
 	}
-	q.Arriving = false
+	q.BodyPending = false
 	q.end += now - q.since
 	b.afterFor(q, q.end-now, func(now time.Duration) { b.giveUp(now, q) })
 	for i := range q.attempts {
@@ -299,7 +299,7 @@
 }
 
 // Dropped takes in that the client has gone. What is out for it would run for nobody.
-func (b *Balancer) Dropped(now time.Duration, id string) {
+func (b *Balancer) ClientGone(now time.Duration, id string) {
 	if q := b.requests[id]; q != nil {
 		q.answered = true
 		b.cancelOut(q)
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -93,7 +93,7 @@
 func (f *fake) advance(to time.Duration) { f.timers.ring(f.b, &f.now, to) }
 
 func (f *fake) submit(id string, class int) {
-	f.b.Submit(f.now, Request{ID: id, Class: class, Left: f.b.set.Classes[class].GiveUp})
+	f.b.Submit(f.now, Request{ID: id, Class: class, Remaining: f.b.set.Classes[class].ClientTimeout})
 }
 
 func (f *fake) result(id string, attempt int, o Outcome) {
@@ -106,13 +106,13 @@
 func testSettings() Settings {
 	return Settings{
 		Instances: 1, MaxAttempts: 4, CanCancel: true, AskEvery: 10 * time.Second,
-		ColdFrom: 0.3, WarmUp: 10 * time.Second, FallMultiple: 3, FallTime: time.Second,
+		ColdCapacity: 0.3, WarmUp: 10 * time.Second, OverloadMultiple: 3, OverloadTime: time.Second,
 		Classes: []Class{
-			{Aim: time.Second, GiveUp: 2 * time.Second, Worth: 1, LateWorth: 0.5},
-			{Aim: time.Second, GiveUp: 2 * time.Second, Worth: 5, Effect: Guarded, Group: GroupZone, Window: time.Second},
-			{Aim: time.Second, GiveUp: 2 * time.Second, Worth: 5, Effect: SingleShot, Window: 5 * time.Second},
-			{Aim: time.Second, GiveUp: 2 * time.Second, Worth: 5, Effect: Guarded, Group: GroupCell, Window: time.Second},
-			{Aim: time.Second, GiveUp: 2 * time.Second, Worth: 5, Effect: Guarded, Group: GroupAll, Window: time.Second},
+			{Aim: time.Second, ClientTimeout: 2 * time.Second, Value: 1, LateValue: 0.5},
+			{Aim: time.Second, ClientTimeout: 2 * time.Second, Value: 5, Effect: Deduplicated, DedupScope: DedupZone, DedupWindow: time.Second},
+			{Aim: time.Second, ClientTimeout: 2 * time.Second, Value: 5, Effect: AtMostOnce, DedupWindow: 5 * time.Second},
+			{Aim: time.Second, ClientTimeout: 2 * time.Second, Value: 5, Effect: Deduplicated, DedupScope: DedupCell, DedupWindow: time.Second},
+			{Aim: time.Second, ClientTimeout: 2 * time.Second, Value: 5, Effect: Deduplicated, DedupScope: DedupAll, DedupWindow: time.Second},
 		},
 	}
 }
@@ -279,7 +279,7 @@
 
 func TestWindowEndsRepeats(t *testing.T) {
 	set := testSettings()
-	set.Layer = 1 // no early end at the aim
+	set.Tier = 1 // no early end at the aim
 	f := newFake(t, set, fleet(8))
 	f.submit("r", 1)
 	f.advance(f.now + time.Second)
@@ -452,15 +452,15 @@
 
 func TestLateRepeatIsRefusedNearTheLimit(t *testing.T) {
 	f := newFake(t, testSettings(), fleet(4))
-	f.b.Submit(f.now, Request{ID: "usual", Class: 2, Left: 1200 * ms})
+	f.b.Submit(f.now, Request{ID: "usual", Class: 2, Remaining: 1200 * ms})
 	f.result("usual", 0, OK)
-	f.b.Submit(f.now, Request{ID: "first", Class: 2, Left: 1200 * ms})
-	f.b.Submit(f.now, Request{ID: "late", Class: 2, Left: 500 * ms}) // 1.5 s old, aim 1 s
+	f.b.Submit(f.now, Request{ID: "first", Class: 2, Remaining: 1200 * ms})
+	f.b.Submit(f.now, Request{ID: "late", Class: 2, Remaining: 500 * ms}) // 1.5 s old, aim 1 s
 	if len(f.sent["first"]) != 1 || len(f.sent["late"]) != 1 {
 		t.Fatalf("far from the limit: first %v, late %v %q", f.sent["first"], f.sent["late"], f.final["late"])
 	}
 	f.b.limit = 2
-	f.b.Submit(f.now, Request{ID: "later", Class: 2, Left: 500 * ms})
+	f.b.Submit(f.now, Request{ID: "later", Class: 2, Remaining: 500 * ms})
 	if len(f.sent["later"]) != 0 || f.final["later"] != "refused" {
 		t.Fatalf("near the limit: %v %q", f.sent["later"], f.final["later"])
 	}
@@ -468,7 +468,7 @@
 
 func TestExpiredRequestIsRefusedAtOnce(t *testing.T) {
 	f := newFake(t, testSettings(), fleet(4))
-	f.b.Submit(f.now, Request{ID: "r", Class: 2, Left: 0})
+	f.b.Submit(f.now, Request{ID: "r", Class: 2, Remaining: 0})
 	if len(f.sent["r"]) != 0 || f.final["r"] != "refused" {
 		t.Fatalf("sent %v, final %q", f.sent["r"], f.final["r"])
 	}
@@ -499,17 +499,17 @@
 func TestUnknownThingsAreIgnored(t *testing.T) {
 	f := newFake(t, testSettings(), fleet(4))
 	f.b.Result(f.now, Result{ID: "nobody", Outcome: OK, Finished: true})
-	f.b.Dropped(f.now, "nobody")
-	f.b.Started(f.now, "nobody", 0)
+	f.b.ClientGone(f.now, "nobody")
+	f.b.ResponseStarted(f.now, "nobody", 0)
 	f.b.Timer(f.now, 1<<50)
-	f.b.Submit(f.now, Request{ID: "x", Class: 99, Left: time.Second})
+	f.b.Submit(f.now, Request{ID: "x", Class: 99, Remaining: time.Second})
 	if f.final["x"] != "refused" {
 		t.Error("a request of an unknown class must be refused, not lost")
 	}
 	f.submit("r", 0)
 	f.b.Result(f.now, Result{ID: "r", Attempt: 5, Outcome: Failed})
 	f.b.Result(f.now, Result{ID: "r", Attempt: -1, Outcome: Failed})
-	f.b.Dropped(f.now, "r")
+	f.b.ClientGone(f.now, "r")
 	f.ended["r"] = true
 	f.result("r", 0, Canceled)
 	f.result("r", 0, Canceled)
@@ -550,7 +550,7 @@
 	set := testSettings()
 	set.Instances, set.Self = 1+rng.IntN(9), 0
 	set.AskForList = seed%2 == 0
-	set.Layer = int(seed % 3)
+	set.Tier = int(seed % 3)
 	list := fleet(3 + rng.IntN(40))
 	f := newFake(t, set, list)
 	byID := map[string]*Entry{}
@@ -576,10 +576,10 @@
 				}
 				c := set.Classes[q.class]
 				for i := range q.outs {
-					mayHave := !q.done[i] || !q.outs[i].ProvesUnrun()
+					mayHave := !q.done[i] || !q.outs[i].ProvesNotExecuted()
 					first := byID[f.sent[word[2]][i]]
-					if mayHave && (c.Effect == SingleShot || c.Effect == Guarded &&
-						(c.Group == GroupZone && first.Zone != e.Zone || c.Group == GroupCell && first.Cell != e.Cell)) {
+					if mayHave && (c.Effect == AtMostOnce || c.Effect == Deduplicated &&
+						(c.DedupScope == DedupZone && first.Zone != e.Zone || c.DedupScope == DedupCell && first.Cell != e.Cell)) {
 						t.Fatalf("seed %d: %s repeats an effect", seed, line)
 					}
 				}
@@ -589,8 +589,8 @@
 				q := reqs[word[2]]
 				c := set.Classes[q.class]
 				for i := range q.outs {
-					mayHave := !q.done[i] || !q.outs[i].ProvesUnrun()
-					if mayHave && c.Effect != Free && (c.Effect == SingleShot || c.Group != GroupAll) {
+					mayHave := !q.done[i] || !q.outs[i].ProvesNotExecuted()
+					if mayHave && c.Effect != Idempotent && (c.Effect == AtMostOnce || c.DedupScope != DedupAll) {
 						t.Fatalf("seed %d: %s may have run", seed, line)
 					}
 				}
@@ -605,7 +605,7 @@
 		case k < 8:
 			id := fmt.Sprint("r", step)
 			class := rng.IntN(len(set.Classes))
-			reqs[id] = &open{class: class, due: f.now + set.Classes[class].GiveUp}
+			reqs[id] = &open{class: class, due: f.now + set.Classes[class].ClientTimeout}
 			ids = append(ids, id)
 			f.submit(id, class)
 		case k < 18 && len(ids) > 0:
@@ -774,10 +774,10 @@
 func TestOverQuotaTenantWaitsBehind(t *testing.T) {
 	set := testSettings()
 	set.Tenants = []Tenant{{QuotaPerSecond: 1}, {QuotaPerSecond: 100}}
-	set.OverShareWorth = 0.05
+	set.OverQuotaValue = 0.05
 	f := newFake(t, set, fleet(4))
 	send := func(id string, tenant int) {
-		f.b.Submit(f.now, Request{ID: id, Class: 0, Tenant: tenant, Left: time.Second})
+		f.b.Submit(f.now, Request{ID: id, Class: 0, Tenant: tenant, Remaining: time.Second})
 	}
 	f.b.limit = 4
 	for i := range 4 {
@@ -872,7 +872,7 @@
 func TestDroppedRequestIsCalledOff(t *testing.T) {
 	f := newFake(t, testSettings(), fleet(4))
 	f.submit("r", 0)
-	f.b.Dropped(f.now, "r")
+	f.b.ClientGone(f.now, "r")
 	if !slices.ContainsFunc(f.actions, func(a string) bool { return strings.HasSuffix(a, " cancel r 0") }) {
 		t.Fatalf("actions %v", f.actions)
 	}
@@ -884,12 +884,12 @@
 	f := newFake(t, testSettings(), fleet(4))
 	for i := range 20 {
 		id := fmt.Sprint("usual", i)
-		f.b.Submit(f.now, Request{ID: id, Class: 2, Left: 900 * ms})
+		f.b.Submit(f.now, Request{ID: id, Class: 2, Remaining: 900 * ms})
 		f.result(id, 0, OK)
 	}
 	f.b.limit = limitLeast
 	for i := range int(limitLeast) {
-		f.b.Submit(f.now, Request{ID: fmt.Sprint("full", i), Class: 2, Left: 900 * ms})
+		f.b.Submit(f.now, Request{ID: fmt.Sprint("full", i), Class: 2, Remaining: 900 * ms})
 	}
 	for _, c := range []struct {
 		id    string
@@ -903,7 +903,7 @@
 		{"last, 0.995 s old", 1005 * ms, "refused"},
 		{"last, 1.5 s old", 500 * ms, "refused"},
 	} {
-		f.b.Submit(f.now, Request{ID: c.id, Class: 2, Left: c.left})
+		f.b.Submit(f.now, Request{ID: c.id, Class: 2, Remaining: c.left})
 		if f.final[c.id] != c.final {
 			t.Errorf("%s: final answer %q, want %q", c.id, f.final[c.id], c.final)
 		}
@@ -915,7 +915,7 @@
 	lowest = f.b.limit
 	var out []string
 	for i := range n {
-		for len(out) < crowd && (f.b.set.Layer > 0 || f.b.load()+1 <= f.b.room(f.now)) {
+		for len(out) < crowd && (f.b.set.Tier > 0 || f.b.load()+1 <= f.b.room(f.now)) {
 			id := fmt.Sprint("q", f.now, i, len(out))
 			f.submit(id, 0)
 			out = append(out, id)
@@ -1056,14 +1056,14 @@
 		if i%10 == 0 {
 			left = 2 * time.Second
 		}
-		f.b.Submit(f.now, Request{ID: id, Class: 2, Left: left})
+		f.b.Submit(f.now, Request{ID: id, Class: 2, Remaining: left})
 		if len(f.sent[id]) == 0 {
 			t.Fatalf("request %d: %q", i, f.final[id])
 		}
 		f.advance(f.now + 5*ms)
 		f.result(id, 0, OK)
 		id = fmt.Sprint("bad", i)
-		f.b.Submit(f.now, Request{ID: id, Class: 2, Left: 2 * time.Second})
+		f.b.Submit(f.now, Request{ID: id, Class: 2, Remaining: 2 * time.Second})
 		f.result(id, 0, Rejected)
 	}
 }
@@ -1072,14 +1072,14 @@
 	set := testSettings()
 	f := newFake(t, set, []Entry{})
 	f.submit("r", 2)
-	f.advance(f.now + set.Classes[2].GiveUp)
+	f.advance(f.now + set.Classes[2].ClientTimeout)
 	if len(f.waits) != 1 || f.waits[0] != 0 {
 		t.Fatalf("waits %v where callers are not to be told", f.waits)
 	}
 	set.RetryAfter, set.MaxRetryAfter = true, 2*time.Second
 	f = newFake(t, set, []Entry{})
 	f.submit("r", 2)
-	f.advance(f.now + set.Classes[2].GiveUp)
+	f.advance(f.now + set.Classes[2].ClientTimeout)
 	if len(f.waits) != 1 || f.waits[0] <= 0 || f.waits[0] > set.MaxRetryAfter {
 		t.Fatalf("waits %v, want one of at most %v", f.waits, set.MaxRetryAfter)
 	}
--- a/balance/bed_test.go
+++ b/balance/bed_test.go
@@ -110,7 +110,7 @@
 		q := &bedTry{came: d.now, class: d.rng.IntN(2)}
 		h.tries[id] = q
 		d.second().asked++
-		h.b.Submit(d.now, Request{ID: id, Class: q.class, Left: d.classes[q.class].GiveUp})
+		h.b.Submit(d.now, Request{ID: id, Class: q.class, Remaining: d.classes[q.class].ClientTimeout})
 		d.in(time.Duration(d.rng.ExpFloat64()/perSecond*float64(time.Second)), next)
 	}
 	d.in(0, next)
@@ -159,7 +159,7 @@
 	}
 	h.open[server] = true
 	n.sent = append(n.sent, d.now)
-	work := time.Duration(d.rng.ExpFloat64() * float64(d.work) / bedCores / n.share(d.now, h.b.set.WarmUp, h.b.set.ColdFrom))
+	work := time.Duration(d.rng.ExpFloat64() * float64(d.work) / bedCores / n.share(d.now, h.b.set.WarmUp, h.b.set.ColdCapacity))
 	n.free = max(n.free, d.now) + work
 	if wait := n.free - d.now + 2*d.work; wait < timeout {
 		end(wait, OK)
@@ -224,11 +224,11 @@
 			}
 			count := 0
 			for _, at := range n.sent[i:] {
-				if at < first+set.FallTime {
+				if at < first+set.OverloadTime {
 					count++
 				}
 			}
-			tell(count, set.FallMultiple*n.share(first, set.WarmUp, set.ColdFrom)*perSecond*set.FallTime.Seconds())
+			tell(count, set.OverloadMultiple*n.share(first, set.WarmUp, set.ColdCapacity)*perSecond*set.OverloadTime.Seconds())
 		}
 	}
 }
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -41,7 +41,7 @@
 			for i := 0; b.Loop(); i++ {
 				id := ids[i%len(ids)]
 				now += 100 * time.Microsecond
-				bal.Submit(now, Request{ID: id, Left: time.Second})
+				bal.Submit(now, Request{ID: id, Remaining: time.Second})
 				bal.Result(now+5*time.Millisecond, Result{ID: id, Outcome: OK, Latency: 5 * time.Millisecond, Finished: true})
 			}
 			b.StopTimer()
--- a/balance/carry.go
+++ b/balance/carry.go
@@ -9,14 +9,14 @@
 
 // Carried is what one instance leaves to the next at an upgrade, so that both together act like one. It holds no
 // requests: whoever took one answers it. Times are of the clock that both share.
-type Carried struct {
-	Servers  []CarriedServer
+type Snapshot struct {
+	Servers  []ServerSnapshot
 	Slots    []string // ids in the order that the shuffle starts from
 	Banned   []string // by hand, listed or not
 	Seen     []string // ids that a list has named
 	Limit    float64
 	Retries  float64
-	Classes  []CarriedClass
+	Classes  []ClassSnapshot
 	Quota    []float64
 	Served   float64 // answers a second
 	Warm     float64 // of these, a warm member's
@@ -24,7 +24,7 @@
 }
 
 // CarriedServer is one server's entry and health.
-type CarriedServer struct {
+type ServerSnapshot struct {
 	Entry      Entry
 	Told       time.Duration // when the list says that it started; 0 for what the entry has
 	Listed     time.Duration
@@ -40,7 +40,7 @@
 }
 
 // CarriedClass is what has been learned of one class.
-type CarriedClass struct {
+type ClassSnapshot struct {
 	Cost, Tail, Mean, Base float64
 	TailSeen               int
 	Patience               time.Duration
@@ -48,8 +48,8 @@
 }
 
 // Carry returns what the next instance is to know.
-func (b *Balancer) Carry(now time.Duration) Carried {
-	c := b.CarryRest(now)
+func (b *Balancer) Snapshot(now time.Duration) Snapshot {
+	c := b.SnapshotWithoutServers(now)
 	for _, s := range b.servers {
 		c.Servers = append(c.Servers, s.carry())
 	}
@@ -58,7 +58,7 @@
 
 // Shift moves all times that are of the clock of the instance that was carried by so much. When a server started is such a time only where
 // the list's word was not believed.
-func (c *Carried) Shift(by time.Duration) {
+func (c *Snapshot) ShiftTimes(by time.Duration) {
 	c.ServedAt += by
 	for i := range c.Servers {
 		s := &c.Servers[i]
@@ -74,7 +74,7 @@
 }
 
 // IDs are those of all servers that are kept in mind, in no order.
-func (b *Balancer) IDs() []string {
+func (b *Balancer) ServerIDs() []string {
 	ids := make([]string, 0, len(b.servers))
 	for id := range b.servers {
 		ids = append(ids, id)
@@ -84,7 +84,7 @@
 
 // CarryServers appends some servers' part of what Carry returns, so that it can be taken in small steps. Those that are gone are
 // left out.
-func (b *Balancer) CarryServers(to []CarriedServer, ids []string) []CarriedServer {
+func (b *Balancer) AppendServerSnapshots(to []ServerSnapshot, ids []string) []ServerSnapshot {
 	for _, id := range ids {
 		if s := b.servers[id]; s != nil {
 			to = append(to, s.carry())
@@ -93,8 +93,8 @@
 	return to
 }
 
-func (s *server) carry() CarriedServer {
-	return CarriedServer{
+func (s *server) carry() ServerSnapshot {
+	return ServerSnapshot{
 		Entry: s.entry, Told: s.told, Listed: s.listed, Resumed: s.resumed, FailRun: s.failRun, FailRate: s.failRate,
 		Ejected: s.ejected, Ejections: s.ejections, Slow: s.slow, Load: s.load,
 		ColdTokens: s.coldTokens, ColdAt: s.coldAt,
@@ -102,8 +102,8 @@
 }
 
 // CarryRest is what Carry returns but for the servers.
-func (b *Balancer) CarryRest(now time.Duration) Carried {
-	c := Carried{
+func (b *Balancer) SnapshotWithoutServers(now time.Duration) Snapshot {
+	c := Snapshot{
 		Seen: b.seen.All(), Limit: b.limit, Retries: b.retries, Served: b.served.At(now, rateMemory), Warm: b.warm.At(now, rateMemory), ServedAt: now,
 	}
 	for id := range b.banned {
@@ -113,7 +113,7 @@
 		c.Slots = append(c.Slots, s.id)
 	}
 	for i := range b.set.Classes {
-		c.Classes = append(c.Classes, CarriedClass{
+		c.Classes = append(c.Classes, ClassSnapshot{
 			Cost: float64(b.cost[i]), Tail: float64(b.tail[i].Quantile), TailSeen: b.tail[i].seen,
 			Mean: float64(b.mean[i]), Base: float64(b.base[i]),
 			Patience: b.patience[i].Value, Votes: b.patience[i].Votes,
@@ -127,7 +127,7 @@
 
 // Adopt makes an instance that has taken nothing on yet go on where another is. What does not fit its settings, from
 // another version's file, is left at its start.
-func (b *Balancer) Adopt(now time.Duration, c Carried) {
+func (b *Balancer) Restore(now time.Duration, c Snapshot) {
 	for _, id := range c.Seen {
 		b.seen.Add(id)
 	}
@@ -149,8 +149,8 @@
 	}
 	b.limit = max(c.Limit, limitLeast)
 	b.retries = min(max(c.Retries, 0), retryBurst)
-	b.served = estimate.Rate{PerSecond: max(c.Served, 0), Last: c.ServedAt}
-	b.warm = estimate.Rate{PerSecond: max(c.Warm, 0), Last: c.ServedAt}
+	b.served = estimate.Rate{PerSecond: max(c.Served, 0), Updated: c.ServedAt}
+	b.warm = estimate.Rate{PerSecond: max(c.Warm, 0), Updated: c.ServedAt}
 	if len(c.Classes) == len(b.set.Classes) {
 		for i, k := range c.Classes {
 			b.cost[i], b.mean[i], b.base[i] = estimate.Quantile(k.Cost), estimate.Mean(k.Mean), estimate.Mean(k.Base)
@@ -160,7 +160,7 @@
 	}
 	if len(c.Quota) == len(b.quota) {
 		for i, tokens := range c.Quota {
-			b.quota[i] = estimate.Bucket{Tokens: tokens, Last: now, Known: true}
+			b.quota[i] = estimate.TokenBucket{Tokens: tokens, Updated: now, Initialized: true}
 		}
 	}
 	b.cut(now)
@@ -169,7 +169,7 @@
 
 // SetPart tells an instance which part of what it may do by itself is its own: less than 1 beside another that cuts the
 // same slice, or where there are more instances than was said. soft is the same for tenants' quotas, and may be over 1.
-func (b *Balancer) SetPart(part, soft float64) { b.part, b.soft = part, soft }
+func (b *Balancer) SetShare(part, soft float64) { b.part, b.soft = part, soft }
 
 // Renumber gives an instance another own number, of so many instances that cut the list now, where others have died or come back.
 // Its share of what all may do stays cut for Settings.Instances. Numbers that make no sense change nothing.
--- a/balance/carry_test.go
+++ b/balance/carry_test.go
@@ -27,7 +27,7 @@
 
 	g := newFake(t, set, nil)
 	g.now = f.now
-	g.b.Adopt(g.now, f.b.Carry(f.now))
+	g.b.Restore(g.now, f.b.Snapshot(f.now))
 	ids := func(b *Balancer) (list []string) {
 		for _, s := range b.active {
 			list = append(list, s.id)
@@ -51,8 +51,8 @@
 	if g.b.limit != f.b.limit || !reflect.DeepEqual(g.b.tail, f.b.tail) || !reflect.DeepEqual(g.b.mean, f.b.mean) {
 		t.Error("the limit or the learned times differ")
 	}
-	listed, avoided := f.b.Pool()
-	if l, a := g.b.Pool(); l != listed || a != avoided {
+	listed, avoided := f.b.ServerCounts()
+	if l, a := g.b.ServerCounts(); l != listed || a != avoided {
 		t.Errorf("%d listed, %d avoided; the other has %d and %d", l, a, listed, avoided)
 	}
 	went := g.serve("c", 200, 10*ms)
@@ -69,12 +69,12 @@
 		f.serve("a", 500, 10*ms)
 		f.b.Update(f.now, Delta, []Entry{{ID: "s003", Boot: f.now}})
 		f.b.servers["s003"].coldTokens = 1
-		carried := f.b.Carry(f.now)
+		carried := f.b.Snapshot(f.now)
 		for i, part := range parts {
 			g := newFake(t, testSettings(), nil)
 			g.now = f.now
-			g.b.Adopt(g.now, carried)
-			g.b.SetPart(part, 1)
+			g.b.Restore(g.now, carried)
+			g.b.SetShare(part, 1)
 			if i > 0 {
 				g.b.servers["s003"].coldTokens = 0
 			}
@@ -93,7 +93,7 @@
 func TestAdoptTakesWhatFits(t *testing.T) {
 	f := newFake(t, testSettings(), fleet(8))
 	f.serve("a", 100, 10*ms)
-	c := f.b.Carry(f.now)
+	c := f.b.Snapshot(f.now)
 	set := testSettings()
 	set.Classes = set.Classes[:2]
 	set.Tenants = []Tenant{{QuotaPerSecond: 100}}
@@ -101,7 +101,7 @@
 	g.now = f.now
 	c.Limit, c.Retries, c.Served = -5, 1e9, -1
 	c.Slots = append(c.Slots, "nobody")
-	g.b.Adopt(g.now, c)
+	g.b.Restore(g.now, c)
 	if went := g.serve("b", 100, 10*ms); len(went) != 8 {
 		t.Errorf("went to %v", went)
 	}
@@ -110,9 +110,9 @@
 // TestSoftPartScalesQuotas: a tenant's quota follows the soft part, and the cold budget's part does not touch it.
 func TestSoftPartScalesQuotas(t *testing.T) {
 	within := func(part, soft float64) (n int) {
-		set := Settings{Instances: 2, Tenants: []Tenant{{QuotaPerSecond: 100}}, OverShareWorth: 0.1}
-		b := &Balancer{set: set, quota: make([]estimate.Bucket, 1)}
-		b.SetPart(part, soft)
+		set := Settings{Instances: 2, Tenants: []Tenant{{QuotaPerSecond: 100}}, OverQuotaValue: 0.1}
+		b := &Balancer{set: set, quota: make([]estimate.TokenBucket, 1)}
+		b.SetShare(part, soft)
 		for i := range 4000 {
 			if b.tenantWorth(time.Duration(i)*10*time.Millisecond, 0) == 1 {
 				n++
@@ -134,19 +134,19 @@
 	f := newFake(b, testSettings(), fleet(10_000))
 	b.Run("whole", func(b *testing.B) {
 		for b.Loop() {
-			f.b.Carry(f.now)
+			f.b.Snapshot(f.now)
 		}
 	})
 	b.Run("rest", func(b *testing.B) {
 		for b.Loop() {
-			f.b.CarryRest(f.now)
+			f.b.SnapshotWithoutServers(f.now)
 		}
 	})
-	ids := f.b.IDs()
-	to := make([]CarriedServer, 0, len(ids))
+	ids := f.b.ServerIDs()
+	to := make([]ServerSnapshot, 0, len(ids))
 	b.Run("step of 256", func(b *testing.B) {
 		for b.Loop() {
-			f.b.CarryServers(to, ids[:256])
+			f.b.AppendServerSnapshots(to, ids[:256])
 		}
 	})
 }
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -32,7 +32,7 @@
 	if boot <= 0 || age >= b.set.WarmUp {
 		return 1
 	}
-	return b.set.ColdFrom + (1-b.set.ColdFrom)*float64(max(age, 0))/float64(b.set.WarmUp)
+	return b.set.ColdCapacity + (1-b.set.ColdCapacity)*float64(max(age, 0))/float64(b.set.WarmUp)
 }
 
 // coldAllows keeps a cold server standing. All instances together may send it FallMultiple times its present
@@ -47,9 +47,9 @@
 	if !slices.Contains(b.order[:b.slice], s) {
 		return false
 	}
-	perSecond := max(coldRoom*b.set.FallMultiple, 1) * b.warm.At(now, rateMemory) * share
+	perSecond := max(coldRoom*b.set.OverloadMultiple, 1) * b.warm.At(now, rateMemory) * share
 	holders := max(float64(b.numbers[1]*b.slice)/float64(len(b.order)), 1)
-	perSecond = b.part * max(perSecond, coldLeast/max(b.set.FallTime.Seconds(), minCost)/holders)
+	perSecond = b.part * max(perSecond, coldLeast/max(b.set.OverloadTime.Seconds(), minCost)/holders)
 	s.coldTokens = min(s.coldTokens+perSecond*(now-s.coldAt).Seconds(), 1)
 	s.coldAt = now
 	return s.coldTokens >= 1
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -22,10 +22,10 @@
 func (c coldCase) play(t *testing.T, seed uint64) (over float64, sent int) {
 	t.Helper()
 	change := func(set *Settings) {
-		set.ColdFrom, set.FallTime, set.WarmUp = 0.14, 2*time.Second, 12*time.Second
+		set.ColdCapacity, set.OverloadTime, set.WarmUp = 0.14, 2*time.Second, 12*time.Second
 		for i := range set.Classes {
 			set.Classes[i].Aim *= 5
-			set.Classes[i].GiveUp *= 5
+			set.Classes[i].ClientTimeout *= 5
 		}
 	}
 	d := newBedAs(t, c.instances, c.servers, seed, change)
@@ -141,7 +141,7 @@
 		worst, sent := math.Inf(-1), 0
 		for seed := range uint64(10) {
 			change := func(set *Settings) {
-				set.ColdFrom, set.FallTime, set.WarmUp = 0.14, 2*time.Second, 12*time.Second
+				set.ColdCapacity, set.OverloadTime, set.WarmUp = 0.14, 2*time.Second, 12*time.Second
 			}
 			d := newBedAs(t, size.instances, size.servers, seed, change)
 			d.work = 600 * ms
--- a/balance/crowd_test.go
+++ b/balance/crowd_test.go
@@ -201,17 +201,17 @@
 
 func (c *crowd) try(v *visitor) {
 	class := &c.b.set.Classes[v.class]
-	left := v.came + class.GiveUp - c.now
+	left := v.came + class.ClientTimeout - c.now
 	if v.tries++; v.tries > crowdTries || left <= 0 {
 		return
 	}
-	if class.Effect == Free && v.tries < crowdTries {
-		left = min(left, time.Duration(tryShare*float64(class.GiveUp)))
+	if class.Effect == Idempotent && v.tries < crowdTries {
+		left = min(left, time.Duration(tryShare*float64(class.ClientTimeout)))
 	}
 	c.seq++
 	id := fmt.Sprint("r", c.seq)
 	c.tries[id] = &oneTry{v: v, end: c.now + left}
-	c.b.Submit(c.now, Request{ID: id, Class: v.class, Left: left})
+	c.b.Submit(c.now, Request{ID: id, Class: v.class, Remaining: left})
 }
 
 // visitors lets clients come at random, so many a second as rate says for the time of day.
@@ -252,8 +252,8 @@
 func crowdSettings() Settings {
 	set := testSettings()
 	set.Classes = []Class{
-		{Aim: 300 * ms, GiveUp: 800 * ms, Worth: 3},
-		{Aim: 800 * ms, GiveUp: 2 * time.Second, Worth: 5, Effect: Guarded, Group: GroupZone, Window: 3 * time.Second},
+		{Aim: 300 * ms, ClientTimeout: 800 * ms, Value: 3},
+		{Aim: 800 * ms, ClientTimeout: 2 * time.Second, Value: 5, Effect: Deduplicated, DedupScope: DedupZone, DedupWindow: 3 * time.Second},
 	}
 	return set
 }
@@ -315,7 +315,7 @@
 		set := crowdSettings()
 		set.CanCancel = false
 		with := surge(t, set, 12, 3, seed)
-		set.Layer = 1
+		set.Tier = 1
 		without := surge(t, set, 12, 3, seed)
 		t.Logf("seed %d: in time from 2 s after the surge %.3f, without a limit %.3f", seed, with.share(13, 20), without.share(13, 20))
 		if got := without.share(13, 20); got > 0.5 {
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -22,7 +22,7 @@
 	settings := balance.Settings{
 		Instances:   1,
 		MaxAttempts: 3,
-		Classes:     []balance.Class{{Aim: time.Second, GiveUp: 2 * time.Second, Worth: 1}},
+		Classes:     []balance.Class{{Aim: time.Second, ClientTimeout: 2 * time.Second, Value: 1}},
 	}
 	b, err := balance.New(settings, 42, printHost{})
 	if err != nil {
@@ -30,7 +30,7 @@
 		return
 	}
 	b.Update(0, balance.Full, []balance.Entry{{ID: "10.0.0.1:80"}})
-	b.Submit(time.Millisecond, balance.Request{ID: "r1", Left: time.Second})
+	b.Submit(time.Millisecond, balance.Request{ID: "r1", Remaining: time.Second})
 	b.Result(9*time.Millisecond, balance.Result{ID: "r1", Outcome: balance.OK, Finished: true})
 	// Output: send r1 to 10.0.0.1:80
 }
--- a/balance/hand.go
+++ b/balance/hand.go
@@ -55,7 +55,7 @@
 }
 
 // Pool counts the servers in the list, and those of them that are avoided now by hand or for their failures.
-func (b *Balancer) Pool() (listed, avoided int) {
+func (b *Balancer) ServerCounts() (listed, avoided int) {
 	for _, s := range b.servers {
 		if s.entry.State == Gone {
 			continue
--- a/balance/hand_test.go
+++ b/balance/hand_test.go
@@ -55,7 +55,7 @@
 		if went := f.serve(what, 80, 10*ms); went["s003"] != 0 || len(went) != 7 {
 			t.Errorf("%s: went to %v", what, went)
 		}
-		if listed, avoided := f.b.Pool(); listed != 8 || avoided != 1 {
+		if listed, avoided := f.b.ServerCounts(); listed != 8 || avoided != 1 {
 			t.Errorf("%s: %d listed, %d avoided", what, listed, avoided)
 		}
 		if f.b.MaySend("s003") {
@@ -94,7 +94,7 @@
 			if even := 500 / 8; went["s003"] >= even {
 				t.Errorf("%s, news %t: %d sends while cold, an even share is %d", before, news, went["s003"], even)
 			}
-			if _, avoided := f.b.Pool(); avoided != 0 {
+			if _, avoided := f.b.ServerCounts(); avoided != 0 {
 				t.Errorf("%s, news %t: still avoided", before, news)
 			}
 		}
@@ -171,12 +171,12 @@
 // has all the time that the instance has: none is taken for a late last try.
 func TestTimeOfTheInstanceTellsNothingOfTheClient(t *testing.T) {
 	set := testSettings()
-	set.Classes[2].LateWorth, set.Classes[1].LateWorth = 0, 0
+	set.Classes[2].LateValue, set.Classes[1].LateValue = 0, 0
 	for _, class := range []int{1, 2} {
 		f := newFake(t, set, fleet(8))
 		f.submit("usual", class)
 		f.result("usual", 0, OK)
-		f.b.Submit(f.now, Request{ID: "q", Class: class, Left: 2 * time.Second, Within: 700 * ms})
+		f.b.Submit(f.now, Request{ID: "q", Class: class, Remaining: 2 * time.Second, LocalBudget: 700 * ms})
 		f.advance(f.now + 690*ms)
 		if f.final["q"] != "" {
 			t.Errorf("class %d: %s before its time", class, f.final["q"])
--- a/balance/property_test.go
+++ b/balance/property_test.go
@@ -59,11 +59,11 @@
 			continue
 		}
 		switch c := q.class; {
-		case c.Effect == SingleShot:
+		case c.Effect == AtMostOnce:
 			w.fatal("%s is sent to %s, though it may have run", id, server)
-		case c.Effect == Guarded && w.now >= a.at+c.Window:
+		case c.Effect == Deduplicated && w.now >= a.at+c.DedupWindow:
 			w.fatal("%s is sent to %s after its window", id, server)
-		case c.Effect == Guarded && (c.Group == GroupZone && a.server.Zone != e.Zone || c.Group == GroupCell && a.server.Cell != e.Cell):
+		case c.Effect == Deduplicated && (c.DedupScope == DedupZone && a.server.Zone != e.Zone || c.DedupScope == DedupCell && a.server.Cell != e.Cell):
 			w.fatal("%s is sent to %s, outside its group", id, server)
 		}
 	}
@@ -75,7 +75,7 @@
 	w.finish(id)
 	q := w.reqs[id]
 	for _, a := range q.attempts {
-		if !(a.over && a.unrun) && q.class.Effect != Free && !(q.class.Effect == Guarded && q.class.Group == GroupAll) {
+		if !(a.over && a.unrun) && q.class.Effect != Idempotent && !(q.class.Effect == Deduplicated && q.class.DedupScope == DedupAll) {
 			w.fatal("%s is refused, though it may have run", id)
 		}
 	}
@@ -115,7 +115,7 @@
 // result ends an attempt.
 func (w *world) result(id string, n int, o Outcome) {
 	q := w.reqs[id]
-	q.attempts[n].over, q.attempts[n].unrun = true, o.ProvesUnrun()
+	q.attempts[n].over, q.attempts[n].unrun = true, o.ProvesNotExecuted()
 	if o == OK {
 		q.final = true // the host answers with it
 	}
@@ -173,10 +173,10 @@
 		switch {
 		case e.kind < 5:
 			id, class := fmt.Sprint("r", n), set.Classes[e.class]
-			left := time.Duration(e.left * float64(class.GiveUp))
+			left := time.Duration(e.left * float64(class.ClientTimeout))
 			w.reqs[id] = &tracked{class: class, end: w.now + left}
 			w.open = append(w.open, id)
-			w.b.Submit(w.now, Request{ID: id, Class: e.class, Left: left})
+			w.b.Submit(w.now, Request{ID: id, Class: e.class, Remaining: left})
 		case e.kind < 9 && len(w.open) > 0:
 			id := w.open[e.pick%len(w.open)]
 			for i, a := range w.reqs[id].attempts {
@@ -196,7 +196,7 @@
 		case e.kind == 10 && len(w.open) > 0:
 			if id := w.open[e.pick%len(w.open)]; !w.reqs[id].final {
 				w.reqs[id].final = true
-				w.b.Dropped(w.now, id)
+				w.b.ClientGone(w.now, id)
 			}
 		case e.kind == 11:
 			w.b.Update(w.now, ListFailed, nil)
@@ -223,12 +223,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		set := testSettings()
 		set.Instances = rapid.IntRange(1, 9).Draw(t, "instances")
-		set.Layer = rapid.IntRange(0, 2).Draw(t, "layer")
+		set.Tier = rapid.IntRange(0, 2).Draw(t, "layer")
 		set.AskForList = rapid.Bool().Draw(t, "ask")
 		set.RetryAfter = rapid.Bool().Draw(t, "retryAfter")
 		set.MaxRetryAfter = time.Second
 		for i := range set.Classes {
-			set.Classes[i].Window = 300 * ms // so that windows end before requests do
+			set.Classes[i].DedupWindow = 300 * ms // so that windows end before requests do
 		}
 		servers := rapid.IntRange(1, 40).Draw(t, "servers")
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -258,7 +258,7 @@
 		if i%2 == 0 {
 			f.result(id, 0, OK)
 		} else {
-			f.b.Dropped(f.now, id)
+			f.b.ClientGone(f.now, id)
 			f.result(id, 0, Canceled)
 		}
 		if len(f.b.timers) != 0 || len(f.b.requests) != 0 {
--- a/balance/quota.go
+++ b/balance/quota.go
@@ -12,11 +12,11 @@
 		return 1
 	}
 	if tenant < 0 || tenant >= len(b.quota) {
-		return b.set.OverShareWorth // nobody's quota
+		return b.set.OverQuotaValue // nobody's quota
 	}
 	perSecond := b.soft * b.set.Tenants[tenant].QuotaPerSecond / float64(b.set.Instances)
 	if b.quota[tenant].Take(now, perSecond, perSecond*quotaBurst.Seconds()) {
 		return 1
 	}
-	return b.set.OverShareWorth
+	return b.set.OverQuotaValue
 }
--- a/balance/retry.go
+++ b/balance/retry.go
@@ -31,20 +31,20 @@
 // allows keeps the rule on effects for a further send, where first may have run: it may go to s only if none
 // may have, or the class is free, or s is in the group that drops the repeat and still remembers it.
 func (q *request) allows(now time.Duration, first *attempt, s *server) bool {
-	return first == nil || q.class.Effect == Free || !q.barred(now, first) && (q.class.Group == GroupAll ||
-		q.class.Group == GroupZone && s.entry.Zone == first.s.entry.Zone ||
-		q.class.Group == GroupCell && s.entry.Cell == first.s.entry.Cell)
+	return first == nil || q.class.Effect == Idempotent || !q.barred(now, first) && (q.class.DedupScope == DedupAll ||
+		q.class.DedupScope == DedupZone && s.entry.Zone == first.s.entry.Zone ||
+		q.class.DedupScope == DedupCell && s.entry.Cell == first.s.entry.Cell)
 }
 
 // barred says whether no server may get the request any more, where first may have run.
 func (q *request) barred(now time.Duration, first *attempt) bool {
-	return first != nil && q.class.Effect != Free &&
-		(q.class.Effect == SingleShot || now >= first.at+q.class.Window)
+	return first != nil && q.class.Effect != Idempotent &&
+		(q.class.Effect == AtMostOnce || now >= first.at+q.class.DedupWindow)
 }
 
 // MayBegin says whether an attempt may still be written. While its connection came up, its server may have
 // been taken out, and the group that drops a repeat may have forgotten the first.
-func (b *Balancer) MayBegin(now time.Duration, id string, attempt int) bool {
+func (b *Balancer) MayStart(now time.Duration, id string, attempt int) bool {
 	q := b.requests[id]
 	if q == nil || q.answered || attempt < 0 || attempt >= len(q.attempts) {
 		return false
@@ -55,8 +55,8 @@
 
 // refusable says whether the client may be told that trying again is harmless.
 func (q *request) refusable() bool {
-	return q.mayHaveRun() == nil || q.class.Effect == Free ||
-		q.class.Effect == Guarded && q.class.Group == GroupAll
+	return q.mayHaveRun() == nil || q.class.Effect == Idempotent ||
+		q.class.Effect == Deduplicated && q.class.DedupScope == DedupAll
 }
 
 // tryAgain follows an attempt that did not serve the request: another send where the class, the time and the
@@ -76,7 +76,7 @@
 }
 
 // late says whether a request's time is over; that of one which is still arriving has not begun.
-func (q *request) late(now time.Duration) bool { return now >= q.end && !q.Arriving }
+func (q *request) late(now time.Duration) bool { return now >= q.end && !q.BodyPending }
 
 // tryLater follows an attempt that was never sent because this instance was short of something, sockets
 // mostly. It says nothing about the server and spends no retry; at once it would only fail again.
--- a/balance/shift_test.go
+++ b/balance/shift_test.go
@@ -8,12 +8,12 @@
 // TestShiftMovesTimesOfTheInstance: all but when a server started, which others tell, and what never was.
 func TestShiftMovesTimesOfTheInstance(t *testing.T) {
 	const by = -time.Hour
-	c := Carried{ServedAt: 10 * time.Hour, Servers: []CarriedServer{
+	c := Snapshot{ServedAt: 10 * time.Hour, Servers: []ServerSnapshot{
 		{Entry: Entry{Boot: 2 * time.Hour}, Listed: 3 * time.Hour, Resumed: 4 * time.Hour, Ejected: 5 * time.Hour, ColdAt: 6 * time.Hour, Load: 7},
 		{Listed: 3 * time.Hour},
 	}}
-	c.Shift(by)
-	want := []CarriedServer{
+	c.ShiftTimes(by)
+	want := []ServerSnapshot{
 		{Entry: Entry{Boot: 2 * time.Hour}, Listed: 2 * time.Hour, Resumed: 3 * time.Hour, Ejected: 4 * time.Hour, ColdAt: 5 * time.Hour, Load: 7},
 		{Listed: 2 * time.Hour},
 	}
@@ -29,16 +29,16 @@
 	set := testSettings()
 	set.WarmUp = 10 * time.Second
 	now := 100 * time.Hour
-	carried := Carried{Servers: []CarriedServer{{Entry: Entry{ID: "a", Boot: now - time.Second}, Listed: now + step, ColdAt: now + step}}}
+	carried := Snapshot{Servers: []ServerSnapshot{{Entry: Entry{ID: "a", Boot: now - time.Second}, Listed: now + step, ColdAt: now + step}}}
 	for name, by := range map[string]time.Duration{"shifted": -step, "as it was": 0} {
-		c := Carried{Servers: append([]CarriedServer(nil), carried.Servers...), Warm: 50, ServedAt: now}
-		c.Shift(by)
+		c := Snapshot{Servers: append([]ServerSnapshot(nil), carried.Servers...), Warm: 50, ServedAt: now}
+		c.ShiftTimes(by)
 		c.ServedAt = now
 		b, err := New(set, 1, &idleHost{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Adopt(now, c)
+		b.Restore(now, c)
 		allowed := b.coldAllows(now+5*time.Second, b.servers["a"])
 		if want := by != 0; allowed != want {
 			t.Errorf("%s: a cold server is sent to 5 s later: %t", name, allowed)
--- a/balance/subset.go
+++ b/balance/subset.go
@@ -145,4 +145,4 @@
 }
 
 // InTurns says whether turns go to a server now.
-func (b *Balancer) InTurns(id string) bool { return slices.Contains(b.active, b.servers[id]) }
+func (b *Balancer) InRoundRobin(id string) bool { return slices.Contains(b.active, b.servers[id]) }
--- a/balance/types.go
+++ b/balance/types.go
@@ -24,19 +24,19 @@
 
 // The effects of a class.
 const (
-	Free       Effect = iota // may run, and be refused, any number of times
-	Guarded                  // repeats are dropped by the servers of one group, within a window
-	SingleShot               // must never run twice
+	Idempotent   Effect = iota // may run, and be refused, any number of times
+	Deduplicated               // repeats are dropped by the servers of one group, within a window
+	AtMostOnce                 // must never run twice
 )
 
 // Group says which servers drop the repeats of a Guarded request.
-type Group int
+type DedupScope int
 
 // The groups of servers that share what they know of repeats.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	DedupAll DedupScope = iota
+	DedupZone
+	DedupCell
 )
 
 // State is what the server list says of a server.
@@ -82,7 +82,7 @@
 func (o Outcome) String() string { return name(int(o), outcomeNames) }
 
 // ProvesUnrun reports whether the outcome proves that the attempt had no effect.
-func (o Outcome) ProvesUnrun() bool {
+func (o Outcome) ProvesNotExecuted() bool {
 	return o == QueueFull || o == ConnectError || o == Ignored
 }
 
@@ -97,13 +97,13 @@
 
 // Class describes one class of requests.
 type Class struct {
-	Aim       time.Duration // an answer after this is worth only LateWorth
-	GiveUp    time.Duration // how long a client waits over all its tries
-	Effect    Effect
-	Group     Group
-	Window    time.Duration // how long a Guarded repeat is dropped, from the first send that might have run
-	Worth     float64
-	LateWorth float64 // share of Worth that an answer after Aim still earns
+	Aim           time.Duration // an answer after this is worth only LateWorth
+	ClientTimeout time.Duration // how long a client waits over all its tries
+	Effect        Effect
+	DedupScope    DedupScope
+	DedupWindow   time.Duration // how long a Guarded repeat is dropped, from the first send that might have run
+	Value         float64
+	LateValue     float64 // share of Worth that an answer after Aim still earns
 }
 
 // Tenant describes one tenant; QuotaPerSecond holds for all instances together.
@@ -115,11 +115,11 @@
 type Settings struct {
 	Self      int // own number, 0 to Instances-1
 	Instances int // instances of this tier
-	Layer     int // the tier sent to; 0 is the one that clients reach
+	Tier      int // the tier sent to; 0 is the one that clients reach
 	Classes   []Class
 	Tenants   []Tenant
 
-	OverShareWorth float64 // worth of a request beyond its tenant's quota, as a share of its class's
+	OverQuotaValue float64 // worth of a request beyond its tenant's quota, as a share of its class's
 	MaxAttempts    int
 	CanCancel      bool
 	AskForList     bool          // the list comes only to who watches it
@@ -128,10 +128,10 @@
 	RetryAfter    bool          // callers are told how long to stay away
 	MaxRetryAfter time.Duration // the longest that they heed
 
-	ColdFrom     float64 // a server starts with at least this share of its capacity
-	WarmUp       time.Duration
-	FallMultiple float64 // a cold server sent this many times its capacity for FallTime falls over
-	FallTime     time.Duration
+	ColdCapacity     float64 // a server starts with at least this share of its capacity
+	WarmUp           time.Duration
+	OverloadMultiple float64 // a cold server sent this many times its capacity for FallTime falls over
+	OverloadTime     time.Duration
 }
 
 // Validate reports the first thing in the settings that cannot be.
@@ -145,14 +145,14 @@
 		return errors.New("settings: no request classes")
 	case s.MaxAttempts < 1:
 		return fmt.Errorf("settings: at most %d attempts", s.MaxAttempts)
-	case s.ColdFrom < 0 || s.ColdFrom > 1 || s.WarmUp < 0 || s.FallTime < 0 || s.FallMultiple < 0:
+	case s.ColdCapacity < 0 || s.ColdCapacity > 1 || s.WarmUp < 0 || s.OverloadTime < 0 || s.OverloadMultiple < 0:
 		return errors.New("settings: impossible figures for cold servers")
 	}
 	for i, c := range s.Classes {
-		if c.Effect < Free || c.Effect > SingleShot || c.Group < GroupAll || c.Group > GroupCell {
+		if c.Effect < Idempotent || c.Effect > AtMostOnce || c.DedupScope < DedupAll || c.DedupScope > DedupCell {
 			return fmt.Errorf("settings: class %d has an unknown effect or group", i)
 		}
-		if c.Aim <= 0 || c.GiveUp <= 0 || c.Window < 0 || c.Worth < 0 {
+		if c.Aim <= 0 || c.ClientTimeout <= 0 || c.DedupWindow < 0 || c.Value < 0 {
 			return fmt.Errorf("settings: class %d has impossible times or worth", i)
 		}
 	}
@@ -161,25 +161,25 @@
 
 // Request is one request as it arrives. ID is never used again.
 type Request struct {
-	ID     string
-	Class  int
-	Tenant int
-	Left   time.Duration // until the client gives this try up; from Received on if it is still arriving
+	ID        string
+	Class     int
+	Tenant    int
+	Remaining time.Duration // until the client gives this try up; from Received on if it is still arriving
 	// Within is how long this instance can work on it, where that may be less than Left; 0 for no bound. Left alone
 	// tells what the client does.
-	Within time.Duration
+	LocalBudget time.Duration
 	// Arriving requests are sent on while their body still comes in. A server begins once it has all of it.
-	Arriving bool
+	BodyPending bool
 }
 
 // Result is how one attempt ended. Finished is set when the request is over, by this outcome or earlier.
 type Result struct {
-	ID       string
-	Attempt  int
-	Outcome  Outcome
-	Latency  time.Duration
-	Finished bool
-	Spent    bool // the body is no longer whole here: the request cannot be sent again
+	ID           string
+	Attempt      int
+	Outcome      Outcome
+	Latency      time.Duration
+	Finished     bool
+	BodyConsumed bool // the body is no longer whole here: the request cannot be sent again
 }
 
 // Host carries out what an instance decides, in the order of the calls, at the time of the event being
--- a/derive/derive.go
+++ b/derive/derive.go
@@ -142,11 +142,11 @@
 func (r *Route) effect() balance.Effect {
 	switch {
 	case len(r.Writes) == 0:
-		return balance.Free
+		return balance.Idempotent
 	case r.Key != "":
-		return balance.Guarded
+		return balance.Deduplicated
 	}
-	return balance.SingleShot
+	return balance.AtMostOnce
 }
 
 func (d *deriving) checkRoutes() {
@@ -173,7 +173,7 @@
 		d.route(i, false, "keyed-no-key", "key", "is to be repeated under a key and names no header for it",
 			"repeats could not be told from new requests", `add key = "Idempotency-Key"`)
 	}
-	if r.effect() == balance.Guarded {
+	if r.effect() == balance.Deduplicated {
 		if r.Group == "" {
 			d.route(i, false, "keyed-no-group", "group", "has a key and does not say which servers share what they know of keys",
 				"a repeat could reach a server that never saw the key and write again", `add group = "zone" (or "cell", or "all" if every server knows)`)
@@ -202,7 +202,7 @@
 		field string
 		v     time.Duration
 	}{{"wanted", r.Wanted}, {"give_up", r.GiveUp}, {"window", r.Window}} {
-		if x.field == "window" && (r.effect() != balance.Guarded || r.Window <= 0) {
+		if x.field == "window" && (r.effect() != balance.Deduplicated || r.Window <= 0) {
 			continue // it has none, or that is told elsewhere
 		}
 		if x.v < MinTime || x.v > MaxTime {
@@ -215,7 +215,7 @@
 		d.route(i, false, "wanted-over-give-up", "wanted", fmt.Sprintf("%v is over give_up, %v", r.Wanted, r.GiveUp),
 			"callers would have left before the answer is even late", "lower wanted or raise give_up")
 	}
-	if sane && r.effect() == balance.Guarded && r.Window > 0 && usable(r.Window) < r.GiveUp {
+	if sane && r.effect() == balance.Deduplicated && r.Window > 0 && usable(r.Window) < r.GiveUp {
 		d.route(i, true, "window-short", "window", fmt.Sprintf("%v is shorter than give_up, %v, and a tenth for slack", r.Window, r.GiveUp),
 			"a failure that shows late is not repeated and its caller gets an error", "keep keys for longer, or lower give_up")
 	}
@@ -237,7 +237,7 @@
 				"its calls would have nowhere to go", "add a [[calls]] table with that name, or mend the name")
 			continue
 		}
-		if s := d.app.Calls[at]; s.Servers == 1 && r.effect() == balance.Guarded && r.Group != "all" {
+		if s := d.app.Calls[at]; s.Servers == 1 && r.effect() == balance.Deduplicated && r.Group != "all" {
 			d.route(i, true, "one-server", "uses", fmt.Sprintf("is repeated under a key, and %s has one server", name),
 				"there is no other server of its group to repeat at", "list the other servers of the group")
 		}
@@ -279,33 +279,33 @@
 
 func (d *deriving) class(i int) Class {
 	r := &d.app.Routes[i]
-	c := Class{Route: i, Class: balance.Class{Aim: r.Wanted, GiveUp: r.GiveUp, Effect: r.effect(), Worth: r.Value}, Attempts: mostAttempts}
+	c := Class{Route: i, Class: balance.Class{Aim: r.Wanted, ClientTimeout: r.GiveUp, Effect: r.effect(), Value: r.Value}, Attempts: mostAttempts}
 	why := func(name string, value any, format string, v ...any) {
 		c.Figures = append(c.Figures, Figure{name, fmt.Sprint(value), fmt.Sprintf(format, v...)})
 	}
 	switch c.Class.Effect {
-	case balance.Free:
+	case balance.Idempotent:
 		why("effect", "free", "it only reads %s: repeating it changes nothing", strings.Join(r.Reads, ", "))
-	case balance.Guarded:
-		c.Class.Group = map[string]balance.Group{"all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell}[r.Group]
-		c.Class.Window = usable(r.Window)
+	case balance.Deduplicated:
+		c.Class.DedupScope = map[string]balance.DedupScope{"all": balance.DedupAll, "zone": balance.DedupZone, "cell": balance.DedupCell}[r.Group]
+		c.Class.DedupWindow = usable(r.Window)
 		why("effect", "guarded", "it writes %s, and servers of one group (%s) drop repeats with the same %s", strings.Join(r.Writes, ", "), r.Group, r.Key)
-		why("window", c.Class.Window, "servers remember a key for %v; a tenth is left for clocks and queues", r.Window)
-	case balance.SingleShot:
+		why("window", c.Class.DedupWindow, "servers remember a key for %v; a tenth is left for clocks and queues", r.Window)
+	case balance.AtMostOnce:
 		why("effect", "single-shot", "it writes %s and has no key: a second send could write twice", strings.Join(r.Writes, ", "))
 	}
-	if c.Class.Effect == balance.SingleShot {
+	if c.Class.Effect == balance.AtMostOnce {
 		why("attempts", c.Attempts, "further ones only where the one before provably never ran")
 	} else {
 		why("attempts", c.Attempts, "a server that fails one request in ten then loses one in a thousand; the balancer's budget bounds them all")
 	}
-	if c.Class.Worth == 0 {
+	if c.Class.Value == 0 {
 		switch c.Class.Effect {
-		case balance.Free:
-			c.Class.Worth = 1
+		case balance.Idempotent:
+			c.Class.Value = 1
 			why("worth", 1, "what only reads can be asked again")
 		default:
-			c.Class.Worth = 2
+			c.Class.Value = 2
 			why("worth", 2, "what writes is worth more than what reads, while nothing else is said")
 		}
 	}
--- a/derive/derive_test.go
+++ b/derive/derive_test.go
@@ -34,9 +34,9 @@
 		t.Fatalf("findings %+v", found)
 	}
 	want := []balance.Class{
-		{Aim: 750 * time.Millisecond, GiveUp: 2 * s, Effect: balance.Free, Worth: 1},
-		{Aim: 2 * s, GiveUp: 5 * s, Effect: balance.Guarded, Group: balance.GroupZone, Window: 6300 * time.Millisecond, Worth: 5},
-		{Aim: s, GiveUp: 3 * s, Effect: balance.SingleShot, Worth: 2},
+		{Aim: 750 * time.Millisecond, ClientTimeout: 2 * s, Effect: balance.Idempotent, Value: 1},
+		{Aim: 2 * s, ClientTimeout: 5 * s, Effect: balance.Deduplicated, DedupScope: balance.DedupZone, DedupWindow: 6300 * time.Millisecond, Value: 5},
+		{Aim: s, ClientTimeout: 3 * s, Effect: balance.AtMostOnce, Value: 2},
 	}
 	hops := [][]time.Duration{{1600 * time.Millisecond}, {2 * s, 2 * s}, {2400 * time.Millisecond}}
 	for i, c := range p.Classes {
@@ -158,11 +158,11 @@
 		plans++
 		for i, c := range p.Classes {
 			r := a.Routes[i]
-			if len(r.Writes) > 0 && c.Class.Effect == balance.Free {
+			if len(r.Writes) > 0 && c.Class.Effect == balance.Idempotent {
 				t.Fatalf("writes %s and is free", strings.Join(r.Writes, ", "))
 			}
-			if c.Class.Effect == balance.Guarded && (c.Class.Window <= 0 || c.Class.Window >= r.Window) {
-				t.Fatalf("a window of %v of the servers' %v", c.Class.Window, r.Window)
+			if c.Class.Effect == balance.Deduplicated && (c.Class.DedupWindow <= 0 || c.Class.DedupWindow >= r.Window) {
+				t.Fatalf("a window of %v of the servers' %v", c.Class.DedupWindow, r.Window)
 			}
 			var sum time.Duration
 			for _, h := range c.CallTimeouts {
--- a/internal/channel/plan/line.go
+++ b/internal/channel/plan/line.go
@@ -21,13 +21,13 @@
 // Not all come back: some give up, some never keep a ticket. Places are given as closely as the share of them that
 // was claimed allows, or the rate would stand idle behind places of those that have left.
 type line struct {
-	tail   time.Duration   // the last place given
-	bins   []bin           // by time, a ring
-	from   int64           // the bin up to which places are due
-	due    int             // places whose time has come within the last binGrace, not claimed yet
-	tokens estimate.Bucket // of what is let in
-	idle   bool            // tokens are lost: nobody with a place wants them
-	claims float64         // the share of places that is claimed
+	tail   time.Duration        // the last place given
+	bins   []bin                // by time, a ring
+	from   int64                // the bin up to which places are due
+	due    int                  // places whose time has come within the last binGrace, not claimed yet
+	tokens estimate.TokenBucket // of what is let in
+	idle   bool                 // tokens are lost: nobody with a place wants them
+	claims float64              // the share of places that is claimed
 }
 
 type bin struct {
@@ -130,7 +130,7 @@
 	l := &p.line
 	// What is due may come up to binGrace late: its tokens are kept for it.
 	most := max(burst*rate, 1) + float64(l.due)
-	l.tokens.Fill(now, rate, most)
+	l.tokens.Refill(now, rate, most)
 	l.idle = l.tokens.Tokens >= most
 	if p.leaving || len(p.channels)+p.opening >= p.set.MaxChannels ||
 		p.set.MaxTenantChannels > 0 && p.tenants[tenant] >= p.set.MaxTenantChannels {
--- a/internal/channel/plan/move.go
+++ b/internal/channel/plan/move.go
@@ -36,10 +36,10 @@
 	if p.leaving {
 		rate = p.set.Rate // they come back by another proxy, whose servers we do not know
 	}
-	if now-p.moves.Last > time.Second {
+	if now-p.moves.Updated > time.Second {
 		p.moves = single(now) // nothing moved before: there is nothing to catch up on
 	}
-	p.moves.Fill(now, rate, max(burst*rate, 1))
+	p.moves.Refill(now, rate, max(burst*rate, 1))
 	for _, n := range leaving {
 		left := n.until - now
 		if left <= 0 {
--- a/internal/channel/plan/plan.go
+++ b/internal/channel/plan/plan.go
@@ -119,12 +119,12 @@
 	until   time.Duration // by when the channels are to have left it; 0 if they may stay
 	paced   time.Duration // up to when owed is counted
 	owed    float64       // how many of those that stay should have gone by then
-	opens   estimate.Bucket
+	opens   estimate.TokenBucket
 }
 
 // single is a bucket that holds one token.
-func single(now time.Duration) estimate.Bucket {
-	return estimate.Bucket{Tokens: 1, Last: now, Known: true}
+func single(now time.Duration) estimate.TokenBucket {
+	return estimate.TokenBucket{Tokens: 1, Updated: now, Initialized: true}
 }
 
 // Plan is the decisions about one proxy's channels.
@@ -137,7 +137,7 @@
 	opening  int         // let in, and neither open nor given up
 	wheel    wheel
 	leaving  bool // the proxy itself ends
-	moves    estimate.Bucket
+	moves    estimate.TokenBucket
 	line     line
 	spent    *recent.Set // the tickets that have let in
 
--- a/internal/cluster/numbering/numbering_test.go
+++ b/internal/cluster/numbering/numbering_test.go
@@ -109,8 +109,8 @@
 		}
 		living++
 		b, err := balance.New(balance.Settings{
-			Self: i, Instances: proxies, MaxAttempts: 2, ColdFrom: 0.3, WarmUp: time.Second, FallMultiple: 3, FallTime: time.Second, AskEvery: time.Second,
-			Classes: []balance.Class{{Aim: time.Second, GiveUp: time.Second, Worth: 1}},
+			Self: i, Instances: proxies, MaxAttempts: 2, ColdCapacity: 0.3, WarmUp: time.Second, OverloadMultiple: 3, OverloadTime: time.Second, AskEvery: time.Second,
+			Classes: []balance.Class{{Aim: time.Second, ClientTimeout: time.Second, Value: 1}},
 		}, 1, idle{})
 		if err != nil {
 			t.Fatal(err)
@@ -118,7 +118,7 @@
 		b.Update(0, balance.Full, list)
 		mine := func() (in []string) {
 			for _, e := range list {
-				if b.InTurns(e.ID) {
+				if b.InRoundRobin(e.ID) {
 					in = append(in, e.ID)
 				}
 			}
--- a/internal/cluster/revival/beliefs.go
+++ b/internal/cluster/revival/beliefs.go
@@ -151,7 +151,7 @@
 		if s.Entry.State == balance.Gone {
 			continue
 		}
-		next := balance.CarriedServer{Entry: s.Entry, Listed: min(s.Listed, now), Load: s.Load}
+		next := balance.ServerSnapshot{Entry: s.Entry, Listed: min(s.Listed, now), Load: s.Load}
 		if warm {
 			next.Told, next.Resumed = s.Told, min(s.Resumed, now)
 		} else {
--- a/internal/cluster/revival/revival_test.go
+++ b/internal/cluster/revival/revival_test.go
@@ -355,12 +355,12 @@
 	now := 1000 * time.Hour
 	was := &state.Learned{Knowledge: handover.Knowledge{
 		Addresses: map[string]string{"a": "127.0.0.1:1"}, Longest: 3 * sec,
-		Balancer: balance.Carried{
-			Servers: []balance.CarriedServer{
+		Balancer: balance.Snapshot{
+			Servers: []balance.ServerSnapshot{
 				{Entry: balance.Entry{ID: "a", Boot: now - time.Hour}, Ejected: now + 1000*time.Hour, FailRun: 5, ColdTokens: 9, Resumed: now + 50*time.Hour},
 				{Entry: balance.Entry{ID: "d", State: balance.Draining}}, {Entry: balance.Entry{ID: "g", State: balance.Gone}},
 			},
-			Banned: []string{"old"}, Limit: 50, Retries: 9, Quota: []float64{7}, Served: 100, Warm: 12, Classes: make([]balance.CarriedClass, 3),
+			Banned: []string{"old"}, Limit: 50, Retries: 9, Quota: []float64{7}, Served: 100, Warm: 12, Classes: make([]balance.ClassSnapshot, 3),
 		},
 	}}
 	fresh, old, unknown := state.Age{Most: 10 * sec}, state.Age{Least: time.Hour, Most: 60 * 24 * time.Hour}, state.Age{Most: state.Unknown}
--- a/internal/description/description_test.go
+++ b/internal/description/description_test.go
@@ -53,7 +53,7 @@
 	if !Is([]byte(catalogue)) || Is([]byte("[callers]\nname = \"[app]\"\n")) {
 		t.Error("descriptions and operator files are not told apart")
 	}
-	if d.Name != "catalogue" || len(d.Routes) != 2 || len(d.Services) != 2 || plan.Classes[1].Class.Effect != balance.Guarded {
+	if d.Name != "catalogue" || len(d.Routes) != 2 || len(d.Services) != 2 || plan.Classes[1].Class.Effect != balance.Deduplicated {
 		t.Errorf("read %+v with %+v", d, plan.Classes)
 	}
 }
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -255,7 +255,7 @@
 		var err error
 		f.balancer, err = balance.New(balance.Settings{
 			Instances: 1, MaxAttempts: 1, AskForList: true, AskEvery: askEvery,
-			Classes: []balance.Class{{Aim: time.Second, GiveUp: time.Second}},
+			Classes: []balance.Class{{Aim: time.Second, ClientTimeout: time.Second}},
 		}, draws, f)
 		if err != nil {
 			t.Fatal(err)
@@ -505,7 +505,7 @@
 		var err error
 		if f.balancer, err = balance.New(balance.Settings{
 			Instances: 1, MaxAttempts: 1, AskForList: true, AskEvery: 10 * time.Second,
-			Classes: []balance.Class{{Aim: time.Second, GiveUp: time.Second}},
+			Classes: []balance.Class{{Aim: time.Second, ClientTimeout: time.Second}},
 		}, uint64(n), f); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/estimate/estimate.go
+++ b/internal/estimate/estimate.go
@@ -11,18 +11,18 @@
 // Rate is a smoothed count of events a second, as of the time of the last one.
 type Rate struct {
 	PerSecond float64
-	Last      time.Duration
+	Updated   time.Duration
 }
 
 // Add counts events that come now.
 func (r *Rate) Add(now time.Duration, events float64, memory time.Duration) {
 	r.PerSecond = r.At(now, memory) + events/memory.Seconds()
-	r.Last = now
+	r.Updated = now
 }
 
 // At is the rate now: what was counted a memory ago weighs 1/e of what is counted now.
 func (r Rate) At(now, memory time.Duration) float64 {
-	return r.PerSecond * math.Exp(-float64(now-r.Last)/float64(memory))
+	return r.PerSecond * math.Exp(-float64(now-r.Updated)/float64(memory))
 }
 
 // Quantile follows a quantile of values above 0 by small steps; 0 until the first.
@@ -76,24 +76,24 @@
 }
 
 // Bucket is a token bucket that starts full.
-type Bucket struct {
-	Tokens float64
-	Last   time.Duration
-	Known  bool // it has been used before
+type TokenBucket struct {
+	Tokens      float64
+	Updated     time.Duration
+	Initialized bool // it has been used before
 }
 
 // Fill fills it up at a rate, to the most that it holds.
-func (t *Bucket) Fill(now time.Duration, perSecond, most float64) {
-	if !t.Known {
-		t.Known, t.Tokens = true, most
+func (t *TokenBucket) Refill(now time.Duration, perSecond, most float64) {
+	if !t.Initialized {
+		t.Initialized, t.Tokens = true, most
 	}
-	t.Tokens = min(t.Tokens+perSecond*(now-t.Last).Seconds(), most)
-	t.Last = now
+	t.Tokens = min(t.Tokens+perSecond*(now-t.Updated).Seconds(), most)
+	t.Updated = now
 }
 
 // Take fills it up and takes a token out if there is one.
-func (t *Bucket) Take(now time.Duration, perSecond, most float64) bool {
-	t.Fill(now, perSecond, most)
+func (t *TokenBucket) Take(now time.Duration, perSecond, most float64) bool {
+	t.Refill(now, perSecond, most)
 	if t.Tokens < 1 {
 		return false
 	}
--- a/internal/estimate/estimate_test.go
+++ b/internal/estimate/estimate_test.go
@@ -77,7 +77,7 @@
 }
 
 func TestBucket(t *testing.T) {
-	var b Bucket
+	var b TokenBucket
 	taken := func(now time.Duration) (n int) {
 		for b.Take(now, 10, 4) {
 			n++
--- a/internal/front/head.go
+++ b/internal/front/head.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return info, fmt.Errorf("%s: %q is no whole number", RemainingField, r.Header.Get(RemainingField))
 	}
-	info.remaining = min(settings.Millis(float64(ms)), s.classConfigs[info.class].GiveUp)
+	info.remaining = min(settings.Millis(float64(ms)), s.classConfigs[info.class].ClientTimeout)
 	if c := callers.ConnOf(r); c != nil {
 		info.remaining -= c.TakeAcceptDelay()
 	}
@@ -67,8 +67,8 @@
 
 // checkClass checks that a request's method, key and body fit its class.
 func (s *Front) checkClass(r *http.Request, effect balance.Effect) error {
-	method, keyed := http.MethodPost, effect == balance.Guarded
-	if effect == balance.Free {
+	method, keyed := http.MethodPost, effect == balance.Deduplicated
+	if effect == balance.Idempotent {
 		method = http.MethodGet
 	}
 	switch {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -26,10 +26,10 @@
 
 func knowledge() *Knowledge {
 	return &Knowledge{
-		Balancer: balance.Carried{
-			Servers: []balance.CarriedServer{{Entry: balance.Entry{ID: "s1", Zone: 1, Boot: time.Hour}, Slow: 0.25, Ejections: 2}},
+		Balancer: balance.Snapshot{
+			Servers: []balance.ServerSnapshot{{Entry: balance.Entry{ID: "s1", Zone: 1, Boot: time.Hour}, Slow: 0.25, Ejections: 2}},
 			Slots:   []string{"s1"}, Banned: []string{"s1", "s9"}, Seen: []string{"s1", "s9"}, Limit: 40, Quota: []float64{1.5},
-			Classes: []balance.CarriedClass{{Cost: 0.01, TailSeen: 12, Patience: time.Second, Votes: 3}},
+			Classes: []balance.ClassSnapshot{{Cost: 0.01, TailSeen: 12, Patience: time.Second, Votes: 3}},
 		},
 		Addresses: map[string]string{"s1": "127.0.0.1:7070"}, Seq: 41, Open: []string{"a", "b"}, Callers: 12,
 		Longest: 2 * time.Second, Usual: 80 * time.Millisecond,
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -49,7 +49,7 @@
 
 // Knowledge is what the old process knows.
 type Knowledge struct {
-	Balancer  balance.Carried   `cbor:"1,keyasint"`
+	Balancer  balance.Snapshot  `cbor:"1,keyasint"`
 	Addresses map[string]string `cbor:"2,keyasint"` // where to dial the servers that are in service
 	Seq       int64             `cbor:"3,keyasint"` // of the list, as discovery counts
 	Open      []string          `cbor:"4,keyasint"` // ids of callers' requests that are not answered yet
--- a/internal/host/attempt.go
+++ b/internal/host/attempt.go
@@ -56,7 +56,7 @@
 // out since it was decided, or the servers that drop a repeat may have forgotten the first attempt.
 func (i *Instance) wanted(a *attempt, now time.Duration) bool {
 	return i.address[a.to.Server] == a.to && !a.request.answered && a.ctx.Err() == nil &&
-		i.balancer.MayBegin(now, a.request.id, a.number)
+		i.balancer.MayStart(now, a.request.id, a.number)
 }
 
 // heldUp is how long a look at the list and the decision by it take at most in a process that runs.
@@ -114,7 +114,7 @@
 	}
 	i.traceUnserved(q, Failed, byCaller)
 	q.answer(Final{Verdict: Failed})
-	i.balancer.Dropped(i.now(), q.id)
+	i.balancer.ClientGone(i.now(), q.id)
 	return false
 }
 
@@ -158,7 +158,7 @@
 	}
 	i.traceUnserved(q, f.Verdict, by)
 	q.answer(f)
-	i.balancer.Dropped(i.now(), q.id)
+	i.balancer.ClientGone(i.now(), q.id)
 }
 
 // Started passes on an answer that streams, and says whether somebody takes it. From here on no time ends the attempt.
@@ -171,7 +171,7 @@
 	}
 	a.passing = true
 	a.timer.Stop()
-	i.balancer.Started(i.now(), a.request.id, a.number)
+	i.balancer.ResponseStarted(i.now(), a.request.id, a.number)
 	return true
 }
 
@@ -181,7 +181,7 @@
 	defer i.mu.Unlock()
 	a.timer.Stop()
 	a.cancel(nil)
-	a.over, a.unrun = true, outcome.ProvesUnrun()
+	a.over, a.unrun = true, outcome.ProvesNotExecuted()
 	q := a.request
 	q.out--
 	if outcome == balance.OK && r != nil && !q.answer(Final{Verdict: Served, Reply: r}) && r.Channel != nil {
@@ -196,7 +196,7 @@
 	stream := q.message.Body.Stream()
 	i.balancer.Result(now, balance.Result{
 		ID: q.id, Attempt: a.number, Outcome: outcome, Latency: latency, Finished: q.answered,
-		Spent: stream != nil && stream.EndAttempt(),
+		BodyConsumed: stream != nil && stream.EndAttempt(),
 	})
 	i.tidy(q)
 }
--- a/internal/host/crossing_test.go
+++ b/internal/host/crossing_test.go
@@ -127,7 +127,7 @@
 }
 
 func class(effect balance.Effect, window time.Duration) balance.Class {
-	return balance.Class{Aim: long, GiveUp: long, Worth: 1, Effect: effect, Group: balance.GroupAll, Window: window}
+	return balance.Class{Aim: long, ClientTimeout: long, Value: 1, Effect: effect, DedupScope: balance.DedupAll, DedupWindow: window}
 }
 
 // TestWindowEndsWhileAConnectionComesUp: the first attempt may have run; the second is decided within the window, and its
@@ -138,7 +138,7 @@
 	a, b := newServer(t, breakOff), newServer(t, breakOff)
 	defer a.close()
 	defer b.close()
-	c := newCrossing(t, class(balance.Guarded, window), a, b)
+	c := newCrossing(t, class(balance.Deduplicated, window), a, b)
 	defer c.close()
 	begun := time.Now()
 	q := c.submit(&waiter{})
@@ -160,7 +160,7 @@
 	a, b := newServer(t, breakOff), newServer(t, breakOff)
 	defer a.close()
 	defer b.close()
-	c := newCrossing(t, class(balance.Guarded, 2*time.Second), a, b)
+	c := newCrossing(t, class(balance.Deduplicated, 2*time.Second), a, b)
 	defer c.close()
 	q := c.submit(&waiter{})
 	first := await(t, "the first connection", c.dials)
@@ -186,7 +186,7 @@
 	a, b := newServer(t, leave), newServer(t, leave)
 	defer a.close()
 	defer b.close()
-	c := newCrossing(t, class(balance.Free, 0), a, b)
+	c := newCrossing(t, class(balance.Idempotent, 0), a, b)
 	defer c.close()
 	q := c.submit(w)
 	close(await(t, "the first connection", c.dials))
@@ -204,7 +204,7 @@
 	w := &waiter{}
 	a := newServer(t, serve)
 	defer a.close()
-	c := newCrossing(t, class(balance.Free, 0), a)
+	c := newCrossing(t, class(balance.Idempotent, 0), a)
 	defer c.close()
 	q := c.submit(w)
 	up := await(t, "the connection", c.dials)
@@ -245,7 +245,7 @@
 			a, b := newServer(t, then), newServer(t, then)
 			defer a.close()
 			defer b.close()
-			c := newCrossing(t, class(balance.SingleShot, 0), a, b)
+			c := newCrossing(t, class(balance.AtMostOnce, 0), a, b)
 			defer c.close()
 			q := c.submit(&waiter{})
 			close(await(t, "the first connection", c.dials))
@@ -266,7 +266,7 @@
 	a, b := newServer(t, serve), newServer(t, serve)
 	defer a.close()
 	defer b.close()
-	c := newCrossing(t, class(balance.SingleShot, 0), a, b)
+	c := newCrossing(t, class(balance.AtMostOnce, 0), a, b)
 	defer c.close()
 	q := c.submit(&waiter{})
 	up := await(t, "the first connection", c.dials)
@@ -291,7 +291,7 @@
 // TestReadyMeansThatItCanServe: with no list, with one of servers that all drain or are gone, and again once one is there.
 func TestReadyMeansThatItCanServe(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	c := newCrossing(t, class(balance.Free, 0))
+	c := newCrossing(t, class(balance.Idempotent, 0))
 	defer c.close()
 	up := []balance.Entry{{ID: "a"}}
 	for n, step := range []struct {
--- a/internal/host/fleet.go
+++ b/internal/host/fleet.go
@@ -73,7 +73,7 @@
 	i.log.Info(LogFleetShares, "soft", p.Soft, "hard", p.Hard)
 }
 
-func (i *Instance) setPart() { i.balancer.SetPart(i.part*i.fleet.Hard, i.quota*i.fleet.Soft) }
+func (i *Instance) setPart() { i.balancer.SetShare(i.part*i.fleet.Hard, i.quota*i.fleet.Soft) }
 
 // Renumber takes in this proxy's own number among so many that cut the list.
 func (i *Instance) Renumber(self, of int) {
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -137,7 +137,7 @@
 	}
 	nodes := make([]plan.Node, 0, len(i.address))
 	for id, to := range i.address {
-		nodes = append(nodes, plan.Node{ID: id, StartTime: to.Boot, Usable: i.balancer.MaySend(id), InRoundRobin: i.balancer.InTurns(id)})
+		nodes = append(nodes, plan.Node{ID: id, StartTime: to.Boot, Usable: i.balancer.MaySend(id), InRoundRobin: i.balancer.InRoundRobin(id)})
 	}
 	i.channels.SetNodes(nodes)
 }
--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -88,7 +88,7 @@
 func (i *Instance) CountServers() (listed, avoided int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.balancer.Pool()
+	return i.balancer.ServerCounts()
 }
 
 // Ready says whether there is a server to send to, by a list that was confirmed once or waited for long enough.
--- a/internal/host/request.go
+++ b/internal/host/request.go
@@ -70,7 +70,7 @@
 	i.requests[q.id] = q
 	q.arriving = m.Body.Stream() != nil
 	i.balancer.Submit(i.now(), balance.Request{
-		ID: q.id, Class: class, Tenant: tenant, Left: left, Within: within, Arriving: q.arriving,
+		ID: q.id, Class: class, Tenant: tenant, Remaining: left, LocalBudget: within, BodyPending: q.arriving,
 	})
 	i.tidy(q)
 	return q
@@ -93,7 +93,7 @@
 		a.from, a.end = now, now+left
 		a.timer.Reset(left)
 	}
-	i.balancer.Received(now, q.id)
+	i.balancer.BodyReceived(now, q.id)
 	i.tidy(q)
 }
 
@@ -106,7 +106,7 @@
 		return
 	}
 	q.answer(Final{Verdict: Failed})
-	i.balancer.Dropped(i.now(), q.id)
+	i.balancer.ClientGone(i.now(), q.id)
 	i.tidy(q)
 }
 
--- a/internal/host/serverlist_test.go
+++ b/internal/host/serverlist_test.go
@@ -43,7 +43,7 @@
 	defer goleak.VerifyNone(t)
 	s := newServer(t, serve)
 	defer s.close()
-	c := newCrossing(t, balance.Class{Aim: time.Second, GiveUp: long}, s)
+	c := newCrossing(t, balance.Class{Aim: time.Second, ClientTimeout: long}, s)
 	defer c.close()
 	list := &confirmedList{}
 	c.SetServerList(list, listWait)
@@ -99,7 +99,7 @@
 		breakOff(conn)
 	})
 	defer s.close()
-	c := newCrossing(t, balance.Class{Aim: time.Second, GiveUp: long}, s, s)
+	c := newCrossing(t, balance.Class{Aim: time.Second, ClientTimeout: long}, s, s)
 	defer c.close()
 	c.SetServerList(list, listWait)
 	defer c.letAllUp()()
@@ -118,7 +118,7 @@
 	draining, up := newServer(t, serve), newServer(t, serve)
 	defer draining.close()
 	defer up.close()
-	c := newCrossing(t, balance.Class{Aim: time.Second, GiveUp: long}, draining)
+	c := newCrossing(t, balance.Class{Aim: time.Second, ClientTimeout: long}, draining)
 	defer c.close()
 	list := &confirmedList{unread: make(chan struct{}), asked: make(chan struct{}, 8)}
 	c.SetServerList(list, listWait)
--- a/internal/proxy/ending_test.go
+++ b/internal/proxy/ending_test.go
@@ -59,7 +59,7 @@
 	})
 	g, term, over := served(t, func(c *Config) {
 		for n := range c.Settings.Balancer.Classes {
-			c.Settings.Balancer.Classes[n].GiveUp = briefly
+			c.Settings.Balancer.Classes[n].ClientTimeout = briefly
 		}
 	}, entry("s1", hang.address, "up"))
 	between := g.dial().send(brief("between"))
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -147,7 +147,7 @@
 	if !c.Options.Channels.Enabled {
 		return nil
 	}
-	cold := channel.ColdStart{Share: c.Settings.Balancer.ColdFrom, WarmUp: c.Settings.Balancer.WarmUp}
+	cold := channel.ColdStart{Share: c.Settings.Balancer.ColdCapacity, WarmUp: c.Settings.Balancer.WarmUp}
 	if p.channels, err = channel.New(c.Options.Channels, cold, c.Seed, c.Log); err != nil {
 		l.Close()
 		return err
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -173,12 +173,12 @@
 			Balancer: balance.Settings{
 				Instances: 1, MaxAttempts: 3, CanCancel: true,
 				Classes: []balance.Class{
-					{Aim: 10 * time.Second, GiveUp: 15 * time.Second, Worth: 1},
+					{Aim: 10 * time.Second, ClientTimeout: 15 * time.Second, Value: 1},
 					{
-						Aim: 10 * time.Second, GiveUp: 15 * time.Second, Worth: 1,
-						Effect: balance.Guarded, Group: balance.GroupZone, Window: 10 * time.Second,
+						Aim: 10 * time.Second, ClientTimeout: 15 * time.Second, Value: 1,
+						Effect: balance.Deduplicated, DedupScope: balance.DedupZone, DedupWindow: 10 * time.Second,
 					},
-					{Aim: 10 * time.Second, GiveUp: 15 * time.Second, Worth: 1, Effect: balance.SingleShot},
+					{Aim: 10 * time.Second, ClientTimeout: 15 * time.Second, Value: 1, Effect: balance.AtMostOnce},
 				},
 			},
 			Classes: []string{"search", "hold", "once"}, Tenants: nil, Zones: []string{"kita"},
--- a/internal/recovery/node.go
+++ b/internal/recovery/node.go
@@ -141,11 +141,11 @@
 	c := &n.config
 	s := revival.Settings{
 		Name: c.Name, Boot: c.Boot, Alone: n.carrier == nil || c.Instances == 1, Agrees: c.Agrees, Of: c.Instances,
-		ColdFrom: c.Balancer.ColdFrom, WarmUp: c.Balancer.WarmUp, Times: revival.DefaultTimes(),
+		ColdFrom: c.Balancer.ColdCapacity, WarmUp: c.Balancer.WarmUp, Times: revival.DefaultTimes(),
 	}
 	s.Times.Young = c.Options.Young
 	for i, name := range c.Classes {
-		s.Classes = append(s.Classes, revival.Class{Name: name, Worth: c.Balancer.Classes[i].Worth})
+		s.Classes = append(s.Classes, revival.Class{Name: name, Worth: c.Balancer.Classes[i].Value})
 	}
 	if l := n.found.Learned; l != nil {
 		s.Same = l.Written.Machine != "" && l.Written.Machine == state.Now().Machine
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -62,11 +62,11 @@
 }
 
 var effects = map[string]balance.Effect{
-	"free": balance.Free, "guarded": balance.Guarded, "single_shot": balance.SingleShot,
+	"free": balance.Idempotent, "guarded": balance.Deduplicated, "single_shot": balance.AtMostOnce,
 }
 
-var groups = map[string]balance.Group{
-	"": balance.GroupAll, "all": balance.GroupAll, "zone": balance.GroupZone, "cell": balance.GroupCell,
+var groups = map[string]balance.DedupScope{
+	"": balance.DedupAll, "all": balance.DedupAll, "zone": balance.DedupZone, "cell": balance.DedupCell,
 }
 
 // Read takes the settings object apart. Whether the balancer can work with it is for balance.New to say.
@@ -80,18 +80,18 @@
 	}
 	s := &Settings{
 		Balancer: balance.Settings{
-			Self: o.Me, Instances: o.Instances, Layer: o.Layer,
-			OverShareWorth: o.OverShare,
-			MaxAttempts:    o.Limits.MaxAttempts,
-			CanCancel:      o.Limits.Cancel,
-			AskForList:     o.Discovery == "ask",
-			AskEvery:       Millis(o.Rules.AskEvery),
-			RetryAfter:     o.Limits.RetryAfter,
-			MaxRetryAfter:  Millis(o.Limits.MaxRetryAfter),
-			ColdFrom:       o.Rules.ColdFrom,
-			WarmUp:         Millis(o.Rules.WarmUp),
-			FallMultiple:   o.Rules.FallMultiple,
-			FallTime:       Millis(o.Rules.FallTime),
+			Self: o.Me, Instances: o.Instances, Tier: o.Layer,
+			OverQuotaValue:   o.OverShare,
+			MaxAttempts:      o.Limits.MaxAttempts,
+			CanCancel:        o.Limits.Cancel,
+			AskForList:       o.Discovery == "ask",
+			AskEvery:         Millis(o.Rules.AskEvery),
+			RetryAfter:       o.Limits.RetryAfter,
+			MaxRetryAfter:    Millis(o.Limits.MaxRetryAfter),
+			ColdCapacity:     o.Rules.ColdFrom,
+			WarmUp:           Millis(o.Rules.WarmUp),
+			OverloadMultiple: o.Rules.FallMultiple,
+			OverloadTime:     Millis(o.Rules.FallTime),
 		},
 		Zones:          o.Zones,
 		ConnIdle:       Millis(o.Limits.ConnIdle),
@@ -104,8 +104,8 @@
 			return nil, fmt.Errorf("class %d: unknown effect %q or group %q", i, c.Effect, c.Group)
 		}
 		s.Balancer.Classes = append(s.Balancer.Classes, balance.Class{
-			Aim: Millis(c.Aim), GiveUp: Millis(c.GiveUp), Effect: effect, Group: group,
-			Window: Millis(c.Window), Worth: c.Worth, LateWorth: c.LateWorth,
+			Aim: Millis(c.Aim), ClientTimeout: Millis(c.GiveUp), Effect: effect, DedupScope: group,
+			DedupWindow: Millis(c.Window), Value: c.Worth, LateValue: c.LateWorth,
 		})
 		s.Classes = append(s.Classes, c.Name)
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -24,10 +24,10 @@
 		t.Fatal(err)
 	}
 	b := s.Balancer
-	if b.Self != 3 || b.Instances != 8 || b.Layer != 1 || !b.AskForList || b.AskEvery != 10*time.Second || !b.CanCancel {
+	if b.Self != 3 || b.Instances != 8 || b.Tier != 1 || !b.AskForList || b.AskEvery != 10*time.Second || !b.CanCancel {
 		t.Errorf("instance figures: %+v", b)
 	}
-	if got := b.Classes[1]; got.Effect != balance.Guarded || got.Group != balance.GroupZone || got.Window != 7500*time.Millisecond {
+	if got := b.Classes[1]; got.Effect != balance.Deduplicated || got.DedupScope != balance.DedupZone || got.DedupWindow != 7500*time.Millisecond {
 		t.Errorf("class hold: %+v", got)
 	}
 	if strings.Join(s.Classes, " ") != "search hold" || strings.Join(s.Tenants, " ") != "city district" ||
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -26,7 +26,7 @@
 	for i := range 3 {
 		id := fmt.Sprint("s", i)
 		l.Knowledge.Addresses[id] = fmt.Sprintf("127.0.0.1:%d", n)
-		l.Knowledge.Balancer.Servers = append(l.Knowledge.Balancer.Servers, balance.CarriedServer{Entry: balance.Entry{ID: id}})
+		l.Knowledge.Balancer.Servers = append(l.Knowledge.Balancer.Servers, balance.ServerSnapshot{Entry: balance.Entry{ID: id}})
 	}
 	return l
 }
@@ -373,7 +373,7 @@
 	for i := range 10_000 {
 		id := fmt.Sprintf("backend-%05d.example", i)
 		l.Knowledge.Addresses[id] = fmt.Sprintf("10.0.%d.%d:8080", i/250, i%250)
-		l.Knowledge.Balancer.Servers = append(l.Knowledge.Balancer.Servers, balance.CarriedServer{Entry: balance.Entry{ID: id, Boot: time.Duration(i)}, FailRate: 0.1, Load: 1})
+		l.Knowledge.Balancer.Servers = append(l.Knowledge.Balancer.Servers, balance.ServerSnapshot{Entry: balance.Entry{ID: id, Boot: time.Duration(i)}, FailRate: 0.1, Load: 1})
 		l.Knowledge.Balancer.Slots = append(l.Knowledge.Balancer.Slots, id)
 	}
 	folder, err := state.OpenFolder(b.TempDir())
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -51,7 +51,7 @@
 
 // Servers says which servers are avoided. now and the times in since are of the clock of c; since holds when a server
 // was taken out by hand or began to drain, as far as that was seen.
-func Servers(now, warmUp time.Duration, c balance.Carried, since map[string]time.Duration) []Avoided {
+func Servers(now, warmUp time.Duration, c balance.Snapshot, since map[string]time.Duration) []Avoided {
 	avoided := []Avoided{}
 	for _, s := range c.Servers {
 		a := Avoided{ID: s.Entry.ID, ForS: -1}
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -13,29 +13,29 @@
 
 func TestWhoIsAvoidedAndWhy(t *testing.T) {
 	const now, warmUp = 1000 * time.Second, 20 * time.Second
-	server := func(id string, change func(*balance.CarriedServer)) balance.CarriedServer {
-		s := balance.CarriedServer{Entry: balance.Entry{ID: id}}
+	server := func(id string, change func(*balance.ServerSnapshot)) balance.ServerSnapshot {
+		s := balance.ServerSnapshot{Entry: balance.Entry{ID: id}}
 		if change != nil {
 			change(&s)
 		}
 		return s
 	}
-	c := balance.Carried{
+	c := balance.Snapshot{
 		Banned: []string{"hand", "hand-failing", "gone-by-hand", "unlisted"},
-		Servers: []balance.CarriedServer{
+		Servers: []balance.ServerSnapshot{
 			server("sound", nil),
 			server("hand", nil),
-			server("hand-failing", func(s *balance.CarriedServer) { s.Ejected = now + time.Second }),
-			server("gone-by-hand", func(s *balance.CarriedServer) { s.Entry.State = balance.Gone }),
-			server("gone", func(s *balance.CarriedServer) { s.Entry.State = balance.Gone }),
-			server("drains", func(s *balance.CarriedServer) { s.Entry.State = balance.Draining }),
-			server("fails", func(s *balance.CarriedServer) {
+			server("hand-failing", func(s *balance.ServerSnapshot) { s.Ejected = now + time.Second }),
+			server("gone-by-hand", func(s *balance.ServerSnapshot) { s.Entry.State = balance.Gone }),
+			server("gone", func(s *balance.ServerSnapshot) { s.Entry.State = balance.Gone }),
+			server("drains", func(s *balance.ServerSnapshot) { s.Entry.State = balance.Draining }),
+			server("fails", func(s *balance.ServerSnapshot) {
 				s.Ejected, s.Ejections, s.FailRate = now+3500*time.Millisecond, 2, 0.75
 			}),
-			server("due", func(s *balance.CarriedServer) { s.Ejected, s.Ejections = now-time.Second, 1 }),
-			server("cold", func(s *balance.CarriedServer) { s.Entry.Boot = now - 5*time.Second }),
-			server("resumed", func(s *balance.CarriedServer) { s.Entry.Boot, s.Resumed = now-time.Hour, now-time.Second }),
-			server("warm", func(s *balance.CarriedServer) { s.Entry.Boot = now - warmUp }),
+			server("due", func(s *balance.ServerSnapshot) { s.Ejected, s.Ejections = now-time.Second, 1 }),
+			server("cold", func(s *balance.ServerSnapshot) { s.Entry.Boot = now - 5*time.Second }),
+			server("resumed", func(s *balance.ServerSnapshot) { s.Entry.Boot, s.Resumed = now-time.Hour, now-time.Second }),
+			server("warm", func(s *balance.ServerSnapshot) { s.Entry.Boot = now - warmUp }),
 		},
 	}
 	since := map[string]time.Duration{"hand": now - 90*time.Second, "drains": now - 1500*time.Millisecond}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -117,7 +117,7 @@
 		r := balance.Request{ID: a.str("tid")}
 		a.skip(3) // item, write, retry: no decision rests on them
 		r.Tenant = a.optInt("client_group")
-		r.Left = a.dur("patience_left_ms")
+		r.Remaining = a.dur("patience_left_ms")
 		a.skip(1) // cost_guess_ms
 		r.Class = a.int("category")
 		call = func(b *balance.Balancer, now time.Duration) { b.Submit(now, r) }
@@ -134,10 +134,10 @@
 		call = func(b *balance.Balancer, now time.Duration) { b.Result(now, r) }
 	case "head_received":
 		id, attempt := a.str("tid"), a.int("attempt")
-		call = func(b *balance.Balancer, now time.Duration) { b.Started(now, id, attempt) }
+		call = func(b *balance.Balancer, now time.Duration) { b.ResponseStarted(now, id, attempt) }
 	case "dropped":
 		id := a.str("tid")
-		call = func(b *balance.Balancer, now time.Duration) { b.Dropped(now, id) }
+		call = func(b *balance.Balancer, now time.Duration) { b.ClientGone(now, id) }
 	case "ring":
 		token := a.uint("nonce")
 		call = func(b *balance.Balancer, now time.Duration) { b.Timer(now, token) }
