--- a/internal/callers/callers_test.go
+++ b/internal/callers/callers_test.go
@@ -111,16 +111,16 @@
 		k.backdate(2 * time.Second)
 		old = append(old, d)
 	}
-	young, youngStub := admit(t, s)
-	request(s, young)
+	newer, newerStub := admit(t, s)
+	request(s, newer)
 	admit(t, s)
 	for i, d := range old {
 		if !d.closed {
 			t.Errorf("connection %d is still open", i)
 		}
 	}
-	if youngStub.closed || s.Len() != 2 {
-		t.Errorf("%d connections are left, want 2, the young one among them", s.Len())
+	if newerStub.closed || s.Len() != 2 {
+		t.Errorf("%d connections are left, want 2, the newer one among them", s.Len())
 	}
 }
 
--- a/internal/callers/linger.go
+++ b/internal/callers/linger.go
@@ -19,15 +19,15 @@
 )
 
 // hasUnread reports whether the socket has unread bytes.
-func (k *Conn) hasUnread() (some bool) {
+func (k *Conn) hasUnread() (unread bool) {
 	if k.raw == nil {
 		return false
 	}
 	k.raw.Control(func(fd uintptr) {
 		n, err := unix.IoctlGetInt(int(fd), unix.TIOCINQ)
-		some = err == nil && n > 0
+		unread = err == nil && n > 0
 	})
-	return some
+	return unread
 }
 
 // linger shuts down the sending side of a connection, and closes the connection once the caller has closed its side
--- a/internal/discovery/plan/model/core.go
+++ b/internal/discovery/plan/model/core.go
@@ -14,7 +14,7 @@
 	// Answered records a complete answer.
 	Answered(a Answer)
 	Moved(address string, now time.Duration)
-	Connected(goesOn bool)
+	Connected(continuesWatch bool)
 	AnswerBegun(now time.Duration)
 	// CallEnded records that a call ended without a complete answer, and CallCanceled that the process itself
 	// canceled one.
--- a/internal/discovery/plan/model/lease_test.go
+++ b/internal/discovery/plan/model/lease_test.go
@@ -48,8 +48,8 @@
 func (l *dialLease) AnswerBegun(time.Duration)               { l.recordAccepted() }
 func (l *dialLease) recordAccepted()                         { l.callAccepted, l.failedDials = true, 0 }
 
-func (l *dialLease) Connected(goesOn bool) {
-	if !goesOn {
+func (l *dialLease) Connected(continuesWatch bool) {
+	if !continuesWatch {
 		l.recordAccepted()
 	}
 }
--- a/internal/discovery/plan/model/model_test.go
+++ b/internal/discovery/plan/model/model_test.go
@@ -169,7 +169,7 @@
 	for name, rule := range map[string]func(Schedule) StalenessRule{
 		"cd021f6 and 690a85e: any list is acted on": func(Schedule) StalenessRule { return anyAge{} },
 		"1bb215d: signs of an outage":               func(Schedule) StalenessRule { return &signs{} },
-		"af58041: a lease that dials renew":         func(c Schedule) StalenessRule { return newDialLease(c.Start, c.Pushed) },
+		"af58041: a lease that dials renew":         func(s Schedule) StalenessRule { return newDialLease(s.Start, s.Pushed) },
 	} {
 		s := runMany(n, seededSchedule, rule)
 		t.Logf("%s: %d of %d schedules late, by %v at most: %v", name, s.late, n, s.latest, s.lateByRule)
@@ -238,9 +238,9 @@
 }
 
 func (r *signs) MayAct(now time.Duration) bool {
-	const stale, most = 6300 * time.Millisecond, 20 * time.Second
+	const stale, maxStaleTime = 6300 * time.Millisecond, 20 * time.Second
 	age := now - r.current
-	return r.down || !r.alive || age < stale || age >= stale+most
+	return r.down || !r.alive || age < stale || age >= stale+maxStaleTime
 }
 
 // TestProofRuleIsNeverLate: a rule by which only proof keeps a list in force must never be late, which shows that
@@ -248,7 +248,7 @@
 // checked here.
 func TestProofRuleIsNeverLate(t *testing.T) {
 	const n = 10_000
-	s := runMany(n, seededSchedule, func(c Schedule) StalenessRule { return newProof(c) })
+	s := runMany(n, seededSchedule, func(s Schedule) StalenessRule { return newProof(s) })
 	t.Logf("%d schedules, list stale for %.3f of the time, %d not confirmed by an answer, %d stale in an outage", n, s.staleTime.Seconds()/s.length.Seconds(), s.unconfirmedRuns, s.staleInOutage)
 	if s.late > 0 {
 		t.Errorf("%d schedules late (%d pushed), by %v at most: %v\n%s", s.late, s.pushed, s.latest, s.lateByRule, strings.Join(s.shortestLate(func(c Schedule) StalenessRule { return newProof(c) }), "\n"))
@@ -258,7 +258,7 @@
 // TestLiteralNoticeRules: two older notice rules must be checked literally in the schedules that ask for it.
 func TestLiteralNoticeRules(t *testing.T) {
 	const n = 10_000
-	rule := func(c Schedule) StalenessRule { return newDialLease(c.Start, c.Pushed) }
+	rule := func(s Schedule) StalenessRule { return newDialLease(s.Start, s.Pushed) }
 	plain, literal := runMany(n, seededSchedule, rule), runMany(n, literalSchedule, rule)
 	t.Logf("af58041: %d of %d schedules late, %d with the literal notice rules: %v", plain.late, n, literal.late, literal.lateByRule)
 	if literal.lateByRule[AfterWait] == 0 || literal.lateByRule[BetweenCalls] == 0 {
--- a/internal/discovery/plan/model/play.go
+++ b/internal/discovery/plan/model/play.go
@@ -119,9 +119,9 @@
 			r.at(stall.From, func() { r.beginStall(stall) })
 		}
 	}
-	var look func()
-	look = func() { r.after(tick, look) }
-	look()
+	var scheduleTick func()
+	scheduleTick = func() { r.after(tick, scheduleTick) }
+	scheduleTick()
 }
 
 // check records whether an act on the list at the current time would be late.
--- a/internal/discovery/plan/model/process.go
+++ b/internal/discovery/plan/model/process.go
@@ -48,14 +48,14 @@
 	r.core.resumed(since, r.now)
 	r.core.unread = anyOfCall(all)
 	r.check()
-	place := map[plan.CallID]float64{}
+	order := map[plan.CallID]float64{}
 	for _, d := range all {
-		if _, has := place[d.call]; !has {
-			place[d.call] = r.dice.Float64()
+		if _, has := order[d.call]; !has {
+			order[d.call] = r.dice.Float64()
 		}
 	}
 	slices.SortStableFunc(all, func(a, b delivery) int {
-		return int(1e9 * (place[a.call] - place[b.call]))
+		return int(1e9 * (order[a.call] - order[b.call]))
 	})
 	for n, d := range all {
 		d.do()
