--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -19,21 +19,21 @@
 type Conn struct {
 	net.Conn
 	set         *Set
-	framing     framing.Follower // tracks the bytes that the caller sends; used by the reading goroutine only
-	buffered    []byte           // read from the socket and not yet returned by Read; used by the reading goroutine only
-	overflowed  bool             // the caller sent more than maxReadAhead; used by the reading goroutine only
-	acceptDelay time.Duration    // before the connection was accepted; used by the reading goroutine only
-	raw         syscall.RawConn  // nil if the connection has no socket
+	framing     framing.Tracker // tracks the bytes that the caller sends; used by the reading goroutine only
+	buffered    []byte          // read from the socket and not yet returned by Read; used by the reading goroutine only
+	overflowed  bool            // the caller sent more than maxReadAhead; used by the reading goroutine only
+	acceptDelay time.Duration   // before the connection was accepted; used by the reading goroutine only
+	raw         syscall.RawConn // nil if the connection has no socket
 
 	// The following fields are guarded by set.mu.
 	state       http.ConnState
 	kind        kind
 	since       time.Time // when kind was set; for a partial head, when its last bytes came
 	closed      bool
-	requests    int       // requests begun so far
-	parkPending bool      // the read was interrupted so that the connection can be parked
-	lot         *idle.Lot // where the connection is parked, or nil
-	lotKey      int32     // key of the connection in lot
+	requests    int          // requests begun so far
+	parkPending bool         // the read was interrupted so that the connection can be parked
+	lot         *idle.Poller // where the connection is parked, or nil
+	lotKey      int32        // key of the connection in lot
 
 	linked.Links[Conn] // in the list of its kind
 }
--- a/internal/callers/park.go
+++ b/internal/callers/park.go
@@ -20,8 +20,8 @@
 // more system calls and a new goroutine, so a caller that sends its next request within Pace.After is never parked.
 type Parking struct {
 	set   *Set
-	lot   *idle.Lot
-	pace  idle.Pace
+	lot   *idle.Poller
+	pace  idle.Policy
 	addr  net.Addr
 	ready chan *Conn
 
@@ -31,8 +31,8 @@
 
 // Park makes the set park its idle connections. It must be called before the server accepts any connection. The
 // server must serve the returned Parking too, and Run must be called.
-func (c *Set) Park(pace idle.Pace, addr net.Addr) (*Parking, error) {
-	lot, err := idle.NewLot()
+func (c *Set) Park(pace idle.Policy, addr net.Addr) (*Parking, error) {
+	lot, err := idle.NewPoller()
 	if err != nil {
 		return nil, err
 	}
@@ -46,7 +46,7 @@
 	var group sync.WaitGroup
 	failed := make(chan error, 1)
 	group.Go(func() { failed <- p.lot.Run() })
-	ticker := time.NewTicker(p.pace.Every())
+	ticker := time.NewTicker(p.pace.CheckInterval())
 	defer func() {
 		ticker.Stop()
 		p.Close()
@@ -81,10 +81,10 @@
 	c := p.set
 	c.mu.Lock()
 	defer c.unlock()
-	batch := p.pace.Batch(len(c.open))
-	batch -= c.evictDue([]kind{kindParkedOnce, kindParkedIdle}, batch, func(k *Conn) bool { return p.pace.Close(k.since, now) })
+	batch := p.pace.BatchSize(len(c.open))
+	batch -= c.evictDue([]kind{kindParkedOnce, kindParkedIdle}, batch, func(k *Conn) bool { return p.pace.ShouldClose(k.since, now) })
 	for _, kind := range []kind{kindOnce, kindIdle} {
-		for k := c.byKind[kind].Front(); k != nil && batch > 0 && p.pace.Hold(k.since, now); k = c.byKind[kind].Front() {
+		for k := c.byKind[kind].Front(); k != nil && batch > 0 && p.pace.ShouldPark(k.since, now); k = c.byKind[kind].Front() {
 			// The expired deadline makes net/http close the connection, and Close parks it.
 			c.setKind(k, kind.parkedKind(), k.since)
 			k.parkPending = true
@@ -116,7 +116,7 @@
 	parked := &Conn{set: c, framing: k.framing, kind: kindBusy, requests: k.requests}
 	kind, since := k.kind, k.since
 	c.remove(k)
-	lotKey, err := p.lot.Hold(tcp, parked)
+	lotKey, err := p.lot.Park(tcp, parked)
 	if err != nil {
 		return true // Hold has closed the connection
 	}
@@ -141,14 +141,14 @@
 }
 
 // Woken returns a parked connection to the server because bytes have arrived on it or because it has ended.
-func (k *Conn) Woken() {
+func (k *Conn) SocketReady() {
 	c := k.set
 	c.mu.Lock()
 	if _, open := c.open[k]; !open || k.lot == nil {
 		c.mu.Unlock()
 		return
 	}
-	conn, err := k.lot.Take(k.lotKey)
+	conn, err := k.lot.Unpark(k.lotKey)
 	k.lot = nil
 	if err != nil {
 		c.remove(k)
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -17,9 +17,9 @@
 	switch {
 	case info.class < 0: // no class to count it under
 	case status == http.StatusServiceUnavailable:
-		s.figures.Count(info.class, figures.Refused)
+		s.figures.CountOutcome(info.class, figures.Refused)
 	default:
-		s.figures.Count(info.class, figures.Failed)
+		s.figures.CountOutcome(info.class, figures.Failed)
 	}
 	control := http.NewResponseController(w)
 	control.SetReadDeadline(time.Now().Add(unreadBodyWait))
@@ -30,11 +30,11 @@
 
 // answer writes the final answer to a request, and counts it.
 func (s *Front) answer(w http.ResponseWriter, info requestInfo, f host.Final) {
-	if f.Verdict == host.Served && f.Reply.Rest != nil {
+	if f.Verdict == host.Served && f.Reply.Remainder != nil {
 		s.streamAnswer(w, info, f.Reply)
 		return
 	}
-	s.figures.Count(info.class, outcomes[f.Verdict])
+	s.figures.CountOutcome(info.class, outcomes[f.Verdict])
 	control := http.NewResponseController(w)
 	control.SetWriteDeadline(time.Now().Add(s.options.Load().WriteTimeout))
 	header := w.Header()
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -38,7 +38,7 @@
 	classConfigs []balance.Class
 	restart      *restart.Restart
 	options      atomic.Pointer[Options]
-	figures      *figures.Book
+	figures      *figures.Counters
 	channels     *channel.Table // nil if channels are not supported
 
 	mu      sync.Mutex
@@ -48,7 +48,7 @@
 }
 
 // New returns a front that passes requests to i. bodies and callers may be shared with other fronts.
-func New(s *settings.Settings, i *host.Instance, bodies *body.Budget, callers *callers.Set, r *restart.Restart, book *figures.Book, o Options) *Front {
+func New(s *settings.Settings, i *host.Instance, bodies *body.Budget, callers *callers.Set, r *restart.Restart, book *figures.Counters, o Options) *Front {
 	front := &Front{
 		instance: i, bodies: bodies, callers: callers, restart: r, figures: book,
 		classIndex: map[string]int{}, tenantIndex: map[string]int{}, classConfigs: s.Balancer.Classes,
@@ -108,7 +108,7 @@
 	switch {
 	case errors.Is(err, body.ErrTooLarge):
 		return http.StatusRequestEntityTooLarge
-	case errors.Is(err, body.ErrNoRoom):
+	case errors.Is(err, body.ErrNoMemory):
 		return http.StatusServiceUnavailable
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return http.StatusRequestTimeout
@@ -121,11 +121,11 @@
 		w.Header().Set("Connection", "close") // framing does not track what follows a chunked body
 	}
 	taken := time.Now()
-	s.figures.Taken()
-	defer s.figures.Ended()
+	s.figures.RequestStarted()
+	defer s.figures.RequestEnded()
 	f := s.await(r, s.submit(r, info, buffered))
 	if f.Verdict == host.Served {
-		s.restart.Answered(time.Since(taken))
+		s.restart.ObserveLatency(time.Since(taken))
 	}
 	s.answer(w, info, f)
 }
@@ -137,7 +137,7 @@
 	case f := <-q.Final():
 		return f
 	case <-r.Context().Done():
-	case <-s.restart.Over():
+	case <-s.restart.Expired():
 	}
 	s.instance.Drop(q)
 	return <-q.Final()
@@ -150,7 +150,7 @@
 	if c := callers.ConnOf(r); c != nil && buffered.Stream() == nil {
 		remaining -= c.SinceLastData()
 	}
-	return s.instance.Submit(callerOf(r), newMessage(r, info.class, buffered), info.class, info.tenant, remaining, s.restart.Cap(remaining))
+	return s.instance.Submit(callerOf(r), newMessage(r, info.class, buffered), info.class, info.tenant, remaining, s.restart.RequestTimeCap(remaining))
 }
 
 // callerOf returns the connection that waits for a request's answer, or nil if the server does not track its
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -25,7 +25,9 @@
 	waited   time.Duration
 }
 
-func newTransferClock(pace body.Pace) transferClock { return transferClock{transfer: pace.Begin(0)} }
+func newTransferClock(pace body.MinDataRate) transferClock {
+	return transferClock{transfer: pace.Begin(0)}
+}
 
 // deadline returns when the peer's next bytes are due if the wait for it begins now.
 func (c *transferClock) deadline(now time.Time) time.Time {
@@ -35,7 +37,7 @@
 // moved records that the peer was waited for since the given time and moved n bytes.
 func (c *transferClock) moved(since time.Time, n int) {
 	c.waited += time.Since(since)
-	c.transfer.Moved(c.waited, n)
+	c.transfer.AddBytes(c.waited, n)
 }
 
 // pacedReader reads a caller's body, and fails if the caller is silent for too long or far too slow.
@@ -48,7 +50,7 @@
 	stopped bool
 }
 
-func newPacedReader(from io.Reader, control *http.ResponseController, pace body.Pace) *pacedReader {
+func newPacedReader(from io.Reader, control *http.ResponseController, pace body.MinDataRate) *pacedReader {
 	return &pacedReader{from: from, control: control, clock: newTransferClock(pace)}
 }
 
@@ -87,8 +89,8 @@
 func (s *Front) serveStream(w http.ResponseWriter, r *http.Request, info requestInfo, buffered *body.Body, rest io.Reader) {
 	control := http.NewResponseController(w)
 	control.EnableFullDuplex()
-	s.figures.Taken()
-	defer s.figures.Ended()
+	s.figures.RequestStarted()
+	defer s.figures.RequestEnded()
 	q := s.submit(r, info, buffered)
 	paced := newPacedReader(rest, control, s.options.Load().bodyPace())
 	filled := make(chan error, 1)
@@ -96,7 +98,7 @@
 	filling.Go(func() { filled <- s.fill(buffered.Stream(), paced) })
 	defer func() {
 		if filled != nil {
-			buffered.Stream().End(body.ErrEnded)
+			buffered.Stream().CloseWithError(body.ErrStreamClosed)
 			paced.stop()
 		}
 		filling.Wait()
@@ -124,7 +126,7 @@
 		case <-gone:
 			s.instance.Drop(q)
 			gone = nil
-		case <-s.restart.Over():
+		case <-s.restart.Expired():
 			s.instance.Drop(q)
 			f = <-q.Final()
 			open = false
@@ -134,11 +136,11 @@
 		w.Header().Set("Connection", "close") // the start of the next request is unknown, or not tracked
 	}
 	if f.Verdict != host.Served {
-		buffered.Stream().End(body.ErrEnded) // no attempt needs the rest
+		buffered.Stream().CloseWithError(body.ErrStreamClosed) // no attempt needs the rest
 	}
 	s.answer(w, info, f)
 	if filled != nil {
-		buffered.Stream().End(body.ErrEnded)
+		buffered.Stream().CloseWithError(body.ErrStreamClosed)
 		control.Flush()
 		<-filled // the answer has been sent, but the caller is still writing
 	}
@@ -147,7 +149,7 @@
 // fill fills a stream from a caller, and continues to read and discard the body once it is not wanted any more.
 func (s *Front) fill(stream *body.Stream, from io.Reader) error {
 	err := stream.Fill(from)
-	if !errors.Is(err, body.ErrEnded) {
+	if !errors.Is(err, body.ErrStreamClosed) {
 		return err
 	}
 	_, err = io.Copy(io.Discard, io.LimitReader(from, body.MaxBytes))
@@ -158,12 +160,12 @@
 // so that the caller does not take it for complete.
 func (s *Front) streamAnswer(w http.ResponseWriter, info requestInfo, r *backends.Reply) {
 	err := s.copyAnswer(w, r)
-	r.Rest.Close(err)
+	r.Remainder.Close(err)
 	if err == nil {
-		s.figures.Count(info.class, figures.Served)
+		s.figures.CountOutcome(info.class, figures.Served)
 		return
 	}
-	s.figures.Count(info.class, figures.Failed)
+	s.figures.CountOutcome(info.class, figures.Failed)
 	panic(http.ErrAbortHandler)
 }
 
@@ -186,7 +188,7 @@
 		}
 		clock.moved(begun, n)
 		if err != nil {
-			return backends.ErrLeft
+			return backends.ErrCallerLeft
 		}
 		return nil
 	}
@@ -201,7 +203,7 @@
 	chunk := chunkPool.Get().(*[chunkSize]byte)
 	defer chunkPool.Put(chunk)
 	for {
-		n, err := r.Rest.Read(chunk[:])
+		n, err := r.Remainder.Read(chunk[:])
 		if n > 0 {
 			if err := write(chunk[:n]); err != nil {
 				return err
--- a/internal/front/upgrade.go
+++ b/internal/front/upgrade.go
@@ -46,11 +46,11 @@
 		s.rejectUpgrade(w, info, admission)
 		return
 	}
-	s.figures.Taken()
-	defer s.figures.Ended()
+	s.figures.RequestStarted()
+	defer s.figures.RequestEnded()
 	m := newMessage(r, info.class, nil)
 	m.Offer = offer
-	f := s.await(r, s.instance.Submit(callerOf(r), m, info.class, info.tenant, info.remaining, s.restart.Cap(info.remaining)))
+	f := s.await(r, s.instance.Submit(callerOf(r), m, info.class, info.tenant, info.remaining, s.restart.RequestTimeCap(info.remaining)))
 	if f.Verdict != host.Served {
 		s.channels.OpenFailed(admission)
 		if f.Verdict == host.Refused {
@@ -64,10 +64,10 @@
 	if err := s.switchProtocols(w, f.Reply.Channel, admission); err != nil {
 		s.channels.OpenFailed(admission)
 		f.Reply.Channel.Conn.Close()
-		s.figures.Count(info.class, figures.Failed)
+		s.figures.CountOutcome(info.class, figures.Failed)
 		return
 	}
-	s.figures.Count(info.class, figures.Served)
+	s.figures.CountOutcome(info.class, figures.Served)
 }
 
 // ticketOf returns the ticket that a returning client presents, or "" if there is none.
@@ -133,6 +133,6 @@
 		return err
 	}
 	conn.SetDeadline(time.Time{})
-	s.channels.Open(admission, c.Server, channel.Conns{Client: tcp, Server: c.Conn, Buffered: c.Behind}, c.Agreed)
+	s.channels.Open(admission, c.Server, channel.Conns{Client: tcp, Server: c.Conn, Buffered: c.Buffered}, c.Agreement)
 	return nil
 }
