--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -131,8 +131,8 @@
 func (c *Set) evict(k *Conn) {
 	k.closed = true
 	c.remove(k)
-	if k.lot != nil {
-		k.lot.Drop(k.lotKey)
+	if k.poller != nil {
+		k.poller.Drop(k.pollerKey)
 		return
 	}
 	c.toClose = append(c.toClose, k.Conn)
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -32,8 +32,8 @@
 	closed      bool
 	requests    int          // requests begun so far
 	parkPending bool         // the read was interrupted so that the connection can be parked
-	lot         *idle.Poller // where the connection is parked, or nil
-	lotKey      int32        // key of the connection in lot
+	poller      *idle.Poller // holds the connection while it is parked; nil otherwise
+	pollerKey   int32        // key of the connection in poller
 
 	linked.Links[Conn] // in the list of its kind
 }
--- a/internal/callers/park.go
+++ b/internal/callers/park.go
@@ -17,13 +17,14 @@
 // connection.
 //
 // It prevents memory from growing with the number of idle connections. A request on a parked connection costs some
-// more system calls and a new goroutine, so a caller that sends its next request within Pace.After is never parked.
+// more system calls and a new goroutine, so a caller that sends its next request within Policy.ParkAfter is never
+// parked.
 type Parking struct {
-	set   *Set
-	lot   *idle.Poller
-	pace  idle.Policy
-	addr  net.Addr
-	ready chan *Conn
+	set    *Set
+	poller *idle.Poller
+	policy idle.Policy
+	addr   net.Addr
+	ready  chan *Conn
 
 	closed    chan struct{}
 	closeOnce sync.Once
@@ -31,12 +32,12 @@
 
 // Park makes the set park its idle connections. It must be called before the server accepts any connection. The
 // server must serve the returned Parking too, and Run must be called.
-func (c *Set) Park(pace idle.Policy, addr net.Addr) (*Parking, error) {
-	lot, err := idle.NewPoller()
+func (c *Set) Park(policy idle.Policy, addr net.Addr) (*Parking, error) {
+	poller, err := idle.NewPoller()
 	if err != nil {
 		return nil, err
 	}
-	c.parking = &Parking{set: c, lot: lot, pace: pace, addr: addr, ready: make(chan *Conn), closed: make(chan struct{})}
+	c.parking = &Parking{set: c, poller: poller, policy: policy, addr: addr, ready: make(chan *Conn), closed: make(chan struct{})}
 	return c.parking, nil
 }
 
@@ -45,12 +46,12 @@
 func (p *Parking) Run(ctx context.Context) error {
 	var group sync.WaitGroup
 	failed := make(chan error, 1)
-	group.Go(func() { failed <- p.lot.Run() })
-	ticker := time.NewTicker(p.pace.CheckInterval())
+	group.Go(func() { failed <- p.poller.Run() })
+	ticker := time.NewTicker(p.policy.CheckInterval())
 	defer func() {
 		ticker.Stop()
 		p.Close()
-		p.lot.Close()
+		p.poller.Close()
 		group.Wait()
 		p.dropParked()
 	}()
@@ -81,10 +82,10 @@
 	c := p.set
 	c.mu.Lock()
 	defer c.unlock()
-	batch := p.pace.BatchSize(len(c.open))
-	batch -= c.evictDue([]kind{kindParkedOnce, kindParkedIdle}, batch, func(k *Conn) bool { return p.pace.ShouldClose(k.since, now) })
+	batch := p.policy.BatchSize(len(c.open))
+	batch -= c.evictDue([]kind{kindParkedOnce, kindParkedIdle}, batch, func(k *Conn) bool { return p.policy.ShouldClose(k.since, now) })
 	for _, kind := range []kind{kindOnce, kindIdle} {
-		for k := c.byKind[kind].Front(); k != nil && batch > 0 && p.pace.ShouldPark(k.since, now); k = c.byKind[kind].Front() {
+		for k := c.byKind[kind].Front(); k != nil && batch > 0 && p.policy.ShouldPark(k.since, now); k = c.byKind[kind].Front() {
 			// The expired deadline makes net/http close the connection, and Close parks it.
 			c.setKind(k, kind.parkedKind(), k.since)
 			k.parkPending = true
@@ -116,11 +117,11 @@
 	parked := &Conn{set: c, framing: k.framing, kind: kindBusy, requests: k.requests}
 	kind, since := k.kind, k.since
 	c.remove(k)
-	lotKey, err := p.lot.Park(tcp, parked)
+	pollerKey, err := p.poller.Park(tcp, parked)
 	if err != nil {
-		return true // Hold has closed the connection
+		return true // Park has closed the connection
 	}
-	parked.lotKey, parked.lot = lotKey, p.lot
+	parked.pollerKey, parked.poller = pollerKey, p.poller
 	c.open[parked] = struct{}{}
 	c.setKind(parked, kind, since)
 	return true
@@ -140,16 +141,16 @@
 	return k.Conn.SetReadDeadline(t)
 }
 
-// Woken returns a parked connection to the server because bytes have arrived on it or because it has ended.
+// SocketReady returns a parked connection to the server because bytes have arrived on it or because it has ended.
 func (k *Conn) SocketReady() {
 	c := k.set
 	c.mu.Lock()
-	if _, open := c.open[k]; !open || k.lot == nil {
+	if _, open := c.open[k]; !open || k.poller == nil {
 		c.mu.Unlock()
 		return
 	}
-	conn, err := k.lot.Unpark(k.lotKey)
-	k.lot = nil
+	conn, err := k.poller.Unpark(k.pollerKey)
+	k.poller = nil
 	if err != nil {
 		c.remove(k)
 		c.mu.Unlock()
@@ -186,4 +187,4 @@
 func (p *Parking) Addr() net.Addr { return p.addr }
 
 // Len returns the number of parked connections.
-func (p *Parking) Len() int { return p.lot.Len() }
+func (p *Parking) Len() int { return p.poller.Len() }
--- a/internal/callers/read.go
+++ b/internal/callers/read.go
@@ -123,7 +123,7 @@
 	}
 	if k.parkPending { // too late to park: bytes have arrived
 		k.parkPending = false
-		k.Conn.SetReadDeadline(time.Now().Add(k.set.parking.pace.Timeout))
+		k.Conn.SetReadDeadline(time.Now().Add(k.set.parking.policy.Timeout))
 	}
 	return n, err
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -48,9 +48,9 @@
 }
 
 // New returns a front that passes requests to i. bodies and callers may be shared with other fronts.
-func New(s *settings.Settings, i *host.Instance, bodies *body.Budget, callers *callers.Set, r *restart.Restart, book *figures.Counters, o Options) *Front {
+func New(s *settings.Settings, i *host.Instance, bodies *body.Budget, callers *callers.Set, r *restart.Restart, counters *figures.Counters, o Options) *Front {
 	front := &Front{
-		instance: i, bodies: bodies, callers: callers, restart: r, figures: book,
+		instance: i, bodies: bodies, callers: callers, restart: r, figures: counters,
 		classIndex: map[string]int{}, tenantIndex: map[string]int{}, classConfigs: s.Balancer.Classes,
 		openIDs: map[string]struct{}{},
 	}
@@ -215,8 +215,8 @@
 		return nil, nil, nil
 	}
 	control := http.NewResponseController(w)
-	paced := newPacedReader(r.Body, control, s.options.Load().bodyPace())
-	b, rest, err := body.Read(paced, r.ContentLength, s.bodies)
+	reader := newMinRateReader(r.Body, control, s.options.Load().bodyRate())
+	b, rest, err := body.Read(reader, r.ContentLength, s.bodies)
 	if err == nil && rest == nil {
 		// An expired deadline would later look as if the caller had gone.
 		control.SetReadDeadline(time.Time{})
--- a/internal/front/options.go
+++ b/internal/front/options.go
@@ -88,10 +88,10 @@
 // streamGrace is the time that a slow caller may take beyond what StreamRate allows.
 const streamGrace = 10 * time.Second
 
-func (o *Options) bodyPace() body.MinDataRate {
+func (o *Options) bodyRate() body.MinDataRate {
 	return body.MinDataRate{IdleTimeout: o.BodyTimeout, GracePeriod: o.BodyGrace, BytesPerSecond: o.BodyRate}
 }
 
-func (o *Options) streamPace() body.MinDataRate {
+func (o *Options) streamRate() body.MinDataRate {
 	return body.MinDataRate{IdleTimeout: o.StreamTimeout, GracePeriod: streamGrace, BytesPerSecond: o.StreamRate}
 }
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -25,8 +25,8 @@
 	waited   time.Duration
 }
 
-func newTransferClock(pace body.MinDataRate) transferClock {
-	return transferClock{transfer: pace.Begin(0)}
+func newTransferClock(rate body.MinDataRate) transferClock {
+	return transferClock{transfer: rate.Begin(0)}
 }
 
 // deadline returns when the peer's next bytes are due if the wait for it begins now.
@@ -40,8 +40,8 @@
 	c.transfer.AddBytes(c.waited, n)
 }
 
-// pacedReader reads a caller's body, and fails if the caller is silent for too long or far too slow.
-type pacedReader struct {
+// minRateReader reads a caller's body, and fails if the caller is silent for too long or far too slow.
+type minRateReader struct {
 	from    io.Reader
 	control *http.ResponseController
 	clock   transferClock
@@ -50,11 +50,11 @@
 	stopped bool
 }
 
-func newPacedReader(from io.Reader, control *http.ResponseController, pace body.MinDataRate) *pacedReader {
-	return &pacedReader{from: from, control: control, clock: newTransferClock(pace)}
+func newMinRateReader(from io.Reader, control *http.ResponseController, rate body.MinDataRate) *minRateReader {
+	return &minRateReader{from: from, control: control, clock: newTransferClock(rate)}
 }
 
-func (r *pacedReader) Read(p []byte) (int, error) {
+func (r *minRateReader) Read(p []byte) (int, error) {
 	begun := time.Now()
 	if !r.setDeadline(r.clock.deadline(begun)) {
 		return 0, errStopped
@@ -66,7 +66,7 @@
 
 var errStopped = errors.New("the rest of the body is not read")
 
-func (r *pacedReader) setDeadline(until time.Time) bool {
+func (r *minRateReader) setDeadline(until time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.stopped {
@@ -76,7 +76,7 @@
 }
 
 // stop makes a pending Read and all later ones return.
-func (r *pacedReader) stop() {
+func (r *minRateReader) stop() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stopped = true
@@ -92,14 +92,14 @@
 	s.figures.RequestStarted()
 	defer s.figures.RequestEnded()
 	q := s.submit(r, info, buffered)
-	paced := newPacedReader(rest, control, s.options.Load().bodyPace())
+	reader := newMinRateReader(rest, control, s.options.Load().bodyRate())
 	filled := make(chan error, 1)
 	var filling sync.WaitGroup
-	filling.Go(func() { filled <- s.fill(buffered.Stream(), paced) })
+	filling.Go(func() { filled <- s.fill(buffered.Stream(), reader) })
 	defer func() {
 		if filled != nil {
 			buffered.Stream().CloseWithError(body.ErrStreamClosed)
-			paced.stop()
+			reader.stop()
 		}
 		filling.Wait()
 	}()
@@ -169,8 +169,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// copyAnswer returns nil once the whole answer is written, backends.ErrLeft if the caller has stopped reading it,
-// and otherwise the error in the answer.
+// copyAnswer returns nil once the whole answer is written, backends.ErrCallerLeft if the caller has stopped reading
+// it, and otherwise the error in the answer.
 func (s *Front) copyAnswer(w http.ResponseWriter, r *backends.Reply) error {
 	control := http.NewResponseController(w)
 	if s.restart.Closing() {
@@ -178,7 +178,7 @@
 	}
 	setAnswerHeader(w.Header(), r)
 	w.WriteHeader(http.StatusOK)
-	clock := newTransferClock(s.options.Load().streamPace())
+	clock := newTransferClock(s.options.Load().streamRate())
 	write := func(text []byte) error {
 		begun := time.Now()
 		control.SetWriteDeadline(clock.deadline(begun))
