--- a/internal/backends/begin_test.go
+++ b/internal/backends/begin_test.go
@@ -18,11 +18,11 @@
 // scriptedAttempt says in turn what the test has it say, and its last word from then on.
 type scriptedAttempt struct {
 	left  []time.Duration // 0 where it is not wanted
-	asked atomic.Int32
+	calls atomic.Int32
 }
 
 func (a *scriptedAttempt) Begin() (time.Duration, bool) {
-	n := int(a.asked.Add(1)) - 1
+	n := int(a.calls.Add(1)) - 1
 	left := a.left[min(n, len(a.left)-1)]
 	return left, left > 0
 }
@@ -30,53 +30,53 @@
 func (a *scriptedAttempt) Started(*Reply) bool { return false }
 
 // holdUp is a context whose first request is not written for a while once the attempt has been asked.
-func holdUp(t *testing.T, length time.Duration) context.Context {
-	var held atomic.Bool
+func stallFirstWrite(t *testing.T, length time.Duration) context.Context {
+	var stalled atomic.Bool
 	return httptrace.WithClientTrace(t.Context(), &httptrace.ClientTrace{WroteHeaderField: func(string, []string) {
-		if held.CompareAndSwap(false, true) {
+		if stalled.CompareAndSwap(false, true) {
 			time.Sleep(length)
 		}
 	}})
 }
 
 // exchangeBehindAHoldUp has an attempt exchanged with a server, and returns what came of it and what the server was told, per request.
-func exchangeBehindAHoldUp(t *testing.T, a *scriptedAttempt) (outcome balance.Outcome, told []string) {
+func exchangeAfterStall(t *testing.T, a *scriptedAttempt) (outcome balance.Outcome, sent []string) {
 	t.Helper()
 	const length = 300 * time.Millisecond // stops of this length are beyond what the protocol's slack covers
-	got := make(chan string, 8)
+	received := make(chan string, 8)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		got <- r.Header.Get("X-Remaining-Ms")
+		received <- r.Header.Get("X-Remaining-Ms")
 		fmt.Fprint(w, "ok")
 	}))
 	pool := NewPool(Limits{Conns: 4, ConnectTimeout: time.Second, ConnIdle: time.Minute, Options: DefaultOptions()})
 	to := Endpoint{Server: "s", Address: server.Listener.Addr().String()}
 	message := &Message{Method: http.MethodGet, URI: "/api", URL: &url.URL{Path: "/api"}, Host: "x", Header: http.Header{}}
-	outcome, _ = pool.Exchange(holdUp(t, length), to, message, a)
+	outcome, _ = pool.Exchange(stallFirstWrite(t, length), to, message, a)
 	pool.Close()
 	server.Close() // waits for its requests
-	close(got)
-	for text := range got {
-		told = append(told, text)
+	close(received)
+	for text := range received {
+		sent = append(sent, text)
 	}
-	return outcome, told
+	return outcome, sent
 }
 
 // TestNothingIsWrittenBehindAHoldUpUnlessStillWanted guards against a send to a server that drains, or for a caller that has left, by a process
 // that was stopped between its last look and the write.
-func TestNothingIsWrittenBehindAHoldUpUnlessStillWanted(t *testing.T) {
+func TestNothingIsWrittenAfterAStallUnlessStillWanted(t *testing.T) {
 	a := &scriptedAttempt{left: []time.Duration{5 * time.Second, 0}}
-	outcome, told := exchangeBehindAHoldUp(t, a)
-	if len(told) > 0 || outcome != balance.Ignored {
-		t.Errorf("outcome %v, sent %v", outcome, told)
+	outcome, sent := exchangeAfterStall(t, a)
+	if len(sent) > 0 || outcome != balance.Ignored {
+		t.Errorf("outcome %v, sent %v", outcome, sent)
 	}
 }
 
 // TestServersAreToldTheTimeThatIsLeftBehindAHoldUp guards against work that goes on behind the caller's deadline.
-func TestServersAreToldTheTimeThatIsLeftBehindAHoldUp(t *testing.T) {
+func TestRemainingTimeIsRecomputedAfterAStall(t *testing.T) {
 	const left = 700 * time.Millisecond
 	a := &scriptedAttempt{left: []time.Duration{time.Second, left}}
-	outcome, told := exchangeBehindAHoldUp(t, a)
-	if want := strconv.FormatInt(left.Milliseconds(), 10); outcome != balance.OK || len(told) != 1 || told[0] != want {
-		t.Errorf("outcome %v, told %v, want %s once", outcome, told, want)
+	outcome, sent := exchangeAfterStall(t, a)
+	if want := strconv.FormatInt(left.Milliseconds(), 10); outcome != balance.OK || len(sent) != 1 || sent[0] != want {
+		t.Errorf("outcome %v, told %v, want %s once", outcome, sent, want)
 	}
 }
--- a/internal/backends/conn.go
+++ b/internal/backends/conn.go
@@ -26,50 +26,50 @@
 	cc       *http.ClientConn
 	framing  framing.Follower // of the answers; used by the one that reads, and once it is done
 
-	last  atomic.Bool // the next write may hold the request's last byte
-	wrote atomic.Bool // a write of this attempt has begun
-	began atomic.Bool // the write with the request's last byte has begun
-	class int         // of the request
-	whole bool        // that write is over, and has been told of; used by the one that writes
+	lastWrite      atomic.Bool // the next write may hold the request's last byte
+	writeBegun     atomic.Bool // a write of this attempt has begun
+	lastWriteBegun atomic.Bool // the write with the request's last byte has begun
+	class          int         // of the request
+	fullyWritten   bool        // that write is over, and has been told of; used by the one that writes
 	// beginning is what the attempt has said before its request is written; used by the one that writes, once the request is handed to it.
-	beginning beginning
-	refusal   atomic.Pointer[error] // why nothing more of the request was written; nil where all was
+	permit     writePermit
+	refusedErr atomic.Pointer[error] // why nothing more of the request was written; nil where all was
 	// streams says that a message is passed on while it comes: each read and write may wait for silence, and the
 	// rest of an answer is not timed beyond that.
-	streams   atomic.Bool
-	answering atomic.Bool // it is the answer that streams
-	silence   time.Duration
+	streaming         atomic.Bool
+	streamingAnswer   atomic.Bool // it is the answer that streams
+	streamIdleTimeout time.Duration
 
 	// Guarded by pool.mu.
-	inRead   bool // a Read waits on the socket
-	done     bool // the answer is read; to be parked once a Read waits
-	parked   bool
-	parkedAt time.Time
-	retire   *time.Timer // ends it when it has idled for too long
-	retiring bool        // retire runs
-	rest     *time.Timer // ends an answer that has begun and does not go on
-	resting  bool        // rest runs
-	restEnd  time.Time   // by when the answer must have ended; zero while none has begun
-	closed   bool
+	inRead         bool // a Read waits on the socket
+	answerRead     bool // the answer is read; to be parked once a Read waits
+	parked         bool
+	parkedAt       time.Time
+	idleTimer      *time.Timer // ends it when it has idled for too long
+	idleTimerSet   bool        // retire runs
+	answerTimer    *time.Timer // ends an answer that has begun and does not go on
+	answerTimerSet bool        // rest runs
+	answerDeadline time.Time   // by when the answer must have ended; zero while none has begun
+	closed         bool
 
 	linked.Links[conn] // in its idleList
 }
 
-func (c *conn) roundTrip(ctx context.Context, m *Message, b beginning) (*http.Response, error) {
+func (c *conn) roundTrip(ctx context.Context, m *Message, permit writePermit) (*http.Response, error) {
 	header := maps.Clone(m.Header)
-	setRemaining(header, b.told)
-	c.beginning = b
+	setRemaining(header, permit.announced)
+	c.permit = permit
 	c.class = m.Class
 	req := &http.Request{Method: m.Method, URL: m.target(c.endpoint.Address), Host: m.Host, Header: header, Body: http.NoBody}
 	if s := m.Body.Stream(); s != nil {
-		c.stream()
+		c.startStreaming()
 		req.Body = &streamReader{conn: c, reader: s.Reader()}
 		req.ContentLength = s.Length()
 	} else if m.Body.Size() > 0 {
 		req.Body = &bodyReader{conn: c, data: m.Body.Data()}
 		req.ContentLength = m.Body.Size()
 	} else {
-		c.last.Store(true)
+		c.lastWrite.Store(true)
 	}
 	return c.cc.RoundTrip(req.WithContext(ctx))
 }
@@ -88,33 +88,33 @@
 // mayWrite asks the attempt again, behind a hold-up, before the first byte of its request and before the last one. Of a request that is
 // passed on while it comes the last byte may be seconds behind the first: its server has it by then.
 func (c *conn) mayWrite(last bool) error {
-	if c.wrote.Load() && (!last || c.streams.Load() || c.whole) {
+	if c.writeBegun.Load() && (!last || c.streaming.Load() || c.fullyWritten) {
 		return nil
 	}
-	err := c.beginning.hold()
+	err := c.permit.revalidate()
 	if err != nil {
-		c.refusal.Store(&err)
+		c.refusedErr.Store(&err)
 	}
 	return err
 }
 
 func (c *conn) Write(b []byte) (int, error) {
-	last := c.last.Load()
+	last := c.lastWrite.Load()
 	if err := c.mayWrite(last); err != nil {
 		return 0, err
 	}
-	c.wrote.Store(true)
+	c.writeBegun.Store(true)
 	if last {
-		c.began.Store(true)
+		c.lastWriteBegun.Store(true)
 	}
-	if c.streams.Load() {
-		c.Conn.SetWriteDeadline(time.Now().Add(c.silence))
+	if c.streaming.Load() {
+		c.Conn.SetWriteDeadline(time.Now().Add(c.streamIdleTimeout))
 	}
 	n, err := c.Conn.Write(b)
-	if last && err == nil && !c.whole {
-		c.whole = true
-		if told := c.pool.written; told != nil {
-			told(c.class)
+	if last && err == nil && !c.fullyWritten {
+		c.fullyWritten = true
+		if onWritten := c.pool.onWritten; onWritten != nil {
+			onWritten(c.class)
 		}
 	}
 	return n, err
@@ -127,89 +127,89 @@
 	p := c.pool
 	p.mu.Lock()
 	c.inRead = true
-	if c.done {
-		c.done = false
+	if c.answerRead {
+		c.answerRead = false
 		p.park(c)
 	}
 	p.mu.Unlock()
 
-	if c.streams.Load() && c.wrote.Load() {
-		c.Conn.SetReadDeadline(c.patience())
+	if c.streaming.Load() && c.writeBegun.Load() {
+		c.Conn.SetReadDeadline(c.readDeadline())
 	}
 	n, err := c.Conn.Read(b)
 
 	p.mu.Lock()
 	c.inRead = false
-	stray := n > 0 && (c.parked || !c.wrote.Load())
+	stray := n > 0 && (c.parked || !c.writeBegun.Load())
 	if c.parked {
 		p.unpark(c)
 	}
 	p.mu.Unlock()
 	if stray {
-		return 0, errStray
+		return 0, errUnsolicited
 	}
 	if n > 0 {
 		c.framing.Feed(b[:n])
 		switch {
 		case c.framing.Interim() > maxInterim:
-			return 0, errInterim
+			return 0, errTooManyInterim
 		case c.framing.AfterInterim():
-			c.unwatchRest() // the answer proper may be far off
+			c.clearAnswerDeadline() // the answer proper may be far off
 		default:
-			c.watchRest()
+			c.startAnswerTimer()
 		}
 	}
 	return n, err
 }
 
 // stream says that from now on a message is passed on while it comes.
-func (c *conn) stream() {
+func (c *conn) startStreaming() {
 	c.pool.mu.Lock()
-	c.silence = c.pool.options.StreamSilence
-	c.restEnd = time.Time{}
+	c.streamIdleTimeout = c.pool.options.StreamSilence
+	c.answerDeadline = time.Time{}
 	c.pool.mu.Unlock()
-	c.streams.Store(true)
+	c.streaming.Store(true)
 }
 
 // patience is by when a read must bring something: the answer to a request that is still on its way has all the time
 // that the attempt has.
-func (c *conn) patience() time.Time {
-	if c.answering.Load() {
-		return time.Now().Add(c.silence)
+func (c *conn) readDeadline() time.Time {
+	if c.streamingAnswer.Load() {
+		return time.Now().Add(c.streamIdleTimeout)
 	}
 	return time.Time{}
 }
 
 // watchRest gives an answer that has begun Options.AnswerTimeout to bring its next byte.
-func (c *conn) watchRest() {
+func (c *conn) startAnswerTimer() {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	if c.closed || c.streams.Load() {
+	if c.closed || c.streaming.Load() {
 		return
 	}
-	c.restEnd = time.Now().Add(c.pool.options.AnswerTimeout)
-	if !c.resting {
-		c.resting = true
-		c.rest.Reset(c.pool.options.AnswerTimeout)
+	c.answerDeadline = time.Now().Add(c.pool.options.AnswerTimeout)
+	if !c.answerTimerSet {
+		c.answerTimerSet = true
+		c.answerTimer.Reset(c.pool.options.AnswerTimeout)
 	}
 }
 
-func (c *conn) unwatchRest() {
+func (c *conn) clearAnswerDeadline() {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	c.restEnd = time.Time{}
+	c.answerDeadline = time.Time{}
 }
 
 // restOver ends the answer whose time is over. Like retire, its timer is not stopped when an answer ends: it looks
 // whether another has begun.
-func (c *conn) restOver() {
+func (c *conn) onAnswerTimer() {
 	c.pool.mu.Lock()
-	c.resting = false
+	c.answerTimerSet = false
 	over := false
-	if !c.restEnd.IsZero() && !c.closed {
-		if left := time.Until(c.restEnd); left > 0 {
-			c.resting = true
-			c.rest.Reset(left)
+	if !c.answerDeadline.IsZero() && !c.closed {
+		if left := time.Until(c.answerDeadline); left > 0 {
+			c.answerTimerSet = true
+			c.answerTimer.Reset(left)
 		} else {
 			over = true
 		}
@@ -226,8 +226,8 @@
 	if !c.closed {
 		c.closed = true
 		c.pool.open--
-		c.rest.Stop()
-		c.retire.Stop()
+		c.answerTimer.Stop()
+		c.idleTimer.Stop()
 		if c.parked {
 			c.pool.unpark(c)
 		}
@@ -237,15 +237,15 @@
 }
 
 // renew makes a connection that has been idle ready for its next request.
-func (c *conn) renew() {
+func (c *conn) reset() {
 	c.framing = framing.Follower{}
-	c.wrote.Store(false)
-	c.last.Store(false)
-	c.began.Store(false)
-	c.whole = false
-	c.refusal.Store(nil)
-	if c.streams.Swap(false) {
-		c.answering.Store(false)
+	c.writeBegun.Store(false)
+	c.lastWrite.Store(false)
+	c.lastWriteBegun.Store(false)
+	c.fullyWritten = false
+	c.refusedErr.Store(nil)
+	if c.streaming.Swap(false) {
+		c.streamingAnswer.Store(false)
 		c.Conn.SetDeadline(time.Time{})
 	}
 }
@@ -269,7 +269,7 @@
 	}
 	n := copy(p, r.data)
 	if r.data = r.data[n:]; len(r.data) == 0 {
-		r.conn.last.Store(true)
+		r.conn.lastWrite.Store(true)
 	}
 	return n, nil
 }
@@ -285,7 +285,7 @@
 func (r *streamReader) Read(p []byte) (int, error) {
 	n, last, err := r.reader.Read(p)
 	if last {
-		r.conn.last.Store(true)
+		r.conn.lastWrite.Store(true)
 	}
 	return n, err
 }
--- a/internal/backends/dial_test.go
+++ b/internal/backends/dial_test.go
@@ -10,14 +10,14 @@
 )
 
 // TestAConnectionThatIsUpIsNotCalledOff: where the end of the patience comes before the news that the connection is up, the dial goes on.
-func TestAConnectionThatIsUpIsNotCalledOff(t *testing.T) {
+func TestEstablishedConnectionIsNotCanceled(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer theirs.Close()
 	defer ours.Close()
-	asked := make(chan bool)
-	up := func() bool { asked <- true; return true }
-	got, err := dialWithin(t.Context(), time.Millisecond, up, func(ctx context.Context) (net.Conn, error) {
-		<-asked // the patience is over
+	checked := make(chan bool)
+	connected := func() bool { checked <- true; return true }
+	got, err := dialWithTimeout(t.Context(), time.Millisecond, connected, func(ctx context.Context) (net.Conn, error) {
+		<-checked // the patience is over
 		<-time.After(20 * time.Millisecond)
 		return ours, ctx.Err()
 	})
@@ -26,8 +26,8 @@
 	}
 }
 
-func TestAConnectionThatIsNotUpIsCalledOff(t *testing.T) {
-	_, err := dialWithin(t.Context(), time.Millisecond, func() bool { return false }, func(ctx context.Context) (net.Conn, error) {
+func TestUnfinishedDialIsCanceled(t *testing.T) {
+	_, err := dialWithTimeout(t.Context(), time.Millisecond, func() bool { return false }, func(ctx context.Context) (net.Conn, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	})
@@ -37,13 +37,13 @@
 }
 
 // TestTheKernelIsAskedWhetherAConnectionIsUp: before it connects, once it has, and after its end.
-func TestTheKernelIsAskedWhetherAConnectionIsUp(t *testing.T) {
+func TestConnectedReportsTheStateInTheKernel(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	d := &dialing{}
+	d := &pendingDial{}
 	if d.connected() {
 		t.Error("up without a socket")
 	}
--- a/internal/backends/exchange.go
+++ b/internal/backends/exchange.go
@@ -16,7 +16,7 @@
 
 const (
 	// leftoverWait bounds how long the rest of an answer that nobody needs is read to save its connection.
-	leftoverWait = 100 * time.Millisecond
+	discardTimeout = 100 * time.Millisecond
 	// maxAnswerHead ends a backend that sends headers without end, and maxInterim one that sends 1xx answers
 	// without end.
 	maxAnswerHead = 16 << 10
@@ -30,10 +30,10 @@
 )
 
 var (
-	errNoSockets = errors.New("all backend sockets are in use")
-	errStray     = errors.New("bytes that answer nothing")
-	errInterim   = errors.New("interim answers without end")
-	errFraming   = errors.New("an answer whose end cannot be told")
+	errNoSockets      = errors.New("all backend sockets are in use")
+	errUnsolicited    = errors.New("bytes that answer nothing")
+	errTooManyInterim = errors.New("interim answers without end")
+	errFraming        = errors.New("an answer whose end cannot be told")
 )
 
 // Reply is a backend's 200 answer: whole, or as far as it has come.
@@ -48,18 +48,18 @@
 
 // Rest is what is still to come of an answer. It is for one goroutine, which must close it.
 type Rest struct {
-	from  io.Reader
-	ended chan error // takes what the rest ended with
+	reader io.Reader
+	result chan error // takes what the rest ended with
 }
 
 // ErrLeft is what a Rest is closed with that nobody takes any more: no fault of the backend's.
 var ErrLeft = errors.New("the caller has left")
 
 // Read reads on; io.EOF stands behind a whole answer alone.
-func (r *Rest) Read(p []byte) (int, error) { return r.from.Read(p) }
+func (r *Rest) Read(p []byte) (int, error) { return r.reader.Read(p) }
 
 // Close ends the attempt: nil for an answer read to its end, ErrLeft, or what Read returned.
-func (r *Rest) Close(err error) { r.ended <- err }
+func (r *Rest) Close(err error) { r.result <- err }
 
 // Attempt is what is asked and told on the way of one attempt, from Exchange's goroutine.
 type Attempt interface {
@@ -83,50 +83,50 @@
 	for {
 		c, reused, err := p.get(ctx, to)
 		if err != nil {
-			return p.unconnected(ctx, to, err), nil
+			return p.connectFailed(ctx, to, err), nil
 		}
-		beginning, wanted := begin(a)
+		permit, wanted := requestPermit(a)
 		if !wanted {
 			p.release(c)
 			return balance.Ignored, nil
 		}
-		resp, err := c.roundTrip(ctx, m, beginning)
+		resp, err := c.roundTrip(ctx, m, permit)
 		if err == nil {
 			return p.receive(ctx, c, resp, a)
 		}
 		c.discard()
-		if refusal := c.refusal.Load(); refusal != nil {
+		if refusal := c.refusedErr.Load(); refusal != nil {
 			// No whole request was written.
 			if *refusal == errUnwanted {
 				return balance.Ignored, nil
 			}
 			continue
 		}
-		if reused && !c.began.Load() && ctx.Err() == nil {
+		if reused && !c.lastWriteBegun.Load() && ctx.Err() == nil {
 			// The backend closed it while it stood idle, which says nothing against the backend. No
 			// whole request was written, so this is still the attempt's only copy.
 			continue
 		}
 		outcome := c.brokenOutcome(ctx)
 		if outcome == balance.TimedOut {
-			p.distrust(to) // a machine that is cut off leaves all its connections open and silent
+			p.dropIdle(to) // a machine that is cut off leaves all its connections open and silent
 		}
 		return outcome, nil
 	}
 }
 
 // unconnected is the outcome of an attempt that got no connection.
-func (p *Pool) unconnected(ctx context.Context, to Endpoint, err error) balance.Outcome {
+func (p *Pool) connectFailed(ctx context.Context, to Endpoint, err error) balance.Outcome {
 	outcome := connectOutcome(ctx, err)
 	if outcome == balance.ConnectError {
-		p.distrust(to)
+		p.dropIdle(to)
 	}
 	return outcome
 }
 
 // receive reads the answer whose head has come.
 func (p *Pool) receive(ctx context.Context, c *conn, resp *http.Response, a Attempt) (balance.Outcome, *Reply) {
-	c.watchRest()
+	c.startAnswerTimer()
 	if resp.StatusCode != http.StatusOK {
 		outcome := balance.Failed
 		switch {
@@ -147,14 +147,14 @@
 		p.release(c)
 		return balance.OK, &Reply{Header: resp.Header, Body: text, Length: int64(len(text))}
 	}
-	c.stream()
-	c.answering.Store(true)
-	rest := &Rest{from: &limited{resp.Body, body.MaxBytes - int64(len(text))}, ended: make(chan error, 1)}
-	if !a.Started(&Reply{Header: resp.Header, Body: text, Length: resp.ContentLength, Rest: rest}) {
+	c.startStreaming()
+	c.streamingAnswer.Store(true)
+	remainder := &Rest{reader: &limitedReader{resp.Body, body.MaxBytes - int64(len(text))}, result: make(chan error, 1)}
+	if !a.Started(&Reply{Header: resp.Header, Body: text, Length: resp.ContentLength, Rest: remainder}) {
 		c.discard()
 		return c.brokenOutcome(ctx), nil
 	}
-	switch err := <-rest.ended; err {
+	switch err := <-remainder.result; err {
 	case nil:
 		p.release(c)
 		return balance.OK, nil
@@ -167,13 +167,13 @@
 }
 
 // limited ends with ErrTooLarge where more comes than is left; it must not pass for a whole answer.
-type limited struct {
-	from io.Reader
-	left int64
+type limitedReader struct {
+	reader io.Reader
+	left   int64
 }
 
-func (l *limited) Read(p []byte) (int, error) {
-	n, err := l.from.Read(p)
+func (l *limitedReader) Read(p []byte) (int, error) {
+	n, err := l.reader.Read(p)
 	if l.left -= int64(n); l.left < 0 {
 		return 0, body.ErrTooLarge
 	}
@@ -232,7 +232,7 @@
 		c.discard()
 		return
 	}
-	late := time.AfterFunc(leftoverWait, c.discard)
+	late := time.AfterFunc(discardTimeout, c.discard)
 	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, body.WholeBytes+1))
 	if late.Stop() && err == nil && n <= body.WholeBytes {
 		p.release(c)
@@ -246,10 +246,10 @@
 	if ctx.Err() != nil {
 		return endedOutcome(ctx)
 	}
-	for _, own := range []error{
+	for _, local := range []error{
 		errNoSockets, syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM,
 	} {
-		if errors.Is(err, own) {
+		if errors.Is(err, local) {
 			return balance.Ignored // never sent, for want of something of ours: no blame on the backend
 		}
 	}
@@ -262,7 +262,7 @@
 	switch {
 	case ctx.Err() != nil:
 		return endedOutcome(ctx)
-	case c.began.Load():
+	case c.lastWriteBegun.Load():
 		return balance.Reset
 	}
 	return balance.ConnectError
--- a/internal/backends/idle.go
+++ b/internal/backends/idle.go
@@ -21,12 +21,12 @@
 }
 
 // lastSettled is the connection parked last that has rested for so long, or nil.
-func (l *idleList) lastSettled(now time.Time, rest time.Duration) *conn {
+func (l *idleList) lastSettled(now time.Time, settleTime time.Duration) *conn {
 	next := l.Front()
 	if l.settled != nil {
 		next = l.Newer(l.settled)
 	}
-	for next != nil && now.Sub(next.parkedAt) >= rest {
+	for next != nil && now.Sub(next.parkedAt) >= settleTime {
 		l.settled, next = next, l.Newer(next)
 	}
 	return l.settled
--- a/internal/backends/idle_test.go
+++ b/internal/backends/idle_test.go
@@ -8,33 +8,33 @@
 )
 
 // TestIdleListAgainstAPlainOne makes thousands of random changes to both and compares what they say.
-func TestIdleListAgainstAPlainOne(t *testing.T) {
-	const rest = 5 * time.Millisecond
+func TestIdleListMatchesASlice(t *testing.T) {
+	const settleTime = 5 * time.Millisecond
 	for seed := range uint64(20) {
-		dice := rand.New(rand.NewPCG(seed, 0))
+		rng := rand.New(rand.NewPCG(seed, 0))
 		var l idleList
 		var plain []*conn
 		now := time.Now()
 		for range 2000 {
-			now = now.Add(time.Duration(dice.IntN(3)) * time.Millisecond)
-			switch k := dice.IntN(3); {
+			now = now.Add(time.Duration(rng.IntN(3)) * time.Millisecond)
+			switch k := rng.IntN(3); {
 			case k < 2 && len(plain) < 40:
 				c := &conn{parkedAt: now}
 				l.Push(c)
 				plain = append(plain, c)
 			case len(plain) > 0:
-				i := dice.IntN(len(plain))
+				i := rng.IntN(len(plain))
 				l.Remove(plain[i])
 				plain = slices.Delete(plain, i, i+1)
 			}
 			var want *conn
 			for _, c := range plain {
-				if now.Sub(c.parkedAt) >= rest {
+				if now.Sub(c.parkedAt) >= settleTime {
 					want = c
 				}
 			}
-			if dice.IntN(2) == 0 {
-				if got := l.lastSettled(now, rest); got != want {
+			if rng.IntN(2) == 0 {
+				if got := l.lastSettled(now, settleTime); got != want {
 					t.Fatalf("seed %d: the last settled is %p, want %p", seed, got, want)
 				}
 			}
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -20,9 +20,9 @@
 	transport      *http.Transport
 	control        func(network, address string, c syscall.RawConn) error // of each socket; may be nil
 	connectTimeout time.Duration
-	idleFor        time.Duration
+	maxIdle        time.Duration
 	limit          int
-	written        func(class int) // may be nil
+	onWritten      func(class int) // may be nil
 
 	mu      sync.Mutex
 	options Options
@@ -51,15 +51,15 @@
 		connectTimeout: l.ConnectTimeout,
 		// A request that crosses the backend's close ends as a reset, and may have run for all we know.
 		// The fifth left is for answers that took their time to be read.
-		idleFor: l.ConnIdle * 4 / 5,
-		limit:   l.Conns, options: l.Options, written: l.Written,
+		maxIdle: l.ConnIdle * 4 / 5,
+		limit:   l.Conns, options: l.Options, onWritten: l.Written,
 		idle: map[Endpoint]*idleList{},
 	}
 	p.transport = &http.Transport{
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: maxAnswerHead,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			return ctx.Value(dialed{}).(*conn), nil
+			return ctx.Value(connKey{}).(*conn), nil
 		},
 	}
 	return p
@@ -73,7 +73,7 @@
 }
 
 // dialed is the context key under which a connection is handed to the transport.
-type dialed struct{}
+type connKey struct{}
 
 // get takes the idle connection that was used last and has settled, or opens one.
 func (p *Pool) get(ctx context.Context, to Endpoint) (c *conn, reused bool, err error) {
@@ -81,17 +81,17 @@
 	p.mu.Lock()
 	now := time.Now()
 	for c == nil && p.idle[to] != nil {
-		k := p.idle[to].lastSettled(now, p.options.Settle)
-		if k == nil {
+		candidate := p.idle[to].lastSettled(now, p.options.Settle)
+		if candidate == nil {
 			break
 		}
-		p.unpark(k)
-		if k.cc.Err() != nil || now.Sub(k.parkedAt) >= p.idleFor {
-			dead = append(dead, k)
+		p.unpark(candidate)
+		if candidate.cc.Err() != nil || now.Sub(candidate.parkedAt) >= p.maxIdle {
+			dead = append(dead, candidate)
 			continue
 		}
-		k.renew()
-		c = k
+		candidate.reset()
+		c = candidate
 	}
 	if c == nil && p.open-len(dead) >= p.limit {
 		if oldest := p.oldestIdle(); oldest != nil {
@@ -124,9 +124,9 @@
 		return nil, fmt.Errorf("connect to %s: %w", to.Address, err)
 	}
 	c := &conn{Conn: nc, pool: p, endpoint: to}
-	c.retire = stoppedTimer(func() { p.retire(c) })
-	c.rest = stoppedTimer(c.restOver)
-	if c.cc, err = p.transport.NewClientConn(context.WithValue(ctx, dialed{}, c), "http", to.Address); err != nil {
+	c.idleTimer = stoppedTimer(func() { p.onIdleTimer(c) })
+	c.answerTimer = stoppedTimer(c.onAnswerTimer)
+	if c.cc, err = p.transport.NewClientConn(context.WithValue(ctx, connKey{}, c), "http", to.Address); err != nil {
 		c.Close()
 		return nil, fmt.Errorf("connect to %s: %w", to.Address, err)
 	}
@@ -135,7 +135,7 @@
 
 // release gives back a connection on which no answer is outstanding.
 func (p *Pool) release(c *conn) {
-	c.unwatchRest()
+	c.clearAnswerDeadline()
 	if c.cc.Available() == 0 {
 		c.discard()
 		return
@@ -145,7 +145,7 @@
 	if c.inRead && !unwanted {
 		p.park(c)
 	} else {
-		c.done = true
+		c.answerRead = true
 	}
 	p.mu.Unlock()
 	if unwanted {
@@ -167,7 +167,7 @@
 }
 
 // distrust closes the idle connections to an endpoint that does not answer.
-func (p *Pool) distrust(to Endpoint) {
+func (p *Pool) dropIdle(to Endpoint) {
 	p.mu.Lock()
 	var all []*conn
 	if idle := p.idle[to]; idle != nil {
@@ -199,22 +199,22 @@
 		p.idle[c.endpoint] = idle
 	}
 	idle.Push(c)
-	if !c.retiring {
-		c.retiring = true
-		c.retire.Reset(p.idleFor)
+	if !c.idleTimerSet {
+		c.idleTimerSet = true
+		c.idleTimer.Reset(p.maxIdle)
 	}
 }
 
 // retire ends a connection that has idled for too long. Its timer is not stopped when the connection is used: it
 // looks again when it fires, which costs a busy connection one look in each idleFor.
-func (p *Pool) retire(c *conn) {
+func (p *Pool) onIdleTimer(c *conn) {
 	p.mu.Lock()
-	c.retiring = false
+	c.idleTimerSet = false
 	over := false
 	if c.parked {
-		if left := p.idleFor - time.Since(c.parkedAt); left > 0 {
-			c.retiring = true
-			c.retire.Reset(left)
+		if left := p.maxIdle - time.Since(c.parkedAt); left > 0 {
+			c.idleTimerSet = true
+			c.idleTimer.Reset(left)
 		} else {
 			over = true
 			p.unpark(c)
--- a/internal/backends/upgrade.go
+++ b/internal/backends/upgrade.go
@@ -28,12 +28,12 @@
 // anything else than 101 does not speak the protocol on this path, whichever of them is asked.
 func (p *Pool) Upgrade(ctx context.Context, to Endpoint, m *Message, a Attempt) (balance.Outcome, *Reply) {
 	if err := p.reserve(); err != nil {
-		return p.unconnected(ctx, to, err), nil
+		return p.connectFailed(ctx, to, err), nil
 	}
 	defer p.unreserve() // a channel counts elsewhere
 	nc, err := p.dialAddress(ctx, to.Address)
 	if err != nil {
-		return p.unconnected(ctx, to, err), nil
+		return p.connectFailed(ctx, to, err), nil
 	}
 	left, wanted := a.Begin()
 	if !wanted {
@@ -41,7 +41,7 @@
 		return balance.Ignored, nil
 	}
 	stop := context.AfterFunc(ctx, func() { nc.Close() })
-	outcome, c, err := p.shakeHands(nc, m, left)
+	outcome, c, err := p.performHandshake(nc, m, left)
 	if !stop() || err != nil || c == nil {
 		nc.Close()
 		if ctx.Err() != nil {
@@ -54,12 +54,12 @@
 }
 
 // shakeHands returns a nil channel and the outcome where there is none.
-func (p *Pool) shakeHands(nc net.Conn, m *Message, left time.Duration) (balance.Outcome, *Channel, error) {
+func (p *Pool) performHandshake(nc net.Conn, m *Message, left time.Duration) (balance.Outcome, *Channel, error) {
 	if err := writeUpgrade(nc, m, left); err != nil {
 		return balance.Reset, nil, err
 	}
-	if p.written != nil {
-		p.written(m.Class)
+	if p.onWritten != nil {
+		p.onWritten(m.Class)
 	}
 	bounded := &io.LimitedReader{R: nc, N: maxAnswerHead}
 	r := bufio.NewReader(bounded)
@@ -82,7 +82,7 @@
 			break
 		}
 		if interim >= maxInterim {
-			return balance.Failed, nil, errInterim
+			return balance.Failed, nil, errTooManyInterim
 		}
 	}
 	switch status := resp.StatusCode; {
@@ -106,11 +106,11 @@
 	if !ok {
 		return balance.Failed, nil, fmt.Errorf("a channel over %s", nc.LocalAddr().Network())
 	}
-	behind, err := r.Peek(r.Buffered())
+	buffered, err := r.Peek(r.Buffered())
 	if err != nil {
 		return balance.Failed, nil, err
 	}
-	return balance.OK, &Channel{Conn: tcp, Header: resp.Header, Behind: append([]byte(nil), behind...), Agreed: agreed}, nil
+	return balance.OK, &Channel{Conn: tcp, Header: resp.Header, Behind: append([]byte(nil), buffered...), Agreed: agreed}, nil
 }
 
 // writeUpgrade writes the head of a request for a channel. http.Request.Write would do it, if it did not add and drop
--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -25,17 +25,17 @@
 )
 
 // Budget is the memory that all bodies held at one time share.
-type Budget struct{ left, most atomic.Int64 }
+type Budget struct{ available, size atomic.Int64 }
 
-func (b *Budget) take(n int64) bool {
-	if b.left.Add(-n) < 0 {
-		b.left.Add(n)
+func (b *Budget) reserve(n int64) bool {
+	if b.available.Add(-n) < 0 {
+		b.available.Add(n)
 		return false
 	}
 	return true
 }
 
-func (b *Budget) give(n int64) { b.left.Add(n) }
+func (b *Budget) release(n int64) { b.available.Add(n) }
 
 // Body is a request's body. A short one is read whole before anything is sent: an attempt may have to be repeated,
 // and a request's clock starts at its last byte. A long one is a stream.
@@ -71,7 +71,7 @@
 	case b.stream != nil:
 		b.stream.Release()
 	default:
-		b.budget.give(int64(len(b.data)))
+		b.budget.release(int64(len(b.data)))
 		b.data = nil
 	}
 }
@@ -88,32 +88,32 @@
 	case length > WholeBytes:
 		return &Body{stream: NewStream(length, budget)}, r, nil
 	}
-	most := length
-	if most < 0 {
-		most = WholeBytes
+	limit := length
+	if limit < 0 {
+		limit = WholeBytes
 	}
-	if !budget.take(most) {
+	if !budget.reserve(limit) {
 		return nil, nil, ErrNoRoom
 	}
-	data, whole, err := ReadAtMost(r, most, func() bool { return true })
+	data, complete, err := ReadAtMost(r, limit, func() bool { return true })
 	if err != nil {
-		budget.give(most)
+		budget.release(limit)
 		return nil, nil, fmt.Errorf("body: %w", err)
 	}
-	if !whole {
-		budget.give(most)
+	if !complete {
+		budget.release(limit)
 		return &Body{stream: NewStream(-1, budget)}, io.MultiReader(bytes.NewReader(data), r), nil
 	}
-	budget.give(most - int64(len(data)))
+	budget.release(limit - int64(len(data)))
 	return &Body{data: data, budget: budget}, nil, nil
 }
 
 // ReadAtMost reads r to its end, or more than most bytes of it, or until goOn says no, which is asked before each read.
 // The buffer grows with what has come: a sender that announces much and sends nothing costs its own time and none of our
 // memory. The read that meets the end also tells net/http to watch for the caller's leaving.
-func ReadAtMost(r io.Reader, most int64, goOn func() bool) (data []byte, whole bool, err error) {
-	data = make([]byte, 0, min(most+1, 512))
-	for goOn() {
+func ReadAtMost(r io.Reader, limit int64, keepReading func() bool) (data []byte, complete bool, err error) {
+	data = make([]byte, 0, min(limit+1, 512))
+	for keepReading() {
 		n, err := r.Read(data[len(data):cap(data)])
 		data = data[:len(data)+n]
 		switch {
@@ -121,11 +121,11 @@
 			return data, true, nil
 		case err != nil:
 			return nil, false, err
-		case int64(len(data)) > most:
+		case int64(len(data)) > limit:
 			return data, false, nil
 		}
 		if len(data) == cap(data) {
-			data = slices.Grow(data, min(len(data), int(most)+1-len(data)))
+			data = slices.Grow(data, min(len(data), int(limit)+1-len(data)))
 		}
 	}
 	return data, false, nil
@@ -141,7 +141,7 @@
 
 // Resize changes what all bodies together may take. Where they hold more already, nothing is given until they hold
 // less.
-func (b *Budget) Resize(n int64) { b.left.Add(n - b.most.Swap(n)) }
+func (b *Budget) Resize(n int64) { b.available.Add(n - b.size.Swap(n)) }
 
 // NewBudget lets all bodies together take n bytes.
 func NewBudget(n int64) *Budget {
--- a/internal/body/pace.go
+++ b/internal/body/pace.go
@@ -16,23 +16,23 @@
 
 // Transfer is one transfer under a Pace. Times are since any fixed moment, but of one clock.
 type Transfer struct {
-	pace        Pace
-	begun, last time.Duration
-	bytes       int64
+	rate             Pace
+	start, lastMoved time.Duration
+	bytes            int64
 }
 
 // Begin begins a transfer.
-func (p Pace) Begin(now time.Duration) Transfer { return Transfer{pace: p, begun: now, last: now} }
+func (p Pace) Begin(now time.Duration) Transfer { return Transfer{rate: p, start: now, lastMoved: now} }
 
 // Moved takes in that bytes have come or gone.
 func (t *Transfer) Moved(now time.Duration, bytes int) {
 	if bytes > 0 {
-		t.last, t.bytes = now, t.bytes+int64(bytes)
+		t.lastMoved, t.bytes = now, t.bytes+int64(bytes)
 	}
 }
 
 // Deadline is by when the next byte has to come or go.
 func (t *Transfer) Deadline() time.Duration {
-	byRate := t.begun + t.pace.Grace + time.Duration(float64(t.bytes)/float64(t.pace.Rate)*float64(time.Second))
-	return min(t.last+t.pace.Silence, byRate)
+	byRate := t.start + t.rate.Grace + time.Duration(float64(t.bytes)/float64(t.rate.Rate)*float64(time.Second))
+	return min(t.lastMoved+t.rate.Silence, byRate)
 }
--- a/internal/body/stream_test.go
+++ b/internal/body/stream_test.go
@@ -16,7 +16,7 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // text is n bytes, none of which is like its neighbours.
-func text(n int) []byte {
+func randomBytes(n int) []byte {
 	rng := rand.New(rand.NewPCG(uint64(n), 1))
 	b := make([]byte, n)
 	for i := range b {
@@ -29,21 +29,21 @@
 func readAll(r *Reader) ([]byte, bool, error) {
 	var all []byte
 	p := make([]byte, 10_000)
-	said := false
+	sawLast := false
 	for {
 		n, last, err := r.Read(p)
 		all = append(all, p[:n]...)
-		said = said || last
+		sawLast = sawLast || last
 		if err == io.EOF {
-			return all, said, nil
+			return all, sawLast, nil
 		}
 		if err != nil {
-			return all, said, err
+			return all, sawLast, err
 		}
 	}
 }
 
-func TestReadKeepsWhatIsShortAndStreamsWhatIsLong(t *testing.T) {
+func TestReadBuffersShortBodiesAndStreamsLongOnes(t *testing.T) {
 	for _, c := range []struct {
 		size   int
 		length int64
@@ -55,7 +55,7 @@
 		{WholeBytes + 1, -1, true, nil}, {5, MaxBytes, true, nil}, {5, MaxBytes + 1, false, ErrTooLarge},
 	} {
 		budget := NewBudget(1 << 20)
-		in := text(c.size)
+		in := randomBytes(c.size)
 		b, rest, err := Read(bytes.NewReader(in), c.length, budget)
 		if !errors.Is(err, c.err) || (rest != nil) != c.stream || c.stream && b.Stream() == nil {
 			t.Errorf("%d bytes, announced %d: %v, %v, %v", c.size, c.length, b, rest, err)
@@ -72,16 +72,16 @@
 			b.Stream().Fill(bytes.NewReader(nil))
 		}
 		b.Release()
-		if left := budget.left.Load(); left != 1<<20 {
+		if left := budget.available.Load(); left != 1<<20 {
 			t.Errorf("%d bytes: %d of the budget are not given back", c.size, 1<<20-left)
 		}
 	}
 }
 
-func TestStreamGoesThroughWholeInPiecesOfAnySize(t *testing.T) {
-	for _, size := range []int{0, 1, segment - 1, segment, segment + 1, WholeBytes + 7, KeepMost - 1, KeepMost + segment + 3, 3 << 20} {
+func TestStreamDeliversBodiesOfAllSizes(t *testing.T) {
+	for _, size := range []int{0, 1, segmentBytes - 1, segmentBytes, segmentBytes + 1, WholeBytes + 7, KeepMost - 1, KeepMost + segmentBytes + 3, 3 << 20} {
 		for _, length := range []int64{int64(size), -1} {
-			in := text(size)
+			in := randomBytes(size)
 			budget := NewBudget(16 << 20)
 			s := NewStream(length, budget)
 			r := s.Reader()
@@ -104,7 +104,7 @@
 				t.Errorf("%d bytes, announced %d: nothing said that they were the last", size, length)
 			}
 			s.Release()
-			if left := budget.left.Load(); left != 16<<20 {
+			if left := budget.available.Load(); left != 16<<20 {
 				t.Errorf("%d bytes: %d of the budget are not given back", size, 16<<20-left)
 			}
 		}
@@ -113,38 +113,38 @@
 
 // TestStreamIsReadAgainUntilItIsSpent gives up a first reader after so many bytes; a second one gets all of the body
 // or is told that it can't, and the stream says which beforehand.
-func TestStreamIsReadAgainUntilItIsSpent(t *testing.T) {
+func TestStreamIsReplayableUntilDiscarded(t *testing.T) {
 	for _, c := range []struct {
-		taken, budget int
-		spent         bool
+		consumed, budget int
+		discarded        bool
 	}{
-		{0, 16 << 20, false}, {1, 16 << 20, false}, {500_000, 16 << 20, false}, {KeepMost - 4*segment, 16 << 20, false},
-		{KeepMost + 4*segment, 16 << 20, true}, {0, 0, false}, {8 * segment, 0, true}, {8 * segment, 2 * segment, true},
-		{2 * segment, 4 * segment, false},
+		{0, 16 << 20, false}, {1, 16 << 20, false}, {500_000, 16 << 20, false}, {KeepMost - 4*segmentBytes, 16 << 20, false},
+		{KeepMost + 4*segmentBytes, 16 << 20, true}, {0, 0, false}, {8 * segmentBytes, 0, true}, {8 * segmentBytes, 2 * segmentBytes, true},
+		{2 * segmentBytes, 4 * segmentBytes, false},
 	} {
-		in := text(2 << 20)
+		in := randomBytes(2 << 20)
 		s := NewStream(int64(len(in)), NewBudget(int64(c.budget)))
 		var filling sync.WaitGroup
 		filling.Go(func() { s.Fill(bytes.NewReader(in)) })
 		first := s.Reader()
 		got := 0
-		for p := make([]byte, 1000); got < c.taken; {
-			n, _, err := first.Read(p[:min(1000, c.taken-got)])
+		for p := make([]byte, 1000); got < c.consumed; {
+			n, _, err := first.Read(p[:min(1000, c.consumed-got)])
 			if err != nil {
 				t.Fatal(err)
 			}
 			got += n
 		}
-		spent := s.EndAttempt()
-		if c.spent && !spent {
+		discarded := s.EndAttempt()
+		if c.discarded && !discarded {
 			// What is over the window is let go with the next segment.
 			t.Errorf("%+v: a stream of which %d bytes are gone is held to be whole", c, got)
 		}
-		if !c.spent && spent {
+		if !c.discarded && discarded {
 			t.Errorf("%+v: spent", c)
 		}
 		out, _, err := readAll(s.Reader())
-		if c.spent && err != ErrSpent || !c.spent && (err != nil || !bytes.Equal(in, out)) {
+		if c.discarded && err != ErrSpent || !c.discarded && (err != nil || !bytes.Equal(in, out)) {
 			t.Errorf("%+v: the second reader got %d bytes, %v", c, len(out), err)
 		}
 		if _, _, err := first.Read(make([]byte, 1)); err == nil {
@@ -156,8 +156,8 @@
 }
 
 // TestStreamHoldsNoMoreThanItMay fills streams that nobody reads, and some that are read in steps.
-func TestStreamHoldsNoMoreThanItMay(t *testing.T) {
-	in := text(3 << 20)
+func TestStreamBoundsMemory(t *testing.T) {
+	in := randomBytes(3 << 20)
 	s := NewStream(-1, NewBudget(0))
 	r := s.Reader()
 	var filling sync.WaitGroup
@@ -170,7 +170,7 @@
 		}
 		got += n
 		s.mu.Lock()
-		if held := len(s.segments); held > ahead+2 {
+		if held := len(s.segments); held > readAheadSegments+2 {
 			t.Fatalf("%d segments held with no budget", held)
 		}
 		s.mu.Unlock()
@@ -184,7 +184,7 @@
 	r := s.Reader()
 	var filling sync.WaitGroup
 	var err error
-	filling.Go(func() { err = s.Fill(io.LimitReader(zeros{}, MaxBytes+1)) })
+	filling.Go(func() { err = s.Fill(io.LimitReader(zeroReader{}, MaxBytes+1)) })
 	_, _, readErr := readAll(r)
 	filling.Wait()
 	if err != ErrTooLarge || readErr != ErrTooLarge {
@@ -192,17 +192,17 @@
 	}
 }
 
-type zeros struct{}
+type zeroReader struct{}
 
-func (zeros) Read(p []byte) (int, error) { return len(p), nil }
+func (zeroReader) Read(p []byte) (int, error) { return len(p), nil }
 
 // TestEndOfTheCallerReachesTheReader breaks the body off; the reader must not take it for whole.
-func TestEndOfTheCallerReachesTheReader(t *testing.T) {
+func TestSenderErrorReachesTheReader(t *testing.T) {
 	broken := errors.New("reset")
-	for _, n := range []int{0, 1, 3 * segment} {
+	for _, n := range []int{0, 1, 3 * segmentBytes} {
 		s := NewStream(-1, NewBudget(1<<20))
 		var filling sync.WaitGroup
-		filling.Go(func() { s.Fill(io.MultiReader(bytes.NewReader(text(n)), iotest.ErrReader(broken))) })
+		filling.Go(func() { s.Fill(io.MultiReader(bytes.NewReader(randomBytes(n)), iotest.ErrReader(broken))) })
 		out, last, err := readAll(s.Reader())
 		filling.Wait()
 		if err != broken || last || len(out) != n {
@@ -212,15 +212,15 @@
 }
 
 // TestReleaseEndsWhoWaits releases a stream under a filler that waits for room, one that waits for bytes, and a reader.
-func TestReleaseEndsWhoWaits(t *testing.T) {
+func TestReleaseUnblocksWaiters(t *testing.T) {
 	full := NewStream(-1, NewBudget(0))
 	var all sync.WaitGroup
 	all.Go(func() {
-		if err := full.Fill(zeros{}); err != ErrEnded {
+		if err := full.Fill(zeroReader{}); err != ErrEnded {
 			t.Errorf("filler without room: %v", err)
 		}
 	})
-	from := blocked{make(chan struct{}), make(chan struct{})}
+	from := blockingReader{make(chan struct{}), make(chan struct{})}
 	silent := NewStream(-1, NewBudget(0))
 	r := silent.Reader()
 	all.Go(func() {
@@ -233,23 +233,23 @@
 			t.Errorf("reader: %v", err)
 		}
 	})
-	<-from.begun
+	<-from.started
 	full.Release()
 	silent.Release()
-	close(from.goOn) // the read that was out brings something, and nothing breaks
+	close(from.proceed) // the read that was out brings something, and nothing breaks
 	all.Wait()
 }
 
 // blocked is a reader that says when it is read, and then waits.
-type blocked struct{ begun, goOn chan struct{} }
+type blockingReader struct{ started, proceed chan struct{} }
 
-func (b blocked) Read(p []byte) (int, error) {
-	close(b.begun)
-	<-b.goOn
+func (b blockingReader) Read(p []byte) (int, error) {
+	close(b.started)
+	<-b.proceed
 	return copy(p, "late"), nil
 }
 
-func TestPace(t *testing.T) {
+func TestMinDataRate(t *testing.T) {
 	p := Pace{Silence: time.Second, Grace: 2 * time.Second, Rate: 1000}
 	x := p.Begin(10 * time.Second)
 	for _, step := range []struct {
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -15,28 +15,28 @@
 	Served Outcome = iota
 	Refused
 	Failed
-	outcomes
+	numOutcomes
 )
 
 // class is the counts of one class. Classes are counted from many goroutines at once, mostly a few of them, so each
 // has a cache line of its own.
-type class struct {
-	ended [outcomes]atomic.Int64
-	tries atomic.Int64
-	_     [32]byte
+type classCounters struct {
+	byOutcome [numOutcomes]atomic.Int64
+	tries     atomic.Int64
+	_         [32]byte
 }
 
 // Book is the counts of one proxy, from 0 at its start. All methods may be called at any time; each is one atomic
 // addition. The counts are read one by one, so that two of them may differ by the requests that end meanwhile.
 type Book struct {
-	names  []string
-	class  []class
-	active atomic.Int64
+	names   []string
+	classes []classCounters
+	active  atomic.Int64
 }
 
 // NewBook returns a book for classes by their numbers.
 func NewBook(classes []string) *Book {
-	return &Book{names: classes, class: make([]class, len(classes))}
+	return &Book{names: classes, classes: make([]classCounters, len(classes))}
 }
 
 // Taken notes a request that is taken on; Ended must follow.
@@ -46,10 +46,10 @@
 func (b *Book) Ended() { b.active.Add(-1) }
 
 // Count notes a request's one outcome, taken on or turned away at the door.
-func (b *Book) Count(class int, o Outcome) { b.class[class].ended[o].Add(1) }
+func (b *Book) Count(class int, o Outcome) { b.classes[class].byOutcome[o].Add(1) }
 
 // Try notes an attempt that has been written whole to a backend.
-func (b *Book) Try(class int) { b.class[class].tries.Add(1) }
+func (b *Book) Try(class int) { b.classes[class].tries.Add(1) }
 
 // Active is how many requests are taken on and have not ended.
 func (b *Book) Active() int64 { return b.active.Load() }
@@ -59,8 +59,8 @@
 
 // Class is the counts of a class.
 func (b *Book) Class(n int) Counts {
-	c := &b.class[n]
-	return Counts{c.ended[Served].Load(), c.ended[Refused].Load(), c.ended[Failed].Load(), c.tries.Load()}
+	c := &b.classes[n]
+	return Counts{c.byOutcome[Served].Load(), c.byOutcome[Refused].Load(), c.byOutcome[Failed].Load(), c.tries.Load()}
 }
 
 // Pool is what the balancer makes of the server list.
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -38,7 +38,7 @@
 			for range 1000 {
 				b.Taken()
 				b.Try(n % 2)
-				b.Count(n%2, Outcome(n)%outcomes)
+				b.Count(n%2, Outcome(n)%numOutcomes)
 				b.Append(nil, Pool{})
 				b.Ended()
 			}
--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -17,17 +17,17 @@
 // seen to be framed by chunks alone is not taken as such. It might turn away a sound chunked message whose
 // head is written in a way that net/http reads and this does not.
 type Follower struct {
-	line   [64]byte // how the line at hand begins
-	filled int
-	start  bool // the start line has been read
-	next   bool // an answer with a 1xx status: another head follows
+	line      [64]byte // how the line at hand begins
+	lineLen   int
+	inHead    bool // the start line has been read
+	isInterim bool // an answer with a 1xx status: another head follows
 
 	hasLength, hasCoding bool
 	length               int64 // the body's, as announced
-	skip                 int64 // bytes of a body that are still to come
+	bodyLeft             int64 // bytes of a body that are still to come
 	interim              int   // heads with a 1xx status so far
 	afterInterim         bool  // the last head was one of those
-	lost                 bool  // it follows no longer
+	stopped              bool  // it follows no longer
 	chunked              bool  // the message with which it stopped has chunks and no length
 	folded               bool  // a line of a head went on in the next
 }
@@ -39,10 +39,10 @@
 
 // Feed takes in the bytes that came next.
 func (f *Follower) Feed(b []byte) {
-	for len(b) > 0 && !f.lost {
-		if f.skip > 0 {
-			n := min(f.skip, int64(len(b)))
-			f.skip -= n
+	for len(b) > 0 && !f.stopped {
+		if f.bodyLeft > 0 {
+			n := min(f.bodyLeft, int64(len(b)))
+			f.bodyLeft -= n
 			b = b[n:]
 			continue
 		}
@@ -51,29 +51,29 @@
 		if end >= 0 {
 			part = b[:end]
 		}
-		f.filled += copy(f.line[f.filled:], part)
+		f.lineLen += copy(f.line[f.lineLen:], part)
 		if end < 0 {
 			return
 		}
 		b = b[end+1:]
-		f.endLine(bytes.TrimSuffix(f.line[:f.filled], []byte("\r")))
-		f.filled = 0
+		f.endLine(bytes.TrimSuffix(f.line[:f.lineLen], []byte("\r")))
+		f.lineLen = 0
 	}
 }
 
 func (f *Follower) endLine(line []byte) {
 	if len(line) == 0 {
-		if f.start { // net/http turns away an empty line ahead of a head
+		if f.inHead { // net/http turns away an empty line ahead of a head
 			f.endHead()
 		}
 		return
 	}
-	if f.start && (line[0] == ' ' || line[0] == '\t') {
+	if f.inHead && (line[0] == ' ' || line[0] == '\t') {
 		f.folded = true
 	}
-	if !f.start {
-		f.start = true
-		f.next = bytes.HasPrefix(line, []byte("HTTP/1.1 1"))
+	if !f.inHead {
+		f.inHead = true
+		f.isInterim = bytes.HasPrefix(line, []byte("HTTP/1.1 1"))
 		return
 	}
 	name, value, _ := bytes.Cut(line, []byte(":"))
@@ -82,7 +82,7 @@
 		f.hasLength = true
 		n, err := strconv.ParseInt(string(bytes.TrimSpace(value)), 10, 64)
 		if f.length = n; err != nil || n < 0 {
-			f.lost = true
+			f.stopped = true
 		}
 	case bytes.EqualFold(name, codingField):
 		f.hasCoding = true
@@ -90,22 +90,24 @@
 }
 
 func (f *Follower) endHead() {
-	if f.afterInterim = f.next; f.next {
+	if f.afterInterim = f.isInterim; f.isInterim {
 		f.interim++
 	}
-	f.lost = f.lost || f.hasCoding
+	f.stopped = f.stopped || f.hasCoding
 	f.chunked = f.hasCoding && !f.hasLength
-	if !f.next {
-		f.skip = f.length
+	if !f.isInterim {
+		f.bodyLeft = f.length
 	}
-	f.start, f.next, f.hasLength, f.hasCoding, f.length = false, false, false, false, 0
+	f.inHead, f.isInterim, f.hasLength, f.hasCoding, f.length = false, false, false, false, 0
 }
 
 // Interim is how many heads with a 1xx status have come.
 func (f *Follower) Interim() int { return f.interim }
 
 // AfterInterim says whether a head with a 1xx status has ended and nothing has come behind it yet.
-func (f *Follower) AfterInterim() bool { return f.afterInterim && !f.start && f.filled == 0 && !f.lost }
+func (f *Follower) AfterInterim() bool {
+	return f.afterInterim && !f.inHead && f.lineLen == 0 && !f.stopped
+}
 
 // Chunked says whether the message with which it stopped is framed by chunks and no length.
 func (f *Follower) Chunked() bool { return f.chunked }
@@ -116,4 +118,6 @@
 
 // Between says whether nothing of a further message has come behind the last. Of messages that it does not follow it
 // cannot be told, and then this is false.
-func (f *Follower) Between() bool { return !f.start && f.filled == 0 && f.skip == 0 && !f.lost }
+func (f *Follower) Between() bool {
+	return !f.inHead && f.lineLen == 0 && f.bodyLeft == 0 && !f.stopped
+}
--- a/internal/framing/framing_test.go
+++ b/internal/framing/framing_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestFramingFollowsMessages(t *testing.T) {
+func TestTrackerFollowsMessages(t *testing.T) {
 	const te = "Transfer-Encoding: chunked\r\n"
 	for name, c := range map[string]struct {
 		text    string
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -24,7 +24,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func knowledge() *Knowledge {
+func testState() *Knowledge {
 	return &Knowledge{
 		Balancer: balance.Snapshot{
 			Servers: []balance.ServerSnapshot{{Entry: balance.Entry{ID: "s1", Zone: 1, Boot: time.Hour}, Slow: 0.25, Ejections: 2}},
@@ -37,10 +37,10 @@
 	}
 }
 
-func TestMessagesGoThroughWhole(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	for _, m := range []Message{
 		{Kind: Hello}, {Kind: Ready, Number: 7}, {Kind: Ban, Number: 1 << 40, Server: "s/1 é", Out: true},
-		{Kind: Done, Number: 3, Known: true}, {Kind: Snapshot, Snapshot: knowledge()},
+		{Kind: Done, Number: 3, Known: true}, {Kind: Snapshot, Snapshot: testState()},
 	} {
 		var b bytes.Buffer
 		if err := Write(&b, m); err != nil {
@@ -55,9 +55,9 @@
 }
 
 // TestDamagedMessagesAreToldFromSound flips each bit of a message, and cuts it at each place.
-func TestDamagedMessagesAreToldFromSound(t *testing.T) {
+func TestDamagedMessagesAreRejected(t *testing.T) {
 	var b bytes.Buffer
-	if err := Write(&b, Message{Kind: Snapshot, Snapshot: knowledge()}); err != nil {
+	if err := Write(&b, Message{Kind: Snapshot, Snapshot: testState()}); err != nil {
 		t.Fatal(err)
 	}
 	sound := b.Bytes()
@@ -77,7 +77,7 @@
 
 func FuzzRead(f *testing.F) {
 	var b bytes.Buffer
-	Write(&b, Message{Kind: Snapshot, Snapshot: knowledge()})
+	Write(&b, Message{Kind: Snapshot, Snapshot: testState()})
 	f.Add(b.Bytes())
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -93,7 +93,7 @@
 }
 
 // elder plays the running process at a socket: it answers the first connection with what reply writes.
-func elder(t *testing.T, dir string, reply func(net.Conn)) {
+func serveAsOldProcess(t *testing.T, dir string, reply func(net.Conn)) {
 	t.Helper()
 	l, err := Listen(dir, "n1")
 	if err != nil {
@@ -117,11 +117,11 @@
 
 // TestAnyTroubleIsAPlainStart meets running processes that are dead, silent, broken, of another version, or say
 // something else. Each must end as a start with nothing taken over, and within the time for it.
-func TestAnyTroubleIsAPlainStart(t *testing.T) {
-	other := func(kind Kind, version int) func(net.Conn) {
+func TestAnyFailureMeansAFreshStart(t *testing.T) {
+	respondWith := func(kind Kind, version int) func(net.Conn) {
 		return func(c net.Conn) {
 			var b bytes.Buffer
-			Write(&b, Message{Kind: kind, Snapshot: knowledge()})
+			Write(&b, Message{Kind: kind, Snapshot: testState()})
 			if version != 1 {
 				// The version is the first field: key 1, and a small number as itself.
 				text := b.Bytes()[sealed.HeadBytes:]
@@ -140,25 +140,25 @@
 		"silent":             func(c net.Conn) { io.Copy(io.Discard, c) },
 		"half a message": func(c net.Conn) {
 			var b bytes.Buffer
-			Write(&b, Message{Kind: Snapshot, Snapshot: knowledge()})
+			Write(&b, Message{Kind: Snapshot, Snapshot: testState()})
 			c.Write(b.Bytes()[:b.Len()/2])
 		},
 		"a wrong checksum": func(c net.Conn) {
 			var b bytes.Buffer
-			Write(&b, Message{Kind: Snapshot, Snapshot: knowledge()})
+			Write(&b, Message{Kind: Snapshot, Snapshot: testState()})
 			b.Bytes()[5] ^= 1
 			c.Write(b.Bytes())
 		},
 		"endless":          func(c net.Conn) { c.Write([]byte{0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0}); io.Copy(io.Discard, c) },
-		"something else":   other(Ready, 1),
-		"an older version": other(Snapshot, 0),
-		"a newer version":  other(Snapshot, 2),
+		"something else":   respondWith(Ready, 1),
+		"an older version": respondWith(Snapshot, 0),
+		"a newer version":  respondWith(Snapshot, 2),
 		"no such language": func(c net.Conn) { io.WriteString(c, "HTTP/1.1 400 Bad Request\r\n\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
-			elder(t, dir, reply)
+			serveAsOldProcess(t, dir, reply)
 			peer, k, err := Meet(dir, "n1")
 			if peer != nil || k != nil {
 				peer.Close()
@@ -178,7 +178,7 @@
 	return append(b, text...)
 }
 
-func TestNobodyThereIsNoTrouble(t *testing.T) {
+func TestNoRunningProcessIsNoError(t *testing.T) {
 	dir := t.TempDir()
 	if peer, _, err := Meet(dir, "n1"); peer != nil || err != nil {
 		t.Errorf("%v, %v", peer, err)
@@ -201,16 +201,16 @@
 }
 
 // TestTheLatestIsMet has a second process take the place of the first.
-func TestTheLatestIsMet(t *testing.T) {
+func TestConnectReachesTheLatestListener(t *testing.T) {
 	dir := t.TempDir()
 	first, err := Listen(dir, "n1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer first.Close()
-	second := knowledge()
+	second := testState()
 	second.Seq = 99
-	elder(t, dir, func(c net.Conn) {
+	serveAsOldProcess(t, dir, func(c net.Conn) {
 		Read(c)
 		Write(c, Message{Kind: Snapshot, Snapshot: second})
 		io.Copy(io.Discard, c)
@@ -229,16 +229,16 @@
 	return NewPeer(a), NewPeer(b)
 }
 
-func TestAskIsAnsweredByItsOwnDone(t *testing.T) {
+func TestRequestGetsItsOwnDone(t *testing.T) {
 	a, b := pair(t)
-	var following sync.WaitGroup
-	following.Go(func() { a.Follow(func(Message) {}) })
-	following.Go(func() {
+	var serving sync.WaitGroup
+	serving.Go(func() { a.Follow(func(Message) {}) })
+	serving.Go(func() {
 		b.Follow(func(m Message) { b.Tell(Message{Kind: Done, Number: m.Number, Known: m.Server == "s1"}) })
 	})
-	var asking sync.WaitGroup
+	var requests sync.WaitGroup
 	for i := range 20 {
-		asking.Go(func() {
+		requests.Go(func() {
 			server := []string{"s1", "s2"}[i%2]
 			d, err := a.Ask(context.Background(), Message{Kind: Ban, Server: server})
 			if err != nil || d.Known != (server == "s1") {
@@ -246,12 +246,12 @@
 			}
 		})
 	}
-	asking.Wait()
+	requests.Wait()
 	a.Close()
 	b.Close()
-	following.Wait()
-	if len(a.waiting) != 0 {
-		t.Errorf("%d are still waited for", len(a.waiting))
+	serving.Wait()
+	if len(a.pending) != 0 {
+		t.Errorf("%d are still waited for", len(a.pending))
 	}
 	if _, err := a.Ask(context.Background(), Message{Kind: Ban}); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("asked one that has gone: %v", err)
@@ -259,25 +259,25 @@
 }
 
 // TestAskEndsWithItsPeer has the other die, and fall silent, while it is asked.
-func TestAskEndsWithItsPeer(t *testing.T) {
+func TestRequestEndsWithItsPeer(t *testing.T) {
 	a, b := pair(t)
-	var following sync.WaitGroup
-	following.Go(func() { a.Follow(func(Message) {}) })
-	following.Go(func() { b.Follow(func(Message) { b.Close() }) })
+	var serving sync.WaitGroup
+	serving.Go(func() { a.Follow(func(Message) {}) })
+	serving.Go(func() { b.Follow(func(Message) { b.Close() }) })
 	if _, err := a.Ask(context.Background(), Message{Kind: Ready}); err == nil {
 		t.Error("an answer from the dead")
 	}
-	following.Wait()
+	serving.Wait()
 
 	a, b = pair(t)
-	following.Go(func() { a.Follow(func(Message) {}) })
-	following.Go(func() { b.Follow(func(Message) {}) })
+	serving.Go(func() { a.Follow(func(Message) {}) })
+	serving.Go(func() { b.Follow(func(Message) {}) })
 	if _, err := a.Ask(context.Background(), Message{Kind: Ready}); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("of a silent one: %v", err)
 	}
 	a.Close()
 	b.Close()
-	following.Wait()
+	serving.Wait()
 }
 
 func crc(text []byte) uint32 { return crc32.Checksum(text, crc32.MakeTable(crc32.Castagnoli)) }
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -13,35 +13,35 @@
 
 const (
 	// meetTime bounds the new process's search for the old one, and what it waits for its answer: it has 6 s in all.
-	meetTime = 1500 * time.Millisecond
+	connectTimeout = 1500 * time.Millisecond
 	// doneTime bounds the wait for what the other is asked to do; operators are owed an answer within 1 s.
-	doneTime = 500 * time.Millisecond
+	requestTimeout = 500 * time.Millisecond
 	// writeTime bounds one message to a peer that does not read.
-	writeTime = 500 * time.Millisecond
+	writeTimeout = 500 * time.Millisecond
 )
 
 // Peer is a connection to the other process. Its methods may be called at any time.
 type Peer struct {
 	conn net.Conn
 
-	writing sync.Mutex // apart from mu: who reads must not wait for who writes, or two peers could wait for each other
+	writeMu sync.Mutex // apart from mu: who reads must not wait for who writes, or two peers could wait for each other
 
-	mu      sync.Mutex
-	last    uint64
-	waiting map[uint64]chan Message // for the Done of this number
-	gone    bool
+	mu         sync.Mutex
+	lastNumber uint64
+	pending    map[uint64]chan Message // for the Done of this number
+	closed     bool
 }
 
 // NewPeer returns a peer at the other end of a connection, which Follow or Close ends.
 func NewPeer(c net.Conn) *Peer {
-	return &Peer{conn: c, waiting: map[uint64]chan Message{}}
+	return &Peer{conn: c, pending: map[uint64]chan Message{}}
 }
 
 // Tell sends a message that nobody answers.
 func (p *Peer) Tell(m Message) error {
-	p.writing.Lock()
-	defer p.writing.Unlock()
-	p.conn.SetWriteDeadline(time.Now().Add(writeTime))
+	p.writeMu.Lock()
+	defer p.writeMu.Unlock()
+	p.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	return Write(p.conn, m)
 }
 
@@ -49,23 +49,23 @@
 func (p *Peer) Ask(ctx context.Context, m Message) (Message, error) {
 	done := make(chan Message, 1)
 	p.mu.Lock()
-	if p.gone {
+	if p.closed {
 		p.mu.Unlock()
 		return Message{}, net.ErrClosed
 	}
-	p.last++
-	m.Number = p.last
-	p.waiting[m.Number] = done
+	p.lastNumber++
+	m.Number = p.lastNumber
+	p.pending[m.Number] = done
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		delete(p.waiting, m.Number)
+		delete(p.pending, m.Number)
 	}()
 	if err := p.Tell(m); err != nil {
 		return Message{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, doneTime)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	select {
 	case d, open := <-done:
@@ -84,10 +84,10 @@
 		p.conn.Close()
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.gone = true
-		for n, done := range p.waiting {
+		p.closed = true
+		for n, done := range p.pending {
 			close(done)
-			delete(p.waiting, n)
+			delete(p.pending, n)
 		}
 	}()
 	for {
@@ -100,8 +100,8 @@
 			continue
 		}
 		p.mu.Lock()
-		done := p.waiting[m.Number]
-		delete(p.waiting, m.Number)
+		done := p.pending[m.Number]
+		delete(p.pending, m.Number)
 		p.mu.Unlock()
 		if done != nil {
 			done <- m
@@ -113,16 +113,16 @@
 func (p *Peer) Close() { p.conn.Close() }
 
 // path is where the processes of one proxy meet. Other users' processes have another TMPDIR or cannot write there.
-func path(dir, name string) string { return filepath.Join(dir, "brasswell-"+name+".sock") }
+func socketPath(dir, name string) string { return filepath.Join(dir, "brasswell-"+name+".sock") }
 
 // Meet looks for a running process of the proxy and gets what it knows. It returns nil and no error if there is none.
 func Meet(dir, name string) (*Peer, *Knowledge, error) {
-	until := time.Now().Add(meetTime)
-	conn, err := net.DialTimeout("unix", path(dir, name), meetTime)
+	deadline := time.Now().Add(connectTimeout)
+	conn, err := net.DialTimeout("unix", socketPath(dir, name), connectTimeout)
 	if err != nil {
 		return nil, nil, nil // no socket, or one that a process has left behind
 	}
-	conn.SetDeadline(until)
+	conn.SetDeadline(deadline)
 	if err = Write(conn, Message{Kind: Hello}); err == nil {
 		var m Message
 		if m, err = Read(conn); err == nil && (m.Kind != Snapshot || m.Snapshot == nil) {
@@ -140,17 +140,17 @@
 // Listen waits for the process that is to follow this one. It takes the place of whoever listened there before, who
 // goes on with the peers that it has.
 func Listen(dir, name string) (*net.UnixListener, error) {
-	at := path(dir, name)
-	own := fmt.Sprintf("%s.%d", at, os.Getpid())
-	os.Remove(own)
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: own, Net: "unix"})
+	socket := socketPath(dir, name)
+	temp := fmt.Sprintf("%s.%d", socket, os.Getpid())
+	os.Remove(temp)
+	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: temp, Net: "unix"})
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	l.SetUnlinkOnClose(false)
-	if err := os.Rename(own, at); err != nil {
+	if err := os.Rename(temp, socket); err != nil {
 		l.Close()
-		os.Remove(own)
+		os.Remove(temp)
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	return l, nil
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -21,7 +21,7 @@
 const version = 1
 
 // mostBytes bounds a message; a fleet of thousands stays far below.
-const mostBytes = 8 << 20
+const maxBytes = 8 << 20
 
 // Kind says what a message is for.
 type Kind uint8
@@ -72,7 +72,7 @@
 	ErrTooLong  = fmt.Errorf("handover: %w", sealed.ErrTooLong)
 )
 
-var decoding = strict.CBOR(cbor.DecOptions{MaxArrayElements: 1 << 17, MaxMapPairs: 1 << 17, MaxNestedLevels: 16})
+var decMode = strict.CBOR(cbor.DecOptions{MaxArrayElements: 1 << 17, MaxMapPairs: 1 << 17, MaxNestedLevels: 16})
 
 // Write writes a message in one piece.
 func Write(w io.Writer, m Message) error {
@@ -81,7 +81,7 @@
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	if len(text) > mostBytes {
+	if len(text) > maxBytes {
 		return ErrTooLong
 	}
 	return sealed.Write(w, text)
@@ -90,7 +90,7 @@
 // Read reads one message. Memory is taken as the bytes come, not as they are announced.
 func Read(r io.Reader) (Message, error) {
 	var m Message
-	text, err := sealed.Read(r, mostBytes)
+	text, err := sealed.Read(r, maxBytes)
 	switch {
 	case errors.Is(err, sealed.ErrChecksum):
 		return m, ErrChecksum
@@ -99,7 +99,7 @@
 	case err != nil:
 		return m, err
 	}
-	if err := decoding.Unmarshal(text, &m); err != nil {
+	if err := decMode.Unmarshal(text, &m); err != nil {
 		return m, fmt.Errorf("handover: %w", err)
 	}
 	if m.Version != version {
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -14,45 +14,45 @@
 
 // Elder decides what a running process does about the one that follows it. It is not safe for concurrent use.
 type Elder struct {
-	asked, ready, leaving bool
+	stateRequested, successorReady, shuttingDown bool
 }
 
 // Asked takes in that a new process has asked for what this one knows. held is how many callers' connections this one
 // holds, of so many that it may: it need not let go of any, for each has a caller that may write on it now.
-func (e *Elder) Asked(held, most int) Part {
-	e.asked, e.ready = true, false
-	own := Part{min(max(half, share(held, most)), 1), half}
-	if e.leaving {
-		own.Rest = 0
+func (e *Elder) Asked(conns, maxConns int) Part {
+	e.stateRequested, e.successorReady = true, false
+	share := Part{min(max(half, heldShare(conns, maxConns)), 1), half}
+	if e.shuttingDown {
+		share.Rest = 0
 	}
-	return own
+	return share
 }
 
-func share(held, most int) float64 { return float64(held) / float64(max(most, 1)) }
+func heldShare(conns, maxConns int) float64 { return float64(conns) / float64(max(maxConns, 1)) }
 
 // Ready takes in that the new process takes clients.
-func (e *Elder) Ready() { e.ready = e.asked }
+func (e *Elder) Ready() { e.successorReady = e.stateRequested }
 
 // Gone takes in that the new process is not there any more. Before this one has been told to go it is alone again,
 // whatever the other had said.
 func (e *Elder) Gone() Part {
-	e.asked, e.ready = false, false
+	e.stateRequested, e.successorReady = false, false
 	return Alone
 }
 
 // Leave takes in that this process has been told to go. It reports whether another takes the callers: then this one
 // accepts no more of them, and lets those it has come over with their next answer.
-func (e *Elder) Leave() (handed bool) {
-	e.leaving = true
-	return e.ready
+func (e *Elder) Leave() (handedOver bool) {
+	e.shuttingDown = true
+	return e.successorReady
 }
 
 // leastCallers of the callers' connections are a new process's at least.
-const leastCallers = 0.25
+const minCallers = 0.25
 
 // Joined is the part of a new process beside one that holds so many callers' connections, of most.
-func Joined(held, most int) Part {
-	return Part{max(min(half, 1-share(held, most)), leastCallers), half}
+func Joined(conns, maxConns int) Part {
+	return Part{max(min(half, 1-heldShare(conns, maxConns)), minCallers), half}
 }
 
 // Left is its part once the old one has been told to go: what that still holds of callers' connections stays its own
--- a/internal/handover/state_test.go
+++ b/internal/handover/state_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestElder(t *testing.T) {
+func TestOldProcess(t *testing.T) {
 	var e Elder
 	if e.Leave() {
 		t.Error("handed over to nobody")
@@ -48,22 +48,22 @@
 }
 
 // TestPartsDoNotExceedTheWhole goes through every number of connections that the old process may hold.
-func TestPartsDoNotExceedTheWhole(t *testing.T) {
-	const most = 100
-	for held := range 3 * most / 2 {
+func TestSharesDoNotExceedTheWhole(t *testing.T) {
+	const maxConns = 100
+	for conns := range 3 * maxConns / 2 {
 		var e Elder
-		old, next := e.Asked(held, most), Joined(held, most)
-		if float64(held) <= most && old.Callers*most < float64(held)-0.001 {
-			t.Errorf("holding %d, the old one may keep %.0f", held, old.Callers*most)
+		old, next := e.Asked(conns, maxConns), Joined(conns, maxConns)
+		if float64(conns) <= maxConns && old.Callers*maxConns < float64(conns)-0.001 {
+			t.Errorf("holding %d, the old one may keep %.0f", conns, old.Callers*maxConns)
 		}
-		if next.Callers < leastCallers {
-			t.Errorf("beside %d, the new one has %.2f", held, next.Callers)
+		if next.Callers < minCallers {
+			t.Errorf("beside %d, the new one has %.2f", conns, next.Callers)
 		}
-		if sum := old.Callers + next.Callers; sum > 1.0001 && next.Callers > leastCallers {
-			t.Errorf("beside %d: %.2f of the callers' connections", held, sum)
+		if sum := old.Callers + next.Callers; sum > 1.0001 && next.Callers > minCallers {
+			t.Errorf("beside %d: %.2f of the callers' connections", conns, sum)
 		}
 		if old.Rest+next.Rest > 1 {
-			t.Errorf("beside %d: %.2f of the rest", held, old.Rest+next.Rest)
+			t.Errorf("beside %d: %.2f of the rest", conns, old.Rest+next.Rest)
 		}
 	}
 	if p := Left(Part{0.4, 0.5}); p != (Part{0.4, 1}) {
--- a/internal/idle/idle_test.go
+++ b/internal/idle/idle_test.go
@@ -11,22 +11,22 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestPace(t *testing.T) {
+func TestPolicy(t *testing.T) {
 	now := time.Now()
-	ago := func(d time.Duration) time.Time { return now.Add(-d) }
+	before := func(d time.Duration) time.Time { return now.Add(-d) }
 	p := Pace{After: time.Second, Timeout: 10 * time.Second}
 	for _, c := range []struct {
 		since       time.Duration
-		hold, close bool
+		park, close bool
 	}{{0, false, false}, {time.Second - 1, false, false}, {time.Second, true, false}, {10*time.Second - 1, true, false}, {10 * time.Second, true, true}} {
-		if got := p.Hold(ago(c.since), now); got != c.hold {
+		if got := p.Hold(before(c.since), now); got != c.park {
 			t.Errorf("idle for %v: held %v", c.since, got)
 		}
-		if got := p.Close(ago(c.since), now); got != c.close {
+		if got := p.Close(before(c.since), now); got != c.close {
 			t.Errorf("idle for %v: closed %v", c.since, got)
 		}
 	}
-	if (Pace{Timeout: time.Second}).Hold(ago(time.Hour), now) {
+	if (Pace{Timeout: time.Second}).Hold(before(time.Hour), now) {
 		t.Error("held where nothing is to be")
 	}
 	// 200,000 that are due at once go within half a minute, and no step is over a hundredth of them.
@@ -44,9 +44,9 @@
 }
 
 // waiter counts how often it is told.
-type waiter struct{ told chan struct{} }
+type waiter struct{ notified chan struct{} }
 
-func (w waiter) Woken() { w.told <- struct{}{} }
+func (w waiter) Woken() { w.notified <- struct{}{} }
 
 // socketPair is both ends of a TCP connection.
 func socketPair(t *testing.T) (ours *net.TCPConn, theirs net.Conn) {
@@ -67,7 +67,7 @@
 	return c.(*net.TCPConn), theirs
 }
 
-func running(t *testing.T) *Lot {
+func startPoller(t *testing.T) *Lot {
 	t.Helper()
 	l, err := NewLot()
 	if err != nil {
@@ -84,8 +84,8 @@
 }
 
 // TestHeldSocketsComeBackWithWhatCame holds a socket, gives it back when bytes come or have come already, and again.
-func TestHeldSocketsComeBackWithWhatCame(t *testing.T) {
-	l := running(t)
+func TestParkedSocketsKeepTheirData(t *testing.T) {
+	l := startPoller(t)
 	ours, theirs := socketPair(t)
 	w := waiter{make(chan struct{}, 10)}
 	for round := range 20 {
@@ -99,7 +99,7 @@
 		if round%2 == 1 {
 			theirs.Write([]byte("hold"))
 		}
-		<-w.told
+		<-w.notified
 		if ours, err = l.Take(key); err != nil {
 			t.Fatal(err)
 		}
@@ -108,14 +108,14 @@
 			t.Fatalf("%q, %v", b[:n], err)
 		}
 	}
-	if len(w.told) > 0 || l.Len() > 0 {
-		t.Errorf("told %d times too often, %d held", len(w.told), l.Len())
+	if len(w.notified) > 0 || l.Len() > 0 {
+		t.Errorf("told %d times too often, %d held", len(w.notified), l.Len())
 	}
 	ours.Close()
 }
 
-func TestEndsOfHeldSockets(t *testing.T) {
-	l := running(t)
+func TestClosingOfParkedSockets(t *testing.T) {
+	l := startPoller(t)
 	w := waiter{make(chan struct{}, 10)}
 	ours, theirs := socketPair(t)
 	key, err := l.Hold(ours, w)
@@ -123,7 +123,7 @@
 		t.Fatal(err)
 	}
 	theirs.Close()
-	<-w.told
+	<-w.notified
 	l.Drop(key)
 	l.Drop(key)
 	if _, err := l.Take(key); err == nil {
--- a/internal/idle/lot.go
+++ b/internal/idle/lot.go
@@ -17,12 +17,12 @@
 
 // Lot is a set of sockets that do nothing. It is safe for concurrent use.
 type Lot struct {
-	set *os.File // the epoll set, itself in the runtime's poller: no thread waits in it
-	raw syscall.RawConn
-	fd  int
+	epoll *os.File // the epoll set, itself in the runtime's poller: no thread waits in it
+	raw   syscall.RawConn
+	fd    int
 
 	mu     sync.Mutex
-	held   map[int32]Waiter // by descriptor
+	parked map[int32]Waiter // by descriptor
 	closed bool
 }
 
@@ -36,9 +36,9 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("idle connections: %w", os.NewSyscallError("fcntl", err))
 	}
-	l := &Lot{set: os.NewFile(uintptr(fd), "epoll"), fd: fd, held: map[int32]Waiter{}}
-	if l.raw, err = l.set.SyscallConn(); err != nil {
-		l.set.Close()
+	l := &Lot{epoll: os.NewFile(uintptr(fd), "epoll"), fd: fd, parked: map[int32]Waiter{}}
+	if l.raw, err = l.epoll.SyscallConn(); err != nil {
+		l.epoll.Close()
 		return nil, fmt.Errorf("idle connections: %w", err)
 	}
 	return l, nil
@@ -74,20 +74,20 @@
 		unix.Close(fd)
 		return 0, os.NewSyscallError("epoll_ctl", err)
 	}
-	l.held[key] = w
+	l.parked[key] = w
 	return key, nil
 }
 
 // Take gives a held socket back.
 func (l *Lot) Take(key int32) (*net.TCPConn, error) {
 	l.mu.Lock()
-	_, held := l.held[key]
-	delete(l.held, key)
-	if held {
+	_, parked := l.parked[key]
+	delete(l.parked, key)
+	if parked {
 		unix.EpollCtl(l.fd, unix.EPOLL_CTL_DEL, int(key), nil)
 	}
 	l.mu.Unlock()
-	if !held {
+	if !parked {
 		return nil, errClosed
 	}
 	f := os.NewFile(uintptr(key), "socket")
@@ -103,8 +103,8 @@
 func (l *Lot) Drop(key int32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, held := l.held[key]; held {
-		delete(l.held, key)
+	if _, parked := l.parked[key]; parked {
+		delete(l.parked, key)
 		unix.Close(int(key))
 	}
 }
@@ -113,7 +113,7 @@
 func (l *Lot) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.held)
+	return len(l.parked)
 }
 
 // Run tells those whose sockets have bytes, or are over, until Close. Each is told once for each Hold.
@@ -130,7 +130,7 @@
 			}
 		})
 		switch {
-		case err != nil && l.over(): // the set's file says so with an error that cannot be told from others
+		case err != nil && l.isClosed(): // the set's file says so with an error that cannot be told from others
 			return nil
 		case err != nil:
 			return fmt.Errorf("idle connections: %w", err)
@@ -139,7 +139,7 @@
 		}
 		for _, e := range events[:n] {
 			l.mu.Lock()
-			w := l.held[e.Fd]
+			w := l.parked[e.Fd]
 			l.mu.Unlock()
 			if w != nil { // else it has been dropped meanwhile
 				w.Woken()
@@ -148,7 +148,7 @@
 	}
 }
 
-func (l *Lot) over() bool {
+func (l *Lot) isClosed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.closed
@@ -162,9 +162,9 @@
 		return
 	}
 	l.closed = true
-	for fd := range l.held {
+	for fd := range l.parked {
 		unix.Close(int(fd))
 	}
-	clear(l.held)
-	l.set.Close()
+	clear(l.parked)
+	l.epoll.Close()
 }
--- a/internal/idle/pace.go
+++ b/internal/idle/pace.go
@@ -24,11 +24,11 @@
 func (p Pace) Close(since, now time.Time) bool { return now.Sub(since) >= p.Timeout }
 
 const (
-	leastBatch = 64
-	batchShare = 128
+	minBatch     = 64
+	batchDivisor = 128
 )
 
 // Batch bounds how many of n connections are moved or closed in one go. Closing one takes some microseconds, in which
 // nobody else gets on where there is one core: where all of 200,000 are due in one second, they go in steps of 1,626
 // and less over some 21 s, and the busy ones go on in between. What is due and not closed stays usable.
-func (p Pace) Batch(n int) int { return leastBatch + n/batchShare }
+func (p Pace) Batch(n int) int { return minBatch + n/batchDivisor }
--- a/internal/restart/restart_test.go
+++ b/internal/restart/restart_test.go
@@ -27,29 +27,29 @@
 			l.Cap(c.longest)
 			l.Answered(c.took)
 		}
-		if got := l.serveOn(); got != c.want {
+		if got := l.serveTime(); got != c.want {
 			t.Errorf("%s: served on for %v, want %v", c.name, got, c.want)
 		}
-		if l.serveOn() > l.end() {
-			t.Errorf("%s: served on for %v, past the end at %v", c.name, l.serveOn(), l.end())
+		if l.serveTime() > l.endTime() {
+			t.Errorf("%s: served on for %v, past the end at %v", c.name, l.serveTime(), l.endTime())
 		}
 	}
 }
 
 // TestUsualFollowsNearlyAll: of answers between 0 and 1 s, 95% take no longer than 0.95 s; it follows a change.
-func TestUsualFollowsNearlyAll(t *testing.T) {
+func TestLatencyEstimateTracksP95(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	var u usual
+	var e quantileEstimate
 	for range 5000 {
-		u.observe(time.Duration(rng.Float64() * float64(time.Second)))
+		e.observe(time.Duration(rng.Float64() * float64(time.Second)))
 	}
-	if got := u.time(); got < 800*ms || got > 1100*ms {
+	if got := e.value(); got < 800*ms || got > 1100*ms {
 		t.Errorf("usual time %v, want about 950 ms", got)
 	}
 	for range 5000 {
-		u.observe(time.Duration(rng.Float64() * float64(100*ms)))
+		e.observe(time.Duration(rng.Float64() * float64(100*ms)))
 	}
-	if got := u.time(); got < 80*ms || got > 110*ms {
+	if got := e.value(); got < 80*ms || got > 110*ms {
 		t.Errorf("usual time %v after a change, want about 95 ms", got)
 	}
 }
@@ -61,10 +61,10 @@
 		t.Errorf("before the restart a request has %v of its 2 s", got)
 	}
 	l.Begin()
-	if got := l.Cap(10 * time.Second); got > l.end() {
-		t.Errorf("after it has begun a request has %v, past the end in %v", got, l.end())
+	if got := l.Cap(10 * time.Second); got > l.endTime() {
+		t.Errorf("after it has begun a request has %v, past the end in %v", got, l.endTime())
 	}
-	if got := l.Cap(50 * ms); got <= 0 || got > l.end() {
+	if got := l.Cap(50 * ms); got <= 0 || got > l.endTime() {
 		t.Errorf("a short request has %v of its 50 ms", got)
 	}
 }
@@ -72,12 +72,12 @@
 // TestEndsBeforeSIGKILL computes it: SIGKILL comes 0.7 s after the longest deadline, of which the last answers and the server's own
 // end take some.
 func TestEndsBeforeSIGKILL(t *testing.T) {
-	const ownEnd = 50 * time.Millisecond
-	for _, longest := range []time.Duration{0, 20 * ms, 200 * ms, acceptMore, time.Second, 3 * time.Second, 10 * time.Second} {
+	const exitTime = 50 * time.Millisecond
+	for _, longest := range []time.Duration{0, 20 * ms, 200 * ms, minAcceptTime, time.Second, 3 * time.Second, 10 * time.Second} {
 		l := New()
 		l.Cap(longest)
 		kill := min(longest, 3*time.Second) + 700*ms
-		if last := l.end() + lastWords + ownEnd; last > kill {
+		if last := l.endTime() + lastWriteTime + exitTime; last > kill {
 			t.Errorf("deadline %v: over after %v, SIGKILL after %v", longest, last, kill)
 		}
 	}
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -98,7 +98,7 @@
 }
 
 // mostShown bounds the list for people; programs get all of it.
-const mostShown = 30
+const maxShown = 30
 
 // Text is the status for people.
 func (s *Status) Text() string {
@@ -112,8 +112,8 @@
 	}
 	fmt.Fprintf(&b, "%s; %d backends listed, %d in turns, %d avoided or cold\n", state, s.Listed, s.InTurns, len(s.Avoided))
 	for i, a := range s.Avoided {
-		if i == mostShown {
-			fmt.Fprintf(&b, "  and %d more (--format json)\n", len(s.Avoided)-mostShown)
+		if i == maxShown {
+			fmt.Fprintf(&b, "  and %d more (--format json)\n", len(s.Avoided)-maxShown)
 			break
 		}
 		fmt.Fprintf(&b, "  %-24s %-8s", a.ID, a.Why)
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -11,7 +11,7 @@
 	"brasswell/balance"
 )
 
-func TestWhoIsAvoidedAndWhy(t *testing.T) {
+func TestAvoidedServersAndReasons(t *testing.T) {
 	const now, warmUp = 1000 * time.Second, 20 * time.Second
 	server := func(id string, change func(*balance.ServerSnapshot)) balance.ServerSnapshot {
 		s := balance.ServerSnapshot{Entry: balance.Entry{ID: id}}
