--- a/internal/backends/begin.go
+++ b/internal/backends/begin.go
@@ -6,34 +6,35 @@
 )
 
 const (
-	// beginHolds is how long what Begin has said is relied on. The request's bytes are written by another goroutine, and a process may not run
-	// between the two for as long as it is stopped or starved.
+	// permitValidity is how long an answer of Attempt.Begin may be used. Another goroutine writes the request's bytes, and the process may be
+	// stopped or starved of processor time between the two.
 	permitValidity = 10 * time.Millisecond
-	// toldSlack is how much more time a server may be told than is left; the protocol allows 150 ms.
+	// announcedSlack is by how much the announced remaining time may exceed the actual one. The protocol allows 150 ms.
 	announcedSlack = 100 * time.Millisecond
 )
 
-// Why nothing of a request was written.
+// Reasons why a request was not written.
 var (
-	errUnwanted = errors.New("the attempt is not wanted any more")
-	errOutdated = errors.New("the request tells the server more time than is left")
+	errUnwanted = errors.New("the attempt is no longer wanted")
+	errOutdated = errors.New("the request announces more time to the server than remains")
 )
 
-// beginning is what an attempt has said last of whether it may be written. Its methods are called by one goroutine at a time.
+// writePermit is an attempt's latest permission to write its request. Its methods must not be called concurrently.
 type writePermit struct {
 	attempt   Attempt
-	checkedAt time.Time     // when the attempt was asked last
-	announced time.Duration // the time that the request tells the server
+	checkedAt time.Time     // when the attempt was last asked
+	announced time.Duration // the remaining time that the request announces to the server
 }
 
-// begin asks an attempt whether it may be written, and how long the proxy will wait.
+// requestPermit asks an attempt whether its request may be written, and how long the proxy will wait for the response.
 func requestPermit(a Attempt) (b writePermit, wanted bool) {
 	b = writePermit{attempt: a, checkedAt: time.Now()}
 	b.announced, wanted = a.Begin()
 	return b, wanted
 }
 
-// hold asks the attempt again for as long as this process did not run since it was asked, and returns why the request may not be written now.
+// revalidate asks the attempt again if the permit is older than permitValidity, and repeats this until an answer is recent enough. It returns
+// the reason if the request may not be written now.
 func (b *writePermit) revalidate() error {
 	for time.Since(b.checkedAt) >= permitValidity {
 		b.checkedAt = time.Now()
--- a/internal/backends/begin_test.go
+++ b/internal/backends/begin_test.go
@@ -15,9 +15,9 @@
 	"brasswell/balance"
 )
 
-// scriptedAttempt says in turn what the test has it say, and its last word from then on.
+// scriptedAttempt returns the test's answers one after another, and repeats the last one.
 type scriptedAttempt struct {
-	left  []time.Duration // 0 where it is not wanted
+	left  []time.Duration // 0 if the attempt is not wanted
 	calls atomic.Int32
 }
 
@@ -29,7 +29,7 @@
 
 func (a *scriptedAttempt) Started(*Reply) bool { return false }
 
-// holdUp is a context whose first request is not written for a while once the attempt has been asked.
+// stallFirstWrite returns a context that delays the write of its first request after the attempt has been asked.
 func stallFirstWrite(t *testing.T, length time.Duration) context.Context {
 	var stalled atomic.Bool
 	return httptrace.WithClientTrace(t.Context(), &httptrace.ClientTrace{WroteHeaderField: func(string, []string) {
@@ -39,10 +39,11 @@
 	}})
 }
 
-// exchangeBehindAHoldUp has an attempt exchanged with a server, and returns what came of it and what the server was told, per request.
+// exchangeAfterStall performs an attempt whose first write is stalled. It returns the outcome and the X-Remaining-Ms of each request that the
+// server received.
 func exchangeAfterStall(t *testing.T, a *scriptedAttempt) (outcome balance.Outcome, sent []string) {
 	t.Helper()
-	const length = 300 * time.Millisecond // stops of this length are beyond what the protocol's slack covers
+	const length = 300 * time.Millisecond // longer than the slack that the protocol allows
 	received := make(chan string, 8)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		received <- r.Header.Get("X-Remaining-Ms")
@@ -53,7 +54,7 @@
 	message := &Message{Method: http.MethodGet, URI: "/api", URL: &url.URL{Path: "/api"}, Host: "x", Header: http.Header{}}
 	outcome, _ = pool.Exchange(stallFirstWrite(t, length), to, message, a)
 	pool.Close()
-	server.Close() // waits for its requests
+	server.Close() // waits for outstanding requests
 	close(received)
 	for text := range received {
 		sent = append(sent, text)
@@ -61,8 +62,8 @@
 	return outcome, sent
 }
 
-// TestNothingIsWrittenBehindAHoldUpUnlessStillWanted guards against a send to a server that drains, or for a caller that has left, by a process
-// that was stopped between its last look and the write.
+// TestNothingIsWrittenAfterAStallUnlessStillWanted guards against requests to a draining server, or for a caller that has disconnected. They
+// occurred when the process was stopped between the last check and the write.
 func TestNothingIsWrittenAfterAStallUnlessStillWanted(t *testing.T) {
 	a := &scriptedAttempt{left: []time.Duration{5 * time.Second, 0}}
 	outcome, sent := exchangeAfterStall(t, a)
@@ -71,12 +72,13 @@
 	}
 }
 
-// TestServersAreToldTheTimeThatIsLeftBehindAHoldUp guards against work that goes on behind the caller's deadline.
+// TestRemainingTimeIsRecomputedAfterAStall guards against servers that continue to work on a request after the caller's deadline, because the
+// remaining time was computed before a stall of the proxy.
 func TestRemainingTimeIsRecomputedAfterAStall(t *testing.T) {
 	const left = 700 * time.Millisecond
 	a := &scriptedAttempt{left: []time.Duration{time.Second, left}}
 	outcome, sent := exchangeAfterStall(t, a)
 	if want := strconv.FormatInt(left.Milliseconds(), 10); outcome != balance.OK || len(sent) != 1 || sent[0] != want {
-		t.Errorf("outcome %v, told %v, want %s once", outcome, sent, want)
+		t.Errorf("outcome %v, announced %v, want %s once", outcome, sent, want)
 	}
 }
--- a/internal/backends/conn.go
+++ b/internal/backends/conn.go
@@ -17,42 +17,42 @@
 	"brasswell/internal/linked"
 )
 
-// conn is one connection to a backend. The socket is wrapped to see what net/http does not tell: whether the
-// request's last byte may be out, and whether bytes came that answer nothing.
+// conn is one connection to a backend. It wraps the socket to observe what net/http does not report: whether the
+// request's last byte may have been sent, and whether unsolicited bytes arrived.
 type conn struct {
 	net.Conn
 	pool     *Pool
 	endpoint Endpoint
 	cc       *http.ClientConn
-	framing  framing.Follower // of the answers; used by the one that reads, and once it is done
+	framing  framing.Follower // of the responses; used by the reading goroutine, and by others once that has finished
 
-	lastWrite      atomic.Bool // the next write may hold the request's last byte
-	writeBegun     atomic.Bool // a write of this attempt has begun
-	lastWriteBegun atomic.Bool // the write with the request's last byte has begun
-	class          int         // of the request
-	fullyWritten   bool        // that write is over, and has been told of; used by the one that writes
-	// beginning is what the attempt has said before its request is written; used by the one that writes, once the request is handed to it.
+	lastWrite      atomic.Bool // the next write may contain the request's last byte
+	writeBegun     atomic.Bool // a write of this attempt has started
+	lastWriteBegun atomic.Bool // the write with the request's last byte has started
+	class          int         // the request's class
+	fullyWritten   bool        // that write has succeeded and was reported; used by the writing goroutine
+	// permit is the attempt's permission to write its request. It is used by the writing goroutine, once the request is handed over to it.
 	permit     writePermit
-	refusedErr atomic.Pointer[error] // why nothing more of the request was written; nil where all was
-	// streams says that a message is passed on while it comes: each read and write may wait for silence, and the
-	// rest of an answer is not timed beyond that.
+	refusedErr atomic.Pointer[error] // why the request was not written, or not completely; nil if no write was refused
+	// streaming is set while a message is forwarded as it arrives. Each read of the response and each write may then
+	// take streamIdleTimeout, and the rest of a response has no other time limit.
 	streaming         atomic.Bool
-	streamingAnswer   atomic.Bool // it is the answer that streams
+	streamingAnswer   atomic.Bool // the streamed message is the response
 	streamIdleTimeout time.Duration
 
 	// Guarded by pool.mu.
-	inRead         bool // a Read waits on the socket
-	answerRead     bool // the answer is read; to be parked once a Read waits
+	inRead         bool // a Read is in progress
+	answerRead     bool // the response has been read; the connection is parked when the next Read begins
 	parked         bool
 	parkedAt       time.Time
-	idleTimer      *time.Timer // ends it when it has idled for too long
-	idleTimerSet   bool        // retire runs
-	answerTimer    *time.Timer // ends an answer that has begun and does not go on
-	answerTimerSet bool        // rest runs
-	answerDeadline time.Time   // by when the answer must have ended; zero while none has begun
+	idleTimer      *time.Timer // closes the connection when it has been idle for too long
+	idleTimerSet   bool        // idleTimer is running
+	answerTimer    *time.Timer // closes the connection if a response has begun and stalls
+	answerTimerSet bool        // answerTimer is running
+	answerDeadline time.Time   // when the response's next byte is due; zero if no response has begun
 	closed         bool
 
-	linked.Links[conn] // in its idleList
+	linked.Links[conn] // links of the endpoint's idleList
 }
 
 func (c *conn) roundTrip(ctx context.Context, m *Message, permit writePermit) (*http.Response, error) {
@@ -74,8 +74,8 @@
 	return c.cc.RoundTrip(req.WithContext(ctx))
 }
 
-// target repeats the caller's request line to the byte. A path that begins with two slashes would be taken
-// for a host there, so it goes by its parts.
+// target returns a URL that reproduces the request target of the caller's request line byte for byte. A path that
+// begins with two slashes would be parsed as a host in URL.Opaque, so it is passed in the URL's separate fields.
 func (m *Message) target(address string) *url.URL {
 	u := *m.URL
 	u.Scheme, u.Host, u.User, u.Fragment = "http", address, nil, ""
@@ -85,8 +85,8 @@
 	return &u
 }
 
-// mayWrite asks the attempt again, behind a hold-up, before the first byte of its request and before the last one. Of a request that is
-// passed on while it comes the last byte may be seconds behind the first: its server has it by then.
+// mayWrite checks the permit before the first byte of a request and before its last one; after a stall, this asks the attempt again. The last
+// byte of a streamed request isn't checked: it may follow seconds after the first one, and the server has the request by then.
 func (c *conn) mayWrite(last bool) error {
 	if c.writeBegun.Load() && (!last || c.streaming.Load() || c.fullyWritten) {
 		return nil
@@ -120,9 +120,9 @@
 	return n, err
 }
 
-// Read parks the connection once its answer is read and nothing more is buffered: until then bytes that
-// belong to no answer could pass for that of the next request. Bytes that come before this attempt has
-// written anything end the connection.
+// Read parks the connection once its response has been read and nothing more is buffered. If it were reused earlier,
+// unsolicited bytes could be mistaken for the response to the next request. Bytes that arrive before this attempt has
+// written anything cause an error, which closes the connection.
 func (c *conn) Read(b []byte) (int, error) {
 	p := c.pool
 	p.mu.Lock()
@@ -154,7 +154,7 @@
 		case c.framing.Interim() > maxInterim:
 			return 0, errTooManyInterim
 		case c.framing.AfterInterim():
-			c.clearAnswerDeadline() // the answer proper may be far off
+			c.clearAnswerDeadline() // the final response may take long
 		default:
 			c.startAnswerTimer()
 		}
@@ -162,7 +162,7 @@
 	return n, err
 }
 
-// stream says that from now on a message is passed on while it comes.
+// startStreaming marks the connection as forwarding a message while it arrives.
 func (c *conn) startStreaming() {
 	c.pool.mu.Lock()
 	c.streamIdleTimeout = c.pool.options.StreamSilence
@@ -171,8 +171,8 @@
 	c.streaming.Store(true)
 }
 
-// patience is by when a read must bring something: the answer to a request that is still on its way has all the time
-// that the attempt has.
+// readDeadline returns the deadline of a read while a message is streamed. While only the request is streamed, there is none: the
+// response may take all the time that the attempt has.
 func (c *conn) readDeadline() time.Time {
 	if c.streamingAnswer.Load() {
 		return time.Now().Add(c.streamIdleTimeout)
@@ -180,7 +180,7 @@
 	return time.Time{}
 }
 
-// watchRest gives an answer that has begun Options.AnswerTimeout to bring its next byte.
+// startAnswerTimer requires the next byte of a response that has begun within Options.AnswerTimeout.
 func (c *conn) startAnswerTimer() {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -200,8 +200,8 @@
 	c.answerDeadline = time.Time{}
 }
 
-// restOver ends the answer whose time is over. Like retire, its timer is not stopped when an answer ends: it looks
-// whether another has begun.
+// onAnswerTimer closes the connection if the response's next byte is overdue. Like idleTimer, answerTimer is not stopped when a
+// response ends: when it fires, it checks whether another response has begun, and continues for that one.
 func (c *conn) onAnswerTimer() {
 	c.pool.mu.Lock()
 	c.answerTimerSet = false
@@ -220,7 +220,7 @@
 	}
 }
 
-// Close keeps the count of open connections; net/http calls it whenever it is done with one.
+// Close closes the socket and updates the pool's count of open connections. net/http calls it when it has finished with a connection.
 func (c *conn) Close() error {
 	c.pool.mu.Lock()
 	if !c.closed {
@@ -236,7 +236,7 @@
 	return c.Conn.Close()
 }
 
-// renew makes a connection that has been idle ready for its next request.
+// reset prepares an idle connection for its next request.
 func (c *conn) reset() {
 	c.framing = framing.Follower{}
 	c.writeBegun.Store(false)
@@ -250,14 +250,14 @@
 	}
 }
 
-// discard ends a connection that must not be used again: after a time-out, a cancel, stray bytes or an answer
-// not read to its end, what comes next on it could be taken for another request's answer.
+// discard closes a connection that must not be reused. After a timeout, a cancellation, unsolicited bytes or a
+// response that was not read to its end, the next bytes could be mistaken for the response to another request.
 func (c *conn) discard() {
 	c.cc.Close()
 	c.Close()
 }
 
-// bodyReader reads a request's body for one attempt and notes when its last byte is handed over.
+// bodyReader reads a request's body for one attempt, and sets conn.lastWrite when it returns the last byte.
 type bodyReader struct {
 	conn *conn
 	data []byte
@@ -276,7 +276,7 @@
 
 func (r *bodyReader) Close() error { return nil }
 
-// streamReader reads a streamed body for one attempt, and notes when its last byte is handed over.
+// streamReader reads a streamed body for one attempt, and sets conn.lastWrite when it returns the last byte.
 type streamReader struct {
 	conn   *conn
 	reader *body.Reader
@@ -295,7 +295,7 @@
 	return nil
 }
 
-// setRemaining tells a backend how long the proxy will wait.
+// setRemaining sets the header that tells the backend how long the proxy will wait.
 func setRemaining(header http.Header, left time.Duration) {
 	header.Set("X-Remaining-Ms", strconv.FormatInt(max(left.Milliseconds(), 1), 10))
 }
--- a/internal/backends/dial.go
+++ b/internal/backends/dial.go
@@ -10,12 +10,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// dialing is one connection that comes up.
+// pendingDial is a connection that is being established.
 type pendingDial struct {
-	raw atomic.Pointer[syscall.RawConn] // its socket; nil before there is one
+	raw atomic.Pointer[syscall.RawConn] // the socket; nil until it is created
 }
 
-// dialAddress opens a connection within the pool's patience, or the context's.
+// dialAddress opens a connection within the pool's connect timeout and the context's deadline.
 func (p *Pool) dialAddress(ctx context.Context, address string) (net.Conn, error) {
 	d := &pendingDial{}
 	dialer := net.Dialer{Control: func(network, address string, raw syscall.RawConn) error {
@@ -32,9 +32,9 @@
 	})
 }
 
-// dialWithin calls a dial off once its patience is over, unless the connection is up by then: in a process that lacks processor time the
-// timer may come before the news of the connection, and a server that took it at once would be held for one that cannot be reached. It
-// asks the kernel and so holds for any cause of late news.
+// dialWithTimeout cancels a dial after the timeout, unless the connection is established by then. In a process that is starved of processor
+// time the timer may fire before the runtime reports the connection, and a server that accepted it at once would count as unreachable. It
+// asks the kernel about the connection, so it doesn't depend on why the report is late.
 func dialWithTimeout(ctx context.Context, timeout time.Duration, connected func() bool, dial func(context.Context) (net.Conn, error)) (net.Conn, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -47,7 +47,7 @@
 	return dial(ctx)
 }
 
-// connected says whether the kernel has the connection up.
+// connected reports whether the connection is established in the kernel.
 func (d *pendingDial) connected() bool {
 	raw := d.raw.Load()
 	if raw == nil {
@@ -55,7 +55,7 @@
 	}
 	up := false
 	err := (*raw).Control(func(fd uintptr) {
-		_, err := unix.Getpeername(int(fd)) // known once it is up, and not before
+		_, err := unix.Getpeername(int(fd)) // succeeds only while the connection is established
 		up = err == nil
 	})
 	return err == nil && up
--- a/internal/backends/dial_test.go
+++ b/internal/backends/dial_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// TestAConnectionThatIsUpIsNotCalledOff: where the end of the patience comes before the news that the connection is up, the dial goes on.
+// TestEstablishedConnectionIsNotCanceled guards against canceling a dial whose timeout fires after the connection is established, but before
+// the dialer learns of it.
 func TestEstablishedConnectionIsNotCanceled(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer theirs.Close()
@@ -17,7 +18,7 @@
 	checked := make(chan bool)
 	connected := func() bool { checked <- true; return true }
 	got, err := dialWithTimeout(t.Context(), time.Millisecond, connected, func(ctx context.Context) (net.Conn, error) {
-		<-checked // the patience is over
+		<-checked // the timeout has fired
 		<-time.After(20 * time.Millisecond)
 		return ours, ctx.Err()
 	})
@@ -36,7 +37,7 @@
 	}
 }
 
-// TestTheKernelIsAskedWhetherAConnectionIsUp: before it connects, once it has, and after its end.
+// TestConnectedReportsTheStateInTheKernel checks connected before the connection is established, while it is open, and after it is closed.
 func TestConnectedReportsTheStateInTheKernel(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -45,7 +46,7 @@
 	defer listener.Close()
 	d := &pendingDial{}
 	if d.connected() {
-		t.Error("up without a socket")
+		t.Error("connected without a socket")
 	}
 	before := true
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
--- a/internal/backends/exchange.go
+++ b/internal/backends/exchange.go
@@ -1,4 +1,4 @@
-// Package backends carries attempts out on connections to backends and says how each ended. It decides nothing.
+// Package backends performs request attempts on connections to backends and reports their outcomes. It makes no balancing decisions.
 package backends
 
 import (
@@ -15,70 +15,71 @@
 )
 
 const (
-	// leftoverWait bounds how long the rest of an answer that nobody needs is read to save its connection.
+	// discardTimeout bounds how long the rest of an unneeded response is read so that its connection can be reused.
 	discardTimeout = 100 * time.Millisecond
-	// maxAnswerHead ends a backend that sends headers without end, and maxInterim one that sends 1xx answers
-	// without end.
+	// maxAnswerHead bounds the size of a response's headers in bytes, and maxInterim the number of 1xx responses
+	// before the final one. They stop backends that would send either without end.
 	maxAnswerHead = 16 << 10
 	maxInterim    = 20
 )
 
-// Why an attempt's context was ended.
+// Causes with which an attempt's context is canceled.
 var (
-	ErrTimedOut = errors.New("the attempt's time is over")
-	ErrCanceled = errors.New("the attempt was called off")
+	ErrTimedOut = errors.New("the attempt timed out")
+	ErrCanceled = errors.New("the attempt was canceled")
 )
 
 var (
 	errNoSockets      = errors.New("all backend sockets are in use")
-	errUnsolicited    = errors.New("bytes that answer nothing")
-	errTooManyInterim = errors.New("interim answers without end")
-	errFraming        = errors.New("an answer whose end cannot be told")
+	errUnsolicited    = errors.New("unsolicited bytes from the backend")
+	errTooManyInterim = errors.New("too many interim responses")
+	errFraming        = errors.New("the end of the response cannot be determined")
 )
 
-// Reply is a backend's 200 answer: whole, or as far as it has come.
+// Reply is a backend's 200 response, either complete or its beginning.
 type Reply struct {
 	Header http.Header
 	Body   []byte
-	Length int64 // of the whole body; -1 if it is not known yet
-	Rest   *Rest // what follows Body; nil if that is all
-	// Channel is set, and nothing else but Header, where the backend changed to the WebSocket protocol.
+	Length int64 // of the complete body; -1 if unknown
+	Rest   *Rest // what follows Body; nil if Body is complete
+	// Channel is set if the backend switched to the WebSocket protocol. Only Header is set with it.
 	Channel *Channel
 }
 
-// Rest is what is still to come of an answer. It is for one goroutine, which must close it.
+// Remainder is the part of a response that has not arrived yet. It must be used by one goroutine, which must close it.
 type Rest struct {
 	reader io.Reader
-	result chan error // takes what the rest ended with
+	result chan error // receives the argument of Close
 }
 
-// ErrLeft is what a Rest is closed with that nobody takes any more: no fault of the backend's.
-var ErrLeft = errors.New("the caller has left")
+// ErrCallerLeft closes a Remainder whose caller has disconnected. It does not count as a fault of the backend.
+var ErrLeft = errors.New("the caller has disconnected")
 
-// Read reads on; io.EOF stands behind a whole answer alone.
+// Read reads the next bytes. It returns io.EOF only at the end of a complete response.
 func (r *Rest) Read(p []byte) (int, error) { return r.reader.Read(p) }
 
-// Close ends the attempt: nil for an answer read to its end, ErrLeft, or what Read returned.
+// Close ends the attempt. err is nil if the response was read to its end, and otherwise ErrCallerLeft or the error of Read.
 func (r *Rest) Close(err error) { r.result <- err }
 
-// Attempt is what is asked and told on the way of one attempt, from Exchange's goroutine.
+// Attempt receives the callbacks of one attempt. Unless noted otherwise, they are called by the goroutine that runs Exchange.
 type Attempt interface {
-	// Begin is asked right before the request is written, and says how long the proxy will wait and whether
-	// it still wants to. Behind a hold-up before the write it is asked again, by the goroutine that writes.
+	// Begin is called right before the request is written. It returns how long the proxy will wait for the response
+	// and whether the attempt is still wanted. After a stall before the write, the writing goroutine calls it again.
 	Begin() (time.Duration, bool)
-	// Started is told of an answer that is to be passed on while it comes, and says whether somebody takes it.
+	// Started is called with a response that is to be streamed, and reports whether the caller takes it.
 	Started(*Reply) bool
 }
 
-// Endpoint is one run of one server. A server that restarts or comes anew at the address of one that has gone
-// is another endpoint: it must not get the old one's connections, which lead nowhere and may never say so.
+// Endpoint is one process of one server. A server that restarts, or that reuses the address of a former one, is a
+// different endpoint. It must not get the old endpoint's connections: their peer no longer exists, and they may never
+// report an error.
 type Endpoint struct {
 	Server, Address string
 	Boot            time.Duration
 }
 
-// Exchange carries one attempt out and says how it ended. The reply is a whole answer; one that streams goes to
-// Started, and Exchange returns once it has ended.
+// Exchange performs one attempt and returns its outcome. The reply is a complete response; a streamed one is passed
+// to Started instead, and Exchange returns when it has ended.
 func (p *Pool) Exchange(ctx context.Context, to Endpoint, m *Message, a Attempt) (balance.Outcome, *Reply) {
 	for {
 		c, reused, err := p.get(ctx, to)
@@ -96,26 +97,26 @@
 		}
 		c.discard()
 		if refusal := c.refusedErr.Load(); refusal != nil {
-			// No whole request was written.
+			// The request was not written completely.
 			if *refusal == errUnwanted {
 				return balance.Ignored, nil
 			}
 			continue
 		}
 		if reused && !c.lastWriteBegun.Load() && ctx.Err() == nil {
-			// The backend closed it while it stood idle, which says nothing against the backend. No
-			// whole request was written, so this is still the attempt's only copy.
+			// The backend closed the connection while it was idle, which is no sign of a fault. The request
+			// was not written completely, so sending it again creates no duplicate.
 			continue
 		}
 		outcome := c.brokenOutcome(ctx)
 		if outcome == balance.TimedOut {
-			p.dropIdle(to) // a machine that is cut off leaves all its connections open and silent
+			p.dropIdle(to) // all connections to an unreachable machine stay open without a response
 		}
 		return outcome, nil
 	}
 }
 
-// unconnected is the outcome of an attempt that got no connection.
+// connectFailed returns the outcome of an attempt that got no connection, and drops the endpoint's idle connections if it is unreachable.
 func (p *Pool) connectFailed(ctx context.Context, to Endpoint, err error) balance.Outcome {
 	outcome := connectOutcome(ctx, err)
 	if outcome == balance.ConnectError {
@@ -124,7 +125,7 @@
 	return outcome
 }
 
-// receive reads the answer whose head has come.
+// receive reads a response whose headers have arrived.
 func (p *Pool) receive(ctx context.Context, c *conn, resp *http.Response, a Attempt) (balance.Outcome, *Reply) {
 	c.startAnswerTimer()
 	if resp.StatusCode != http.StatusOK {
@@ -166,7 +167,7 @@
 	return c.brokenOutcome(ctx), nil
 }
 
-// limited ends with ErrTooLarge where more comes than is left; it must not pass for a whole answer.
+// limitedReader fails with ErrTooLarge after left bytes, so that a truncated response is not taken for a complete one.
 type limitedReader struct {
 	reader io.Reader
 	left   int64
@@ -180,19 +181,20 @@
 	return n, err
 }
 
-// streamAfter is how long an answer of unknown length is kept back to be read whole, so that it may still be had from
-// another backend should it break.
+// streamAfter is how long a response of unknown length is buffered before any of it is forwarded. Until then, another
+// attempt can replace a response that breaks off.
 const streamAfter = 150 * time.Millisecond
 
-// readAnswer reads a whole answer, or the beginning of one that is too long or too slow to be kept. One that is cut
-// must not pass for whole, so its end has to be told by a length or by chunks, and not by both, or else by the
-// connection's orderly end (RFC 9112, section 6.3): a reset is none. One that is longer than the protocol knows is noise.
+// readAnswer reads a complete response, or the beginning of one that is too long or too slow to be buffered. A truncated
+// response must not be taken for a complete one, so its end must be given by either a length or chunks, not both, or else
+// by an orderly close of the connection (RFC 9112, section 6.3), not a reset. A response over body.MaxBytes is an error.
 func (c *conn) readAnswer(resp *http.Response) (text []byte, whole bool, err error) {
 	switch {
 	case resp.ContentLength > body.MaxBytes:
 		return nil, false, body.ErrTooLarge
 	case resp.ContentLength < 0 && resp.TransferEncoding == nil:
-		// Nothing of it is passed on before its end while it can be kept: noise behind a head looks the same, and has none.
+		// It is buffered to its end, up to MaxBufferedBytes, before any of it is forwarded: garbage after a response head looks
+		// the same, and does not end.
 		text, whole, err = body.ReadAtMost(resp.Body, body.WholeBytes, func() bool { return true })
 		if err != nil {
 			return nil, false, fmt.Errorf("answer: %w", err)
@@ -212,7 +214,7 @@
 		if _, err := io.ReadFull(resp.Body, text); err != nil {
 			return nil, false, fmt.Errorf("answer: %w", err)
 		}
-		_, err := io.Copy(io.Discard, resp.Body) // meets the end, which sets the connection free
+		_, err := io.Copy(io.Discard, resp.Body) // reads the end of the body, which makes the connection available again
 		return text, true, err
 	}
 	begun := time.Now()
@@ -223,10 +225,10 @@
 	return text, whole, nil
 }
 
-// firstBytes of a long answer are read before anything of it is passed on.
+// firstBytes is the size of the buffer for the first read of a long response, before any of it is forwarded.
 const firstBytes = 4 << 10
 
-// discardAnswer reads to the end of an answer whose body means nothing, or drops the connection.
+// discardAnswer reads a response whose body is not needed to its end, or else closes the connection.
 func (p *Pool) discardAnswer(c *conn, resp *http.Response) {
 	if resp.StatusCode < 200 || resp.ContentLength > body.WholeBytes {
 		c.discard()
@@ -241,7 +243,7 @@
 	c.discard()
 }
 
-// connectOutcome is the outcome of an attempt that got no connection.
+// connectOutcome returns the outcome of an attempt that got no connection.
 func connectOutcome(ctx context.Context, err error) balance.Outcome {
 	if ctx.Err() != nil {
 		return endedOutcome(ctx)
@@ -250,14 +252,14 @@
 		errNoSockets, syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM,
 	} {
 		if errors.Is(err, local) {
-			return balance.Ignored // never sent, for want of something of ours: no blame on the backend
+			return balance.Ignored // never sent, because the proxy lacked a resource: no fault of the backend
 		}
 	}
 	return balance.ConnectError
 }
 
-// brokenOutcome is the outcome of an attempt whose connection broke: from the moment the write with the
-// request's last byte begins, nobody can know that the backend did not get it.
+// brokenOutcome returns the outcome of an attempt whose connection broke. Once the write of the request's last byte
+// has started, the backend may have received the request.
 func (c *conn) brokenOutcome(ctx context.Context) balance.Outcome {
 	switch {
 	case ctx.Err() != nil:
@@ -275,7 +277,7 @@
 	return balance.Canceled
 }
 
-// turnedAway says whether an answer proves that the request never ran.
+// turnedAway reports whether a response proves that the request was not executed.
 func turnedAway(resp *http.Response) bool {
 	unavailable := resp.StatusCode == http.StatusServiceUnavailable || resp.StatusCode == http.StatusGatewayTimeout
 	return unavailable && resp.Header.Get("X-Turned-Away") == "1"
--- a/internal/backends/idle.go
+++ b/internal/backends/idle.go
@@ -6,13 +6,13 @@
 	"brasswell/internal/linked"
 )
 
-// idleList holds an endpoint's idle connections in the order in which they were parked.
+// idleList holds an endpoint's idle connections, in the order in which they were parked.
 type idleList struct {
 	linked.List[conn, *conn]
-	settled *conn // the last that has rested long enough; nil if none has
+	settled *conn // the most recently parked one that has been idle long enough; nil if there is none
 }
 
-// Remove takes a connection out, from wherever it stands.
+// Remove removes a connection at any position.
 func (l *idleList) Remove(c *conn) {
 	if l.settled == c {
 		l.settled = l.Older(c)
@@ -20,7 +20,7 @@
 	l.List.Remove(c)
 }
 
-// lastSettled is the connection parked last that has rested for so long, or nil.
+// lastSettled returns the most recently parked connection that has been idle for settleTime, or nil.
 func (l *idleList) lastSettled(now time.Time, settleTime time.Duration) *conn {
 	next := l.Front()
 	if l.settled != nil {
--- a/internal/backends/idle_test.go
+++ b/internal/backends/idle_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestIdleListAgainstAPlainOne makes thousands of random changes to both and compares what they say.
+// TestIdleListMatchesASlice makes thousands of random changes to an idleList and a plain slice, and compares them.
 func TestIdleListMatchesASlice(t *testing.T) {
 	const settleTime = 5 * time.Millisecond
 	for seed := range uint64(20) {
@@ -35,14 +35,14 @@
 			}
 			if rng.IntN(2) == 0 {
 				if got := l.lastSettled(now, settleTime); got != want {
-					t.Fatalf("seed %d: the last settled is %p, want %p", seed, got, want)
+					t.Fatalf("seed %d: lastSettled is %p, want %p", seed, got, want)
 				}
 			}
 			if got := slices.Collect(l.All()); !slices.Equal(got, plain) {
-				t.Fatalf("seed %d: holds %d, want %d", seed, len(got), len(plain))
+				t.Fatalf("seed %d: %d connections, want %d", seed, len(got), len(plain))
 			}
 			if (l.Front() == nil) != (len(plain) == 0) || l.Front() != nil && (l.Front() != plain[0] || l.Back() != plain[len(plain)-1]) {
-				t.Fatalf("seed %d: ends do not fit", seed)
+				t.Fatalf("seed %d: Front or Back is wrong", seed)
 			}
 		}
 	}
--- a/internal/backends/message.go
+++ b/internal/backends/message.go
@@ -8,12 +8,12 @@
 	"brasswell/internal/channel/handshake"
 )
 
-// Message is what a request's attempts carry to backends. Attempts share it, so it is never written to.
+// Message is the request that its attempts send to backends. Attempts share it, so it must not be modified.
 type Message struct {
 	Class             int
 	Method, URI, Host string
 	URL               *url.URL
 	Header            http.Header
-	Offer             *handshake.Offer // of a request for a channel; nil for all others
-	Body              *body.Body       // a stream's readers follow one another, one for each attempt
+	Offer             *handshake.Offer // set for a WebSocket upgrade only
+	Body              *body.Body       // each attempt reads a stream with a reader of its own, one after another
 }
--- a/internal/backends/options.go
+++ b/internal/backends/options.go
@@ -6,27 +6,27 @@
 	"brasswell/internal/operator"
 )
 
-// Options are what is expected of backends.
+// Options configures the handling of backends' responses and connections.
 type Options struct {
-	// AnswerTimeout is how long an answer that has begun and of which nothing has been passed on may be silent.
-	// One that falls silent there will not go on, and the time that is left may do for another attempt. It
-	// would harm backends that send an answer as they compute it.
+	// AnswerTimeout is how long a response may stall after it has begun, as long as none of it has been forwarded. A
+	// response that stalls there is not expected to continue, and the remaining time may suffice for another attempt. It
+	// is too short for backends that send a response while they compute it.
 	AnswerTimeout time.Duration
-	// StreamSilence is how long a backend may be silent, or take nothing, within a message that is passed on
-	// while it comes. There is no other attempt then, so it is only against peers that will never go on.
+	// StreamIdleTimeout is how long a backend may send or accept nothing within a message that is streamed. No other
+	// attempt is possible then, so this only ends connections whose peer will never continue.
 	StreamSilence time.Duration
-	// Settle is how long a connection rests after an answer before it carries another request. What a backend
-	// sends too much mostly comes right behind its answer; on a connection already in use again it would pass
-	// for the next answer. Against what comes later than that this is no help.
+	// SettleTime is how long a connection stays unused after a response before it carries another request. Excess bytes
+	// mostly arrive right after a response; on a connection already in use again they would be mistaken for the next
+	// response. It does not protect against bytes that arrive later.
 	Settle time.Duration
 }
 
-// DefaultOptions fit backends that may answer with more than belongs to them.
+// DefaultOptions returns options for backends that may send excess bytes after a response.
 func DefaultOptions() Options {
 	return Options{AnswerTimeout: 400 * time.Millisecond, StreamSilence: 10 * time.Second, Settle: 5 * time.Millisecond}
 }
 
-// Section describes the options to the operator file.
+// Section describes the options for the operator file.
 func (o *Options) Section() operator.Section {
 	return operator.Section{
 		Name:   "backends",
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -11,14 +11,14 @@
 	"time"
 )
 
-// Pool holds the connections to all backends. Its size is bounded by limit, and an idle connection's life by
-// idleFor, which ends before the backend's own patience does.
+// Pool holds the connections to all backends. The number of connections is bounded by limit, and the time that one
+// may be idle by maxIdle, which is shorter than the backend's own idle timeout.
 //
-// A plain http.Transport would not do: it sends a GET or a keyed request again by itself when a reused
-// connection breaks, behind the balancer's back and maybe a second time.
+// A plain http.Transport is unsuitable: when a reused connection breaks, it repeats a GET request or one with an
+// idempotency key by itself. The balancer would not know of the repetition, and the request might run twice.
 type Pool struct {
 	transport      *http.Transport
-	control        func(network, address string, c syscall.RawConn) error // of each socket; may be nil
+	control        func(network, address string, c syscall.RawConn) error // called for each socket; may be nil
 	connectTimeout time.Duration
 	maxIdle        time.Duration
 	limit          int
@@ -28,29 +28,29 @@
 	options Options
 	closed  bool
 	open    int                    // connections open or being opened
-	idle    map[Endpoint]*idleList // none is empty
-	wanted  map[Endpoint]bool      // whose connections are kept
+	idle    map[Endpoint]*idleList // never contains an empty list
+	wanted  map[Endpoint]bool      // the endpoints whose idle connections are kept
 }
 
-// Limits is what a pool is told. All of it must be above 0, but the functions may be nil.
+// Limits configures a pool. All values must be above 0; the functions may be nil.
 type Limits struct {
-	Conns          int           // open at one time, to all backends
-	ConnectTimeout time.Duration // a connection not up by then counts as failed
-	ConnIdle       time.Duration // a backend closes a connection that idles for so long
-	// Control is called for each socket before it connects, as net.Dialer has it.
+	Conns          int           // maximum number of open connections, to all backends together
+	ConnectTimeout time.Duration // a connection that is not established by then counts as failed
+	ConnIdle       time.Duration // idle time after which a backend closes a connection
+	// Control is called for each socket before it connects, like net.Dialer's field of this name.
 	Control func(network, address string, c syscall.RawConn) error
-	// Written is called with the request's class once for each attempt that has been written whole. It must not block.
+	// OnWritten is called with the request's class once for each attempt whose request was written completely. It must not block.
 	Written func(class int)
 	Options Options
 }
 
-// NewPool returns a pool that keeps no connections until Keep names the endpoints that are wanted.
+// NewPool returns a pool. It keeps no idle connections until SetWanted names the wanted endpoints.
 func NewPool(l Limits) *Pool {
 	p := &Pool{
 		control:        l.Control,
 		connectTimeout: l.ConnectTimeout,
-		// A request that crosses the backend's close ends as a reset, and may have run for all we know.
-		// The fifth left is for answers that took their time to be read.
+		// A request that is sent while the backend closes the connection ends with a reset, and may have been
+		// executed. The remaining fifth allows for responses that took long to read.
 		maxIdle: l.ConnIdle * 4 / 5,
 		limit:   l.Conns, options: l.Options, onWritten: l.Written,
 		idle: map[Endpoint]*idleList{},
@@ -65,17 +65,17 @@
 	return p
 }
 
-// stoppedTimer is a timer that calls f once it has been reset.
+// stoppedTimer returns a stopped timer that calls f when it expires after a Reset.
 func stoppedTimer(f func()) *time.Timer {
 	t := time.AfterFunc(time.Hour, f)
 	t.Stop()
 	return t
 }
 
-// dialed is the context key under which a connection is handed to the transport.
+// connKey is the context key of the connection that the transport is to use.
 type connKey struct{}
 
-// get takes the idle connection that was used last and has settled, or opens one.
+// get returns the most recently parked connection that has settled, or opens a new one.
 func (p *Pool) get(ctx context.Context, to Endpoint) (c *conn, reused bool, err error) {
 	var dead []*conn
 	p.mu.Lock()
@@ -133,7 +133,7 @@
 	return c, nil
 }
 
-// release gives back a connection on which no answer is outstanding.
+// release returns a connection without an outstanding response to the pool.
 func (p *Pool) release(c *conn) {
 	c.clearAnswerDeadline()
 	if c.cc.Available() == 0 {
@@ -153,7 +153,7 @@
 	}
 }
 
-// Keep closes the idle connections to all endpoints but these, now and as they come free.
+// SetWanted closes the connections to all other endpoints: idle ones at once, and others when they are released.
 func (p *Pool) Keep(wanted map[Endpoint]bool) {
 	p.mu.Lock()
 	p.wanted = wanted
@@ -166,7 +166,7 @@
 	p.drop(drop)
 }
 
-// distrust closes the idle connections to an endpoint that does not answer.
+// dropIdle closes the idle connections to an endpoint that does not respond.
 func (p *Pool) dropIdle(to Endpoint) {
 	p.mu.Lock()
 	var all []*conn
@@ -176,7 +176,7 @@
 	p.drop(all)
 }
 
-// drop unparks and ends connections. It is called with p.mu held and gives it back.
+// drop unparks and closes connections. It is called with p.mu held and unlocks it.
 func (p *Pool) drop(conns []*conn) {
 	for _, c := range conns {
 		p.unpark(c)
@@ -187,7 +187,8 @@
 	}
 }
 
-// park and unpark need p.mu held, and so must not call what takes the connection's own lock.
+// park adds a connection to its endpoint's idle list. park and unpark are called with p.mu held, so they must not call
+// functions that take the connection's own lock.
 func (p *Pool) park(c *conn) {
 	if c.closed {
 		return
@@ -205,8 +206,8 @@
 	}
 }
 
-// retire ends a connection that has idled for too long. Its timer is not stopped when the connection is used: it
-// looks again when it fires, which costs a busy connection one look in each idleFor.
+// onIdleTimer closes a connection that has been idle for too long. The timer is not stopped when the connection is used.
+// Instead, the idle time is checked when it fires, which costs a busy connection one check per maxIdle.
 func (p *Pool) onIdleTimer(c *conn) {
 	p.mu.Lock()
 	c.idleTimerSet = false
@@ -244,7 +245,8 @@
 	return oldest
 }
 
-// SetLimit changes how many connections may be open. Those that are over it end as they come free or idle on.
+// SetLimit changes how many connections may be open. Connections over a lowered limit are not closed at once: they end
+// when they have been idle for too long, or are discarded for another reason.
 func (p *Pool) SetLimit(conns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -258,7 +260,7 @@
 	p.options = o
 }
 
-// Close ends the idle connections, and those in use as they come free.
+// Close closes the idle connections at once, and those in use when they are released.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -269,7 +271,7 @@
 	p.drop(idle)
 }
 
-// States counts the connections that are open or being opened, and those of them that idle.
+// ConnCounts returns the number of idle connections, and of those in use or being opened.
 func (p *Pool) States() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/backends/upgrade.go
+++ b/internal/backends/upgrade.go
@@ -15,22 +15,22 @@
 	"brasswell/internal/channel/handshake"
 )
 
-// Channel is a connection that a backend has changed to the WebSocket protocol. Who takes it has to close it.
+// Channel is a connection that a backend has switched to the WebSocket protocol. The receiver must close it.
 type Channel struct {
 	Server string
 	Conn   *net.TCPConn
-	Header http.Header // of the answer of 101
-	Behind []byte      // what has come behind it
+	Header http.Header // headers of the 101 response
+	Behind []byte      // bytes that arrived after the 101 response
 	Agreed handshake.Agreement
 }
 
-// Upgrade carries out one attempt of a request for a channel, on a connection of its own. A backend that answers with
-// anything else than 101 does not speak the protocol on this path, whichever of them is asked.
+// Upgrade performs one attempt of a WebSocket upgrade, on a new connection. A backend that responds with any other
+// status than 101, and reports no fault, does not support the protocol on this path, and neither do the other backends.
 func (p *Pool) Upgrade(ctx context.Context, to Endpoint, m *Message, a Attempt) (balance.Outcome, *Reply) {
 	if err := p.reserve(); err != nil {
 		return p.connectFailed(ctx, to, err), nil
 	}
-	defer p.unreserve() // a channel counts elsewhere
+	defer p.unreserve() // channels have a limit of their own
 	nc, err := p.dialAddress(ctx, to.Address)
 	if err != nil {
 		return p.connectFailed(ctx, to, err), nil
@@ -53,7 +53,7 @@
 	return balance.OK, &Reply{Header: c.Header, Channel: c}
 }
 
-// shakeHands returns a nil channel and the outcome where there is none.
+// performHandshake requests the upgrade and reads the response. If there is no channel, it returns nil and the outcome.
 func (p *Pool) performHandshake(nc net.Conn, m *Message, left time.Duration) (balance.Outcome, *Channel, error) {
 	if err := writeUpgrade(nc, m, left); err != nil {
 		return balance.Reset, nil, err
@@ -68,7 +68,8 @@
 	answerTimeout := p.options.AnswerTimeout
 	p.mu.Unlock()
 	for interim := 0; ; interim++ {
-		// As long as nothing has come, the attempt's own time holds; an answer that falls silent will not go on.
+		// Until the first byte arrives, only the attempt's own timeout applies. A response that stalls after its first byte
+		// is not expected to continue.
 		nc.SetReadDeadline(time.Time{})
 		if _, err := r.Peek(1); err != nil {
 			return balance.Reset, nil, fmt.Errorf("answer: %w", err)
@@ -104,7 +105,7 @@
 	}
 	tcp, ok := nc.(*net.TCPConn)
 	if !ok {
-		return balance.Failed, nil, fmt.Errorf("a channel over %s", nc.LocalAddr().Network())
+		return balance.Failed, nil, fmt.Errorf("channel over network %s, not TCP", nc.LocalAddr().Network())
 	}
 	buffered, err := r.Peek(r.Buffered())
 	if err != nil {
@@ -113,8 +114,8 @@
 	return balance.OK, &Channel{Conn: tcp, Header: resp.Header, Behind: append([]byte(nil), buffered...), Agreed: agreed}, nil
 }
 
-// writeUpgrade writes the head of a request for a channel. http.Request.Write would do it, if it did not add and drop
-// fields of its own.
+// writeUpgrade writes the head of an upgrade request. http.Request.Write is unsuitable because it adds and removes header
+// fields.
 func writeUpgrade(w io.Writer, m *Message, left time.Duration) error {
 	var b strings.Builder
 	uri := m.URI
@@ -132,7 +133,7 @@
 	return err
 }
 
-// reserve takes one of the pool's places for a connection that is not one of the pool's.
+// reserve counts a connection that is not managed by the pool against the pool's limit.
 func (p *Pool) reserve() error {
 	var oldest *conn
 	p.mu.Lock()
