--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -1,4 +1,4 @@
-// Package body keeps messages' bodies within a budget of memory.
+// Package body reads, buffers and streams message bodies within a memory budget.
 package body
 
 import (
@@ -11,20 +11,21 @@
 )
 
 const (
-	// MaxBytes is the longest body that the protocol knows, of a request and of an answer alike. Whoever sends
-	// more is given up: the rest is neither passed on nor read.
+	// MaxBytes is the maximum size of a body that the protocol allows, for requests and responses alike. If a peer
+	// sends more, the message is aborted: the rest is neither forwarded nor read.
 	MaxBytes = 32 << 20
-	// WholeBytes is the longest body that is read whole before anything is done with it. What is longer streams.
+	// MaxBufferedBytes is the maximum size of a body that is read completely before it is processed. Longer bodies are
+	// streamed.
 	WholeBytes = 64 << 10
 )
 
-// Why a body was not read.
+// Errors of reading a body.
 var (
 	ErrTooLarge = errors.New("body over 32 MiB")
-	ErrNoRoom   = errors.New("no memory for the body")
+	ErrNoRoom   = errors.New("memory budget for bodies exhausted")
 )
 
-// Budget is the memory that all bodies held at one time share.
+// Budget bounds the memory that is used by all bodies together.
 type Budget struct{ available, size atomic.Int64 }
 
 func (b *Budget) reserve(n int64) bool {
@@ -37,15 +38,15 @@
 
 func (b *Budget) release(n int64) { b.available.Add(n) }
 
-// Body is a request's body. A short one is read whole before anything is sent: an attempt may have to be repeated,
-// and a request's clock starts at its last byte. A long one is a stream.
+// Body is a request's body. A short one is read completely before anything is sent, because a request may need
+// several attempts and its time starts at its last byte. A long one is a stream.
 type Body struct {
 	data   []byte
 	budget *Budget
 	stream *Stream
 }
 
-// Size is the body's length in bytes, -1 if a stream's is not known; a nil Body is empty.
+// Size returns the body's length in bytes, or -1 for a stream of unknown length. A nil Body is empty.
 func (b *Body) Size() int64 {
 	switch {
 	case b == nil:
@@ -56,7 +57,7 @@
 	return int64(len(b.data))
 }
 
-// Stream is the body's stream, or nil if it is whole.
+// Stream returns the body's stream, or nil if the body is buffered completely.
 func (b *Body) Stream() *Stream {
 	if b == nil {
 		return nil
@@ -64,7 +65,7 @@
 	return b.stream
 }
 
-// Release gives the memory back; the body must not be used any more.
+// Release returns the memory to the budget. The body must not be used afterwards.
 func (b *Body) Release() {
 	switch {
 	case b == nil:
@@ -76,9 +77,9 @@
 	}
 }
 
-// Read reads r to its end if it holds WholeBytes at most, and otherwise returns a stream that is yet to be filled from
-// the reader that comes with it; length is -1 where it is not announced. The memory is taken from the budget before
-// the first byte is read, for as much as may come.
+// Read reads r to its end if it holds at most MaxBufferedBytes. Otherwise it returns a stream, and the reader from which
+// the stream is to be filled. length is -1 if it is not announced. Before the first byte is read, the maximum that may
+// arrive is reserved in the budget.
 func Read(r io.Reader, length int64, budget *Budget) (*Body, io.Reader, error) {
 	switch {
 	case length == 0:
@@ -108,9 +109,9 @@
 	return &Body{data: data, budget: budget}, nil, nil
 }
 
-// ReadAtMost reads r to its end, or more than most bytes of it, or until goOn says no, which is asked before each read.
-// The buffer grows with what has come: a sender that announces much and sends nothing costs its own time and none of our
-// memory. The read that meets the end also tells net/http to watch for the caller's leaving.
+// ReadAtMost reads r to its end, until more than limit bytes have been read, or until keepReading returns false. It calls
+// keepReading before each read. The buffer grows with the bytes received, so a sender that announces a long body and sends
+// nothing uses no memory. The read that reaches the end also makes net/http watch whether the caller disconnects.
 func ReadAtMost(r io.Reader, limit int64, keepReading func() bool) (data []byte, complete bool, err error) {
 	data = make([]byte, 0, min(limit+1, 512))
 	for keepReading() {
@@ -131,7 +132,7 @@
 	return data, false, nil
 }
 
-// Data is the body's bytes, which attempts share and nobody may change.
+// Data returns the bytes of a buffered body. Attempts share them, so they must not be modified.
 func (b *Body) Data() []byte {
 	if b == nil {
 		return nil
@@ -139,11 +140,11 @@
 	return b.data
 }
 
-// Resize changes what all bodies together may take. Where they hold more already, nothing is given until they hold
-// less.
+// Resize changes how many bytes all bodies together may use. If they already use more, no memory is granted until their
+// use is below the new size.
 func (b *Budget) Resize(n int64) { b.available.Add(n - b.size.Swap(n)) }
 
-// NewBudget lets all bodies together take n bytes.
+// NewBudget returns a budget of n bytes for all bodies together.
 func NewBudget(n int64) *Budget {
 	b := &Budget{}
 	b.Resize(n)
--- a/internal/body/pace.go
+++ b/internal/body/pace.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Pace is how slowly bytes may come or go before their sender or reader is given up. It tells who is slow and moves
-// from who has fallen silent, and bounds how long the slow may hold what they use: a transfer of n bytes takes Grace
-// and n/Rate at most.
+// MinDataRate is the minimum rate at which a peer must send or receive a message. It distinguishes slow peers from
+// stalled ones, and bounds how long a slow peer may use resources: a transfer of n bytes takes at most GracePeriod plus
+// n/BytesPerSecond.
 //
-// It guards against peers that send or read a byte now and then for ever, and should catch those that stop within a
-// message. It might harm a peer behind a line that stalls for longer than Silence.
+// It protects against peers that send or read a byte now and then without end, and against those that stop within a
+// message. It may affect peers whose network connection stalls for longer than IdleTimeout.
 type Pace struct {
-	Silence time.Duration // without a byte
-	Grace   time.Duration // that a transfer may take beyond what Rate allows
-	Rate    int64         // bytes a second, over the whole transfer
+	Silence time.Duration // maximum time without a byte
+	Grace   time.Duration // time that a transfer may take in addition to what BytesPerSecond allows
+	Rate    int64         // average over the whole transfer
 }
 
-// Transfer is one transfer under a Pace. Times are since any fixed moment, but of one clock.
+// Transfer is one transfer under a MinDataRate. All times are offsets from the same fixed moment, which may be any.
 type Transfer struct {
 	rate             Pace
 	start, lastMoved time.Duration
 	bytes            int64
 }
 
-// Begin begins a transfer.
+// Begin starts a transfer.
 func (p Pace) Begin(now time.Duration) Transfer { return Transfer{rate: p, start: now, lastMoved: now} }
 
-// Moved takes in that bytes have come or gone.
+// AddBytes records that bytes were sent or received.
 func (t *Transfer) Moved(now time.Duration, bytes int) {
 	if bytes > 0 {
 		t.lastMoved, t.bytes = now, t.bytes+int64(bytes)
 	}
 }
 
-// Deadline is by when the next byte has to come or go.
+// Deadline returns when the next byte must have been sent or received.
 func (t *Transfer) Deadline() time.Duration {
 	byRate := t.start + t.rate.Grace + time.Duration(float64(t.bytes)/float64(t.rate.Rate)*float64(time.Second))
 	return min(t.lastMoved+t.rate.Silence, byRate)
--- a/internal/body/stream.go
+++ b/internal/body/stream.go
@@ -7,57 +7,57 @@
 )
 
 const (
-	// segment is the unit in which a stream holds bytes.
+	// segmentBytes is the size of the segments in which a stream holds its bytes.
 	segmentBytes = 32 << 10
-	// ahead is how far a stream reads ahead of who takes its bytes, in segments. What is ahead when the sender's
-	// last byte has come still has to go out within the request's time.
+	// readAheadSegments is how far a stream reads ahead of its reader, in segments. Bytes that are read ahead when the
+	// sender's last byte arrives still have to be sent within the request's time.
 	readAheadSegments = 2
-	// KeepMost is how much of a stream is kept for a further attempt, where the budget has room.
+	// MaxReplayBytes is how much of a stream is kept for another attempt, if the budget allows it.
 	KeepMost = 1 << 20
 )
 
-// Why a stream cannot be read.
+// Errors of reading a stream.
 var (
-	ErrSpent      = errors.New("the body is no longer whole here")
-	errSuperseded = errors.New("another attempt reads the body now")
-	ErrEnded      = errors.New("the body is not wanted any more")
+	ErrSpent      = errors.New("the beginning of the body has been discarded")
+	errSuperseded = errors.New("another attempt has started to read the body")
+	ErrEnded      = errors.New("the body is no longer needed")
 )
 
-// Stream is a body that is passed on while it arrives. One goroutine fills it, and one reader at a time takes what has
-// come. What has been taken is kept for the next reader until it is over KeepMost or the budget is used up; from then
-// on the stream is spent, and holds no more than it reads ahead. A stream never holds more than KeepMost and ahead
-// segments.
+// Stream is a body that is forwarded while it arrives. One goroutine fills it, and one reader at a time consumes it.
+// Consumed bytes are kept for the next reader until they exceed MaxReplayBytes or the budget is used up. From then on
+// the stream discards consumed bytes and holds only what it reads ahead. A stream never holds more than MaxReplayBytes
+// and readAheadSegments segments.
 //
-// All methods may be called at any time, but Fill from one goroutine alone.
+// All methods may be called concurrently, except Fill, which only one goroutine may call.
 type Stream struct {
 	budget *Budget
-	length int64 // as announced; -1 if it is not
+	length int64 // as announced; -1 if unknown
 
 	mu         sync.Mutex
-	changed    sync.Cond // of mu: something below has changed
-	segments   [][]byte  // from base on; all but the last are full
-	base       int64     // where the first segment begins
+	changed    sync.Cond // uses mu; signals changes of the fields below
+	segments   [][]byte  // the bytes from base on; all but the last segment are full
+	base       int64     // offset of the first segment
 	filled     int64
-	consumed   int64 // the furthest that a reader has got
-	reserved   int64 // to the budget
+	consumed   int64 // highest offset that a reader has reached
+	reserved   int64 // bytes reserved in the budget
 	discarding bool
-	complete   bool  // all of it has come
-	err        error // why no more will come
+	complete   bool  // all bytes have arrived
+	err        error // why no more bytes will arrive
 	reader     *Reader
 }
 
-// NewStream returns a stream for a body of a length, -1 if that is not known.
+// NewStream returns a stream for a body of the given length, or -1 if it is unknown.
 func NewStream(length int64, budget *Budget) *Stream {
 	s := &Stream{budget: budget, length: length}
 	s.changed.L = &s.mu
 	return s
 }
 
-// Length is the body's, or -1.
+// Length returns the body's announced length, or -1.
 func (s *Stream) Length() int64 { return s.length }
 
-// Fill reads r to its end and hands its bytes to the readers, as fast as they take them. It returns nil once all has
-// come, or ErrTooLarge, r's error, or what the stream was ended with.
+// Fill reads r to its end and passes its bytes to the readers, as fast as they consume them. It returns nil when all bytes
+// have arrived, and otherwise ErrTooLarge, the error of r, or the error that the stream was closed with.
 func (s *Stream) Fill(r io.Reader) error {
 	for {
 		buffer, err := s.nextBuffer()
@@ -66,7 +66,7 @@
 		}
 		n, err := r.Read(buffer)
 		s.mu.Lock()
-		if last := len(s.segments) - 1; last >= 0 { // none once it is released
+		if last := len(s.segments) - 1; last >= 0 { // there are none after Release
 			s.segments[last] = s.segments[last][:len(s.segments[last])+n]
 			s.filled += int64(n)
 		}
@@ -89,7 +89,7 @@
 	}
 }
 
-// room waits until more may be read, and returns where to.
+// nextBuffer waits until more may be read, and returns the buffer to read into.
 func (s *Stream) nextBuffer() ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -111,8 +111,8 @@
 	}
 }
 
-// keep makes room for one more segment beside those that are held, or gives up keeping; s.mu must be held. What a
-// stream holds beyond what it reads ahead is charged to the budget.
+// keepOrDiscard reserves one more segment in the budget. If that fails or would exceed MaxReplayBytes, the stream starts to
+// discard consumed bytes. s.mu must be held. The budget is only charged for segments beyond those that are read ahead.
 func (s *Stream) keepOrDiscard() {
 	if s.discarding || len(s.segments) < readAheadSegments {
 		return
@@ -122,8 +122,9 @@
 	}
 }
 
-// drop lets go of what the reader has had and no other will be given; s.mu must be held. While nobody reads, nothing
-// goes: the next reader may have been promised all of it.
+// discardConsumed discards the segments that the reader has consumed, if the stream no longer keeps them for another one.
+// s.mu must be held. Without a current reader nothing is discarded: EndAttempt may have reported that the next reader can
+// read the stream from its beginning.
 func (s *Stream) discardConsumed() {
 	if !s.discarding || s.reader == nil {
 		return
@@ -139,7 +140,7 @@
 	}
 }
 
-// End ends the stream: whoever fills or reads it gets the error. The first one stands.
+// CloseWithError ends the stream: Fill and Read return the error. Only the first call sets it.
 func (s *Stream) End(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,7 +150,7 @@
 	s.changed.Broadcast()
 }
 
-// Release gives the memory back; nothing can be read any more.
+// Release closes the stream and returns its memory to the budget. Nothing can be read afterwards.
 func (s *Stream) Release() {
 	s.End(ErrEnded)
 	s.mu.Lock()
@@ -159,8 +160,8 @@
 	s.reserved = 0
 }
 
-// EndAttempt ends the reader of an attempt that has ended, and says whether the stream is spent: no other reader can
-// have it from its beginning. If it is not, the next one can.
+// EndAttempt closes the reader of an attempt that has ended. It reports whether the stream can no longer be read from
+// its beginning; if it returns false, the next reader can do so.
 func (s *Stream) EndAttempt() (discarded bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,7 +170,8 @@
 	return s.base > 0 || s.err != nil
 }
 
-// Reader returns a reader from the beginning, in place of the one before. It is for one goroutine.
+// Reader returns a reader from the beginning of the stream, which replaces the previous one. Its Read is not safe for
+// concurrent use.
 func (s *Stream) Reader() *Reader {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -184,7 +186,7 @@
 	offset int64
 }
 
-// Read waits for bytes. last says whether they are the body's last ones, which io.EOF follows.
+// Read waits for bytes. last reports whether they are the body's last ones; the next call then returns io.EOF.
 func (r *Reader) Read(p []byte) (n int, last bool, err error) {
 	s := r.stream
 	s.mu.Lock()
@@ -215,7 +217,7 @@
 	}
 }
 
-// Close ends the reader: a Read that waits returns.
+// Close closes the reader. A waiting Read returns.
 func (r *Reader) Close() {
 	s := r.stream
 	s.mu.Lock()
--- a/internal/body/stream_test.go
+++ b/internal/body/stream_test.go
@@ -15,7 +15,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// text is n bytes, none of which is like its neighbours.
+// randomBytes returns n random bytes, so that misplaced parts of a body are detected.
 func randomBytes(n int) []byte {
 	rng := rand.New(rand.NewPCG(uint64(n), 1))
 	b := make([]byte, n)
@@ -25,7 +25,7 @@
 	return b
 }
 
-// readAll reads a stream to its end and says whether the last bytes came with that word.
+// readAll reads a stream to its end and reports whether Read marked any bytes as the last ones.
 func readAll(r *Reader) ([]byte, bool, error) {
 	var all []byte
 	p := make([]byte, 10_000)
@@ -66,14 +66,14 @@
 		}
 		if !c.stream {
 			if !bytes.Equal(b.Data(), in) || b.Size() != int64(c.size) {
-				t.Errorf("%d bytes came as %d", c.size, len(b.Data()))
+				t.Errorf("%d bytes were read as %d", c.size, len(b.Data()))
 			}
 		} else {
 			b.Stream().Fill(bytes.NewReader(nil))
 		}
 		b.Release()
 		if left := budget.available.Load(); left != 1<<20 {
-			t.Errorf("%d bytes: %d of the budget are not given back", c.size, 1<<20-left)
+			t.Errorf("%d bytes: %d of the budget not returned", c.size, 1<<20-left)
 		}
 	}
 }
@@ -98,21 +98,21 @@
 			out, last, err := readAll(r)
 			filling.Wait()
 			if err != nil || !bytes.Equal(in, out) {
-				t.Errorf("%d bytes, announced %d: %d came, %v", size, length, len(out), err)
+				t.Errorf("%d bytes, announced %d: %d arrived, %v", size, length, len(out), err)
 			}
 			if !last {
-				t.Errorf("%d bytes, announced %d: nothing said that they were the last", size, length)
+				t.Errorf("%d bytes, announced %d: no bytes were marked as the last", size, length)
 			}
 			s.Release()
 			if left := budget.available.Load(); left != 16<<20 {
-				t.Errorf("%d bytes: %d of the budget are not given back", size, 16<<20-left)
+				t.Errorf("%d bytes: %d of the budget not returned", size, 16<<20-left)
 			}
 		}
 	}
 }
 
-// TestStreamIsReadAgainUntilItIsSpent gives up a first reader after so many bytes; a second one gets all of the body
-// or is told that it can't, and the stream says which beforehand.
+// TestStreamIsReplayableUntilDiscarded ends a first reader after some bytes. A second one then gets the complete body or
+// ErrDiscarded, as EndAttempt has reported before.
 func TestStreamIsReplayableUntilDiscarded(t *testing.T) {
 	for _, c := range []struct {
 		consumed, budget int
@@ -137,25 +137,25 @@
 		}
 		discarded := s.EndAttempt()
 		if c.discarded && !discarded {
-			// What is over the window is let go with the next segment.
-			t.Errorf("%+v: a stream of which %d bytes are gone is held to be whole", c, got)
+			// Consumed bytes are discarded when the next segment is added.
+			t.Errorf("%+v: a stream counts as replayable after %d discarded bytes", c, got)
 		}
 		if !c.discarded && discarded {
-			t.Errorf("%+v: spent", c)
+			t.Errorf("%+v: counts as discarded", c)
 		}
 		out, _, err := readAll(s.Reader())
 		if c.discarded && err != ErrSpent || !c.discarded && (err != nil || !bytes.Equal(in, out)) {
 			t.Errorf("%+v: the second reader got %d bytes, %v", c, len(out), err)
 		}
 		if _, _, err := first.Read(make([]byte, 1)); err == nil {
-			t.Errorf("%+v: the first reader reads on", c)
+			t.Errorf("%+v: the first reader can still read", c)
 		}
 		s.Release()
 		filling.Wait()
 	}
 }
 
-// TestStreamHoldsNoMoreThanItMay fills streams that nobody reads, and some that are read in steps.
+// TestStreamBoundsMemory reads a stream in small steps, and checks how many segments it holds without a budget.
 func TestStreamBoundsMemory(t *testing.T) {
 	in := randomBytes(3 << 20)
 	s := NewStream(-1, NewBudget(0))
@@ -188,7 +188,7 @@
 	_, _, readErr := readAll(r)
 	filling.Wait()
 	if err != ErrTooLarge || readErr != ErrTooLarge {
-		t.Errorf("%v, and for the reader %v", err, readErr)
+		t.Errorf("Fill: %v, Read: %v", err, readErr)
 	}
 }
 
@@ -196,7 +196,7 @@
 
 func (zeroReader) Read(p []byte) (int, error) { return len(p), nil }
 
-// TestEndOfTheCallerReachesTheReader breaks the body off; the reader must not take it for whole.
+// TestSenderErrorReachesTheReader checks that a reader does not take a truncated body for a complete one.
 func TestSenderErrorReachesTheReader(t *testing.T) {
 	broken := errors.New("reset")
 	for _, n := range []int{0, 1, 3 * segmentBytes} {
@@ -211,13 +211,13 @@
 	}
 }
 
-// TestReleaseEndsWhoWaits releases a stream under a filler that waits for room, one that waits for bytes, and a reader.
+// TestReleaseUnblocksWaiters releases streams while one Fill waits for its reader, another for its source, and a Read for bytes.
 func TestReleaseUnblocksWaiters(t *testing.T) {
 	full := NewStream(-1, NewBudget(0))
 	var all sync.WaitGroup
 	all.Go(func() {
 		if err := full.Fill(zeroReader{}); err != ErrEnded {
-			t.Errorf("filler without room: %v", err)
+			t.Errorf("Fill waiting for its reader: %v", err)
 		}
 	})
 	from := blockingReader{make(chan struct{}), make(chan struct{})}
@@ -225,7 +225,7 @@
 	r := silent.Reader()
 	all.Go(func() {
 		if err := silent.Fill(from); err != ErrEnded {
-			t.Errorf("filler without bytes: %v", err)
+			t.Errorf("Fill waiting for its source: %v", err)
 		}
 	})
 	all.Go(func() {
@@ -236,11 +236,11 @@
 	<-from.started
 	full.Release()
 	silent.Release()
-	close(from.proceed) // the read that was out brings something, and nothing breaks
+	close(from.proceed) // the pending read returns bytes after the release
 	all.Wait()
 }
 
-// blocked is a reader that says when it is read, and then waits.
+// blockingReader closes started when it is read, and then waits for proceed.
 type blockingReader struct{ started, proceed chan struct{} }
 
 func (b blockingReader) Read(p []byte) (int, error) {
@@ -257,17 +257,17 @@
 		bytes int
 		want  time.Duration
 	}{
-		{10 * time.Second, 0, 11 * time.Second},                       // silent from the start
-		{10500 * time.Millisecond, 500, 11500 * time.Millisecond},     // moves
-		{11400 * time.Millisecond, 0, 11500 * time.Millisecond},       // a read that brought nothing is silence
-		{11500 * time.Millisecond, 10, 12500 * time.Millisecond},      // 2.51 s by rate, 1 s by silence
-		{12400 * time.Millisecond, 10, 12520 * time.Millisecond},      // too slow on the whole: grace 2 s and 0.52 s
-		{12500 * time.Millisecond, 100_000, 13500 * time.Millisecond}, // made up for it
-		{100 * time.Second, 1_000_000, 101 * time.Second},             // long and fast
+		{10 * time.Second, 0, 11 * time.Second},                       // no byte yet
+		{10500 * time.Millisecond, 500, 11500 * time.Millisecond},     // progress
+		{11400 * time.Millisecond, 0, 11500 * time.Millisecond},       // a read without bytes is no progress
+		{11500 * time.Millisecond, 10, 12500 * time.Millisecond},      // 2.51 s by data rate, 1 s by idle timeout
+		{12400 * time.Millisecond, 10, 12520 * time.Millisecond},      // too slow on average: grace period 2 s plus 0.52 s
+		{12500 * time.Millisecond, 100_000, 13500 * time.Millisecond}, // the average has recovered
+		{100 * time.Second, 1_000_000, 101 * time.Second},             // a long and fast transfer
 	} {
 		x.Moved(step.at, step.bytes)
 		if got := x.Deadline(); got != step.want {
-			t.Errorf("at %v, %d bytes more: until %v, wanted %v", step.at, step.bytes, got, step.want)
+			t.Errorf("at %v, %d more bytes: deadline %v, want %v", step.at, step.bytes, got, step.want)
 		}
 	}
 }
