--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -1,4 +1,5 @@
-// Package framing looks on as net/http reads messages and notes what that hides about their ends. It has no I/O.
+// Package framing observes the bytes of HTTP/1.1 messages that net/http reads, and records details of their framing that
+// net/http does not report. It performs no I/O.
 package framing
 
 import (
@@ -6,30 +7,30 @@
 	"strconv"
 )
 
-// Follower follows where messages begin and end in what one side of a connection sends, and notes the one thing
-// that net/http hides: a head with both Content-Length and Transfer-Encoding. net/http drops the length and
-// goes by the chunks; whoever goes by the length sees the next message begin elsewhere, so that a request can
-// stand inside the body of another (RFC 9112, section 6.1). It only looks on: net/http still reads the message
-// and turns away what is malformed.
+// Tracker tracks where messages begin and end in the bytes that one side of a connection sends. Above all it detects
+// headers with both Content-Length and Transfer-Encoding, which net/http does not report. net/http ignores the length
+// and uses the chunks. A recipient that uses the length sees the next message begin elsewhere, so that a request can be
+// hidden inside the body of another one (RFC 9112, section 6.1). Tracker is passive: net/http still reads the messages
+// and rejects malformed ones.
 //
-// It guards against that smuggling, and should also catch other heads that it reads in another way than
-// net/http: it follows no further than the first message with a transfer coding, and what it has not plainly
-// seen to be framed by chunks alone is not taken as such. It might turn away a sound chunked message whose
-// head is written in a way that net/http reads and this does not.
+// It protects against this kind of request smuggling, and against other headers that it parses differently from
+// net/http: it stops at the first message with a transfer coding, and reports a message as chunked only if it clearly
+// saw framing by chunks alone. A valid chunked message may be rejected if net/http can parse its header and Tracker
+// cannot.
 type Follower struct {
-	line      [64]byte // how the line at hand begins
+	line      [64]byte // beginning of the current line
 	lineLen   int
-	inHead    bool // the start line has been read
-	isInterim bool // an answer with a 1xx status: another head follows
+	inHead    bool // the start line has been read, and the header section has not ended
+	isInterim bool // the header section is that of a 1xx response, so another one follows
 
 	hasLength, hasCoding bool
-	length               int64 // the body's, as announced
-	bodyLeft             int64 // bytes of a body that are still to come
-	interim              int   // heads with a 1xx status so far
-	afterInterim         bool  // the last head was one of those
-	stopped              bool  // it follows no longer
-	chunked              bool  // the message with which it stopped has chunks and no length
-	folded               bool  // a line of a head went on in the next
+	length               int64 // announced length of the body
+	bodyLeft             int64 // bytes of a body that have not arrived yet
+	interim              int   // number of 1xx responses so far
+	afterInterim         bool  // the last header section was that of a 1xx response
+	stopped              bool  // tracking has stopped
+	chunked              bool  // the message at which tracking stopped has chunks and no length
+	folded               bool  // a header field was continued on the next line
 }
 
 var (
@@ -37,7 +38,7 @@
 	codingField = []byte("transfer-encoding")
 )
 
-// Feed takes in the bytes that came next.
+// Feed processes the next bytes received.
 func (f *Follower) Feed(b []byte) {
 	for len(b) > 0 && !f.stopped {
 		if f.bodyLeft > 0 {
@@ -63,7 +64,7 @@
 
 func (f *Follower) endLine(line []byte) {
 	if len(line) == 0 {
-		if f.inHead { // net/http turns away an empty line ahead of a head
+		if f.inHead { // net/http rejects an empty line before a start line
 			f.endHead()
 		}
 		return
@@ -101,23 +102,24 @@
 	f.inHead, f.isInterim, f.hasLength, f.hasCoding, f.length = false, false, false, false, 0
 }
 
-// Interim is how many heads with a 1xx status have come.
+// InterimCount returns the number of 1xx responses so far.
 func (f *Follower) Interim() int { return f.interim }
 
-// AfterInterim says whether a head with a 1xx status has ended and nothing has come behind it yet.
+// AfterInterim reports whether a 1xx response has ended and nothing has arrived after it yet.
 func (f *Follower) AfterInterim() bool {
 	return f.afterInterim && !f.inHead && f.lineLen == 0 && !f.stopped
 }
 
-// Chunked says whether the message with which it stopped is framed by chunks and no length.
+// Chunked reports whether the message at which tracking stopped is framed by chunks and has no length.
 func (f *Follower) Chunked() bool { return f.chunked }
 
-// Folded says whether a field of any head so far went on in the line behind (RFC 9112, section 5.2, obsolete). net/http
-// joins such lines; whoever does not reads a field of its own there, maybe one that says where the message ends.
+// Folded reports whether a header field so far was continued on the next line (obsolete line folding, RFC 9112, section
+// 5.2). net/http joins such lines. A recipient that doesn't join them reads a separate field there, which may determine
+// where the message ends.
 func (f *Follower) Folded() bool { return f.folded }
 
-// Between says whether nothing of a further message has come behind the last. Of messages that it does not follow it
-// cannot be told, and then this is false.
+// AtMessageBoundary reports whether nothing of another message has arrived after the last one. It returns false once
+// tracking has stopped, because message boundaries are unknown then.
 func (f *Follower) Between() bool {
 	return !f.inHead && f.lineLen == 0 && f.bodyLeft == 0 && !f.stopped
 }
--- a/internal/framing/framing_test.go
+++ b/internal/framing/framing_test.go
@@ -11,9 +11,9 @@
 		"chunks":               {"POST / HTTP/1.1\r\n" + te + "\r\n", true},
 		"both":                 {"POST / HTTP/1.1\r\nContent-Length: 4\r\n" + te + "\r\n", false},
 		"both, other order":    {"POST / HTTP/1.1\r\n" + te + "CONTENT-LENGTH : 4\n\n", false},
-		"behind a body":        {"POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\na\n\nPOST / HTTP/1.1\r\n" + te + "\r\n", true},
+		"after a body":         {"POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\na\n\nPOST / HTTP/1.1\r\n" + te + "\r\n", true},
 		"fields within a body": {"POST / HTTP/1.1\r\nContent-Length: 28\r\n\r\n" + te + "POST / HTTP/1.1\r\nContent-Length: 1\r\n" + te + "\r\n", false},
-		"behind 1xx":           {"HTTP/1.1 103 Early Hints\r\nContent-Length: 9\r\n\r\nHTTP/1.1 200 OK\r\n" + te + "\r\n", true},
+		"after 1xx":            {"HTTP/1.1 103 Early Hints\r\nContent-Length: 9\r\n\r\nHTTP/1.1 200 OK\r\n" + te + "\r\n", true},
 		"no number":            {"POST / HTTP/1.1\r\nContent-Length: ten\r\n" + te + "\r\n", false},
 		"none":                 {"GET / HTTP/1.1\r\n\r\n", false},
 	} {
@@ -24,7 +24,7 @@
 					f.Feed(b[:min(step, len(b))])
 				}
 				if f.Chunked() != c.chunked {
-					t.Fatalf("in pieces of %d: chunked %t", step, f.Chunked())
+					t.Fatalf("in pieces of %d bytes: chunked %t", step, f.Chunked())
 				}
 			}
 		})
@@ -48,7 +48,7 @@
 		var f Follower
 		f.Feed([]byte(c.text))
 		if f.Interim() != c.count || f.AfterInterim() != c.after {
-			t.Errorf("%s: %d, after %t; want %d, %t", name, f.Interim(), f.AfterInterim(), c.count, c.after)
+			t.Errorf("%s: InterimCount %d, AfterInterim %t; want %d, %t", name, f.Interim(), f.AfterInterim(), c.count, c.after)
 		}
 	}
 }
--- a/internal/framing/fuzz_test.go
+++ b/internal/framing/fuzz_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// FuzzFollower: what it makes of a stream does not depend on how the stream is cut.
+// FuzzTracker checks that the result does not depend on how the stream is split into reads.
 func FuzzTracker(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"), uint8(3))
 	f.Add([]byte("HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"), uint8(1))
