--- a/internal/idle/idle_test.go
+++ b/internal/idle/idle_test.go
@@ -20,35 +20,35 @@
 		park, close bool
 	}{{0, false, false}, {time.Second - 1, false, false}, {time.Second, true, false}, {10*time.Second - 1, true, false}, {10 * time.Second, true, true}} {
 		if got := p.Hold(before(c.since), now); got != c.park {
-			t.Errorf("idle for %v: held %v", c.since, got)
+			t.Errorf("idle for %v: ShouldPark %v", c.since, got)
 		}
 		if got := p.Close(before(c.since), now); got != c.close {
-			t.Errorf("idle for %v: closed %v", c.since, got)
+			t.Errorf("idle for %v: ShouldClose %v", c.since, got)
 		}
 	}
 	if (Pace{Timeout: time.Second}).Hold(before(time.Hour), now) {
-		t.Error("held where nothing is to be")
+		t.Error("parked though parking is disabled")
 	}
-	// 200,000 that are due at once go within half a minute, and no step is over a hundredth of them.
+	// 200,000 connections that are due at once are closed within 30 s, and no step closes over a hundredth of them.
 	steps := 0
 	for left := 200_000; left > 0; steps++ {
 		n := p.Batch(left)
 		if n > 2000 {
-			t.Fatalf("%d in one step", n)
+			t.Fatalf("%d connections in one step", n)
 		}
 		left -= min(n, left)
 	}
 	if took := time.Duration(steps) * p.Every(); took > 30*time.Second {
-		t.Errorf("all are closed after %v", took)
+		t.Errorf("all connections are closed after %v", took)
 	}
 }
 
-// waiter counts how often it is told.
+// waiter reports each call to a channel.
 type waiter struct{ notified chan struct{} }
 
 func (w waiter) Woken() { w.notified <- struct{}{} }
 
-// socketPair is both ends of a TCP connection.
+// socketPair returns both ends of a TCP connection.
 func socketPair(t *testing.T) (ours *net.TCPConn, theirs net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -83,13 +83,13 @@
 	return l
 }
 
-// TestHeldSocketsComeBackWithWhatCame holds a socket, gives it back when bytes come or have come already, and again.
+// TestParkedSocketsKeepTheirData parks and unparks a socket repeatedly, with bytes that arrive before or after it is parked.
 func TestParkedSocketsKeepTheirData(t *testing.T) {
 	l := startPoller(t)
 	ours, theirs := socketPair(t)
 	w := waiter{make(chan struct{}, 10)}
 	for round := range 20 {
-		if round%2 == 0 { // before it is held, or after
+		if round%2 == 0 { // write before the socket is parked, or else after
 			theirs.Write([]byte("hold"))
 		}
 		key, err := l.Hold(ours, w)
@@ -109,7 +109,7 @@
 		}
 	}
 	if len(w.notified) > 0 || l.Len() > 0 {
-		t.Errorf("told %d times too often, %d held", len(w.notified), l.Len())
+		t.Errorf("%d surplus notifications, %d sockets parked", len(w.notified), l.Len())
 	}
 	ours.Close()
 }
@@ -127,7 +127,7 @@
 	l.Drop(key)
 	l.Drop(key)
 	if _, err := l.Take(key); err == nil {
-		t.Error("a socket that was dropped was given back")
+		t.Error("Unpark returned a dropped socket")
 	}
 	ours, theirs = socketPair(t)
 	if _, err = l.Hold(ours, w); err != nil {
@@ -136,13 +136,13 @@
 	l.Close()
 	l.Close()
 	if _, err := theirs.Read(make([]byte, 1)); err == nil {
-		t.Error("a held socket outlived its lot")
+		t.Error("a parked socket is open after Close")
 	}
 	ours, theirs = socketPair(t)
 	if _, err = l.Hold(ours, w); err == nil {
-		t.Error("a closed lot holds a socket")
+		t.Error("a closed poller accepts a socket")
 	}
 	if _, err := theirs.Read(make([]byte, 1)); err == nil {
-		t.Error("a socket that was not held is open")
+		t.Error("a socket that was not accepted is open")
 	}
 }
--- a/internal/idle/lot.go
+++ b/internal/idle/lot.go
@@ -11,13 +11,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Waiter is who is told that a socket of its has bytes, or is over. It is called by Run, one call at a time, and must not
-// wait long.
+// Handler is notified when its parked socket has bytes to read or its connection has ended. Run makes the calls, one
+// at a time, so they must not block for long.
 type Waiter interface{ Woken() }
 
-// Lot is a set of sockets that do nothing. It is safe for concurrent use.
+// Poller is a set of parked, idle sockets. It is safe for concurrent use.
 type Lot struct {
-	epoll *os.File // the epoll set, itself in the runtime's poller: no thread waits in it
+	epoll *os.File // the epoll set, which the runtime's poller watches: no thread blocks in it
 	raw   syscall.RawConn
 	fd    int
 
@@ -26,13 +26,13 @@
 	closed bool
 }
 
-// NewLot returns an empty lot. Run must be called, and Close ends it.
+// NewPoller returns an empty Poller. The caller must call Run, which returns after Close.
 func NewLot() (*Lot, error) {
 	fd, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("idle connections: %w", os.NewSyscallError("epoll_create1", err))
 	}
-	if err := unix.SetNonblock(fd, true); err != nil { // else the runtime would not poll it
+	if err := unix.SetNonblock(fd, true); err != nil { // the runtime only polls nonblocking descriptors
 		unix.Close(fd)
 		return nil, fmt.Errorf("idle connections: %w", os.NewSyscallError("fcntl", err))
 	}
@@ -44,10 +44,10 @@
 	return l, nil
 }
 
-var errClosed = errors.New("the lot is closed")
+var errClosed = errors.New("the poller is closed or does not hold the socket")
 
-// Hold takes a socket over and returns what it is known by until Take or Drop; c is closed in any case. After an error
-// the socket is closed, too.
+// Park takes over a socket and returns the key that identifies it until Unpark or Drop. c is closed in any case; after an
+// error, the socket itself is closed, too.
 func (l *Lot) Hold(c *net.TCPConn, w Waiter) (key int32, err error) {
 	defer c.Close()
 	raw, err := c.SyscallConn()
@@ -55,7 +55,7 @@
 		return 0, err
 	}
 	fd := -1
-	// The runtime's poller knows the socket by c's descriptor, and forgets it when that is closed.
+	// The runtime's poller has registered c's descriptor, and removes it when that is closed. The duplicate stays open.
 	if failed := raw.Control(func(own uintptr) { fd, err = unix.FcntlInt(own, unix.F_DUPFD_CLOEXEC, 0) }); failed != nil {
 		return 0, failed
 	}
@@ -78,7 +78,7 @@
 	return key, nil
 }
 
-// Take gives a held socket back.
+// Unpark removes a parked socket and returns it as a connection.
 func (l *Lot) Take(key int32) (*net.TCPConn, error) {
 	l.mu.Lock()
 	_, parked := l.parked[key]
@@ -99,7 +99,7 @@
 	return c.(*net.TCPConn), nil
 }
 
-// Drop closes a held socket.
+// Drop closes a parked socket.
 func (l *Lot) Drop(key int32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,14 +109,15 @@
 	}
 }
 
-// Len is how many sockets are held.
+// Len returns the number of parked sockets.
 func (l *Lot) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.parked)
 }
 
-// Run tells those whose sockets have bytes, or are over, until Close. Each is told once for each Hold.
+// Run calls the handlers of sockets that have bytes to read or whose connection has ended, until Close. Each handler is called
+// at most once per Park.
 func (l *Lot) Run() error {
 	events := make([]unix.EpollEvent, 128)
 	for {
@@ -130,7 +131,7 @@
 			}
 		})
 		switch {
-		case err != nil && l.isClosed(): // the set's file says so with an error that cannot be told from others
+		case err != nil && l.isClosed(): // a read of the closed file fails with an error that cannot be distinguished from others
 			return nil
 		case err != nil:
 			return fmt.Errorf("idle connections: %w", err)
@@ -141,7 +142,7 @@
 			l.mu.Lock()
 			w := l.parked[e.Fd]
 			l.mu.Unlock()
-			if w != nil { // else it has been dropped meanwhile
+			if w != nil { // nil if the socket has been removed meanwhile
 				w.Woken()
 			}
 		}
@@ -154,7 +155,7 @@
 	return l.closed
 }
 
-// Close closes every held socket and ends Run.
+// Close closes all parked sockets and ends Run.
 func (l *Lot) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/idle/pace.go
+++ b/internal/idle/pace.go
@@ -1,26 +1,27 @@
-// Package idle holds connections that wait between two requests for next to nothing: a descriptor in an epoll set, and
-// no goroutine, buffer or runtime record. It reads nothing from them; who held them before goes on once bytes come.
+// Package idle parks connections that wait between two requests at minimal cost: each needs a descriptor in an epoll set,
+// and no goroutine, buffer or record of the runtime. It reads nothing from them: their previous owner continues when bytes
+// arrive.
 package idle
 
 import "time"
 
-// Pace decides when connections that do nothing are put into a Lot, when they are closed, and how many at a time. It has
-// no I/O. All wait equally long, so a list in the order in which they fell idle is all the timer that they need: its front
-// is due first, and a further one costs the same however many there are.
+// Policy decides when idle connections are parked in a Poller, when they are closed, and how many at a time. It performs
+// no I/O. All connections have the same timeouts, so a list in the order in which they became idle replaces timers: its
+// front is due first, and adding a connection costs the same however many there are.
 type Pace struct {
-	After   time.Duration // how long one idles before it is held; 0 for never
-	Timeout time.Duration // how long one idles before it is closed
+	After   time.Duration // idle time after which a connection is parked; 0 for never
+	Timeout time.Duration // idle time after which a connection is closed
 }
 
-// Every is how often connections are to be looked at: a small part of what is waited for, within bounds.
+// CheckInterval returns the interval between checks for due connections: a small part of ParkAfter, within bounds.
 func (p Pace) Every() time.Duration {
 	return min(max(p.After/8, 5*time.Millisecond), 50*time.Millisecond)
 }
 
-// Hold says whether one that has idled since then is to be held now.
+// ShouldPark reports whether a connection that has been idle since the given time is to be parked now.
 func (p Pace) Hold(since, now time.Time) bool { return p.After > 0 && now.Sub(since) >= p.After }
 
-// Close says whether one that has idled since then is to be closed now.
+// ShouldClose reports whether a connection that has been idle since the given time is to be closed now.
 func (p Pace) Close(since, now time.Time) bool { return now.Sub(since) >= p.Timeout }
 
 const (
@@ -28,7 +29,8 @@
 	batchDivisor = 128
 )
 
-// Batch bounds how many of n connections are moved or closed in one go. Closing one takes some microseconds, in which
-// nobody else gets on where there is one core: where all of 200,000 are due in one second, they go in steps of 1,626
-// and less over some 21 s, and the busy ones go on in between. What is due and not closed stays usable.
+// BatchSize returns how many of n connections may be parked or closed in one step. Closing a connection takes some
+// microseconds, during which nothing else runs on a machine with one core. If 200,000 connections are due within the same
+// second, they are closed in steps of at most 1,626 over some 21 s, and busy connections are served in between. A
+// connection that is due and not closed yet stays usable.
 func (p Pace) Batch(n int) int { return minBatch + n/batchDivisor }
