--- a/internal/restart/restart.go
+++ b/internal/restart/restart.go
@@ -1,4 +1,5 @@
-// Package restart runs a planned restart: whom it serves on, and when all that is open must be answered.
+// Package restart controls a planned restart: how long requests are still accepted, and when all open requests must be
+// answered.
 package restart
 
 import (
@@ -6,32 +7,32 @@
 	"time"
 )
 
-// Restart is a planned restart. It starts with SIGTERM; SIGKILL follows no sooner than the callers' longest
-// deadline, but at most longestKnown, and 0.7 s later.
+// Restart is a planned restart. It starts with SIGTERM. SIGKILL follows no sooner than 0.7 s after the callers' longest
+// deadline, of which at most maxDeadline counts.
 type Restart struct {
 	begun           atomic.Pointer[time.Time]
-	longestDeadline atomic.Int64     // the longest that a caller was ready to wait
-	latencyP95      quantileEstimate // what nearly all answers take
-	expired         chan struct{}    // closed when what is still open has to be answered
-	handedOver      atomic.Bool      // another process takes the callers
+	longestDeadline atomic.Int64     // the longest time that a caller was ready to wait, in nanoseconds
+	latencyP95      quantileEstimate // 95th percentile of response times
+	expired         chan struct{}    // closed when all open requests must be answered
+	handedOver      atomic.Bool      // another process accepts the callers
 }
 
 const (
 	maxDeadline = 3 * time.Second
-	// killSlack is 0.7 s by the protocol, less what it takes to write the last answers, on a machine that
-	// runs late too.
+	// killMargin is the 0.7 s that the protocol allows, minus the time to write the last responses, even on an
+	// overloaded machine.
 	killMargin = 400 * time.Millisecond
-	// serveLeast and serveMost of the longest deadline are how long callers may go on using their connections:
-	// the proxy that was restarted before this one may not be back yet, and callers have no other then. In
-	// between it ends so early that nearly all who ask last still have the time that answers take.
+	// minServeShare and maxServeShare bound how long callers may continue to use their connections, as shares of the
+	// longest deadline. The proxy that was restarted before this one may not be ready yet, and then callers have no
+	// other. Between these bounds, the time ends early enough for nearly all of the last requests to be answered.
 	minServeShare, maxServeShare = 0.5, 0.8
-	// acceptMore is how long a planned restart goes on accepting at least: new connections come for up to
-	// 0.4 s. Where no caller was ready to wait for long, SIGKILL may come so early that it is less.
+	// minAcceptTime is how long connections are accepted at least after SIGTERM, because new ones arrive for up to
+	// 0.4 s. It is shorter if all deadlines are so short that SIGKILL may come earlier.
 	minAcceptTime = 500 * time.Millisecond
-	// lastWords is how long the last answers of a planned restart may take to be written.
+	// lastWriteTime is the time for writing the last responses of a planned restart.
 	lastWriteTime = 200 * time.Millisecond
-	// idleEnd before the end idle connections are closed that no answer has told to end, where another process
-	// takes the callers. Until then a request may come on one, and a close would cross it.
+	// idleCloseLead is how long before the end idle connections are closed if another process accepts the callers and
+	// no response has asked the caller to close them. Closing them earlier could race with a request.
 	idleCloseLead = 300 * time.Millisecond
 	pollInterval  = 5 * time.Millisecond
 )
@@ -39,34 +40,34 @@
 // New returns a restart that has not begun.
 func New() *Restart { return &Restart{expired: make(chan struct{})} }
 
-// Over is closed when what is still open has to be answered.
+// Expired returns a channel that is closed when all open requests must be answered.
 func (r *Restart) Over() <-chan struct{} { return r.expired }
 
-// Begin starts the restart; a second call changes nothing.
+// Begin starts the restart. Further calls have no effect.
 func (r *Restart) Begin() {
 	now := time.Now()
 	r.begun.CompareAndSwap(nil, &now)
 }
 
-// HandOver says that another process takes the callers: from now on connections end with their next answer.
+// HandOver notes that another process accepts the callers. From now on, connections are closed after their next response.
 func (r *Restart) HandOver() { r.handedOver.Store(true) }
 
-// Usual is what nearly all answers take.
+// LatencyP95 returns the estimated 95th percentile of response times.
 func (r *Restart) Usual() time.Duration { return r.latencyP95.value() }
 
-// Longest is the longest that a caller was ready to wait.
+// LongestDeadline returns the longest time that any caller was ready to wait for a response.
 func (r *Restart) Longest() time.Duration { return time.Duration(r.longestDeadline.Load()) }
 
-// Resume goes on from what another process has seen.
+// Restore sets the statistics that another process has collected.
 func (r *Restart) Resume(longestDeadline, latencyP95 time.Duration) {
 	r.longestDeadline.Store(int64(longestDeadline))
 	r.latencyP95.ns.Store(int64(latencyP95))
 }
 
-// Begun says whether the restart has begun.
+// Begun reports whether the restart has begun.
 func (r *Restart) Begun() bool { return r.begun.Load() != nil }
 
-// Closing says whether callers' connections are to end with the next answer.
+// Closing reports whether callers' connections are to be closed after their next response.
 func (r *Restart) Closing() bool {
 	begun := r.begun.Load()
 	return r.handedOver.Load() || begun != nil && time.Since(*begun) >= r.serveTime()
@@ -76,7 +77,8 @@
 	return min(time.Duration(r.longestDeadline.Load()), maxDeadline)
 }
 
-// serveOn is how long after SIGTERM connections are served as ever, and end is when all must be answered.
+// serveTime returns how long connections are served normally after SIGTERM. endTime returns the time after SIGTERM when all
+// requests must be answered.
 func (r *Restart) serveTime() time.Duration {
 	longest := r.cappedDeadline()
 	share := func(of float64) time.Duration { return time.Duration(of * float64(longest)) }
@@ -85,8 +87,8 @@
 
 func (r *Restart) endTime() time.Duration { return r.cappedDeadline() + killMargin }
 
-// Cap is how long a request with so much time may take, so that its answer goes out before SIGKILL does; 0 if nothing
-// bounds it.
+// RequestTimeCap returns how long a request may take so that its response is sent before SIGKILL, or 0 if the restart has
+// not begun. left is the request's remaining time, from which LongestDeadline is determined until then.
 func (r *Restart) Cap(left time.Duration) time.Duration {
 	if begun := r.begun.Load(); begun != nil {
 		return max(r.endTime()-time.Since(*begun), time.Millisecond)
@@ -98,17 +100,17 @@
 	return 0
 }
 
-// Answered takes in how long a request that was served took.
+// ObserveLatency records how long a successful request took.
 func (r *Restart) Answered(took time.Duration) { r.latencyP95.observe(took) }
 
-// Run is a planned restart from its beginning to its end; left says whether no caller is there or coming, and before
-// that closes what is idle if it is told to. It reports whether all had left. http.Server.Shutdown would not do: it closes
-// the listener at once, and with it the connections that are still coming and those in the accept queue, whose requests
-// count as taken.
+// Run performs a planned restart from beginning to end. allGone reports whether no caller is connected or connecting; with
+// closeIdle, it closes idle connections first. Run returns whether all callers have disconnected. http.Server.Shutdown is
+// unsuitable: it closes the listener at once. This would drop connections that are still arriving and those in the accept
+// queue, whose requests count as accepted.
 func (r *Restart) Run(allGone func(closeIdle bool) bool) bool {
 	r.Begin()
 	start := *r.begun.Load()
-	// The end is asked for anew each time: it moves while callers with longer deadlines come.
+	// The end is evaluated again in each iteration, because it moves when requests with longer deadlines arrive.
 	waitUntil := func(end func() time.Duration, closeIdle bool) bool {
 		for time.Since(start) < end() {
 			if allGone(closeIdle) {
@@ -131,7 +133,8 @@
 	return waitUntil(func() time.Duration { return end }, true)
 }
 
-// usual follows the time that usualShare of all answers take, in steps of a twentieth.
+// quantileEstimate tracks the given quantile of response times. The first observation sets the estimate, and each further
+// one changes it by at most quantileStep of its value.
 type quantileEstimate struct{ ns atomic.Int64 }
 
 const (
@@ -140,7 +143,7 @@
 	minLatency   = time.Millisecond
 )
 
-// observe may lose a step to another that is taken at the same time; the next ones make up for it.
+// observe updates the estimate. A concurrent call may overwrite an update; later observations compensate for that.
 func (u *quantileEstimate) observe(took time.Duration) {
 	took = max(took, minLatency)
 	switch at := time.Duration(u.ns.Load()); {
--- a/internal/restart/restart_test.go
+++ b/internal/restart/restart_test.go
@@ -8,7 +8,7 @@
 
 const ms = time.Millisecond
 
-// TestServesAsLongAsAnswersAreInTime: the longer answers take, the sooner callers are sent away, within bounds.
+// TestServesAsLongAsAnswersAreInTime checks that connections are served for a shorter time the longer responses take, within bounds.
 func TestServesAsLongAsAnswersAreInTime(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -28,15 +28,16 @@
 			l.Answered(c.took)
 		}
 		if got := l.serveTime(); got != c.want {
-			t.Errorf("%s: served on for %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: served for %v, want %v", c.name, got, c.want)
 		}
 		if l.serveTime() > l.endTime() {
-			t.Errorf("%s: served on for %v, past the end at %v", c.name, l.serveTime(), l.endTime())
+			t.Errorf("%s: served for %v, past the end at %v", c.name, l.serveTime(), l.endTime())
 		}
 	}
 }
 
-// TestUsualFollowsNearlyAll: of answers between 0 and 1 s, 95% take no longer than 0.95 s; it follows a change.
+// TestLatencyEstimateTracksP95 observes uniform response times: of those up to 1 s, 95% take at most 0.95 s. The estimate then adapts to
+// shorter ones.
 func TestLatencyEstimateTracksP95(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var e quantileEstimate
@@ -44,33 +45,33 @@
 		e.observe(time.Duration(rng.Float64() * float64(time.Second)))
 	}
 	if got := e.value(); got < 800*ms || got > 1100*ms {
-		t.Errorf("usual time %v, want about 950 ms", got)
+		t.Errorf("95th percentile %v, want about 950 ms", got)
 	}
 	for range 5000 {
 		e.observe(time.Duration(rng.Float64() * float64(100*ms)))
 	}
 	if got := e.value(); got < 80*ms || got > 110*ms {
-		t.Errorf("usual time %v after a change, want about 95 ms", got)
+		t.Errorf("95th percentile %v after a change, want about 95 ms", got)
 	}
 }
 
-// TestTimeIsCappedOnceBegun: before, a request's time is its own; after, its answer must go out before the end.
+// TestTimeIsCappedOnceBegun checks that a request's time is not capped before the restart, and ends before the restart's end afterwards.
 func TestTimeIsCappedOnceBegun(t *testing.T) {
 	l := New()
 	if got := l.Cap(2 * time.Second); got != 0 {
-		t.Errorf("before the restart a request has %v of its 2 s", got)
+		t.Errorf("before the restart, the time of a request with 2 s left is capped to %v", got)
 	}
 	l.Begin()
 	if got := l.Cap(10 * time.Second); got > l.endTime() {
-		t.Errorf("after it has begun a request has %v, past the end in %v", got, l.endTime())
+		t.Errorf("during the restart, the time is capped to %v, past the end in %v", got, l.endTime())
 	}
 	if got := l.Cap(50 * ms); got <= 0 || got > l.endTime() {
-		t.Errorf("a short request has %v of its 50 ms", got)
+		t.Errorf("during the restart, the time of a request with 50 ms left is capped to %v", got)
 	}
 }
 
-// TestEndsBeforeSIGKILL computes it: SIGKILL comes 0.7 s after the longest deadline, of which the last answers and the server's own
-// end take some.
+// TestEndsBeforeSIGKILL computes whether the process ends before SIGKILL, which follows 0.7 s after the longest deadline. The last responses
+// and the exit of the process take part of this time.
 func TestEndsBeforeSIGKILL(t *testing.T) {
 	const exitTime = 50 * time.Millisecond
 	for _, longest := range []time.Duration{0, 20 * ms, 200 * ms, minAcceptTime, time.Second, 3 * time.Second, 10 * time.Second} {
@@ -78,7 +79,7 @@
 		l.Cap(longest)
 		kill := min(longest, 3*time.Second) + 700*ms
 		if last := l.endTime() + lastWriteTime + exitTime; last > kill {
-			t.Errorf("deadline %v: over after %v, SIGKILL after %v", longest, last, kill)
+			t.Errorf("deadline %v: ends after %v, SIGKILL after %v", longest, last, kill)
 		}
 	}
 }
