--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -49,12 +49,12 @@
 		m.Version = version
 		got, err := Read(&b)
 		if err != nil || !reflect.DeepEqual(got, m) {
-			t.Errorf("%+v came as %+v, %v", m, got, err)
+			t.Errorf("%+v was read as %+v, %v", m, got, err)
 		}
 	}
 }
 
-// TestDamagedMessagesAreToldFromSound flips each bit of a message, and cuts it at each place.
+// TestDamagedMessagesAreRejected flips each bit of a message, and truncates it at each position.
 func TestDamagedMessagesAreRejected(t *testing.T) {
 	var b bytes.Buffer
 	if err := Write(&b, Message{Kind: Snapshot, Snapshot: testState()}); err != nil {
@@ -63,13 +63,13 @@
 	sound := b.Bytes()
 	for i := range sound {
 		if _, err := Read(bytes.NewReader(sound[:i])); err == nil {
-			t.Fatalf("cut after %d of %d bytes: taken", i, len(sound))
+			t.Fatalf("truncated after %d of %d bytes: accepted", i, len(sound))
 		}
 		for bit := range 8 {
 			damaged := bytes.Clone(sound)
 			damaged[i] ^= 1 << bit
 			if _, err := Read(bytes.NewReader(damaged)); err == nil {
-				t.Fatalf("byte %d, bit %d flipped: taken", i, bit)
+				t.Fatalf("byte %d, bit %d flipped: accepted", i, bit)
 			}
 		}
 	}
@@ -92,7 +92,7 @@
 	})
 }
 
-// elder plays the running process at a socket: it answers the first connection with what reply writes.
+// serveAsOldProcess acts as the running process at a socket: it handles the first connection with reply.
 func serveAsOldProcess(t *testing.T, dir string, reply func(net.Conn)) {
 	t.Helper()
 	l, err := Listen(dir, "n1")
@@ -115,15 +115,15 @@
 	})
 }
 
-// TestAnyTroubleIsAPlainStart meets running processes that are dead, silent, broken, of another version, or say
-// something else. Each must end as a start with nothing taken over, and within the time for it.
+// TestAnyFailureMeansAFreshStart connects to running processes that have ended, don't respond, send damaged messages, have
+// another version, or send something else. Each time, Connect must return no state, and an error, within its timeout.
 func TestAnyFailureMeansAFreshStart(t *testing.T) {
 	respondWith := func(kind Kind, version int) func(net.Conn) {
 		return func(c net.Conn) {
 			var b bytes.Buffer
 			Write(&b, Message{Kind: kind, Snapshot: testState()})
 			if version != 1 {
-				// The version is the first field: key 1, and a small number as itself.
+				// The version is the first field, encoded as key 1 and a small integer.
 				text := b.Bytes()[sealed.HeadBytes:]
 				at := bytes.Index(text, []byte{1, 1})
 				text[at+1] = byte(version)
@@ -153,7 +153,7 @@
 		"something else":   respondWith(Ready, 1),
 		"an older version": respondWith(Snapshot, 0),
 		"a newer version":  respondWith(Snapshot, 2),
-		"no such language": func(c net.Conn) { io.WriteString(c, "HTTP/1.1 400 Bad Request\r\n\r\n") },
+		"not the protocol": func(c net.Conn) { io.WriteString(c, "HTTP/1.1 400 Bad Request\r\n\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -162,10 +162,10 @@
 			peer, k, err := Meet(dir, "n1")
 			if peer != nil || k != nil {
 				peer.Close()
-				t.Fatal("taken over")
+				t.Fatal("state was taken over")
 			}
 			if err == nil {
-				t.Error("nothing to log")
+				t.Error("no error to log")
 			}
 		})
 	}
@@ -187,20 +187,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Close() // the socket's file stays, as after a kill
+	l.Close() // the socket's file remains, as after SIGKILL
 	if _, err := os.Stat(filepath.Join(dir, "brasswell-n1.sock")); err != nil {
 		t.Fatal(err)
 	}
 	if peer, _, err := Meet(dir, "n1"); peer != nil || err != nil {
-		t.Errorf("at a socket left behind: %v, %v", peer, err)
+		t.Errorf("at an abandoned socket: %v, %v", peer, err)
 	}
 	if l, err = Listen(dir, "n1"); err != nil {
-		t.Fatalf("at a socket left behind: %v", err)
+		t.Fatalf("at an abandoned socket: %v", err)
 	}
 	l.Close()
 }
 
-// TestTheLatestIsMet has a second process take the place of the first.
+// TestConnectReachesTheLatestListener replaces the first process's socket with that of a second one.
 func TestConnectReachesTheLatestListener(t *testing.T) {
 	dir := t.TempDir()
 	first, err := Listen(dir, "n1")
@@ -251,21 +251,21 @@
 	b.Close()
 	serving.Wait()
 	if len(a.pending) != 0 {
-		t.Errorf("%d are still waited for", len(a.pending))
+		t.Errorf("%d requests are still pending", len(a.pending))
 	}
 	if _, err := a.Ask(context.Background(), Message{Kind: Ban}); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("asked one that has gone: %v", err)
+		t.Errorf("request to a closed peer: %v", err)
 	}
 }
 
-// TestAskEndsWithItsPeer has the other die, and fall silent, while it is asked.
+// TestRequestEndsWithItsPeer sends requests to a peer that closes its connection, and to one that does not respond.
 func TestRequestEndsWithItsPeer(t *testing.T) {
 	a, b := pair(t)
 	var serving sync.WaitGroup
 	serving.Go(func() { a.Follow(func(Message) {}) })
 	serving.Go(func() { b.Follow(func(Message) { b.Close() }) })
 	if _, err := a.Ask(context.Background(), Message{Kind: Ready}); err == nil {
-		t.Error("an answer from the dead")
+		t.Error("a response from a closed peer")
 	}
 	serving.Wait()
 
@@ -273,7 +273,7 @@
 	serving.Go(func() { a.Follow(func(Message) {}) })
 	serving.Go(func() { b.Follow(func(Message) {}) })
 	if _, err := a.Ask(context.Background(), Message{Kind: Ready}); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("of a silent one: %v", err)
+		t.Errorf("peer that does not respond: %v", err)
 	}
 	a.Close()
 	b.Close()
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -12,11 +12,12 @@
 )
 
 const (
-	// meetTime bounds the new process's search for the old one, and what it waits for its answer: it has 6 s in all.
+	// connectTimeout bounds how long the new process tries to connect to the old one and waits for its state. Its whole
+	// start must take at most 6 s.
 	connectTimeout = 1500 * time.Millisecond
-	// doneTime bounds the wait for what the other is asked to do; operators are owed an answer within 1 s.
+	// requestTimeout bounds the wait for a Done, because operators must get a response within 1 s.
 	requestTimeout = 500 * time.Millisecond
-	// writeTime bounds one message to a peer that does not read.
+	// writeTimeout bounds the write of one message to a peer that does not read.
 	writeTimeout = 500 * time.Millisecond
 )
 
@@ -24,20 +25,20 @@
 type Peer struct {
 	conn net.Conn
 
-	writeMu sync.Mutex // apart from mu: who reads must not wait for who writes, or two peers could wait for each other
+	writeMu sync.Mutex // separate from mu: if reads had to wait for writes, two peers could deadlock
 
 	mu         sync.Mutex
 	lastNumber uint64
-	pending    map[uint64]chan Message // for the Done of this number
+	pending    map[uint64]chan Message // requests that wait for the Done with this number
 	closed     bool
 }
 
-// NewPeer returns a peer at the other end of a connection, which Follow or Close ends.
+// NewPeer returns the peer at the other end of a connection. Serve closes the connection when it returns.
 func NewPeer(c net.Conn) *Peer {
 	return &Peer{conn: c, pending: map[uint64]chan Message{}}
 }
 
-// Tell sends a message that nobody answers.
+// Send sends a message that has no response.
 func (p *Peer) Tell(m Message) error {
 	p.writeMu.Lock()
 	defer p.writeMu.Unlock()
@@ -45,7 +46,7 @@
 	return Write(p.conn, m)
 }
 
-// Ask sends a message and waits for its Done, for doneTime at most.
+// Request sends a message and waits for its Done, for at most requestTimeout.
 func (p *Peer) Ask(ctx context.Context, m Message) (Message, error) {
 	done := make(chan Message, 1)
 	p.mu.Lock()
@@ -78,7 +79,7 @@
 	}
 }
 
-// Follow reads messages until the peer has gone; handle gets all but Done. It returns why it ended.
+// Serve reads messages until the connection ends, and returns the reason. It passes all messages except Done to handle.
 func (p *Peer) Follow(handle func(Message)) error {
 	defer func() {
 		p.conn.Close()
@@ -109,24 +110,25 @@
 	}
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (p *Peer) Close() { p.conn.Close() }
 
-// path is where the processes of one proxy meet. Other users' processes have another TMPDIR or cannot write there.
+// socketPath returns the path of the socket of a proxy's processes. Processes of other users have another TMPDIR or cannot
+// write there.
 func socketPath(dir, name string) string { return filepath.Join(dir, "brasswell-"+name+".sock") }
 
-// Meet looks for a running process of the proxy and gets what it knows. It returns nil and no error if there is none.
+// Connect connects to the running process of the proxy and gets its state. It returns nil and no error if there is none.
 func Meet(dir, name string) (*Peer, *Knowledge, error) {
 	deadline := time.Now().Add(connectTimeout)
 	conn, err := net.DialTimeout("unix", socketPath(dir, name), connectTimeout)
 	if err != nil {
-		return nil, nil, nil // no socket, or one that a process has left behind
+		return nil, nil, nil // no socket, or one left by a process that has ended
 	}
 	conn.SetDeadline(deadline)
 	if err = Write(conn, Message{Kind: Hello}); err == nil {
 		var m Message
 		if m, err = Read(conn); err == nil && (m.Kind != Snapshot || m.Snapshot == nil) {
-			err = errors.New("handover: something else where a snapshot was due")
+			err = errors.New("handover: unexpected message instead of the state")
 		}
 		if err == nil {
 			conn.SetDeadline(time.Time{})
@@ -137,8 +139,8 @@
 	return nil, nil, fmt.Errorf("the running process: %w", err)
 }
 
-// Listen waits for the process that is to follow this one. It takes the place of whoever listened there before, who
-// goes on with the peers that it has.
+// Listen listens for the successor of this process. It replaces the socket of a process that listened there before, which
+// keeps its existing peers.
 func Listen(dir, name string) (*net.UnixListener, error) {
 	socket := socketPath(dir, name)
 	temp := fmt.Sprintf("%s.%d", socket, os.Getpid())
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -1,5 +1,5 @@
-// Package handover lets a new process of a proxy go on where the running one is: they meet at a Unix socket, and while
-// both run they are one proxy. What each of them does when is decided in state.go, without I/O.
+// Package handover transfers the state of a running proxy process to a new one. The processes connect through a Unix socket
+// and act as one proxy while both run. The decisions when each of them does what are in state.go, which performs no I/O.
 package handover
 
 import (
@@ -17,64 +17,65 @@
 	"brasswell/internal/strict"
 )
 
-// version is of the messages' meaning. Processes of different versions do not talk: the new one starts plainly.
+// version is the version of the messages' meaning. Processes of different versions don't communicate: the new one starts
+// without the state of the old one.
 const version = 1
 
-// mostBytes bounds a message; a fleet of thousands stays far below.
+// maxBytes bounds the size of a message. The state of a fleet of thousands of servers is far smaller.
 const maxBytes = 8 << 20
 
-// Kind says what a message is for.
+// Kind is the kind of a message.
 type Kind uint8
 
 // The kinds of message.
 const (
-	Hello    Kind = iota + 1 // from the new process: who is there?
-	Snapshot                 // the answer: all that the old one knows
-	Ready                    // from the new process: it takes clients
-	Ban                      // from either: a server was taken out or put back by hand
-	Done                     // the other has done what Ready or Ban asked for
-	Leaving                  // from the old process: it takes no clients any more
+	Hello    Kind = iota + 1 // from the new process: requests the state
+	Snapshot                 // from the old process: the response with its state
+	Ready                    // from the new process: it accepts clients
+	Ban                      // from either: the operator has taken a server out or put it back
+	Done                     // confirms that a Ready or Ban has been carried out
+	Leaving                  // from the old process: it no longer accepts clients
 )
 
-// Message is what two processes tell each other.
+// Message is a message between two processes of a proxy.
 type Message struct {
 	Version  int        `cbor:"1,keyasint"`
 	Kind     Kind       `cbor:"2,keyasint"`
-	Number   uint64     `cbor:"3,keyasint,omitempty"` // of a Ready or Ban, and of the Done that answers it
+	Number   uint64     `cbor:"3,keyasint,omitempty"` // of a Ready or Ban, repeated in the Done that confirms it
 	Server   string     `cbor:"4,keyasint,omitempty"` // of a Ban
-	Out      bool       `cbor:"5,keyasint,omitempty"` // of a Ban: taken out, and not put back
-	Known    bool       `cbor:"6,keyasint,omitempty"` // of a Done: a list has named the server
+	Out      bool       `cbor:"5,keyasint,omitempty"` // of a Ban: the server is taken out; false if it is put back
+	Known    bool       `cbor:"6,keyasint,omitempty"` // of a Done: a list has contained the server
 	Snapshot *Knowledge `cbor:"7,keyasint,omitempty"`
 }
 
-// Knowledge is what the old process knows.
+// State is the state of the old process.
 type Knowledge struct {
 	Balancer  balance.Snapshot  `cbor:"1,keyasint"`
-	Addresses map[string]string `cbor:"2,keyasint"` // where to dial the servers that are in service
-	Seq       int64             `cbor:"3,keyasint"` // of the list, as discovery counts
-	Open      []string          `cbor:"4,keyasint"` // ids of callers' requests that are not answered yet
-	Callers   int               `cbor:"5,keyasint"` // connections held
-	Longest   time.Duration     `cbor:"6,keyasint"` // the longest that a caller was ready to wait
-	Usual     time.Duration     `cbor:"7,keyasint"` // what nearly all answers take
-	// ByHand are the servers of Balancer.Banned that were taken out by hand, and not by agreement alone. An earlier version does not
-	// say, and has no agreement: nil stands for all.
+	Addresses map[string]string `cbor:"2,keyasint"` // addresses of the servers in service
+	Seq       int64             `cbor:"3,keyasint"` // discovery's sequence number of the list
+	Open      []string          `cbor:"4,keyasint"` // ids of callers' requests without a response
+	Callers   int               `cbor:"5,keyasint"` // open connections of callers
+	Longest   time.Duration     `cbor:"6,keyasint"` // the longest time that a caller was ready to wait
+	Usual     time.Duration     `cbor:"7,keyasint"` // 95th percentile of response times
+	// BannedByOperator are the servers of Balancer.Banned that the operator took out, as opposed to those taken out only by an agreement
+	// of the fleet. It is nil if the sender is an earlier version, which has no agreement; nil means all of them.
 	ByHand []string `cbor:"8,keyasint"`
-	// Clock is a reading of the clock that times are of. An earlier version does not say.
+	// Clock is a reading of the clock that all times refer to. Earlier versions omit it.
 	Clock clock.Reading `cbor:"9,keyasint"`
-	// Lists are the servers of Balancer that the newest list leaves out and that are held. An earlier version does not say.
+	// Lists are the servers of Balancer that the newest list omits and that are still kept. Earlier versions omit it.
 	Lists lists.Carried `cbor:"10,keyasint"`
 }
 
-// Why a message cannot be read.
+// Errors of reading a message.
 var (
-	ErrVersion  = errors.New("handover: another version's message")
+	ErrVersion  = errors.New("handover: message of another version")
 	ErrChecksum = fmt.Errorf("handover: %w", sealed.ErrChecksum)
 	ErrTooLong  = fmt.Errorf("handover: %w", sealed.ErrTooLong)
 )
 
 var decMode = strict.CBOR(cbor.DecOptions{MaxArrayElements: 1 << 17, MaxMapPairs: 1 << 17, MaxNestedLevels: 16})
 
-// Write writes a message in one piece.
+// Write writes a message with a single write.
 func Write(w io.Writer, m Message) error {
 	m.Version = version
 	text, err := cbor.Marshal(m)
@@ -87,7 +88,7 @@
 	return sealed.Write(w, text)
 }
 
-// Read reads one message. Memory is taken as the bytes come, not as they are announced.
+// Read reads one message. It allocates memory as bytes arrive, not according to the announced size.
 func Read(r io.Reader) (Message, error) {
 	var m Message
 	text, err := sealed.Read(r, maxBytes)
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -1,24 +1,25 @@
 package handover
 
-// Part is what of the proxy's limits is this process's own.
+// Share is a process's share of the proxy's limits.
 type Part struct {
-	Callers float64 // of the callers' connections
-	Rest    float64 // of the backends' connections, the memory and the budget for cold servers
+	Callers float64 // share of the callers' connections
+	Rest    float64 // share of the connections to backends, the memory and the budget for cold servers
 }
 
-// Alone is the part of a process that is the whole proxy.
+// FullShare is the share of a proxy's only process.
 var Alone = Part{1, 1}
 
-// half is what each of two processes has of what both can do without.
+// half is the share of each of two processes in limits that both can share.
 const half = 0.5
 
-// Elder decides what a running process does about the one that follows it. It is not safe for concurrent use.
+// OldProcess is the state of a running process toward its successor. It is not safe for concurrent use.
 type Elder struct {
 	stateRequested, successorReady, shuttingDown bool
 }
 
-// Asked takes in that a new process has asked for what this one knows. held is how many callers' connections this one
-// holds, of so many that it may: it need not let go of any, for each has a caller that may write on it now.
+// StateRequested records that a new process has requested the state, and returns this process's share from now on. conns is
+// the number of callers' connections that this process has, and maxConns their limit. It need not close any of them, because
+// a caller may be sending a request on each one.
 func (e *Elder) Asked(conns, maxConns int) Part {
 	e.stateRequested, e.successorReady = true, false
 	share := Part{min(max(half, heldShare(conns, maxConns)), 1), half}
@@ -30,31 +31,31 @@
 
 func heldShare(conns, maxConns int) float64 { return float64(conns) / float64(max(maxConns, 1)) }
 
-// Ready takes in that the new process takes clients.
+// SuccessorReady records that the new process accepts clients.
 func (e *Elder) Ready() { e.successorReady = e.stateRequested }
 
-// Gone takes in that the new process is not there any more. Before this one has been told to go it is alone again,
-// whatever the other had said.
+// SuccessorGone records that the new process has gone. Unless this process is already shutting down, it is the only one again,
+// whatever the other has reported before.
 func (e *Elder) Gone() Part {
 	e.stateRequested, e.successorReady = false, false
 	return Alone
 }
 
-// Leave takes in that this process has been told to go. It reports whether another takes the callers: then this one
-// accepts no more of them, and lets those it has come over with their next answer.
+// Shutdown records that this process is to shut down. It reports whether another process accepts the callers. In that case
+// this one accepts no more of them, and closes their connections after the next response so that they reconnect to the other.
 func (e *Elder) Leave() (handedOver bool) {
 	e.shuttingDown = true
 	return e.successorReady
 }
 
-// leastCallers of the callers' connections are a new process's at least.
+// minCallers is a new process's minimum share of the callers' connections.
 const minCallers = 0.25
 
-// Joined is the part of a new process beside one that holds so many callers' connections, of most.
+// NewProcessShare returns the share of a new process while the old one has conns of at most maxConns callers' connections.
 func Joined(conns, maxConns int) Part {
 	return Part{max(min(half, 1-heldShare(conns, maxConns)), minCallers), half}
 }
 
-// Left is its part once the old one has been told to go: what that still holds of callers' connections stays its own
-// until it has gone, and it sends nothing new to cold servers.
+// ShareAfterShutdown returns the new process's share once the old one is shutting down. The old process keeps its share of the
+// callers' connections until it exits, and sends no new requests to cold servers.
 func Left(p Part) Part { return Part{p.Callers, 1} }
--- a/internal/handover/state_test.go
+++ b/internal/handover/state_test.go
@@ -5,28 +5,28 @@
 func TestOldProcess(t *testing.T) {
 	var e Elder
 	if e.Leave() {
-		t.Error("handed over to nobody")
+		t.Error("handed over without a new process")
 	}
 	e = Elder{}
 	if p := e.Asked(10, 100); p != (Part{0.5, 0.5}) {
-		t.Errorf("beside a new one: %+v", p)
+		t.Errorf("with a new process: %+v", p)
 	}
 	if e.Leave() {
-		t.Error("handed over to one that is not ready")
+		t.Error("handed over to a process that is not ready")
 	}
 	e = Elder{}
 	e.Asked(10, 100)
 	e.Ready()
 	if p := e.Gone(); p != Alone {
-		t.Errorf("after the new one died: %+v", p)
+		t.Errorf("after the end of the new process: %+v", p)
 	}
 	if e.Leave() {
-		t.Error("handed over to one that has died")
+		t.Error("handed over to a process that has ended")
 	}
 	e = Elder{}
-	e.Ready() // of one that has asked for nothing
+	e.Ready() // from a process that has not requested the state
 	if e.Leave() {
-		t.Error("handed over to one that has not asked")
+		t.Error("handed over to a process that has not requested the state")
 	}
 	e = Elder{}
 	e.Asked(10, 100)
@@ -35,38 +35,38 @@
 		t.Error("not handed over")
 	}
 	if p := e.Asked(10, 100); p.Rest != 0 {
-		t.Errorf("a process that leaves keeps %+v", p)
+		t.Errorf("a process that shuts down keeps %+v", p)
 	}
-	// A second new process in place of the first.
+	// A second new process replaces the first.
 	e = Elder{}
 	e.Asked(1, 100)
 	e.Ready()
 	e.Asked(1, 100)
 	if e.Leave() {
-		t.Error("the first one's word counted for the second")
+		t.Error("the first process's Ready counted for the second")
 	}
 }
 
-// TestPartsDoNotExceedTheWhole goes through every number of connections that the old process may hold.
+// TestSharesDoNotExceedTheWhole tries every number of connections that the old process may have.
 func TestSharesDoNotExceedTheWhole(t *testing.T) {
 	const maxConns = 100
 	for conns := range 3 * maxConns / 2 {
 		var e Elder
 		old, next := e.Asked(conns, maxConns), Joined(conns, maxConns)
 		if float64(conns) <= maxConns && old.Callers*maxConns < float64(conns)-0.001 {
-			t.Errorf("holding %d, the old one may keep %.0f", conns, old.Callers*maxConns)
+			t.Errorf("%d connections: the old process may keep %.0f", conns, old.Callers*maxConns)
 		}
 		if next.Callers < minCallers {
-			t.Errorf("beside %d, the new one has %.2f", conns, next.Callers)
+			t.Errorf("%d connections: the new process has a share of %.2f", conns, next.Callers)
 		}
 		if sum := old.Callers + next.Callers; sum > 1.0001 && next.Callers > minCallers {
-			t.Errorf("beside %d: %.2f of the callers' connections", conns, sum)
+			t.Errorf("%d connections: shares of callers' connections add up to %.2f", conns, sum)
 		}
 		if old.Rest+next.Rest > 1 {
-			t.Errorf("beside %d: %.2f of the rest", conns, old.Rest+next.Rest)
+			t.Errorf("%d connections: shares of other limits add up to %.2f", conns, old.Rest+next.Rest)
 		}
 	}
 	if p := Left(Part{0.4, 0.5}); p != (Part{0.4, 1}) {
-		t.Errorf("beside one that leaves: %+v", p)
+		t.Errorf("after shutdown of the old process: %+v", p)
 	}
 }
