--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -1,4 +1,4 @@
-// Package figures counts what becomes of requests and writes the counts as operators read them. It decides nothing.
+// Package figures counts the outcomes of requests and writes the counts in statsd's format. It makes no decisions.
 package figures
 
 import (
@@ -7,7 +7,7 @@
 	"sync/atomic"
 )
 
-// Outcome is how a request ended for its caller.
+// Outcome is the outcome of a request for its caller.
 type Outcome int
 
 // The outcomes that are counted.
@@ -18,71 +18,71 @@
 	numOutcomes
 )
 
-// class is the counts of one class. Classes are counted from many goroutines at once, mostly a few of them, so each
-// has a cache line of its own.
+// classCounters holds the counters of one class. Many goroutines update them concurrently, mostly those of a few classes, so
+// each class has a cache line of its own.
 type classCounters struct {
 	byOutcome [numOutcomes]atomic.Int64
 	tries     atomic.Int64
 	_         [32]byte
 }
 
-// Book is the counts of one proxy, from 0 at its start. All methods may be called at any time; each is one atomic
-// addition. The counts are read one by one, so that two of them may differ by the requests that end meanwhile.
+// Counters counts the requests of one proxy since its start. All methods are safe for concurrent use; each update is one
+// atomic addition. The counters are read one by one, so two of them may differ by the requests that end meanwhile.
 type Book struct {
 	names   []string
 	classes []classCounters
 	active  atomic.Int64
 }
 
-// NewBook returns a book for classes by their numbers.
+// NewCounters returns counters for the classes with these names. A class's number is its index.
 func NewBook(classes []string) *Book {
 	return &Book{names: classes, classes: make([]classCounters, len(classes))}
 }
 
-// Taken notes a request that is taken on; Ended must follow.
+// RequestStarted counts a request that is admitted. RequestEnded must follow.
 func (b *Book) Taken() { b.active.Add(1) }
 
-// Ended notes that a request which was taken on has ended.
+// RequestEnded counts the end of an admitted request.
 func (b *Book) Ended() { b.active.Add(-1) }
 
-// Count notes a request's one outcome, taken on or turned away at the door.
+// CountOutcome counts the single outcome of a request, whether it was admitted or rejected at the admission gate.
 func (b *Book) Count(class int, o Outcome) { b.classes[class].byOutcome[o].Add(1) }
 
-// Try notes an attempt that has been written whole to a backend.
+// CountTry counts an attempt that was written completely to a backend.
 func (b *Book) Try(class int) { b.classes[class].tries.Add(1) }
 
-// Active is how many requests are taken on and have not ended.
+// Active returns the number of admitted requests that have not ended.
 func (b *Book) Active() int64 { return b.active.Load() }
 
-// Counts is one class's counts.
+// Counts holds the counts of one class.
 type Counts struct{ OK, Shed, Errors, Tries int64 }
 
-// Class is the counts of a class.
+// Class returns the counts of a class.
 func (b *Book) Class(n int) Counts {
 	c := &b.classes[n]
 	return Counts{c.byOutcome[Served].Load(), c.byOutcome[Refused].Load(), c.byOutcome[Failed].Load(), c.tries.Load()}
 }
 
-// Pool is what the balancer makes of the server list.
+// Pool holds the sizes of the balancer's server list.
 type Pool struct {
 	Size    int // servers in the list
-	Ejected int // of these, the ones that are avoided now, by hand or by choice
+	Ejected int // of these, servers that are avoided now, by the operator or by the balancer
 }
 
-// prefix begins every figure's name.
+// prefix is the prefix of every figure's name.
 const prefix = "edge_relay."
 
-// separators have a meaning in the form that the figures are written in.
+// separators replaces characters that have a meaning in the output format.
 var separators = strings.NewReplacer(":", "_", "|", "_", "\n", "_", "\r", "_")
 
-// AppendLine writes one figure to text: a name, a value, and whether it counts up (c) or moves (g), as statsd has it.
+// AppendLine appends one figure to text: a name, a value, and statsd's type, c for a counter or g for a gauge.
 func AppendLine(text []byte, name string, value int64, kind byte) []byte {
 	text = append(append(text, prefix...), name...)
 	text = strconv.AppendInt(append(text, ':'), value, 10)
 	return append(text, '|', kind, '\n')
 }
 
-// Append writes all figures to text, one a line. Classes are in it from the start.
+// Append appends all figures to text, one per line. It includes classes that have no requests yet.
 func (b *Book) Append(text []byte, p Pool) []byte {
 	line := func(name string, value int64, kind byte) {
 		text = AppendLine(text, name, value, kind)
