--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -1,5 +1,5 @@
-// Package status says on one screen how a proxy stands: which servers it avoids, why and since when, its limit, and
-// what is open. It has no I/O and decides nothing; who has the state fills a Status in.
+// Package status summarizes the state of a proxy on one screen: which servers it avoids, why and since when, its limit, and
+// its open requests and connections. It performs no I/O and makes no decisions; the caller fills in a Status.
 package status
 
 import (
@@ -13,15 +13,15 @@
 	"brasswell/balance"
 )
 
-// Status is how a proxy stands at one moment.
+// Status is the state of a proxy at one moment.
 type Status struct {
 	Ready       bool           `json:"ready"`
 	Leaving     bool           `json:"leaving"`
-	Listed      int            `json:"listed"`   // servers
-	InTurns     int            `json:"in_turns"` // of these, those that turns go to
+	Listed      int            `json:"listed"`   // servers in the list
+	InTurns     int            `json:"in_turns"` // of these, servers in the round robin
 	Avoided     []Avoided      `json:"avoided"`
 	Limit       float64        `json:"limit"` // requests admitted at one time
-	Open        map[string]int `json:"open"`  // requests, by class
+	Open        map[string]int `json:"open"`  // open requests by class
 	Callers     map[string]int `json:"callers"`
 	Backends    map[string]int `json:"backends"`
 	Channels    int            `json:"channels"`
@@ -29,28 +29,28 @@
 	Descriptors int            `json:"descriptors"`
 }
 
-// Why is why a server is avoided. One that is avoided for several reasons is told with the first of them.
+// Reason is why a server is avoided. Of several reasons, the first one in the order below is reported.
 type Why string
 
-// The reasons, the weightiest first.
+// The reasons, in order of precedence.
 const (
 	ByHand   Why = "by hand"
 	Draining Why = "drains"
 	Failing  Why = "fails"
-	Cold     Why = "cold" // used, within its budget
+	Cold     Why = "cold" // in use, within the budget for cold servers
 )
 
-// Avoided is one server that gets nothing, or less than its turns.
+// Avoided is a server that gets no requests, or fewer than in the round robin.
 type Avoided struct {
 	ID   string `json:"id"`
 	Why  Why    `json:"why"`
-	ForS int    `json:"for_s"`            // so long already; -1 if that is not known
-	Left int    `json:"left_s,omitempty"` // until it is tried again, or warm
-	Note string `json:"note,omitempty"`   // what is known besides
+	ForS int    `json:"for_s"`            // how long it has been avoided; -1 if unknown
+	Left int    `json:"left_s,omitempty"` // time until it is tried again, or warm
+	Note string `json:"note,omitempty"`   // additional information
 }
 
-// Servers says which servers are avoided. now and the times in since are of the clock of c; since holds when a server
-// was taken out by hand or began to drain, as far as that was seen.
+// AvoidedServers returns the servers that are avoided. now and the times in since refer to the clock of c. since holds the
+// time when the operator took a server out or when it began to drain, if it is known.
 func Servers(now, warmUp time.Duration, c balance.Snapshot, since map[string]time.Duration) []Avoided {
 	avoided := []Avoided{}
 	for _, s := range c.Servers {
@@ -63,7 +63,7 @@
 		case slices.Contains(c.Banned, a.ID):
 			a.Why = ByHand
 		case s.Entry.State == balance.Gone:
-			continue // it is listed no more
+			continue // no longer listed
 		case s.Entry.State == balance.Draining:
 			a.Why = Draining
 		case s.Ejected > 0:
@@ -85,10 +85,10 @@
 	return avoided
 }
 
-// seconds rounds up: what is not over yet does not read as 0.
+// seconds rounds up, so that a time that is not over yet is not shown as 0.
 func seconds(d time.Duration) int { return int((d + time.Second - 1) / time.Second) }
 
-// Read reads a status as a console writes it.
+// Parse parses a status that a console has written.
 func Read(text string) (*Status, error) {
 	s := &Status{}
 	if err := json.Unmarshal([]byte(text), s); err != nil {
@@ -97,10 +97,10 @@
 	return s, nil
 }
 
-// mostShown bounds the list for people; programs get all of it.
+// maxShown bounds the number of servers in Text. The JSON output contains all of them.
 const maxShown = 30
 
-// Text is the status for people.
+// Text returns the status in human-readable form.
 func (s *Status) Text() string {
 	var b strings.Builder
 	state := "takes clients"
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -78,6 +78,6 @@
 		}
 	}
 	if _, err := Read("no status"); err == nil {
-		t.Error("nonsense is read")
+		t.Error("invalid text is parsed")
 	}
 }
