--- a/internal/backends/conn.go
+++ b/internal/backends/conn.go
@@ -24,7 +24,7 @@
 	pool     *Pool
 	endpoint Endpoint
 	cc       *http.ClientConn
-	framing  framing.Follower // of the responses; used by the reading goroutine, and by others once that has finished
+	framing  framing.Tracker // of the responses; used by the reading goroutine, and by others once that has finished
 
 	lastWrite      atomic.Bool // the next write may contain the request's last byte
 	writeBegun     atomic.Bool // a write of this attempt has started
@@ -151,7 +151,7 @@
 	if n > 0 {
 		c.framing.Feed(b[:n])
 		switch {
-		case c.framing.Interim() > maxInterim:
+		case c.framing.InterimCount() > maxInterim:
 			return 0, errTooManyInterim
 		case c.framing.AfterInterim():
 			c.clearAnswerDeadline() // the final response may take long
@@ -165,7 +165,7 @@
 // startStreaming marks the connection as forwarding a message while it arrives.
 func (c *conn) startStreaming() {
 	c.pool.mu.Lock()
-	c.streamIdleTimeout = c.pool.options.StreamSilence
+	c.streamIdleTimeout = c.pool.options.StreamIdleTimeout
 	c.answerDeadline = time.Time{}
 	c.pool.mu.Unlock()
 	c.streaming.Store(true)
@@ -238,7 +238,7 @@
 
 // reset prepares an idle connection for its next request.
 func (c *conn) reset() {
-	c.framing = framing.Follower{}
+	c.framing = framing.Tracker{}
 	c.writeBegun.Store(false)
 	c.lastWrite.Store(false)
 	c.lastWriteBegun.Store(false)
--- a/internal/backends/exchange.go
+++ b/internal/backends/exchange.go
@@ -38,28 +38,28 @@
 
 // Reply is a backend's 200 response, either complete or its beginning.
 type Reply struct {
-	Header http.Header
-	Body   []byte
-	Length int64 // of the complete body; -1 if unknown
-	Rest   *Rest // what follows Body; nil if Body is complete
+	Header    http.Header
+	Body      []byte
+	Length    int64      // of the complete body; -1 if unknown
+	Remainder *Remainder // what follows Body; nil if Body is complete
 	// Channel is set if the backend switched to the WebSocket protocol. Only Header is set with it.
 	Channel *Channel
 }
 
 // Remainder is the part of a response that has not arrived yet. It must be used by one goroutine, which must close it.
-type Rest struct {
+type Remainder struct {
 	reader io.Reader
 	result chan error // receives the argument of Close
 }
 
 // ErrCallerLeft closes a Remainder whose caller has disconnected. It does not count as a fault of the backend.
-var ErrLeft = errors.New("the caller has disconnected")
+var ErrCallerLeft = errors.New("the caller has disconnected")
 
 // Read reads the next bytes. It returns io.EOF only at the end of a complete response.
-func (r *Rest) Read(p []byte) (int, error) { return r.reader.Read(p) }
+func (r *Remainder) Read(p []byte) (int, error) { return r.reader.Read(p) }
 
 // Close ends the attempt. err is nil if the response was read to its end, and otherwise ErrCallerLeft or the error of Read.
-func (r *Rest) Close(err error) { r.result <- err }
+func (r *Remainder) Close(err error) { r.result <- err }
 
 // Attempt receives the callbacks of one attempt. Unless noted otherwise, they are called by the goroutine that runs Exchange.
 type Attempt interface {
@@ -75,7 +75,7 @@
 // report an error.
 type Endpoint struct {
 	Server, Address string
-	Boot            time.Duration
+	StartTime       time.Duration
 }
 
 // Exchange performs one attempt and returns its outcome. The reply is a complete response; a streamed one is passed
@@ -150,8 +150,8 @@
 	}
 	c.startStreaming()
 	c.streamingAnswer.Store(true)
-	remainder := &Rest{reader: &limitedReader{resp.Body, body.MaxBytes - int64(len(text))}, result: make(chan error, 1)}
-	if !a.Started(&Reply{Header: resp.Header, Body: text, Length: resp.ContentLength, Rest: remainder}) {
+	remainder := &Remainder{reader: &limitedReader{resp.Body, body.MaxBytes - int64(len(text))}, result: make(chan error, 1)}
+	if !a.Started(&Reply{Header: resp.Header, Body: text, Length: resp.ContentLength, Remainder: remainder}) {
 		c.discard()
 		return c.brokenOutcome(ctx), nil
 	}
@@ -159,7 +159,7 @@
 	case nil:
 		p.release(c)
 		return balance.OK, nil
-	case ErrLeft:
+	case ErrCallerLeft:
 		c.discard()
 		return balance.Canceled, nil
 	}
@@ -195,14 +195,14 @@
 	case resp.ContentLength < 0 && resp.TransferEncoding == nil:
 		// It is buffered to its end, up to MaxBufferedBytes, before any of it is forwarded: garbage after a response head looks
 		// the same, and does not end.
-		text, whole, err = body.ReadAtMost(resp.Body, body.WholeBytes, func() bool { return true })
+		text, whole, err = body.ReadAtMost(resp.Body, body.MaxBufferedBytes, func() bool { return true })
 		if err != nil {
 			return nil, false, fmt.Errorf("answer: %w", err)
 		}
 		return text, whole, nil
 	case resp.ContentLength < 0 && !c.framing.Chunked():
 		return nil, false, errFraming
-	case resp.ContentLength > body.WholeBytes:
+	case resp.ContentLength > body.MaxBufferedBytes:
 		text = make([]byte, firstBytes)
 		n, err := resp.Body.Read(text)
 		if n == 0 {
@@ -218,7 +218,7 @@
 		return text, true, err
 	}
 	begun := time.Now()
-	text, whole, err = body.ReadAtMost(resp.Body, body.WholeBytes, func() bool { return time.Since(begun) < streamAfter })
+	text, whole, err = body.ReadAtMost(resp.Body, body.MaxBufferedBytes, func() bool { return time.Since(begun) < streamAfter })
 	if err != nil {
 		return nil, false, fmt.Errorf("answer: %w", err)
 	}
@@ -230,13 +230,13 @@
 
 // discardAnswer reads a response whose body is not needed to its end, or else closes the connection.
 func (p *Pool) discardAnswer(c *conn, resp *http.Response) {
-	if resp.StatusCode < 200 || resp.ContentLength > body.WholeBytes {
+	if resp.StatusCode < 200 || resp.ContentLength > body.MaxBufferedBytes {
 		c.discard()
 		return
 	}
 	late := time.AfterFunc(discardTimeout, c.discard)
-	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, body.WholeBytes+1))
-	if late.Stop() && err == nil && n <= body.WholeBytes {
+	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, body.MaxBufferedBytes+1))
+	if late.Stop() && err == nil && n <= body.MaxBufferedBytes {
 		p.release(c)
 		return
 	}
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -40,8 +40,8 @@
 	// Control is called for each socket before it connects, like net.Dialer's field of this name.
 	Control func(network, address string, c syscall.RawConn) error
 	// OnWritten is called with the request's class once for each attempt whose request was written completely. It must not block.
-	Written func(class int)
-	Options Options
+	OnWritten func(class int)
+	Options   Options
 }
 
 // NewPool returns a pool. It keeps no idle connections until SetWanted names the wanted endpoints.
@@ -52,7 +52,7 @@
 		// A request that is sent while the backend closes the connection ends with a reset, and may have been
 		// executed. The remaining fifth allows for responses that took long to read.
 		maxIdle: l.ConnIdle * 4 / 5,
-		limit:   l.Conns, options: l.Options, onWritten: l.Written,
+		limit:   l.Conns, options: l.Options, onWritten: l.OnWritten,
 		idle: map[Endpoint]*idleList{},
 	}
 	p.transport = &http.Transport{
@@ -81,7 +81,7 @@
 	p.mu.Lock()
 	now := time.Now()
 	for c == nil && p.idle[to] != nil {
-		candidate := p.idle[to].lastSettled(now, p.options.Settle)
+		candidate := p.idle[to].lastSettled(now, p.options.SettleTime)
 		if candidate == nil {
 			break
 		}
@@ -154,7 +154,7 @@
 }
 
 // SetWanted closes the connections to all other endpoints: idle ones at once, and others when they are released.
-func (p *Pool) Keep(wanted map[Endpoint]bool) {
+func (p *Pool) SetWanted(wanted map[Endpoint]bool) {
 	p.mu.Lock()
 	p.wanted = wanted
 	var drop []*conn
@@ -272,7 +272,7 @@
 }
 
 // ConnCounts returns the number of idle connections, and of those in use or being opened.
-func (p *Pool) States() map[string]int {
+func (p *Pool) ConnCounts() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	idle := 0
--- a/internal/backends/upgrade.go
+++ b/internal/backends/upgrade.go
@@ -17,11 +17,11 @@
 
 // Channel is a connection that a backend has switched to the WebSocket protocol. The receiver must close it.
 type Channel struct {
-	Server string
-	Conn   *net.TCPConn
-	Header http.Header // headers of the 101 response
-	Behind []byte      // bytes that arrived after the 101 response
-	Agreed handshake.Agreement
+	Server    string
+	Conn      *net.TCPConn
+	Header    http.Header // headers of the 101 response
+	Buffered  []byte      // bytes that arrived after the 101 response
+	Agreement handshake.Agreement
 }
 
 // Upgrade performs one attempt of a WebSocket upgrade, on a new connection. A backend that responds with any other
@@ -111,7 +111,7 @@
 	if err != nil {
 		return balance.Failed, nil, err
 	}
-	return balance.OK, &Channel{Conn: tcp, Header: resp.Header, Behind: append([]byte(nil), buffered...), Agreed: agreed}, nil
+	return balance.OK, &Channel{Conn: tcp, Header: resp.Header, Buffered: append([]byte(nil), buffered...), Agreement: agreed}, nil
 }
 
 // writeUpgrade writes the head of an upgrade request. http.Request.Write is unsuitable because it adds and removes header
--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -16,13 +16,13 @@
 	MaxBytes = 32 << 20
 	// MaxBufferedBytes is the maximum size of a body that is read completely before it is processed. Longer bodies are
 	// streamed.
-	WholeBytes = 64 << 10
+	MaxBufferedBytes = 64 << 10
 )
 
 // Errors of reading a body.
 var (
 	ErrTooLarge = errors.New("body over 32 MiB")
-	ErrNoRoom   = errors.New("memory budget for bodies exhausted")
+	ErrNoMemory = errors.New("memory budget for bodies exhausted")
 )
 
 // Budget bounds the memory that is used by all bodies together.
@@ -86,15 +86,15 @@
 		return nil, nil, nil
 	case length > MaxBytes:
 		return nil, nil, ErrTooLarge
-	case length > WholeBytes:
+	case length > MaxBufferedBytes:
 		return &Body{stream: NewStream(length, budget)}, r, nil
 	}
 	limit := length
 	if limit < 0 {
-		limit = WholeBytes
+		limit = MaxBufferedBytes
 	}
 	if !budget.reserve(limit) {
-		return nil, nil, ErrNoRoom
+		return nil, nil, ErrNoMemory
 	}
 	data, complete, err := ReadAtMost(r, limit, func() bool { return true })
 	if err != nil {
--- a/internal/body/pace.go
+++ b/internal/body/pace.go
@@ -8,24 +8,26 @@
 //
 // It protects against peers that send or read a byte now and then without end, and against those that stop within a
 // message. It may affect peers whose network connection stalls for longer than IdleTimeout.
-type Pace struct {
-	Silence time.Duration // maximum time without a byte
-	Grace   time.Duration // time that a transfer may take in addition to what BytesPerSecond allows
-	Rate    int64         // average over the whole transfer
+type MinDataRate struct {
+	IdleTimeout    time.Duration // maximum time without a byte
+	GracePeriod    time.Duration // time that a transfer may take in addition to what BytesPerSecond allows
+	BytesPerSecond int64         // average over the whole transfer
 }
 
 // Transfer is one transfer under a MinDataRate. All times are offsets from the same fixed moment, which may be any.
 type Transfer struct {
-	rate             Pace
+	rate             MinDataRate
 	start, lastMoved time.Duration
 	bytes            int64
 }
 
 // Begin starts a transfer.
-func (p Pace) Begin(now time.Duration) Transfer { return Transfer{rate: p, start: now, lastMoved: now} }
+func (p MinDataRate) Begin(now time.Duration) Transfer {
+	return Transfer{rate: p, start: now, lastMoved: now}
+}
 
 // AddBytes records that bytes were sent or received.
-func (t *Transfer) Moved(now time.Duration, bytes int) {
+func (t *Transfer) AddBytes(now time.Duration, bytes int) {
 	if bytes > 0 {
 		t.lastMoved, t.bytes = now, t.bytes+int64(bytes)
 	}
@@ -33,6 +35,6 @@
 
 // Deadline returns when the next byte must have been sent or received.
 func (t *Transfer) Deadline() time.Duration {
-	byRate := t.start + t.rate.Grace + time.Duration(float64(t.bytes)/float64(t.rate.Rate)*float64(time.Second))
-	return min(t.lastMoved+t.rate.Silence, byRate)
+	byRate := t.start + t.rate.GracePeriod + time.Duration(float64(t.bytes)/float64(t.rate.BytesPerSecond)*float64(time.Second))
+	return min(t.lastMoved+t.rate.IdleTimeout, byRate)
 }
--- a/internal/body/stream.go
+++ b/internal/body/stream.go
@@ -13,14 +13,14 @@
 	// sender's last byte arrives still have to be sent within the request's time.
 	readAheadSegments = 2
 	// MaxReplayBytes is how much of a stream is kept for another attempt, if the budget allows it.
-	KeepMost = 1 << 20
+	MaxReplayBytes = 1 << 20
 )
 
 // Errors of reading a stream.
 var (
-	ErrSpent      = errors.New("the beginning of the body has been discarded")
-	errSuperseded = errors.New("another attempt has started to read the body")
-	ErrEnded      = errors.New("the body is no longer needed")
+	ErrDiscarded    = errors.New("the beginning of the body has been discarded")
+	errSuperseded   = errors.New("another attempt has started to read the body")
+	ErrStreamClosed = errors.New("the body is no longer needed")
 )
 
 // Stream is a body that is forwarded while it arrives. One goroutine fills it, and one reader at a time consumes it.
@@ -117,7 +117,7 @@
 	if s.discarding || len(s.segments) < readAheadSegments {
 		return
 	}
-	if s.discarding = s.filled >= KeepMost || !s.budget.reserve(segmentBytes); !s.discarding {
+	if s.discarding = s.filled >= MaxReplayBytes || !s.budget.reserve(segmentBytes); !s.discarding {
 		s.reserved += segmentBytes
 	}
 }
@@ -141,7 +141,7 @@
 }
 
 // CloseWithError ends the stream: Fill and Read return the error. Only the first call sets it.
-func (s *Stream) End(err error) {
+func (s *Stream) CloseWithError(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.err == nil {
@@ -152,7 +152,7 @@
 
 // Release closes the stream and returns its memory to the budget. Nothing can be read afterwards.
 func (s *Stream) Release() {
-	s.End(ErrEnded)
+	s.CloseWithError(ErrStreamClosed)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.segments = nil
@@ -196,7 +196,7 @@
 		case s.reader != r:
 			return 0, false, errSuperseded
 		case r.offset < s.base:
-			return 0, false, ErrSpent
+			return 0, false, ErrDiscarded
 		case s.segments == nil && s.err != nil:
 			return 0, false, s.err
 		case r.offset < s.filled:
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -28,37 +28,37 @@
 
 // Counters counts the requests of one proxy since its start. All methods are safe for concurrent use; each update is one
 // atomic addition. The counters are read one by one, so two of them may differ by the requests that end meanwhile.
-type Book struct {
+type Counters struct {
 	names   []string
 	classes []classCounters
 	active  atomic.Int64
 }
 
 // NewCounters returns counters for the classes with these names. A class's number is its index.
-func NewBook(classes []string) *Book {
-	return &Book{names: classes, classes: make([]classCounters, len(classes))}
+func NewCounters(classes []string) *Counters {
+	return &Counters{names: classes, classes: make([]classCounters, len(classes))}
 }
 
 // RequestStarted counts a request that is admitted. RequestEnded must follow.
-func (b *Book) Taken() { b.active.Add(1) }
+func (b *Counters) RequestStarted() { b.active.Add(1) }
 
 // RequestEnded counts the end of an admitted request.
-func (b *Book) Ended() { b.active.Add(-1) }
+func (b *Counters) RequestEnded() { b.active.Add(-1) }
 
 // CountOutcome counts the single outcome of a request, whether it was admitted or rejected at the admission gate.
-func (b *Book) Count(class int, o Outcome) { b.classes[class].byOutcome[o].Add(1) }
+func (b *Counters) CountOutcome(class int, o Outcome) { b.classes[class].byOutcome[o].Add(1) }
 
 // CountTry counts an attempt that was written completely to a backend.
-func (b *Book) Try(class int) { b.classes[class].tries.Add(1) }
+func (b *Counters) CountTry(class int) { b.classes[class].tries.Add(1) }
 
 // Active returns the number of admitted requests that have not ended.
-func (b *Book) Active() int64 { return b.active.Load() }
+func (b *Counters) Active() int64 { return b.active.Load() }
 
 // Counts holds the counts of one class.
 type Counts struct{ OK, Shed, Errors, Tries int64 }
 
 // Class returns the counts of a class.
-func (b *Book) Class(n int) Counts {
+func (b *Counters) Class(n int) Counts {
 	c := &b.classes[n]
 	return Counts{c.byOutcome[Served].Load(), c.byOutcome[Refused].Load(), c.byOutcome[Failed].Load(), c.tries.Load()}
 }
@@ -83,7 +83,7 @@
 }
 
 // Append appends all figures to text, one per line. It includes classes that have no requests yet.
-func (b *Book) Append(text []byte, p Pool) []byte {
+func (b *Counters) Append(text []byte, p Pool) []byte {
 	line := func(name string, value int64, kind byte) {
 		text = AppendLine(text, name, value, kind)
 	}
--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -17,7 +17,7 @@
 // net/http: it stops at the first message with a transfer coding, and reports a message as chunked only if it clearly
 // saw framing by chunks alone. A valid chunked message may be rejected if net/http can parse its header and Tracker
 // cannot.
-type Follower struct {
+type Tracker struct {
 	line      [64]byte // beginning of the current line
 	lineLen   int
 	inHead    bool // the start line has been read, and the header section has not ended
@@ -39,7 +39,7 @@
 )
 
 // Feed processes the next bytes received.
-func (f *Follower) Feed(b []byte) {
+func (f *Tracker) Feed(b []byte) {
 	for len(b) > 0 && !f.stopped {
 		if f.bodyLeft > 0 {
 			n := min(f.bodyLeft, int64(len(b)))
@@ -62,7 +62,7 @@
 	}
 }
 
-func (f *Follower) endLine(line []byte) {
+func (f *Tracker) endLine(line []byte) {
 	if len(line) == 0 {
 		if f.inHead { // net/http rejects an empty line before a start line
 			f.endHead()
@@ -90,7 +90,7 @@
 	}
 }
 
-func (f *Follower) endHead() {
+func (f *Tracker) endHead() {
 	if f.afterInterim = f.isInterim; f.isInterim {
 		f.interim++
 	}
@@ -103,23 +103,23 @@
 }
 
 // InterimCount returns the number of 1xx responses so far.
-func (f *Follower) Interim() int { return f.interim }
+func (f *Tracker) InterimCount() int { return f.interim }
 
 // AfterInterim reports whether a 1xx response has ended and nothing has arrived after it yet.
-func (f *Follower) AfterInterim() bool {
+func (f *Tracker) AfterInterim() bool {
 	return f.afterInterim && !f.inHead && f.lineLen == 0 && !f.stopped
 }
 
 // Chunked reports whether the message at which tracking stopped is framed by chunks and has no length.
-func (f *Follower) Chunked() bool { return f.chunked }
+func (f *Tracker) Chunked() bool { return f.chunked }
 
 // Folded reports whether a header field so far was continued on the next line (obsolete line folding, RFC 9112, section
 // 5.2). net/http joins such lines. A recipient that doesn't join them reads a separate field there, which may determine
 // where the message ends.
-func (f *Follower) Folded() bool { return f.folded }
+func (f *Tracker) Folded() bool { return f.folded }
 
 // AtMessageBoundary reports whether nothing of another message has arrived after the last one. It returns false once
 // tracking has stopped, because message boundaries are unknown then.
-func (f *Follower) Between() bool {
+func (f *Tracker) AtMessageBoundary() bool {
 	return !f.inHead && f.lineLen == 0 && f.bodyLeft == 0 && !f.stopped
 }
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -39,7 +39,7 @@
 }
 
 // Send sends a message that has no response.
-func (p *Peer) Tell(m Message) error {
+func (p *Peer) Send(m Message) error {
 	p.writeMu.Lock()
 	defer p.writeMu.Unlock()
 	p.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -47,7 +47,7 @@
 }
 
 // Request sends a message and waits for its Done, for at most requestTimeout.
-func (p *Peer) Ask(ctx context.Context, m Message) (Message, error) {
+func (p *Peer) Request(ctx context.Context, m Message) (Message, error) {
 	done := make(chan Message, 1)
 	p.mu.Lock()
 	if p.closed {
@@ -63,7 +63,7 @@
 		defer p.mu.Unlock()
 		delete(p.pending, m.Number)
 	}()
-	if err := p.Tell(m); err != nil {
+	if err := p.Send(m); err != nil {
 		return Message{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
@@ -80,7 +80,7 @@
 }
 
 // Serve reads messages until the connection ends, and returns the reason. It passes all messages except Done to handle.
-func (p *Peer) Follow(handle func(Message)) error {
+func (p *Peer) Serve(handle func(Message)) error {
 	defer func() {
 		p.conn.Close()
 		p.mu.Lock()
@@ -118,7 +118,7 @@
 func socketPath(dir, name string) string { return filepath.Join(dir, "brasswell-"+name+".sock") }
 
 // Connect connects to the running process of the proxy and gets its state. It returns nil and no error if there is none.
-func Meet(dir, name string) (*Peer, *Knowledge, error) {
+func Connect(dir, name string) (*Peer, *State, error) {
 	deadline := time.Now().Add(connectTimeout)
 	conn, err := net.DialTimeout("unix", socketPath(dir, name), connectTimeout)
 	if err != nil {
@@ -127,12 +127,12 @@
 	conn.SetDeadline(deadline)
 	if err = Write(conn, Message{Kind: Hello}); err == nil {
 		var m Message
-		if m, err = Read(conn); err == nil && (m.Kind != Snapshot || m.Snapshot == nil) {
+		if m, err = Read(conn); err == nil && (m.Kind != StateReply || m.State == nil) {
 			err = errors.New("handover: unexpected message instead of the state")
 		}
 		if err == nil {
 			conn.SetDeadline(time.Time{})
-			return NewPeer(conn), m.Snapshot, nil
+			return NewPeer(conn), m.State, nil
 		}
 	}
 	conn.Close()
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -29,37 +29,37 @@
 
 // The kinds of message.
 const (
-	Hello    Kind = iota + 1 // from the new process: requests the state
-	Snapshot                 // from the old process: the response with its state
-	Ready                    // from the new process: it accepts clients
-	Ban                      // from either: the operator has taken a server out or put it back
-	Done                     // confirms that a Ready or Ban has been carried out
-	Leaving                  // from the old process: it no longer accepts clients
+	Hello        Kind = iota + 1 // from the new process: requests the state
+	StateReply                   // from the old process: the response with its state
+	Ready                        // from the new process: it accepts clients
+	Ban                          // from either: the operator has taken a server out or put it back
+	Done                         // confirms that a Ready or Ban has been carried out
+	ShuttingDown                 // from the old process: it no longer accepts clients
 )
 
 // Message is a message between two processes of a proxy.
 type Message struct {
-	Version  int        `cbor:"1,keyasint"`
-	Kind     Kind       `cbor:"2,keyasint"`
-	Number   uint64     `cbor:"3,keyasint,omitempty"` // of a Ready or Ban, repeated in the Done that confirms it
-	Server   string     `cbor:"4,keyasint,omitempty"` // of a Ban
-	Out      bool       `cbor:"5,keyasint,omitempty"` // of a Ban: the server is taken out; false if it is put back
-	Known    bool       `cbor:"6,keyasint,omitempty"` // of a Done: a list has contained the server
-	Snapshot *Knowledge `cbor:"7,keyasint,omitempty"`
+	Version int    `cbor:"1,keyasint"`
+	Kind    Kind   `cbor:"2,keyasint"`
+	Number  uint64 `cbor:"3,keyasint,omitempty"` // of a Ready or Ban, repeated in the Done that confirms it
+	Server  string `cbor:"4,keyasint,omitempty"` // of a Ban
+	Banned  bool   `cbor:"5,keyasint,omitempty"` // of a Ban: the server is taken out; false if it is put back
+	Known   bool   `cbor:"6,keyasint,omitempty"` // of a Done: a list has contained the server
+	State   *State `cbor:"7,keyasint,omitempty"`
 }
 
 // State is the state of the old process.
-type Knowledge struct {
-	Balancer  balance.Snapshot  `cbor:"1,keyasint"`
-	Addresses map[string]string `cbor:"2,keyasint"` // addresses of the servers in service
-	Seq       int64             `cbor:"3,keyasint"` // discovery's sequence number of the list
-	Open      []string          `cbor:"4,keyasint"` // ids of callers' requests without a response
-	Callers   int               `cbor:"5,keyasint"` // open connections of callers
-	Longest   time.Duration     `cbor:"6,keyasint"` // the longest time that a caller was ready to wait
-	Usual     time.Duration     `cbor:"7,keyasint"` // 95th percentile of response times
+type State struct {
+	Balancer        balance.Snapshot  `cbor:"1,keyasint"`
+	Addresses       map[string]string `cbor:"2,keyasint"` // addresses of the servers in service
+	Seq             int64             `cbor:"3,keyasint"` // discovery's sequence number of the list
+	OpenIDs         []string          `cbor:"4,keyasint"` // ids of callers' requests without a response
+	CallerConns     int               `cbor:"5,keyasint"` // open connections of callers
+	LongestDeadline time.Duration     `cbor:"6,keyasint"` // the longest time that a caller was ready to wait
+	LatencyP95      time.Duration     `cbor:"7,keyasint"` // 95th percentile of response times
 	// BannedByOperator are the servers of Balancer.Banned that the operator took out, as opposed to those taken out only by an agreement
 	// of the fleet. It is nil if the sender is an earlier version, which has no agreement; nil means all of them.
-	ByHand []string `cbor:"8,keyasint"`
+	BannedByOperator []string `cbor:"8,keyasint"`
 	// Clock is a reading of the clock that all times refer to. Earlier versions omit it.
 	Clock clock.Reading `cbor:"9,keyasint"`
 	// Lists are the servers of Balancer that the newest list omits and that are still kept. Earlier versions omit it.
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -1,30 +1,30 @@
 package handover
 
 // Share is a process's share of the proxy's limits.
-type Part struct {
+type Share struct {
 	Callers float64 // share of the callers' connections
-	Rest    float64 // share of the connections to backends, the memory and the budget for cold servers
+	Other   float64 // share of the connections to backends, the memory and the budget for cold servers
 }
 
 // FullShare is the share of a proxy's only process.
-var Alone = Part{1, 1}
+var FullShare = Share{1, 1}
 
 // half is the share of each of two processes in limits that both can share.
 const half = 0.5
 
 // OldProcess is the state of a running process toward its successor. It is not safe for concurrent use.
-type Elder struct {
+type OldProcess struct {
 	stateRequested, successorReady, shuttingDown bool
 }
 
 // StateRequested records that a new process has requested the state, and returns this process's share from now on. conns is
 // the number of callers' connections that this process has, and maxConns their limit. It need not close any of them, because
 // a caller may be sending a request on each one.
-func (e *Elder) Asked(conns, maxConns int) Part {
+func (e *OldProcess) StateRequested(conns, maxConns int) Share {
 	e.stateRequested, e.successorReady = true, false
-	share := Part{min(max(half, heldShare(conns, maxConns)), 1), half}
+	share := Share{min(max(half, heldShare(conns, maxConns)), 1), half}
 	if e.shuttingDown {
-		share.Rest = 0
+		share.Other = 0
 	}
 	return share
 }
@@ -32,18 +32,18 @@
 func heldShare(conns, maxConns int) float64 { return float64(conns) / float64(max(maxConns, 1)) }
 
 // SuccessorReady records that the new process accepts clients.
-func (e *Elder) Ready() { e.successorReady = e.stateRequested }
+func (e *OldProcess) SuccessorReady() { e.successorReady = e.stateRequested }
 
 // SuccessorGone records that the new process has gone. Unless this process is already shutting down, it is the only one again,
 // whatever the other has reported before.
-func (e *Elder) Gone() Part {
+func (e *OldProcess) SuccessorGone() Share {
 	e.stateRequested, e.successorReady = false, false
-	return Alone
+	return FullShare
 }
 
 // Shutdown records that this process is to shut down. It reports whether another process accepts the callers. In that case
 // this one accepts no more of them, and closes their connections after the next response so that they reconnect to the other.
-func (e *Elder) Leave() (handedOver bool) {
+func (e *OldProcess) Shutdown() (handedOver bool) {
 	e.shuttingDown = true
 	return e.successorReady
 }
@@ -52,10 +52,10 @@
 const minCallers = 0.25
 
 // NewProcessShare returns the share of a new process while the old one has conns of at most maxConns callers' connections.
-func Joined(conns, maxConns int) Part {
-	return Part{max(min(half, 1-heldShare(conns, maxConns)), minCallers), half}
+func NewProcessShare(conns, maxConns int) Share {
+	return Share{max(min(half, 1-heldShare(conns, maxConns)), minCallers), half}
 }
 
 // ShareAfterShutdown returns the new process's share once the old one is shutting down. The old process keeps its share of the
 // callers' connections until it exits, and sends no new requests to cold servers.
-func Left(p Part) Part { return Part{p.Callers, 1} }
+func ShareAfterShutdown(p Share) Share { return Share{p.Callers, 1} }
--- a/internal/handover/state_test.go
+++ b/internal/handover/state_test.go
@@ -3,46 +3,46 @@
 import "testing"
 
 func TestOldProcess(t *testing.T) {
-	var e Elder
-	if e.Leave() {
+	var e OldProcess
+	if e.Shutdown() {
 		t.Error("handed over without a new process")
 	}
-	e = Elder{}
-	if p := e.Asked(10, 100); p != (Part{0.5, 0.5}) {
+	e = OldProcess{}
+	if p := e.StateRequested(10, 100); p != (Share{0.5, 0.5}) {
 		t.Errorf("with a new process: %+v", p)
 	}
-	if e.Leave() {
+	if e.Shutdown() {
 		t.Error("handed over to a process that is not ready")
 	}
-	e = Elder{}
-	e.Asked(10, 100)
-	e.Ready()
-	if p := e.Gone(); p != Alone {
+	e = OldProcess{}
+	e.StateRequested(10, 100)
+	e.SuccessorReady()
+	if p := e.SuccessorGone(); p != FullShare {
 		t.Errorf("after the end of the new process: %+v", p)
 	}
-	if e.Leave() {
+	if e.Shutdown() {
 		t.Error("handed over to a process that has ended")
 	}
-	e = Elder{}
-	e.Ready() // from a process that has not requested the state
-	if e.Leave() {
+	e = OldProcess{}
+	e.SuccessorReady() // from a process that has not requested the state
+	if e.Shutdown() {
 		t.Error("handed over to a process that has not requested the state")
 	}
-	e = Elder{}
-	e.Asked(10, 100)
-	e.Ready()
-	if !e.Leave() {
+	e = OldProcess{}
+	e.StateRequested(10, 100)
+	e.SuccessorReady()
+	if !e.Shutdown() {
 		t.Error("not handed over")
 	}
-	if p := e.Asked(10, 100); p.Rest != 0 {
+	if p := e.StateRequested(10, 100); p.Other != 0 {
 		t.Errorf("a process that shuts down keeps %+v", p)
 	}
 	// A second new process replaces the first.
-	e = Elder{}
-	e.Asked(1, 100)
-	e.Ready()
-	e.Asked(1, 100)
-	if e.Leave() {
+	e = OldProcess{}
+	e.StateRequested(1, 100)
+	e.SuccessorReady()
+	e.StateRequested(1, 100)
+	if e.Shutdown() {
 		t.Error("the first process's Ready counted for the second")
 	}
 }
@@ -51,8 +51,8 @@
 func TestSharesDoNotExceedTheWhole(t *testing.T) {
 	const maxConns = 100
 	for conns := range 3 * maxConns / 2 {
-		var e Elder
-		old, next := e.Asked(conns, maxConns), Joined(conns, maxConns)
+		var e OldProcess
+		old, next := e.StateRequested(conns, maxConns), NewProcessShare(conns, maxConns)
 		if float64(conns) <= maxConns && old.Callers*maxConns < float64(conns)-0.001 {
 			t.Errorf("%d connections: the old process may keep %.0f", conns, old.Callers*maxConns)
 		}
@@ -62,11 +62,11 @@
 		if sum := old.Callers + next.Callers; sum > 1.0001 && next.Callers > minCallers {
 			t.Errorf("%d connections: shares of callers' connections add up to %.2f", conns, sum)
 		}
-		if old.Rest+next.Rest > 1 {
-			t.Errorf("%d connections: shares of other limits add up to %.2f", conns, old.Rest+next.Rest)
+		if old.Other+next.Other > 1 {
+			t.Errorf("%d connections: shares of other limits add up to %.2f", conns, old.Other+next.Other)
 		}
 	}
-	if p := Left(Part{0.4, 0.5}); p != (Part{0.4, 1}) {
+	if p := ShareAfterShutdown(Share{0.4, 0.5}); p != (Share{0.4, 1}) {
 		t.Errorf("after shutdown of the old process: %+v", p)
 	}
 }
--- a/internal/idle/idle_test.go
+++ b/internal/idle/idle_test.go
@@ -14,31 +14,31 @@
 func TestPolicy(t *testing.T) {
 	now := time.Now()
 	before := func(d time.Duration) time.Time { return now.Add(-d) }
-	p := Pace{After: time.Second, Timeout: 10 * time.Second}
+	p := Policy{ParkAfter: time.Second, Timeout: 10 * time.Second}
 	for _, c := range []struct {
 		since       time.Duration
 		park, close bool
 	}{{0, false, false}, {time.Second - 1, false, false}, {time.Second, true, false}, {10*time.Second - 1, true, false}, {10 * time.Second, true, true}} {
-		if got := p.Hold(before(c.since), now); got != c.park {
+		if got := p.ShouldPark(before(c.since), now); got != c.park {
 			t.Errorf("idle for %v: ShouldPark %v", c.since, got)
 		}
-		if got := p.Close(before(c.since), now); got != c.close {
+		if got := p.ShouldClose(before(c.since), now); got != c.close {
 			t.Errorf("idle for %v: ShouldClose %v", c.since, got)
 		}
 	}
-	if (Pace{Timeout: time.Second}).Hold(before(time.Hour), now) {
+	if (Policy{Timeout: time.Second}).ShouldPark(before(time.Hour), now) {
 		t.Error("parked though parking is disabled")
 	}
 	// 200,000 connections that are due at once are closed within 30 s, and no step closes over a hundredth of them.
 	steps := 0
 	for left := 200_000; left > 0; steps++ {
-		n := p.Batch(left)
+		n := p.BatchSize(left)
 		if n > 2000 {
 			t.Fatalf("%d connections in one step", n)
 		}
 		left -= min(n, left)
 	}
-	if took := time.Duration(steps) * p.Every(); took > 30*time.Second {
+	if took := time.Duration(steps) * p.CheckInterval(); took > 30*time.Second {
 		t.Errorf("all connections are closed after %v", took)
 	}
 }
@@ -46,7 +46,7 @@
 // waiter reports each call to a channel.
 type waiter struct{ notified chan struct{} }
 
-func (w waiter) Woken() { w.notified <- struct{}{} }
+func (w waiter) SocketReady() { w.notified <- struct{}{} }
 
 // socketPair returns both ends of a TCP connection.
 func socketPair(t *testing.T) (ours *net.TCPConn, theirs net.Conn) {
@@ -67,9 +67,9 @@
 	return c.(*net.TCPConn), theirs
 }
 
-func startPoller(t *testing.T) *Lot {
+func startPoller(t *testing.T) *Poller {
 	t.Helper()
-	l, err := NewLot()
+	l, err := NewPoller()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 		if round%2 == 0 { // write before the socket is parked, or else after
 			theirs.Write([]byte("hold"))
 		}
-		key, err := l.Hold(ours, w)
+		key, err := l.Park(ours, w)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -100,7 +100,7 @@
 			theirs.Write([]byte("hold"))
 		}
 		<-w.notified
-		if ours, err = l.Take(key); err != nil {
+		if ours, err = l.Unpark(key); err != nil {
 			t.Fatal(err)
 		}
 		b := make([]byte, 10)
@@ -118,7 +118,7 @@
 	l := startPoller(t)
 	w := waiter{make(chan struct{}, 10)}
 	ours, theirs := socketPair(t)
-	key, err := l.Hold(ours, w)
+	key, err := l.Park(ours, w)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,11 +126,11 @@
 	<-w.notified
 	l.Drop(key)
 	l.Drop(key)
-	if _, err := l.Take(key); err == nil {
+	if _, err := l.Unpark(key); err == nil {
 		t.Error("Unpark returned a dropped socket")
 	}
 	ours, theirs = socketPair(t)
-	if _, err = l.Hold(ours, w); err != nil {
+	if _, err = l.Park(ours, w); err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
@@ -139,7 +139,7 @@
 		t.Error("a parked socket is open after Close")
 	}
 	ours, theirs = socketPair(t)
-	if _, err = l.Hold(ours, w); err == nil {
+	if _, err = l.Park(ours, w); err == nil {
 		t.Error("a closed poller accepts a socket")
 	}
 	if _, err := theirs.Read(make([]byte, 1)); err == nil {
--- a/internal/idle/lot.go
+++ b/internal/idle/lot.go
@@ -13,21 +13,21 @@
 
 // Handler is notified when its parked socket has bytes to read or its connection has ended. Run makes the calls, one
 // at a time, so they must not block for long.
-type Waiter interface{ Woken() }
+type Handler interface{ SocketReady() }
 
 // Poller is a set of parked, idle sockets. It is safe for concurrent use.
-type Lot struct {
+type Poller struct {
 	epoll *os.File // the epoll set, which the runtime's poller watches: no thread blocks in it
 	raw   syscall.RawConn
 	fd    int
 
 	mu     sync.Mutex
-	parked map[int32]Waiter // by descriptor
+	parked map[int32]Handler // by descriptor
 	closed bool
 }
 
 // NewPoller returns an empty Poller. The caller must call Run, which returns after Close.
-func NewLot() (*Lot, error) {
+func NewPoller() (*Poller, error) {
 	fd, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("idle connections: %w", os.NewSyscallError("epoll_create1", err))
@@ -36,7 +36,7 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("idle connections: %w", os.NewSyscallError("fcntl", err))
 	}
-	l := &Lot{epoll: os.NewFile(uintptr(fd), "epoll"), fd: fd, parked: map[int32]Waiter{}}
+	l := &Poller{epoll: os.NewFile(uintptr(fd), "epoll"), fd: fd, parked: map[int32]Handler{}}
 	if l.raw, err = l.epoll.SyscallConn(); err != nil {
 		l.epoll.Close()
 		return nil, fmt.Errorf("idle connections: %w", err)
@@ -48,7 +48,7 @@
 
 // Park takes over a socket and returns the key that identifies it until Unpark or Drop. c is closed in any case; after an
 // error, the socket itself is closed, too.
-func (l *Lot) Hold(c *net.TCPConn, w Waiter) (key int32, err error) {
+func (l *Poller) Park(c *net.TCPConn, w Handler) (key int32, err error) {
 	defer c.Close()
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -79,7 +79,7 @@
 }
 
 // Unpark removes a parked socket and returns it as a connection.
-func (l *Lot) Take(key int32) (*net.TCPConn, error) {
+func (l *Poller) Unpark(key int32) (*net.TCPConn, error) {
 	l.mu.Lock()
 	_, parked := l.parked[key]
 	delete(l.parked, key)
@@ -100,7 +100,7 @@
 }
 
 // Drop closes a parked socket.
-func (l *Lot) Drop(key int32) {
+func (l *Poller) Drop(key int32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, parked := l.parked[key]; parked {
@@ -110,7 +110,7 @@
 }
 
 // Len returns the number of parked sockets.
-func (l *Lot) Len() int {
+func (l *Poller) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.parked)
@@ -118,7 +118,7 @@
 
 // Run calls the handlers of sockets that have bytes to read or whose connection has ended, until Close. Each handler is called
 // at most once per Park.
-func (l *Lot) Run() error {
+func (l *Poller) Run() error {
 	events := make([]unix.EpollEvent, 128)
 	for {
 		n := 0
@@ -143,20 +143,20 @@
 			w := l.parked[e.Fd]
 			l.mu.Unlock()
 			if w != nil { // nil if the socket has been removed meanwhile
-				w.Woken()
+				w.SocketReady()
 			}
 		}
 	}
 }
 
-func (l *Lot) isClosed() bool {
+func (l *Poller) isClosed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.closed
 }
 
 // Close closes all parked sockets and ends Run.
-func (l *Lot) Close() {
+func (l *Poller) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
--- a/internal/idle/pace.go
+++ b/internal/idle/pace.go
@@ -8,21 +8,23 @@
 // Policy decides when idle connections are parked in a Poller, when they are closed, and how many at a time. It performs
 // no I/O. All connections have the same timeouts, so a list in the order in which they became idle replaces timers: its
 // front is due first, and adding a connection costs the same however many there are.
-type Pace struct {
-	After   time.Duration // idle time after which a connection is parked; 0 for never
-	Timeout time.Duration // idle time after which a connection is closed
+type Policy struct {
+	ParkAfter time.Duration // idle time after which a connection is parked; 0 for never
+	Timeout   time.Duration // idle time after which a connection is closed
 }
 
 // CheckInterval returns the interval between checks for due connections: a small part of ParkAfter, within bounds.
-func (p Pace) Every() time.Duration {
-	return min(max(p.After/8, 5*time.Millisecond), 50*time.Millisecond)
+func (p Policy) CheckInterval() time.Duration {
+	return min(max(p.ParkAfter/8, 5*time.Millisecond), 50*time.Millisecond)
 }
 
 // ShouldPark reports whether a connection that has been idle since the given time is to be parked now.
-func (p Pace) Hold(since, now time.Time) bool { return p.After > 0 && now.Sub(since) >= p.After }
+func (p Policy) ShouldPark(since, now time.Time) bool {
+	return p.ParkAfter > 0 && now.Sub(since) >= p.ParkAfter
+}
 
 // ShouldClose reports whether a connection that has been idle since the given time is to be closed now.
-func (p Pace) Close(since, now time.Time) bool { return now.Sub(since) >= p.Timeout }
+func (p Policy) ShouldClose(since, now time.Time) bool { return now.Sub(since) >= p.Timeout }
 
 const (
 	minBatch     = 64
@@ -33,4 +35,4 @@
 // microseconds, during which nothing else runs on a machine with one core. If 200,000 connections are due within the same
 // second, they are closed in steps of at most 1,626 over some 21 s, and busy connections are served in between. A
 // connection that is due and not closed yet stays usable.
-func (p Pace) Batch(n int) int { return minBatch + n/batchDivisor }
+func (p Policy) BatchSize(n int) int { return minBatch + n/batchDivisor }
--- a/internal/restart/restart.go
+++ b/internal/restart/restart.go
@@ -41,7 +41,7 @@
 func New() *Restart { return &Restart{expired: make(chan struct{})} }
 
 // Expired returns a channel that is closed when all open requests must be answered.
-func (r *Restart) Over() <-chan struct{} { return r.expired }
+func (r *Restart) Expired() <-chan struct{} { return r.expired }
 
 // Begin starts the restart. Further calls have no effect.
 func (r *Restart) Begin() {
@@ -53,13 +53,13 @@
 func (r *Restart) HandOver() { r.handedOver.Store(true) }
 
 // LatencyP95 returns the estimated 95th percentile of response times.
-func (r *Restart) Usual() time.Duration { return r.latencyP95.value() }
+func (r *Restart) LatencyP95() time.Duration { return r.latencyP95.value() }
 
 // LongestDeadline returns the longest time that any caller was ready to wait for a response.
-func (r *Restart) Longest() time.Duration { return time.Duration(r.longestDeadline.Load()) }
+func (r *Restart) LongestDeadline() time.Duration { return time.Duration(r.longestDeadline.Load()) }
 
 // Restore sets the statistics that another process has collected.
-func (r *Restart) Resume(longestDeadline, latencyP95 time.Duration) {
+func (r *Restart) Restore(longestDeadline, latencyP95 time.Duration) {
 	r.longestDeadline.Store(int64(longestDeadline))
 	r.latencyP95.ns.Store(int64(latencyP95))
 }
@@ -89,7 +89,7 @@
 
 // RequestTimeCap returns how long a request may take so that its response is sent before SIGKILL, or 0 if the restart has
 // not begun. left is the request's remaining time, from which LongestDeadline is determined until then.
-func (r *Restart) Cap(left time.Duration) time.Duration {
+func (r *Restart) RequestTimeCap(left time.Duration) time.Duration {
 	if begun := r.begun.Load(); begun != nil {
 		return max(r.endTime()-time.Since(*begun), time.Millisecond)
 	}
@@ -101,7 +101,7 @@
 }
 
 // ObserveLatency records how long a successful request took.
-func (r *Restart) Answered(took time.Duration) { r.latencyP95.observe(took) }
+func (r *Restart) ObserveLatency(took time.Duration) { r.latencyP95.observe(took) }
 
 // Run performs a planned restart from beginning to end. allGone reports whether no caller is connected or connecting; with
 // closeIdle, it closes idle connections first. Run returns whether all callers have disconnected. http.Server.Shutdown is
--- a/internal/restart/restart_test.go
+++ b/internal/restart/restart_test.go
@@ -24,8 +24,8 @@
 	} {
 		l := New()
 		if c.longest > 0 {
-			l.Cap(c.longest)
-			l.Answered(c.took)
+			l.RequestTimeCap(c.longest)
+			l.ObserveLatency(c.took)
 		}
 		if got := l.serveTime(); got != c.want {
 			t.Errorf("%s: served for %v, want %v", c.name, got, c.want)
@@ -58,14 +58,14 @@
 // TestTimeIsCappedOnceBegun checks that a request's time is not capped before the restart, and ends before the restart's end afterwards.
 func TestTimeIsCappedOnceBegun(t *testing.T) {
 	l := New()
-	if got := l.Cap(2 * time.Second); got != 0 {
+	if got := l.RequestTimeCap(2 * time.Second); got != 0 {
 		t.Errorf("before the restart, the time of a request with 2 s left is capped to %v", got)
 	}
 	l.Begin()
-	if got := l.Cap(10 * time.Second); got > l.endTime() {
+	if got := l.RequestTimeCap(10 * time.Second); got > l.endTime() {
 		t.Errorf("during the restart, the time is capped to %v, past the end in %v", got, l.endTime())
 	}
-	if got := l.Cap(50 * ms); got <= 0 || got > l.endTime() {
+	if got := l.RequestTimeCap(50 * ms); got <= 0 || got > l.endTime() {
 		t.Errorf("during the restart, the time of a request with 50 ms left is capped to %v", got)
 	}
 }
@@ -76,7 +76,7 @@
 	const exitTime = 50 * time.Millisecond
 	for _, longest := range []time.Duration{0, 20 * ms, 200 * ms, minAcceptTime, time.Second, 3 * time.Second, 10 * time.Second} {
 		l := New()
-		l.Cap(longest)
+		l.RequestTimeCap(longest)
 		kill := min(longest, 3*time.Second) + 700*ms
 		if last := l.endTime() + lastWriteTime + exitTime; last > kill {
 			t.Errorf("deadline %v: ends after %v, SIGKILL after %v", longest, last, kill)
