--- a/internal/backends/exchange.go
+++ b/internal/backends/exchange.go
@@ -139,19 +139,19 @@
 		p.discardAnswer(c, resp)
 		return outcome, nil
 	}
-	text, whole, err := c.readAnswer(resp)
+	data, whole, err := c.readAnswer(resp)
 	if err != nil {
 		c.discard()
 		return c.brokenOutcome(ctx), nil
 	}
 	if whole {
 		p.release(c)
-		return balance.OK, &Reply{Header: resp.Header, Body: text, Length: int64(len(text))}
+		return balance.OK, &Reply{Header: resp.Header, Body: data, Length: int64(len(data))}
 	}
 	c.startStreaming()
 	c.streamingAnswer.Store(true)
-	remainder := &Remainder{reader: &limitedReader{resp.Body, body.MaxBytes - int64(len(text))}, result: make(chan error, 1)}
-	if !a.Started(&Reply{Header: resp.Header, Body: text, Length: resp.ContentLength, Remainder: remainder}) {
+	remainder := &Remainder{reader: &limitedReader{resp.Body, body.MaxBytes - int64(len(data))}, result: make(chan error, 1)}
+	if !a.Started(&Reply{Header: resp.Header, Body: data, Length: resp.ContentLength, Remainder: remainder}) {
 		c.discard()
 		return c.brokenOutcome(ctx), nil
 	}
@@ -188,41 +188,41 @@
 // readAnswer reads a complete response, or the beginning of one that is too long or too slow to be buffered. A truncated
 // response must not be taken for a complete one, so its end must be given by either a length or chunks, not both, or else
 // by an orderly close of the connection (RFC 9112, section 6.3), not a reset. A response over body.MaxBytes is an error.
-func (c *conn) readAnswer(resp *http.Response) (text []byte, whole bool, err error) {
+func (c *conn) readAnswer(resp *http.Response) (data []byte, whole bool, err error) {
 	switch {
 	case resp.ContentLength > body.MaxBytes:
 		return nil, false, body.ErrTooLarge
 	case resp.ContentLength < 0 && resp.TransferEncoding == nil:
 		// It is buffered to its end, up to MaxBufferedBytes, before any of it is forwarded: garbage after a response head looks
 		// the same, and does not end.
-		text, whole, err = body.ReadAtMost(resp.Body, body.MaxBufferedBytes, func() bool { return true })
+		data, whole, err = body.ReadAtMost(resp.Body, body.MaxBufferedBytes, func() bool { return true })
 		if err != nil {
 			return nil, false, fmt.Errorf("answer: %w", err)
 		}
-		return text, whole, nil
+		return data, whole, nil
 	case resp.ContentLength < 0 && !c.framing.Chunked():
 		return nil, false, errFraming
 	case resp.ContentLength > body.MaxBufferedBytes:
-		text = make([]byte, firstBytes)
-		n, err := resp.Body.Read(text)
+		data = make([]byte, firstBytes)
+		n, err := resp.Body.Read(data)
 		if n == 0 {
 			return nil, false, fmt.Errorf("answer: %w", err)
 		}
-		return text[:n], false, nil
+		return data[:n], false, nil
 	case resp.ContentLength >= 0:
-		text := make([]byte, resp.ContentLength)
-		if _, err := io.ReadFull(resp.Body, text); err != nil {
+		data := make([]byte, resp.ContentLength)
+		if _, err := io.ReadFull(resp.Body, data); err != nil {
 			return nil, false, fmt.Errorf("answer: %w", err)
 		}
 		_, err := io.Copy(io.Discard, resp.Body) // reads the end of the body, which makes the connection available again
-		return text, true, err
+		return data, true, err
 	}
 	begun := time.Now()
-	text, whole, err = body.ReadAtMost(resp.Body, body.MaxBufferedBytes, func() bool { return time.Since(begun) < streamAfter })
+	data, whole, err = body.ReadAtMost(resp.Body, body.MaxBufferedBytes, func() bool { return time.Since(begun) < streamAfter })
 	if err != nil {
 		return nil, false, fmt.Errorf("answer: %w", err)
 	}
-	return text, whole, nil
+	return data, whole, nil
 }
 
 // firstBytes is the size of the buffer for the first read of a long response, before any of it is forwarded.
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -40,26 +40,26 @@
 }
 
 // RequestStarted counts a request that is admitted. RequestEnded must follow.
-func (b *Counters) RequestStarted() { b.active.Add(1) }
+func (cs *Counters) RequestStarted() { cs.active.Add(1) }
 
 // RequestEnded counts the end of an admitted request.
-func (b *Counters) RequestEnded() { b.active.Add(-1) }
+func (cs *Counters) RequestEnded() { cs.active.Add(-1) }
 
 // CountOutcome counts the single outcome of a request, whether it was admitted or rejected at the admission gate.
-func (b *Counters) CountOutcome(class int, o Outcome) { b.classes[class].byOutcome[o].Add(1) }
+func (cs *Counters) CountOutcome(class int, o Outcome) { cs.classes[class].byOutcome[o].Add(1) }
 
 // CountTry counts an attempt that was written completely to a backend.
-func (b *Counters) CountTry(class int) { b.classes[class].tries.Add(1) }
+func (cs *Counters) CountTry(class int) { cs.classes[class].tries.Add(1) }
 
 // Active returns the number of admitted requests that have not ended.
-func (b *Counters) Active() int64 { return b.active.Load() }
+func (cs *Counters) Active() int64 { return cs.active.Load() }
 
 // Counts holds the counts of one class.
 type Counts struct{ OK, Shed, Errors, Tries int64 }
 
 // Class returns the counts of a class.
-func (b *Counters) Class(n int) Counts {
-	c := &b.classes[n]
+func (cs *Counters) Class(n int) Counts {
+	c := &cs.classes[n]
 	return Counts{c.byOutcome[Served].Load(), c.byOutcome[Refused].Load(), c.byOutcome[Failed].Load(), c.tries.Load()}
 }
 
@@ -83,19 +83,19 @@
 }
 
 // Append appends all figures to text, one per line. It includes classes that have no requests yet.
-func (b *Counters) Append(text []byte, p Pool) []byte {
+func (cs *Counters) Append(text []byte, p Pool) []byte {
 	line := func(name string, value int64, kind byte) {
 		text = AppendLine(text, name, value, kind)
 	}
-	for n, name := range b.names {
-		c := b.Class(n)
+	for n, name := range cs.names {
+		c := cs.Class(n)
 		name = separators.Replace(name)
 		line("ok."+name, c.OK, 'c')
 		line("shed."+name, c.Shed, 'c')
 		line("errors."+name, c.Errors, 'c')
 		line("tries."+name, c.Tries, 'c')
 	}
-	line("active", b.Active(), 'g')
+	line("active", cs.Active(), 'g')
 	line("pool_size", int64(p.Size), 'g')
 	line("pool_ejected", int64(p.Ejected), 'g')
 	return text
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -60,13 +60,13 @@
 	if err := Write(&b, Message{Kind: StateReply, State: testState()}); err != nil {
 		t.Fatal(err)
 	}
-	sound := b.Bytes()
-	for i := range sound {
-		if _, err := Read(bytes.NewReader(sound[:i])); err == nil {
-			t.Fatalf("truncated after %d of %d bytes: accepted", i, len(sound))
+	valid := b.Bytes()
+	for i := range valid {
+		if _, err := Read(bytes.NewReader(valid[:i])); err == nil {
+			t.Fatalf("truncated after %d of %d bytes: accepted", i, len(valid))
 		}
 		for bit := range 8 {
-			damaged := bytes.Clone(sound)
+			damaged := bytes.Clone(valid)
 			damaged[i] ^= 1 << bit
 			if _, err := Read(bytes.NewReader(damaged)); err == nil {
 				t.Fatalf("byte %d, bit %d flipped: accepted", i, bit)
@@ -80,8 +80,8 @@
 	Write(&b, Message{Kind: StateReply, State: testState()})
 	f.Add(b.Bytes())
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0})
-	f.Fuzz(func(t *testing.T, text []byte) {
-		m, err := Read(bytes.NewReader(text))
+	f.Fuzz(func(t *testing.T, payload []byte) {
+		m, err := Read(bytes.NewReader(payload))
 		if err != nil {
 			return
 		}
@@ -124,10 +124,10 @@
 			Write(&b, Message{Kind: kind, State: testState()})
 			if version != 1 {
 				// The version is the first field, encoded as key 1 and a small integer.
-				text := b.Bytes()[sealed.HeadBytes:]
-				at := bytes.Index(text, []byte{1, 1})
-				text[at+1] = byte(version)
-				b2 := frame(text)
+				payload := b.Bytes()[sealed.HeadBytes:]
+				at := bytes.Index(payload, []byte{1, 1})
+				payload[at+1] = byte(version)
+				b2 := frame(payload)
 				c.Write(b2)
 				return
 			}
@@ -159,8 +159,8 @@
 			t.Parallel()
 			dir := t.TempDir()
 			serveAsOldProcess(t, dir, reply)
-			peer, k, err := Connect(dir, "n1")
-			if peer != nil || k != nil {
+			peer, state, err := Connect(dir, "n1")
+			if peer != nil || state != nil {
 				peer.Close()
 				t.Fatal("state was taken over")
 			}
@@ -171,11 +171,11 @@
 	}
 }
 
-func frame(text []byte) []byte {
-	b := make([]byte, sealed.HeadBytes, sealed.HeadBytes+len(text))
-	binary.BigEndian.PutUint32(b, uint32(len(text)))
-	binary.BigEndian.PutUint32(b[4:], crc(text))
-	return append(b, text...)
+func frame(payload []byte) []byte {
+	b := make([]byte, sealed.HeadBytes, sealed.HeadBytes+len(payload))
+	binary.BigEndian.PutUint32(b, uint32(len(payload)))
+	binary.BigEndian.PutUint32(b[4:], crc(payload))
+	return append(b, payload...)
 }
 
 func TestNoRunningProcessIsNoError(t *testing.T) {
@@ -215,9 +215,9 @@
 		Write(c, Message{Kind: StateReply, State: second})
 		io.Copy(io.Discard, c)
 	})
-	peer, k, err := Connect(dir, "n1")
-	if err != nil || k == nil || k.Seq != 99 {
-		t.Fatalf("%+v, %v", k, err)
+	peer, state, err := Connect(dir, "n1")
+	if err != nil || state == nil || state.Seq != 99 {
+		t.Fatalf("%+v, %v", state, err)
 	}
 	peer.Close()
 }
@@ -280,4 +280,4 @@
 	serving.Wait()
 }
 
-func crc(text []byte) uint32 { return crc32.Checksum(text, crc32.MakeTable(crc32.Castagnoli)) }
+func crc(payload []byte) uint32 { return crc32.Checksum(payload, crc32.MakeTable(crc32.Castagnoli)) }
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -78,20 +78,20 @@
 // Write writes a message with a single write.
 func Write(w io.Writer, m Message) error {
 	m.Version = version
-	text, err := cbor.Marshal(m)
+	payload, err := cbor.Marshal(m)
 	if err != nil {
 		return fmt.Errorf("handover: %w", err)
 	}
-	if len(text) > maxBytes {
+	if len(payload) > maxBytes {
 		return ErrTooLong
 	}
-	return sealed.Write(w, text)
+	return sealed.Write(w, payload)
 }
 
 // Read reads one message. It allocates memory as bytes arrive, not according to the announced size.
 func Read(r io.Reader) (Message, error) {
 	var m Message
-	text, err := sealed.Read(r, maxBytes)
+	payload, err := sealed.Read(r, maxBytes)
 	switch {
 	case errors.Is(err, sealed.ErrChecksum):
 		return m, ErrChecksum
@@ -100,7 +100,7 @@
 	case err != nil:
 		return m, err
 	}
-	if err := decMode.Unmarshal(text, &m); err != nil {
+	if err := decMode.Unmarshal(payload, &m); err != nil {
 		return m, fmt.Errorf("handover: %w", err)
 	}
 	if m.Version != version {
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -20,10 +20,10 @@
 // StateRequested records that a new process has requested the state, and returns this process's share from now on. conns is
 // the number of callers' connections that this process has, and maxConns their limit. It need not close any of them, because
 // a caller may be sending a request on each one.
-func (e *OldProcess) StateRequested(conns, maxConns int) Share {
-	e.stateRequested, e.successorReady = true, false
+func (o *OldProcess) StateRequested(conns, maxConns int) Share {
+	o.stateRequested, o.successorReady = true, false
 	share := Share{min(max(half, heldShare(conns, maxConns)), 1), half}
-	if e.shuttingDown {
+	if o.shuttingDown {
 		share.Other = 0
 	}
 	return share
@@ -32,20 +32,20 @@
 func heldShare(conns, maxConns int) float64 { return float64(conns) / float64(max(maxConns, 1)) }
 
 // SuccessorReady records that the new process accepts clients.
-func (e *OldProcess) SuccessorReady() { e.successorReady = e.stateRequested }
+func (o *OldProcess) SuccessorReady() { o.successorReady = o.stateRequested }
 
 // SuccessorGone records that the new process has gone. Unless this process is already shutting down, it is the only one again,
 // whatever the other has reported before.
-func (e *OldProcess) SuccessorGone() Share {
-	e.stateRequested, e.successorReady = false, false
+func (o *OldProcess) SuccessorGone() Share {
+	o.stateRequested, o.successorReady = false, false
 	return FullShare
 }
 
 // Shutdown records that this process is to shut down. It reports whether another process accepts the callers. In that case
 // this one accepts no more of them, and closes their connections after the next response so that they reconnect to the other.
-func (e *OldProcess) Shutdown() (handedOver bool) {
-	e.shuttingDown = true
-	return e.successorReady
+func (o *OldProcess) Shutdown() (handedOver bool) {
+	o.shuttingDown = true
+	return o.successorReady
 }
 
 // minCallers is a new process's minimum share of the callers' connections.
--- a/internal/handover/state_test.go
+++ b/internal/handover/state_test.go
@@ -3,46 +3,46 @@
 import "testing"
 
 func TestOldProcess(t *testing.T) {
-	var e OldProcess
-	if e.Shutdown() {
+	var o OldProcess
+	if o.Shutdown() {
 		t.Error("handed over without a new process")
 	}
-	e = OldProcess{}
-	if p := e.StateRequested(10, 100); p != (Share{0.5, 0.5}) {
+	o = OldProcess{}
+	if p := o.StateRequested(10, 100); p != (Share{0.5, 0.5}) {
 		t.Errorf("with a new process: %+v", p)
 	}
-	if e.Shutdown() {
+	if o.Shutdown() {
 		t.Error("handed over to a process that is not ready")
 	}
-	e = OldProcess{}
-	e.StateRequested(10, 100)
-	e.SuccessorReady()
-	if p := e.SuccessorGone(); p != FullShare {
+	o = OldProcess{}
+	o.StateRequested(10, 100)
+	o.SuccessorReady()
+	if p := o.SuccessorGone(); p != FullShare {
 		t.Errorf("after the end of the new process: %+v", p)
 	}
-	if e.Shutdown() {
+	if o.Shutdown() {
 		t.Error("handed over to a process that has ended")
 	}
-	e = OldProcess{}
-	e.SuccessorReady() // from a process that has not requested the state
-	if e.Shutdown() {
+	o = OldProcess{}
+	o.SuccessorReady() // from a process that has not requested the state
+	if o.Shutdown() {
 		t.Error("handed over to a process that has not requested the state")
 	}
-	e = OldProcess{}
-	e.StateRequested(10, 100)
-	e.SuccessorReady()
-	if !e.Shutdown() {
+	o = OldProcess{}
+	o.StateRequested(10, 100)
+	o.SuccessorReady()
+	if !o.Shutdown() {
 		t.Error("not handed over")
 	}
-	if p := e.StateRequested(10, 100); p.Other != 0 {
+	if p := o.StateRequested(10, 100); p.Other != 0 {
 		t.Errorf("a process that shuts down keeps %+v", p)
 	}
 	// A second new process replaces the first.
-	e = OldProcess{}
-	e.StateRequested(1, 100)
-	e.SuccessorReady()
-	e.StateRequested(1, 100)
-	if e.Shutdown() {
+	o = OldProcess{}
+	o.StateRequested(1, 100)
+	o.SuccessorReady()
+	o.StateRequested(1, 100)
+	if o.Shutdown() {
 		t.Error("the first process's Ready counted for the second")
 	}
 }
@@ -51,8 +51,8 @@
 func TestSharesDoNotExceedTheWhole(t *testing.T) {
 	const maxConns = 100
 	for conns := range 3 * maxConns / 2 {
-		var e OldProcess
-		old, next := e.StateRequested(conns, maxConns), NewProcessShare(conns, maxConns)
+		var o OldProcess
+		old, next := o.StateRequested(conns, maxConns), NewProcessShare(conns, maxConns)
 		if float64(conns) <= maxConns && old.Callers*maxConns < float64(conns)-0.001 {
 			t.Errorf("%d connections: the old process may keep %.0f", conns, old.Callers*maxConns)
 		}
--- a/internal/idle/idle_test.go
+++ b/internal/idle/idle_test.go
@@ -44,9 +44,9 @@
 }
 
 // waiter reports each call to a channel.
-type waiter struct{ notified chan struct{} }
+type testHandler struct{ notified chan struct{} }
 
-func (w waiter) SocketReady() { w.notified <- struct{}{} }
+func (w testHandler) SocketReady() { w.notified <- struct{}{} }
 
 // socketPair returns both ends of a TCP connection.
 func socketPair(t *testing.T) (ours *net.TCPConn, theirs net.Conn) {
@@ -69,38 +69,38 @@
 
 func startPoller(t *testing.T) *Poller {
 	t.Helper()
-	l, err := NewPoller()
+	p, err := NewPoller()
 	if err != nil {
 		t.Fatal(err)
 	}
 	var all sync.WaitGroup
 	all.Go(func() {
-		if err := l.Run(); err != nil {
+		if err := p.Run(); err != nil {
 			t.Error(err)
 		}
 	})
-	t.Cleanup(func() { l.Close(); all.Wait() })
-	return l
+	t.Cleanup(func() { p.Close(); all.Wait() })
+	return p
 }
 
 // TestParkedSocketsKeepTheirData parks and unparks a socket repeatedly, with bytes that arrive before or after it is parked.
 func TestParkedSocketsKeepTheirData(t *testing.T) {
-	l := startPoller(t)
+	p := startPoller(t)
 	ours, theirs := socketPair(t)
-	w := waiter{make(chan struct{}, 10)}
+	h := testHandler{make(chan struct{}, 10)}
 	for round := range 20 {
 		if round%2 == 0 { // write before the socket is parked, or else after
 			theirs.Write([]byte("hold"))
 		}
-		key, err := l.Park(ours, w)
+		key, err := p.Park(ours, h)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if round%2 == 1 {
 			theirs.Write([]byte("hold"))
 		}
-		<-w.notified
-		if ours, err = l.Unpark(key); err != nil {
+		<-h.notified
+		if ours, err = p.Unpark(key); err != nil {
 			t.Fatal(err)
 		}
 		b := make([]byte, 10)
@@ -108,38 +108,38 @@
 			t.Fatalf("%q, %v", b[:n], err)
 		}
 	}
-	if len(w.notified) > 0 || l.Len() > 0 {
-		t.Errorf("%d surplus notifications, %d sockets parked", len(w.notified), l.Len())
+	if len(h.notified) > 0 || p.Len() > 0 {
+		t.Errorf("%d surplus notifications, %d sockets parked", len(h.notified), p.Len())
 	}
 	ours.Close()
 }
 
 func TestClosingOfParkedSockets(t *testing.T) {
-	l := startPoller(t)
-	w := waiter{make(chan struct{}, 10)}
+	p := startPoller(t)
+	h := testHandler{make(chan struct{}, 10)}
 	ours, theirs := socketPair(t)
-	key, err := l.Park(ours, w)
+	key, err := p.Park(ours, h)
 	if err != nil {
 		t.Fatal(err)
 	}
 	theirs.Close()
-	<-w.notified
-	l.Drop(key)
-	l.Drop(key)
-	if _, err := l.Unpark(key); err == nil {
+	<-h.notified
+	p.Drop(key)
+	p.Drop(key)
+	if _, err := p.Unpark(key); err == nil {
 		t.Error("Unpark returned a dropped socket")
 	}
 	ours, theirs = socketPair(t)
-	if _, err = l.Park(ours, w); err != nil {
+	if _, err = p.Park(ours, h); err != nil {
 		t.Fatal(err)
 	}
-	l.Close()
-	l.Close()
+	p.Close()
+	p.Close()
 	if _, err := theirs.Read(make([]byte, 1)); err == nil {
 		t.Error("a parked socket is open after Close")
 	}
 	ours, theirs = socketPair(t)
-	if _, err = l.Park(ours, w); err == nil {
+	if _, err = p.Park(ours, h); err == nil {
 		t.Error("a closed poller accepts a socket")
 	}
 	if _, err := theirs.Read(make([]byte, 1)); err == nil {
--- a/internal/idle/lot.go
+++ b/internal/idle/lot.go
@@ -36,19 +36,19 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("idle connections: %w", os.NewSyscallError("fcntl", err))
 	}
-	l := &Poller{epoll: os.NewFile(uintptr(fd), "epoll"), fd: fd, parked: map[int32]Handler{}}
-	if l.raw, err = l.epoll.SyscallConn(); err != nil {
-		l.epoll.Close()
+	p := &Poller{epoll: os.NewFile(uintptr(fd), "epoll"), fd: fd, parked: map[int32]Handler{}}
+	if p.raw, err = p.epoll.SyscallConn(); err != nil {
+		p.epoll.Close()
 		return nil, fmt.Errorf("idle connections: %w", err)
 	}
-	return l, nil
+	return p, nil
 }
 
 var errClosed = errors.New("the poller is closed or does not hold the socket")
 
 // Park takes over a socket and returns the key that identifies it until Unpark or Drop. c is closed in any case; after an
 // error, the socket itself is closed, too.
-func (l *Poller) Park(c *net.TCPConn, w Handler) (key int32, err error) {
+func (p *Poller) Park(c *net.TCPConn, h Handler) (key int32, err error) {
 	defer c.Close()
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -62,31 +62,31 @@
 	if err != nil {
 		return 0, os.NewSyscallError("fcntl", err)
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.closed {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
 		unix.Close(fd)
 		return 0, errClosed
 	}
 	key = int32(fd)
 	event := unix.EpollEvent{Events: unix.EPOLLIN | unix.EPOLLRDHUP | unix.EPOLLONESHOT, Fd: key}
-	if err := unix.EpollCtl(l.fd, unix.EPOLL_CTL_ADD, fd, &event); err != nil {
+	if err := unix.EpollCtl(p.fd, unix.EPOLL_CTL_ADD, fd, &event); err != nil {
 		unix.Close(fd)
 		return 0, os.NewSyscallError("epoll_ctl", err)
 	}
-	l.parked[key] = w
+	p.parked[key] = h
 	return key, nil
 }
 
 // Unpark removes a parked socket and returns it as a connection.
-func (l *Poller) Unpark(key int32) (*net.TCPConn, error) {
-	l.mu.Lock()
-	_, parked := l.parked[key]
-	delete(l.parked, key)
+func (p *Poller) Unpark(key int32) (*net.TCPConn, error) {
+	p.mu.Lock()
+	_, parked := p.parked[key]
+	delete(p.parked, key)
 	if parked {
-		unix.EpollCtl(l.fd, unix.EPOLL_CTL_DEL, int(key), nil)
+		unix.EpollCtl(p.fd, unix.EPOLL_CTL_DEL, int(key), nil)
 	}
-	l.mu.Unlock()
+	p.mu.Unlock()
 	if !parked {
 		return nil, errClosed
 	}
@@ -100,30 +100,30 @@
 }
 
 // Drop closes a parked socket.
-func (l *Poller) Drop(key int32) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if _, parked := l.parked[key]; parked {
-		delete(l.parked, key)
+func (p *Poller) Drop(key int32) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if _, parked := p.parked[key]; parked {
+		delete(p.parked, key)
 		unix.Close(int(key))
 	}
 }
 
 // Len returns the number of parked sockets.
-func (l *Poller) Len() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.parked)
+func (p *Poller) Len() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.parked)
 }
 
 // Run calls the handlers of sockets that have bytes to read or whose connection has ended, until Close. Each handler is called
 // at most once per Park.
-func (l *Poller) Run() error {
+func (p *Poller) Run() error {
 	events := make([]unix.EpollEvent, 128)
 	for {
 		n := 0
 		var failed error
-		err := l.raw.Read(func(fd uintptr) bool {
+		err := p.raw.Read(func(fd uintptr) bool {
 			for {
 				if n, failed = unix.EpollWait(int(fd), events, 0); failed != unix.EINTR {
 					return n != 0 || failed != nil
@@ -131,7 +131,7 @@
 			}
 		})
 		switch {
-		case err != nil && l.isClosed(): // a read of the closed file fails with an error that cannot be distinguished from others
+		case err != nil && p.isClosed(): // a read of the closed file fails with an error that cannot be distinguished from others
 			return nil
 		case err != nil:
 			return fmt.Errorf("idle connections: %w", err)
@@ -139,33 +139,33 @@
 			return fmt.Errorf("idle connections: %w", os.NewSyscallError("epoll_wait", failed))
 		}
 		for _, e := range events[:n] {
-			l.mu.Lock()
-			w := l.parked[e.Fd]
-			l.mu.Unlock()
-			if w != nil { // nil if the socket has been removed meanwhile
-				w.SocketReady()
+			p.mu.Lock()
+			h := p.parked[e.Fd]
+			p.mu.Unlock()
+			if h != nil { // nil if the socket has been removed meanwhile
+				h.SocketReady()
 			}
 		}
 	}
 }
 
-func (l *Poller) isClosed() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.closed
+func (p *Poller) isClosed() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.closed
 }
 
 // Close closes all parked sockets and ends Run.
-func (l *Poller) Close() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.closed {
+func (p *Poller) Close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
 		return
 	}
-	l.closed = true
-	for fd := range l.parked {
+	p.closed = true
+	for fd := range p.parked {
 		unix.Close(int(fd))
 	}
-	clear(l.parked)
-	l.epoll.Close()
+	clear(p.parked)
+	p.epoll.Close()
 }
--- a/internal/restart/restart_test.go
+++ b/internal/restart/restart_test.go
@@ -22,16 +22,16 @@
 		{"a deadline past what SIGKILL waits for", 10 * time.Second, 900 * ms, 2100 * ms},
 		{"a short deadline", 400 * ms, 10 * ms, 500 * ms},
 	} {
-		l := New()
+		r := New()
 		if c.longest > 0 {
-			l.RequestTimeCap(c.longest)
-			l.ObserveLatency(c.took)
+			r.RequestTimeCap(c.longest)
+			r.ObserveLatency(c.took)
 		}
-		if got := l.serveTime(); got != c.want {
+		if got := r.serveTime(); got != c.want {
 			t.Errorf("%s: served for %v, want %v", c.name, got, c.want)
 		}
-		if l.serveTime() > l.endTime() {
-			t.Errorf("%s: served for %v, past the end at %v", c.name, l.serveTime(), l.endTime())
+		if r.serveTime() > r.endTime() {
+			t.Errorf("%s: served for %v, past the end at %v", c.name, r.serveTime(), r.endTime())
 		}
 	}
 }
@@ -57,15 +57,15 @@
 
 // TestTimeIsCappedOnceBegun checks that a request's time is not capped before the restart, and ends before the restart's end afterwards.
 func TestTimeIsCappedOnceBegun(t *testing.T) {
-	l := New()
-	if got := l.RequestTimeCap(2 * time.Second); got != 0 {
+	r := New()
+	if got := r.RequestTimeCap(2 * time.Second); got != 0 {
 		t.Errorf("before the restart, the time of a request with 2 s left is capped to %v", got)
 	}
-	l.Begin()
-	if got := l.RequestTimeCap(10 * time.Second); got > l.endTime() {
-		t.Errorf("during the restart, the time is capped to %v, past the end in %v", got, l.endTime())
+	r.Begin()
+	if got := r.RequestTimeCap(10 * time.Second); got > r.endTime() {
+		t.Errorf("during the restart, the time is capped to %v, past the end in %v", got, r.endTime())
 	}
-	if got := l.RequestTimeCap(50 * ms); got <= 0 || got > l.endTime() {
+	if got := r.RequestTimeCap(50 * ms); got <= 0 || got > r.endTime() {
 		t.Errorf("during the restart, the time of a request with 50 ms left is capped to %v", got)
 	}
 }
@@ -75,10 +75,10 @@
 func TestEndsBeforeSIGKILL(t *testing.T) {
 	const exitTime = 50 * time.Millisecond
 	for _, longest := range []time.Duration{0, 20 * ms, 200 * ms, minAcceptTime, time.Second, 3 * time.Second, 10 * time.Second} {
-		l := New()
-		l.RequestTimeCap(longest)
+		r := New()
+		r.RequestTimeCap(longest)
 		kill := min(longest, 3*time.Second) + 700*ms
-		if last := l.endTime() + lastWriteTime + exitTime; last > kill {
+		if last := r.endTime() + lastWriteTime + exitTime; last > kill {
 			t.Errorf("deadline %v: ends after %v, SIGKILL after %v", longest, last, kill)
 		}
 	}
