--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -111,7 +111,7 @@
 
 // ReadAtMost reads r to its end, until more than limit bytes have been read, or until keepReading returns false. It calls
 // keepReading before each read. The buffer grows with the bytes received, so a sender that announces a long body and sends
-// nothing uses no memory. The read that reaches the end also makes net/http watch whether the caller disconnects.
+// nothing uses hardly any memory. The read that reaches the end also makes net/http watch whether the caller disconnects.
 func ReadAtMost(r io.Reader, limit int64, keepReading func() bool) (data []byte, complete bool, err error) {
 	data = make([]byte, 0, min(limit+1, 512))
 	for keepReading() {
--- a/internal/body/stream.go
+++ b/internal/body/stream.go
@@ -140,7 +140,8 @@
 	}
 }
 
-// CloseWithError ends the stream: Fill and Read return the error. Only the first call sets it.
+// CloseWithError ends the stream: Fill returns the error, and so does Read after the bytes that have arrived. Only the
+// first error is kept.
 func (s *Stream) CloseWithError(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/idle/idle_test.go
+++ b/internal/idle/idle_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// waiter reports each call to a channel.
+// testHandler reports each call to a channel.
 type testHandler struct{ notified chan struct{} }
 
 func (w testHandler) SocketReady() { w.notified <- struct{}{} }
--- a/internal/restart/restart.go
+++ b/internal/restart/restart.go
@@ -24,7 +24,8 @@
 	killMargin = 400 * time.Millisecond
 	// minServeShare and maxServeShare bound how long callers may continue to use their connections, as shares of the
 	// longest deadline. The proxy that was restarted before this one may not be ready yet, and then callers have no
-	// other. Between these bounds, the time ends early enough for nearly all of the last requests to be answered.
+	// other. Between these bounds, the time ends early enough for nearly all of the last requests to be
+	// answered before their deadline.
 	minServeShare, maxServeShare = 0.5, 0.8
 	// minAcceptTime is how long connections are accepted at least after SIGTERM, because new ones arrive for up to
 	// 0.4 s. It is shorter if all deadlines are so short that SIGKILL may come earlier.
