--- a/internal/backends/begin.go
+++ b/internal/backends/begin.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// permitValidity is how long an answer of Attempt.Begin may be used. Another goroutine writes the request's bytes, and the process may be
-	// stopped or starved of processor time between the two.
+	// permitValidity is how long an answer of Attempt.Begin may be used. Another goroutine writes the request's bytes,
+	// and the process may be stopped or starved of processor time between the two.
 	permitValidity = 10 * time.Millisecond
 	// announcedSlack is by how much the announced remaining time may exceed the actual one. The protocol allows 150 ms.
 	announcedSlack = 100 * time.Millisecond
@@ -33,8 +33,8 @@
 	return b, wanted
 }
 
-// revalidate asks the attempt again if the permit is older than permitValidity, and repeats this until an answer is recent enough. It returns
-// the reason if the request may not be written now.
+// revalidate asks the attempt again if the permit is older than permitValidity, and repeats this until an answer is
+// recent enough. It returns the reason if the request may not be written now.
 func (b *writePermit) revalidate() error {
 	for time.Since(b.checkedAt) >= permitValidity {
 		b.checkedAt = time.Now()
--- a/internal/backends/begin_test.go
+++ b/internal/backends/begin_test.go
@@ -39,8 +39,8 @@
 	}})
 }
 
-// exchangeAfterStall performs an attempt whose first write is stalled. It returns the outcome and the X-Remaining-Ms of each request that the
-// server received.
+// exchangeAfterStall performs an attempt whose first write is stalled. It returns the outcome and the X-Remaining-Ms of
+// each request that the server received.
 func exchangeAfterStall(t *testing.T, a *scriptedAttempt) (outcome balance.Outcome, sent []string) {
 	t.Helper()
 	const length = 300 * time.Millisecond // longer than the slack that the protocol allows
@@ -62,8 +62,8 @@
 	return outcome, sent
 }
 
-// TestNothingIsWrittenAfterAStallUnlessStillWanted guards against requests to a draining server, or for a caller that has disconnected. They
-// occurred when the process was stopped between the last check and the write.
+// TestNothingIsWrittenAfterAStallUnlessStillWanted guards against requests to a draining server, or for a caller that
+// has disconnected. They occurred when the process was stopped between the last check and the write.
 func TestNothingIsWrittenAfterAStallUnlessStillWanted(t *testing.T) {
 	a := &scriptedAttempt{left: []time.Duration{5 * time.Second, 0}}
 	outcome, sent := exchangeAfterStall(t, a)
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestRemainingTimeIsRecomputedAfterAStall guards against servers that continue to work on a request after the caller's deadline, because the
-// remaining time was computed before a stall of the proxy.
+// TestRemainingTimeIsRecomputedAfterAStall guards against servers that continue to work on a request after the caller's
+// deadline, because the remaining time was computed before a stall of the proxy.
 func TestRemainingTimeIsRecomputedAfterAStall(t *testing.T) {
 	const left = 700 * time.Millisecond
 	a := &scriptedAttempt{left: []time.Duration{time.Second, left}}
--- a/internal/backends/conn.go
+++ b/internal/backends/conn.go
@@ -31,7 +31,8 @@
 	lastWriteBegun atomic.Bool // the write with the request's last byte has started
 	class          int         // the request's class
 	fullyWritten   bool        // that write has succeeded and was reported; used by the writing goroutine
-	// permit is the attempt's permission to write its request. It is used by the writing goroutine, once the request is handed over to it.
+	// permit is the attempt's permission to write its request. It is used by the writing goroutine, once the request is
+	// handed over to it.
 	permit     writePermit
 	refusedErr atomic.Pointer[error] // why the request was not written, or not completely; nil if no write was refused
 	// streaming is set while a message is forwarded as it arrives. Each read of the response and each write may then
@@ -41,7 +42,7 @@
 	streamIdleTimeout time.Duration
 
 	// Guarded by pool.mu.
-	inRead         bool // a Read is in progress
+	inRead         bool // a Read is waiting on the socket
 	answerRead     bool // the response has been read; the connection is parked when the next Read begins
 	parked         bool
 	parkedAt       time.Time
@@ -85,8 +86,9 @@
 	return &u
 }
 
-// mayWrite checks the permit before the first byte of a request and before its last one; after a stall, this asks the attempt again. The last
-// byte of a streamed request isn't checked: it may follow seconds after the first one, and the server has the request by then.
+// mayWrite checks the permit before the first byte of a request and before its last one; after a stall, this asks the
+// attempt again. The last byte of a streamed request isn't checked: it may follow seconds after the first one, and the
+// server has the request by then.
 func (c *conn) mayWrite(last bool) error {
 	if c.writeBegun.Load() && (!last || c.streaming.Load() || c.fullyWritten) {
 		return nil
@@ -171,8 +173,8 @@
 	c.streaming.Store(true)
 }
 
-// readDeadline returns the deadline of a read while a message is streamed. While only the request is streamed, there is none: the
-// response may take all the time that the attempt has.
+// readDeadline returns the deadline of a read while a message is streamed. While only the request is streamed, there is
+// none: the response may take all the time that the attempt has.
 func (c *conn) readDeadline() time.Time {
 	if c.streamingAnswer.Load() {
 		return time.Now().Add(c.streamIdleTimeout)
@@ -200,8 +202,9 @@
 	c.answerDeadline = time.Time{}
 }
 
-// onAnswerTimer closes the connection if the response's next byte is overdue. Like idleTimer, answerTimer is not stopped when a
-// response ends: when it fires, it checks whether another response has begun, and continues for that one.
+// onAnswerTimer closes the connection if the response's next byte is overdue. Like idleTimer, answerTimer is not
+// stopped when a response ends: when it fires, it checks whether another response has begun, and continues for that
+// one.
 func (c *conn) onAnswerTimer() {
 	c.pool.mu.Lock()
 	c.answerTimerSet = false
@@ -220,7 +223,8 @@
 	}
 }
 
-// Close closes the socket and updates the pool's count of open connections. net/http calls it when it has finished with a connection.
+// Close closes the socket and updates the pool's count of open connections. net/http calls it when it has finished with
+// a connection.
 func (c *conn) Close() error {
 	c.pool.mu.Lock()
 	if !c.closed {
--- a/internal/backends/dial.go
+++ b/internal/backends/dial.go
@@ -32,9 +32,10 @@
 	})
 }
 
-// dialWithTimeout cancels a dial after the timeout, unless the connection is established by then. In a process that is starved of processor
-// time the timer may fire before the runtime reports the connection, and a server that accepted it at once would count as unreachable. It
-// asks the kernel about the connection, so it doesn't depend on why the report is late.
+// dialWithTimeout cancels a dial after the timeout, unless the connection is established by then. In a process that is
+// starved of processor time the timer may fire before the runtime reports the connection, and a server that accepted it
+// at once would count as unreachable. It asks the kernel about the connection, so it doesn't depend on why the report
+// is late.
 func dialWithTimeout(ctx context.Context, timeout time.Duration, connected func() bool, dial func(context.Context) (net.Conn, error)) (net.Conn, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/backends/dial_test.go
+++ b/internal/backends/dial_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// TestEstablishedConnectionIsNotCanceled guards against canceling a dial whose timeout fires after the connection is established, but before
-// the dialer learns of it.
+// TestEstablishedConnectionIsNotCanceled guards against canceling a dial whose timeout fires after the connection is
+// established, but before the dialer learns of it.
 func TestEstablishedConnectionIsNotCanceled(t *testing.T) {
 	ours, theirs := net.Pipe()
 	defer theirs.Close()
@@ -37,7 +37,8 @@
 	}
 }
 
-// TestConnectedReportsTheStateInTheKernel checks connected before the connection is established, while it is open, and after it is closed.
+// TestConnectedReportsTheStateInTheKernel checks connected before the connection is established, while it is open, and
+// after it is closed.
 func TestConnectedReportsTheStateInTheKernel(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/backends/exchange.go
+++ b/internal/backends/exchange.go
@@ -1,4 +1,5 @@
-// Package backends performs request attempts on connections to backends and reports their outcomes. It makes no balancing decisions.
+// Package backends performs request attempts on connections to backends and reports their outcomes. It makes no
+// balancing decisions.
 package backends
 
 import (
@@ -61,7 +62,8 @@
 // Close ends the attempt. err is nil if the response was read to its end, and otherwise ErrCallerLeft or the error of Read.
 func (r *Remainder) Close(err error) { r.result <- err }
 
-// Attempt receives the callbacks of one attempt. Unless noted otherwise, they are called by the goroutine that runs Exchange.
+// Attempt receives the callbacks of one attempt. Unless noted otherwise, they are called by the goroutine that runs
+// Exchange.
 type Attempt interface {
 	// Begin is called right before the request is written. It returns how long the proxy will wait for the response
 	// and whether the attempt is still wanted. After a stall before the write, the writing goroutine calls it again.
@@ -116,7 +118,8 @@
 	}
 }
 
-// connectFailed returns the outcome of an attempt that got no connection, and drops the endpoint's idle connections if it is unreachable.
+// connectFailed returns the outcome of an attempt that got no connection, and drops the endpoint's idle connections if
+// it is unreachable.
 func (p *Pool) connectFailed(ctx context.Context, to Endpoint, err error) balance.Outcome {
 	outcome := connectOutcome(ctx, err)
 	if outcome == balance.ConnectError {
@@ -187,14 +190,15 @@
 
 // readAnswer reads a complete response, or the beginning of one that is too long or too slow to be buffered. A truncated
 // response must not be taken for a complete one, so its end must be given by either a length or chunks, not both, or else
-// by an orderly close of the connection (RFC 9112, section 6.3), not a reset. A response over body.MaxBytes is an error.
+// by an orderly close of the connection (RFC 9112, section 6.3), not a reset. The protocol allows no
+// response over body.MaxBytes.
 func (c *conn) readAnswer(resp *http.Response) (data []byte, whole bool, err error) {
 	switch {
 	case resp.ContentLength > body.MaxBytes:
 		return nil, false, body.ErrTooLarge
 	case resp.ContentLength < 0 && resp.TransferEncoding == nil:
-		// It is buffered to its end, up to MaxBufferedBytes, before any of it is forwarded: garbage after a response head looks
-		// the same, and does not end.
+		// It is buffered to its end, up to MaxBufferedBytes, before any of it is forwarded: garbage after a response
+		// head looks the same, and does not end.
 		data, whole, err = body.ReadAtMost(resp.Body, body.MaxBufferedBytes, func() bool { return true })
 		if err != nil {
 			return nil, false, fmt.Errorf("answer: %w", err)
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -39,7 +39,8 @@
 	ConnIdle       time.Duration // idle time after which a backend closes a connection
 	// Control is called for each socket before it connects, like net.Dialer's field of this name.
 	Control func(network, address string, c syscall.RawConn) error
-	// OnWritten is called with the request's class once for each attempt whose request was written completely. It must not block.
+	// OnWritten is called with the request's class once for each attempt whose request was written completely. It must
+	// not block.
 	OnWritten func(class int)
 	Options   Options
 }
@@ -133,7 +134,7 @@
 	return c, nil
 }
 
-// release returns a connection without an outstanding response to the pool.
+// release returns a connection to the pool. No response may be outstanding on it.
 func (p *Pool) release(c *conn) {
 	c.clearAnswerDeadline()
 	if c.cc.Available() == 0 {
--- a/internal/backends/upgrade.go
+++ b/internal/backends/upgrade.go
@@ -30,7 +30,7 @@
 	if err := p.reserve(); err != nil {
 		return p.connectFailed(ctx, to, err), nil
 	}
-	defer p.unreserve() // channels have a limit of their own
+	defer p.unreserve() // channels are counted elsewhere
 	nc, err := p.dialAddress(ctx, to.Address)
 	if err != nil {
 		return p.connectFailed(ctx, to, err), nil
--- a/internal/body/stream_test.go
+++ b/internal/body/stream_test.go
@@ -211,7 +211,8 @@
 	}
 }
 
-// TestReleaseUnblocksWaiters releases streams while one Fill waits for its reader, another for its source, and a Read for bytes.
+// TestReleaseUnblocksWaiters releases streams while one Fill waits for its reader, another for its source, and a Read
+// for bytes.
 func TestReleaseUnblocksWaiters(t *testing.T) {
 	full := NewStream(-1, NewBudget(0))
 	var all sync.WaitGroup
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -18,8 +18,8 @@
 	numOutcomes
 )
 
-// classCounters holds the counters of one class. Many goroutines update them concurrently, mostly those of a few classes, so
-// each class has a cache line of its own.
+// classCounters holds the counters of one class. Many goroutines update them concurrently, mostly those of a few
+// classes, so each class has a cache line of its own.
 type classCounters struct {
 	byOutcome [numOutcomes]atomic.Int64
 	tries     atomic.Int64
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -1,5 +1,5 @@
 // Package handover transfers the state of a running proxy process to a new one. The processes connect through a Unix socket
-// and act as one proxy while both run. The decisions when each of them does what are in state.go, which performs no I/O.
+// and act as one proxy while both run. state.go decides what each of them does and when, and performs no I/O.
 package handover
 
 import (
@@ -57,8 +57,9 @@
 	CallerConns     int               `cbor:"5,keyasint"` // open connections of callers
 	LongestDeadline time.Duration     `cbor:"6,keyasint"` // the longest time that a caller was ready to wait
 	LatencyP95      time.Duration     `cbor:"7,keyasint"` // 95th percentile of response times
-	// BannedByOperator are the servers of Balancer.Banned that the operator took out, as opposed to those taken out only by an agreement
-	// of the fleet. It is nil if the sender is an earlier version, which has no agreement; nil means all of them.
+	// BannedByOperator are the servers of Balancer.Banned that the operator took out, as opposed to those taken out
+	// only by an agreement of the fleet. It is nil if the sender is an earlier version, which has no agreement; nil
+	// means all of them.
 	BannedByOperator []string `cbor:"8,keyasint"`
 	// Clock is a reading of the clock that all times refer to. Earlier versions omit it.
 	Clock clock.Reading `cbor:"9,keyasint"`
--- a/internal/idle/idle_test.go
+++ b/internal/idle/idle_test.go
@@ -83,7 +83,8 @@
 	return p
 }
 
-// TestParkedSocketsKeepTheirData parks and unparks a socket repeatedly, with bytes that arrive before or after it is parked.
+// TestParkedSocketsKeepTheirData parks and unparks a socket repeatedly, with bytes that arrive before or after it is
+// parked.
 func TestParkedSocketsKeepTheirData(t *testing.T) {
 	p := startPoller(t)
 	ours, theirs := socketPair(t)
--- a/internal/idle/lot.go
+++ b/internal/idle/lot.go
@@ -116,8 +116,8 @@
 	return len(p.parked)
 }
 
-// Run calls the handlers of sockets that have bytes to read or whose connection has ended, until Close. Each handler is called
-// at most once per Park.
+// Run calls the handlers of sockets that have bytes to read or whose connection has ended, until Close. Each handler is
+// called at most once per Park.
 func (p *Poller) Run() error {
 	events := make([]unix.EpollEvent, 128)
 	for {
--- a/internal/restart/restart_test.go
+++ b/internal/restart/restart_test.go
@@ -8,7 +8,8 @@
 
 const ms = time.Millisecond
 
-// TestServesAsLongAsAnswersAreInTime checks that connections are served for a shorter time the longer responses take, within bounds.
+// TestServesAsLongAsAnswersAreInTime checks that connections are served for a shorter time the longer responses take,
+// within bounds.
 func TestServesAsLongAsAnswersAreInTime(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -36,8 +37,8 @@
 	}
 }
 
-// TestLatencyEstimateTracksP95 observes uniform response times: of those up to 1 s, 95% take at most 0.95 s. The estimate then adapts to
-// shorter ones.
+// TestLatencyEstimateTracksP95 observes uniform response times: of those up to 1 s, 95% take at most 0.95 s. The
+// estimate then adapts to shorter ones.
 func TestLatencyEstimateTracksP95(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var e quantileEstimate
@@ -55,7 +56,8 @@
 	}
 }
 
-// TestTimeIsCappedOnceBegun checks that a request's time is not capped before the restart, and ends before the restart's end afterwards.
+// TestTimeIsCappedOnceBegun checks that a request's time is not capped before the restart, and ends before the
+// restart's end afterwards.
 func TestTimeIsCappedOnceBegun(t *testing.T) {
 	r := New()
 	if got := r.RequestTimeCap(2 * time.Second); got != 0 {
@@ -70,8 +72,8 @@
 	}
 }
 
-// TestEndsBeforeSIGKILL computes whether the process ends before SIGKILL, which follows 0.7 s after the longest deadline. The last responses
-// and the exit of the process take part of this time.
+// TestEndsBeforeSIGKILL computes whether the process ends before SIGKILL, which follows 0.7 s after the longest
+// deadline. The last responses and the exit of the process take part of this time.
 func TestEndsBeforeSIGKILL(t *testing.T) {
 	const exitTime = 50 * time.Millisecond
 	for _, longest := range []time.Duration{0, 20 * ms, 200 * ms, minAcceptTime, time.Second, 3 * time.Second, 10 * time.Second} {
