--- a/internal/backends/conn.go
+++ b/internal/backends/conn.go
@@ -17,65 +17,66 @@
 	"brasswell/internal/linked"
 )
 
-// conn is one connection to a backend. The socket is wrapped to see what net/http does not tell: whether the
-// request's last byte may be out, and whether bytes came that answer nothing.
+// conn is one connection to a backend. It wraps the socket to observe what net/http does not report: whether the
+// request's last byte may have been sent, and whether unsolicited bytes arrived.
 type conn struct {
 	net.Conn
 	pool     *Pool
 	endpoint Endpoint
 	cc       *http.ClientConn
-	framing  framing.Tracker // of the answers; used by the one that reads, and once it is done
+	framing  framing.Tracker // of the responses; used by the reading goroutine, and by others once that has finished
 
-	last  atomic.Bool // the next write may hold the request's last byte
-	wrote atomic.Bool // a write of this attempt has begun
-	began atomic.Bool // the write with the request's last byte has begun
-	class int         // of the request
-	whole bool        // that write is over, and has been told of; used by the one that writes
-	// beginning is what the attempt has said before its request is written; used by the one that writes, once the request is handed to it.
-	beginning beginning
-	refusal   atomic.Pointer[error] // why nothing more of the request was written; nil where all was
-	// streams says that a message is passed on while it comes: each read and write may wait for silence, and the
-	// rest of an answer is not timed beyond that.
-	streams   atomic.Bool
-	answering atomic.Bool // it is the answer that streams
-	silence   time.Duration
+	lastWrite      atomic.Bool // the next write may contain the request's last byte
+	writeBegun     atomic.Bool // a write of this attempt has started
+	lastWriteBegun atomic.Bool // the write with the request's last byte has started
+	class          int         // the request's class
+	fullyWritten   bool        // that write has succeeded and was reported; used by the writing goroutine
+	// permit is the attempt's permission to write its request. It is used by the writing goroutine, once the request is
+	// handed over to it.
+	permit     writePermit
+	refusedErr atomic.Pointer[error] // why the request was not written, or not completely; nil if no write was refused
+	// streaming is set while a message is forwarded as it arrives. Each read of the response and each write may then
+	// take streamIdleTimeout, and the rest of a response has no other time limit.
+	streaming         atomic.Bool
+	streamingAnswer   atomic.Bool // the streamed message is the response
+	streamIdleTimeout time.Duration
 
 	// Guarded by pool.mu.
-	inRead   bool // a Read waits on the socket
-	done     bool // the answer is read; to be parked once a Read waits
-	parked   bool
-	parkedAt time.Time
-	retire   *time.Timer // ends it when it has idled for too long
-	retiring bool        // retire runs
-	rest     *time.Timer // ends an answer that has begun and does not go on
-	resting  bool        // rest runs
-	restEnd  time.Time   // by when the answer must have ended; zero while none has begun
-	closed   bool
+	inRead         bool // a Read is waiting on the socket
+	answerRead     bool // the response has been read; the connection is parked when the next Read begins
+	parked         bool
+	parkedAt       time.Time
+	idleTimer      *time.Timer // closes the connection when it has been idle for too long
+	idleTimerSet   bool        // idleTimer is running
+	answerTimer    *time.Timer // closes the connection if a response has begun and stalls
+	answerTimerSet bool        // answerTimer is running
+	answerDeadline time.Time   // when the response's next byte is due; zero if no response has begun
+	closed         bool
 
-	linked.Links[conn] // in its idleList
+	linked.Links[conn] // links of the endpoint's idleList
 }
 
-func (c *conn) roundTrip(ctx context.Context, m *Message, b beginning) (*http.Response, error) {
+func (c *conn) roundTrip(ctx context.Context, m *Message, permit writePermit) (*http.Response, error) {
 	header := maps.Clone(m.Header)
-	setRemaining(header, b.told)
-	c.beginning = b
+	setRemaining(header, permit.announced)
+	c.permit = permit
 	c.class = m.Class
 	req := &http.Request{Method: m.Method, URL: m.target(c.endpoint.Address), Host: m.Host, Header: header, Body: http.NoBody}
 	if s := m.Body.Stream(); s != nil {
-		c.stream()
+		c.startStreaming()
 		req.Body = &streamReader{conn: c, reader: s.Reader()}
 		req.ContentLength = s.Length()
 	} else if m.Body.Size() > 0 {
 		req.Body = &bodyReader{conn: c, data: m.Body.Data()}
 		req.ContentLength = m.Body.Size()
 	} else {
-		c.last.Store(true)
+		c.lastWrite.Store(true)
 	}
 	return c.cc.RoundTrip(req.WithContext(ctx))
 }
 
-// target repeats the caller's request line to the byte. A path that begins with two slashes would be taken
-// for a host there, so it goes by its parts.
+// target returns a URL that reproduces the request target of the caller's request line byte for byte. A path that
+// begins with two slashes would be parsed as a host in URL.Opaque, so it is passed in the URL's separate fields.
 func (m *Message) target(address string) *url.URL {
 	u := *m.URL
 	u.Scheme, u.Host, u.User, u.Fragment = "http", address, nil, ""
@@ -85,131 +86,133 @@
 	return &u
 }
 
-// mayWrite asks the attempt again, behind a hold-up, before the first byte of its request and before the last one. Of a request that is
-// passed on while it comes the last byte may be seconds behind the first: its server has it by then.
+// mayWrite checks the permit before the first byte of a request and before its last one; after a stall, this asks the
+// attempt again. The last byte of a streamed request isn't checked: it may follow seconds after the first one, and the
+// server has the request by then.
 func (c *conn) mayWrite(last bool) error {
-	if c.wrote.Load() && (!last || c.streams.Load() || c.whole) {
+	if c.writeBegun.Load() && (!last || c.streaming.Load() || c.fullyWritten) {
 		return nil
 	}
-	err := c.beginning.hold()
+	err := c.permit.revalidate()
 	if err != nil {
-		c.refusal.Store(&err)
+		c.refusedErr.Store(&err)
 	}
 	return err
 }
 
 func (c *conn) Write(b []byte) (int, error) {
-	last := c.last.Load()
+	last := c.lastWrite.Load()
 	if err := c.mayWrite(last); err != nil {
 		return 0, err
 	}
-	c.wrote.Store(true)
+	c.writeBegun.Store(true)
 	if last {
-		c.began.Store(true)
+		c.lastWriteBegun.Store(true)
 	}
-	if c.streams.Load() {
-		c.Conn.SetWriteDeadline(time.Now().Add(c.silence))
+	if c.streaming.Load() {
+		c.Conn.SetWriteDeadline(time.Now().Add(c.streamIdleTimeout))
 	}
 	n, err := c.Conn.Write(b)
-	if last && err == nil && !c.whole {
-		c.whole = true
-		if told := c.pool.written; told != nil {
-			told(c.class)
+	if last && err == nil && !c.fullyWritten {
+		c.fullyWritten = true
+		if onWritten := c.pool.onWritten; onWritten != nil {
+			onWritten(c.class)
 		}
 	}
 	return n, err
 }
 
-// Read parks the connection once its answer is read and nothing more is buffered: until then bytes that
-// belong to no answer could pass for that of the next request. Bytes that come before this attempt has
-// written anything end the connection.
+// Read parks the connection once its response has been read and nothing more is buffered. If it were reused earlier,
+// unsolicited bytes could be mistaken for the response to the next request. Bytes that arrive before this attempt has
+// written anything cause an error, which closes the connection.
 func (c *conn) Read(b []byte) (int, error) {
 	p := c.pool
 	p.mu.Lock()
 	c.inRead = true
-	if c.done {
-		c.done = false
+	if c.answerRead {
+		c.answerRead = false
 		p.park(c)
 	}
 	p.mu.Unlock()
 
-	if c.streams.Load() && c.wrote.Load() {
-		c.Conn.SetReadDeadline(c.patience())
+	if c.streaming.Load() && c.writeBegun.Load() {
+		c.Conn.SetReadDeadline(c.readDeadline())
 	}
 	n, err := c.Conn.Read(b)
 
 	p.mu.Lock()
 	c.inRead = false
-	stray := n > 0 && (c.parked || !c.wrote.Load())
+	stray := n > 0 && (c.parked || !c.writeBegun.Load())
 	if c.parked {
 		p.unpark(c)
 	}
 	p.mu.Unlock()
 	if stray {
-		return 0, errStray
+		return 0, errUnsolicited
 	}
 	if n > 0 {
 		c.framing.Feed(b[:n])
 		switch {
 		case c.framing.InterimCount() > maxInterim:
-			return 0, errInterim
+			return 0, errTooManyInterim
 		case c.framing.AfterInterim():
-			c.unwatchRest() // the answer proper may be far off
+			c.clearAnswerDeadline() // the final response may take long
 		default:
-			c.watchRest()
+			c.startAnswerTimer()
 		}
 	}
 	return n, err
 }
 
-// stream says that from now on a message is passed on while it comes.
-func (c *conn) stream() {
+// startStreaming marks the connection as forwarding a message while it arrives.
+func (c *conn) startStreaming() {
 	c.pool.mu.Lock()
-	c.silence = c.pool.options.StreamIdleTimeout
-	c.restEnd = time.Time{}
+	c.streamIdleTimeout = c.pool.options.StreamIdleTimeout
+	c.answerDeadline = time.Time{}
 	c.pool.mu.Unlock()
-	c.streams.Store(true)
+	c.streaming.Store(true)
 }
 
-// patience is by when a read must bring something: the answer to a request that is still on its way has all the time
-// that the attempt has.
-func (c *conn) patience() time.Time {
-	if c.answering.Load() {
-		return time.Now().Add(c.silence)
+// readDeadline returns the deadline of a read while a message is streamed. While only the request is streamed, there is
+// none: the response may take all the time that the attempt has.
+func (c *conn) readDeadline() time.Time {
+	if c.streamingAnswer.Load() {
+		return time.Now().Add(c.streamIdleTimeout)
 	}
 	return time.Time{}
 }
 
-// watchRest gives an answer that has begun Options.AnswerTimeout to bring its next byte.
-func (c *conn) watchRest() {
+// startAnswerTimer requires the next byte of a response that has begun within Options.AnswerTimeout.
+func (c *conn) startAnswerTimer() {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	if c.closed || c.streams.Load() {
+	if c.closed || c.streaming.Load() {
 		return
 	}
-	c.restEnd = time.Now().Add(c.pool.options.AnswerTimeout)
-	if !c.resting {
-		c.resting = true
-		c.rest.Reset(c.pool.options.AnswerTimeout)
+	c.answerDeadline = time.Now().Add(c.pool.options.AnswerTimeout)
+	if !c.answerTimerSet {
+		c.answerTimerSet = true
+		c.answerTimer.Reset(c.pool.options.AnswerTimeout)
 	}
 }
 
-func (c *conn) unwatchRest() {
+func (c *conn) clearAnswerDeadline() {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	c.restEnd = time.Time{}
+	c.answerDeadline = time.Time{}
 }
 
-// restOver ends the answer whose time is over. Like retire, its timer is not stopped when an answer ends: it looks
-// whether another has begun.
-func (c *conn) restOver() {
+// onAnswerTimer closes the connection if the response's next byte is overdue. Like idleTimer, answerTimer is not
+// stopped when a response ends: when it fires, it checks whether another response has begun, and continues for that
+// one.
+func (c *conn) onAnswerTimer() {
 	c.pool.mu.Lock()
-	c.resting = false
+	c.answerTimerSet = false
 	over := false
-	if !c.restEnd.IsZero() && !c.closed {
-		if left := time.Until(c.restEnd); left > 0 {
-			c.resting = true
-			c.rest.Reset(left)
+	if !c.answerDeadline.IsZero() && !c.closed {
+		if left := time.Until(c.answerDeadline); left > 0 {
+			c.answerTimerSet = true
+			c.answerTimer.Reset(left)
 		} else {
 			over = true
 		}
@@ -220,14 +223,15 @@
 	}
 }
 
-// Close keeps the count of open connections; net/http calls it whenever it is done with one.
+// Close closes the socket and updates the pool's count of open connections. net/http calls it when it has finished with
+// a connection.
 func (c *conn) Close() error {
 	c.pool.mu.Lock()
 	if !c.closed {
 		c.closed = true
 		c.pool.open--
-		c.rest.Stop()
-		c.retire.Stop()
+		c.answerTimer.Stop()
+		c.idleTimer.Stop()
 		if c.parked {
 			c.pool.unpark(c)
 		}
@@ -236,28 +240,28 @@
 	return c.Conn.Close()
 }
 
-// renew makes a connection that has been idle ready for its next request.
-func (c *conn) renew() {
+// reset prepares an idle connection for its next request.
+func (c *conn) reset() {
 	c.framing = framing.Tracker{}
-	c.wrote.Store(false)
-	c.last.Store(false)
-	c.began.Store(false)
-	c.whole = false
-	c.refusal.Store(nil)
-	if c.streams.Swap(false) {
-		c.answering.Store(false)
+	c.writeBegun.Store(false)
+	c.lastWrite.Store(false)
+	c.lastWriteBegun.Store(false)
+	c.fullyWritten = false
+	c.refusedErr.Store(nil)
+	if c.streaming.Swap(false) {
+		c.streamingAnswer.Store(false)
 		c.Conn.SetDeadline(time.Time{})
 	}
 }
 
-// discard ends a connection that must not be used again: after a time-out, a cancel, stray bytes or an answer
-// not read to its end, what comes next on it could be taken for another request's answer.
+// discard closes a connection that must not be reused. After a timeout, a cancellation, unsolicited bytes or a
+// response that was not read to its end, the next bytes could be mistaken for the response to another request.
 func (c *conn) discard() {
 	c.cc.Close()
 	c.Close()
 }
 
-// bodyReader reads a request's body for one attempt and notes when its last byte is handed over.
+// bodyReader reads a request's body for one attempt, and sets conn.lastWrite when it returns the last byte.
 type bodyReader struct {
 	conn *conn
 	data []byte
@@ -269,14 +273,14 @@
 	}
 	n := copy(p, r.data)
 	if r.data = r.data[n:]; len(r.data) == 0 {
-		r.conn.last.Store(true)
+		r.conn.lastWrite.Store(true)
 	}
 	return n, nil
 }
 
 func (r *bodyReader) Close() error { return nil }
 
-// streamReader reads a streamed body for one attempt, and notes when its last byte is handed over.
+// streamReader reads a streamed body for one attempt, and sets conn.lastWrite when it returns the last byte.
 type streamReader struct {
 	conn   *conn
 	reader *body.Reader
@@ -285,7 +289,7 @@
 func (r *streamReader) Read(p []byte) (int, error) {
 	n, last, err := r.reader.Read(p)
 	if last {
-		r.conn.last.Store(true)
+		r.conn.lastWrite.Store(true)
 	}
 	return n, err
 }
@@ -295,7 +299,7 @@
 	return nil
 }
 
-// setRemaining tells a backend how long the proxy will wait.
+// setRemaining sets the header that tells the backend how long the proxy will wait.
 func setRemaining(header http.Header, left time.Duration) {
 	header.Set("X-Remaining-Ms", strconv.FormatInt(max(left.Milliseconds(), 1), 10))
 }
--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -1,4 +1,4 @@
-// Package body keeps messages' bodies within a budget of memory.
+// Package body reads, buffers and streams message bodies within a memory budget.
 package body
 
 import (
@@ -11,41 +11,42 @@
 )
 
 const (
-	// MaxBytes is the longest body that the protocol knows, of a request and of an answer alike. Whoever sends
-	// more is given up: the rest is neither passed on nor read.
+	// MaxBytes is the maximum size of a body that the protocol allows, for requests and responses alike. If a peer
+	// sends more, the message is aborted: the rest is neither forwarded nor read.
 	MaxBytes = 32 << 20
-	// WholeBytes is the longest body that is read whole before anything is done with it. What is longer streams.
+	// MaxBufferedBytes is the maximum size of a body that is read completely before it is processed. Longer bodies are
+	// streamed.
 	MaxBufferedBytes = 64 << 10
 )
 
-// Why a body was not read.
+// Errors of reading a body.
 var (
 	ErrTooLarge = errors.New("body over 32 MiB")
-	ErrNoMemory = errors.New("no memory for the body")
+	ErrNoMemory = errors.New("memory budget for bodies exhausted")
 )
 
-// Budget is the memory that all bodies held at one time share.
-type Budget struct{ left, most atomic.Int64 }
+// Budget bounds the memory that is used by all bodies together.
+type Budget struct{ available, size atomic.Int64 }
 
-func (b *Budget) take(n int64) bool {
-	if b.left.Add(-n) < 0 {
-		b.left.Add(n)
+func (b *Budget) reserve(n int64) bool {
+	if b.available.Add(-n) < 0 {
+		b.available.Add(n)
 		return false
 	}
 	return true
 }
 
-func (b *Budget) give(n int64) { b.left.Add(n) }
+func (b *Budget) release(n int64) { b.available.Add(n) }
 
-// Body is a request's body. A short one is read whole before anything is sent: an attempt may have to be repeated,
-// and a request's clock starts at its last byte. A long one is a stream.
+// Body is a request's body. A short one is read completely before anything is sent, because a request may need
+// several attempts and its time starts at its last byte. A long one is a stream.
 type Body struct {
 	data   []byte
 	budget *Budget
 	stream *Stream
 }
 
-// Size is the body's length in bytes, -1 if a stream's is not known; a nil Body is empty.
+// Size returns the body's length in bytes, or -1 for a stream of unknown length. A nil Body is empty.
 func (b *Body) Size() int64 {
 	switch {
 	case b == nil:
@@ -56,7 +57,7 @@
 	return int64(len(b.data))
 }
 
-// Stream is the body's stream, or nil if it is whole.
+// Stream returns the body's stream, or nil if the body is buffered completely.
 func (b *Body) Stream() *Stream {
 	if b == nil {
 		return nil
@@ -64,21 +65,21 @@
 	return b.stream
 }
 
-// Release gives the memory back; the body must not be used any more.
+// Release returns the memory to the budget. The body must not be used afterwards.
 func (b *Body) Release() {
 	switch {
 	case b == nil:
 	case b.stream != nil:
 		b.stream.Release()
 	default:
-		b.budget.give(int64(len(b.data)))
+		b.budget.release(int64(len(b.data)))
 		b.data = nil
 	}
 }
 
-// Read reads r to its end if it holds WholeBytes at most, and otherwise returns a stream that is yet to be filled from
-// the reader that comes with it; length is -1 where it is not announced. The memory is taken from the budget before
-// the first byte is read, for as much as may come.
+// Read reads r to its end if it holds at most MaxBufferedBytes. Otherwise it returns a stream, and the reader from which
+// the stream is to be filled. length is -1 if it is not announced. Before the first byte is read, the maximum that may
+// arrive is reserved in the budget.
 func Read(r io.Reader, length int64, budget *Budget) (*Body, io.Reader, error) {
 	switch {
 	case length == 0:
@@ -88,32 +89,32 @@
 	case length > MaxBufferedBytes:
 		return &Body{stream: NewStream(length, budget)}, r, nil
 	}
-	most := length
-	if most < 0 {
-		most = MaxBufferedBytes
+	limit := length
+	if limit < 0 {
+		limit = MaxBufferedBytes
 	}
-	if !budget.take(most) {
+	if !budget.reserve(limit) {
 		return nil, nil, ErrNoMemory
 	}
-	data, whole, err := ReadAtMost(r, most, func() bool { return true })
+	data, complete, err := ReadAtMost(r, limit, func() bool { return true })
 	if err != nil {
-		budget.give(most)
+		budget.release(limit)
 		return nil, nil, fmt.Errorf("body: %w", err)
 	}
-	if !whole {
-		budget.give(most)
+	if !complete {
+		budget.release(limit)
 		return &Body{stream: NewStream(-1, budget)}, io.MultiReader(bytes.NewReader(data), r), nil
 	}
-	budget.give(most - int64(len(data)))
+	budget.release(limit - int64(len(data)))
 	return &Body{data: data, budget: budget}, nil, nil
 }
 
-// ReadAtMost reads r to its end, or more than most bytes of it, or until goOn says no, which is asked before each read.
-// The buffer grows with what has come: a sender that announces much and sends nothing costs its own time and none of our
-// memory. The read that meets the end also tells net/http to watch for the caller's leaving.
-func ReadAtMost(r io.Reader, most int64, goOn func() bool) (data []byte, whole bool, err error) {
-	data = make([]byte, 0, min(most+1, 512))
-	for goOn() {
+// ReadAtMost reads r to its end, until more than limit bytes have been read, or until keepReading returns false. It calls
+// keepReading before each read. The buffer grows with the bytes received, so a sender that announces a long body and sends
+// nothing uses hardly any memory. The read that reaches the end also makes net/http watch whether the caller disconnects.
+func ReadAtMost(r io.Reader, limit int64, keepReading func() bool) (data []byte, complete bool, err error) {
+	data = make([]byte, 0, min(limit+1, 512))
+	for keepReading() {
 		n, err := r.Read(data[len(data):cap(data)])
 		data = data[:len(data)+n]
 		switch {
@@ -121,17 +122,17 @@
 			return data, true, nil
 		case err != nil:
 			return nil, false, err
-		case int64(len(data)) > most:
+		case int64(len(data)) > limit:
 			return data, false, nil
 		}
 		if len(data) == cap(data) {
-			data = slices.Grow(data, min(len(data), int(most)+1-len(data)))
+			data = slices.Grow(data, min(len(data), int(limit)+1-len(data)))
 		}
 	}
 	return data, false, nil
 }
 
-// Data is the body's bytes, which attempts share and nobody may change.
+// Data returns the bytes of a buffered body. Attempts share them, so they must not be modified.
 func (b *Body) Data() []byte {
 	if b == nil {
 		return nil
@@ -139,11 +140,11 @@
 	return b.data
 }
 
-// Resize changes what all bodies together may take. Where they hold more already, nothing is given until they hold
-// less.
-func (b *Budget) Resize(n int64) { b.left.Add(n - b.most.Swap(n)) }
+// Resize changes how many bytes all bodies together may use. If they already use more, no memory is granted until their
+// use is below the new size.
+func (b *Budget) Resize(n int64) { b.available.Add(n - b.size.Swap(n)) }
 
-// NewBudget lets all bodies together take n bytes.
+// NewBudget returns a budget of n bytes for all bodies together.
 func NewBudget(n int64) *Budget {
 	b := &Budget{}
 	b.Resize(n)
--- a/internal/body/pace.go
+++ b/internal/body/pace.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// Pace is how slowly bytes may come or go before their sender or reader is given up. It tells who is slow and moves
-// from who has fallen silent, and bounds how long the slow may hold what they use: a transfer of n bytes takes Grace
-// and n/Rate at most.
+// MinDataRate is the minimum rate at which a peer must send or receive a message. It distinguishes slow peers from
+// stalled ones, and bounds how long a slow peer may use resources: a transfer of n bytes takes at most GracePeriod plus
+// n/BytesPerSecond.
 //
-// It guards against peers that send or read a byte now and then for ever, and should catch those that stop within a
-// message. It might harm a peer behind a line that stalls for longer than Silence.
+// It protects against peers that send or read a byte now and then without end, and against those that stop within a
+// message. It may affect peers whose network connection stalls for longer than IdleTimeout.
 type MinDataRate struct {
-	IdleTimeout    time.Duration // without a byte
-	GracePeriod    time.Duration // that a transfer may take beyond what Rate allows
-	BytesPerSecond int64         // bytes a second, over the whole transfer
+	IdleTimeout    time.Duration // maximum time without a byte
+	GracePeriod    time.Duration // time that a transfer may take in addition to what BytesPerSecond allows
+	BytesPerSecond int64         // average over the whole transfer
 }
 
-// Transfer is one transfer under a Pace. Times are since any fixed moment, but of one clock.
+// Transfer is one transfer under a MinDataRate. All times are offsets from the same fixed moment, which may be any.
 type Transfer struct {
-	pace        MinDataRate
-	begun, last time.Duration
-	bytes       int64
+	rate             MinDataRate
+	start, lastMoved time.Duration
+	bytes            int64
 }
 
-// Begin begins a transfer.
+// Begin starts a transfer.
 func (p MinDataRate) Begin(now time.Duration) Transfer {
-	return Transfer{pace: p, begun: now, last: now}
+	return Transfer{rate: p, start: now, lastMoved: now}
 }
 
-// Moved takes in that bytes have come or gone.
+// AddBytes records that bytes were sent or received.
 func (t *Transfer) AddBytes(now time.Duration, bytes int) {
 	if bytes > 0 {
-		t.last, t.bytes = now, t.bytes+int64(bytes)
+		t.lastMoved, t.bytes = now, t.bytes+int64(bytes)
 	}
 }
 
-// Deadline is by when the next byte has to come or go.
+// Deadline returns when the next byte must have been sent or received.
 func (t *Transfer) Deadline() time.Duration {
-	byRate := t.begun + t.pace.GracePeriod + time.Duration(float64(t.bytes)/float64(t.pace.BytesPerSecond)*float64(time.Second))
-	return min(t.last+t.pace.IdleTimeout, byRate)
+	byRate := t.start + t.rate.GracePeriod + time.Duration(float64(t.bytes)/float64(t.rate.BytesPerSecond)*float64(time.Second))
+	return min(t.lastMoved+t.rate.IdleTimeout, byRate)
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -24,7 +24,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func knowledge() *State {
+func testState() *State {
 	return &State{
 		Balancer: balance.Snapshot{
 			Servers: []balance.ServerSnapshot{{Entry: balance.Entry{ID: "s1", Zone: 1, Boot: time.Hour}, Slow: 0.25, Ejections: 2}},
@@ -37,10 +37,10 @@
 	}
 }
 
-func TestMessagesGoThroughWhole(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	for _, m := range []Message{
 		{Kind: Hello}, {Kind: Ready, Number: 7}, {Kind: Ban, Number: 1 << 40, Server: "s/1 é", Banned: true},
-		{Kind: Done, Number: 3, Known: true}, {Kind: StateReply, State: knowledge()},
+		{Kind: Done, Number: 3, Known: true}, {Kind: StateReply, State: testState()},
 	} {
 		var b bytes.Buffer
 		if err := Write(&b, m); err != nil {
@@ -49,27 +49,27 @@
 		m.Version = version
 		got, err := Read(&b)
 		if err != nil || !reflect.DeepEqual(got, m) {
-			t.Errorf("%+v came as %+v, %v", m, got, err)
+			t.Errorf("%+v was read as %+v, %v", m, got, err)
 		}
 	}
 }
 
-// TestDamagedMessagesAreToldFromSound flips each bit of a message, and cuts it at each place.
-func TestDamagedMessagesAreToldFromSound(t *testing.T) {
+// TestDamagedMessagesAreRejected flips each bit of a message, and truncates it at each position.
+func TestDamagedMessagesAreRejected(t *testing.T) {
 	var b bytes.Buffer
-	if err := Write(&b, Message{Kind: StateReply, State: knowledge()}); err != nil {
+	if err := Write(&b, Message{Kind: StateReply, State: testState()}); err != nil {
 		t.Fatal(err)
 	}
-	sound := b.Bytes()
-	for i := range sound {
-		if _, err := Read(bytes.NewReader(sound[:i])); err == nil {
-			t.Fatalf("cut after %d of %d bytes: taken", i, len(sound))
+	valid := b.Bytes()
+	for i := range valid {
+		if _, err := Read(bytes.NewReader(valid[:i])); err == nil {
+			t.Fatalf("truncated after %d of %d bytes: accepted", i, len(valid))
 		}
 		for bit := range 8 {
-			damaged := bytes.Clone(sound)
+			damaged := bytes.Clone(valid)
 			damaged[i] ^= 1 << bit
 			if _, err := Read(bytes.NewReader(damaged)); err == nil {
-				t.Fatalf("byte %d, bit %d flipped: taken", i, bit)
+				t.Fatalf("byte %d, bit %d flipped: accepted", i, bit)
 			}
 		}
 	}
@@ -77,11 +77,11 @@
 
 func FuzzRead(f *testing.F) {
 	var b bytes.Buffer
-	Write(&b, Message{Kind: StateReply, State: knowledge()})
+	Write(&b, Message{Kind: StateReply, State: testState()})
 	f.Add(b.Bytes())
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0})
-	f.Fuzz(func(t *testing.T, text []byte) {
-		m, err := Read(bytes.NewReader(text))
+	f.Fuzz(func(t *testing.T, payload []byte) {
+		m, err := Read(bytes.NewReader(payload))
 		if err != nil {
 			return
 		}
@@ -92,8 +92,8 @@
 	})
 }
 
-// elder plays the running process at a socket: it answers the first connection with what reply writes.
-func elder(t *testing.T, dir string, reply func(net.Conn)) {
+// serveAsOldProcess acts as the running process at a socket: it handles the first connection with reply.
+func serveAsOldProcess(t *testing.T, dir string, reply func(net.Conn)) {
 	t.Helper()
 	l, err := Listen(dir, "n1")
 	if err != nil {
@@ -115,19 +115,19 @@
 	})
 }
 
-// TestAnyTroubleIsAPlainStart meets running processes that are dead, silent, broken, of another version, or say
-// something else. Each must end as a start with nothing taken over, and within the time for it.
-func TestAnyTroubleIsAPlainStart(t *testing.T) {
-	other := func(kind Kind, version int) func(net.Conn) {
+// TestAnyFailureMeansAFreshStart connects to running processes that have ended, don't respond, send damaged messages, have
+// another version, or send something else. Each time, Connect must return no state, and an error, within its timeout.
+func TestAnyFailureMeansAFreshStart(t *testing.T) {
+	respondWith := func(kind Kind, version int) func(net.Conn) {
 		return func(c net.Conn) {
 			var b bytes.Buffer
-			Write(&b, Message{Kind: kind, State: knowledge()})
+			Write(&b, Message{Kind: kind, State: testState()})
 			if version != 1 {
-				// The version is the first field: key 1, and a small number as itself.
-				text := b.Bytes()[sealed.HeadBytes:]
-				at := bytes.Index(text, []byte{1, 1})
-				text[at+1] = byte(version)
-				b2 := frame(text)
+				// The version is the first field, encoded as key 1 and a small integer.
+				payload := b.Bytes()[sealed.HeadBytes:]
+				at := bytes.Index(payload, []byte{1, 1})
+				payload[at+1] = byte(version)
+				b2 := frame(payload)
 				c.Write(b2)
 				return
 			}
@@ -140,45 +140,45 @@
 		"silent":             func(c net.Conn) { io.Copy(io.Discard, c) },
 		"half a message": func(c net.Conn) {
 			var b bytes.Buffer
-			Write(&b, Message{Kind: StateReply, State: knowledge()})
+			Write(&b, Message{Kind: StateReply, State: testState()})
 			c.Write(b.Bytes()[:b.Len()/2])
 		},
 		"a wrong checksum": func(c net.Conn) {
 			var b bytes.Buffer
-			Write(&b, Message{Kind: StateReply, State: knowledge()})
+			Write(&b, Message{Kind: StateReply, State: testState()})
 			b.Bytes()[5] ^= 1
 			c.Write(b.Bytes())
 		},
 		"endless":          func(c net.Conn) { c.Write([]byte{0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0}); io.Copy(io.Discard, c) },
-		"something else":   other(Ready, 1),
-		"an older version": other(StateReply, 0),
-		"a newer version":  other(StateReply, 2),
-		"no such language": func(c net.Conn) { io.WriteString(c, "HTTP/1.1 400 Bad Request\r\n\r\n") },
+		"something else":   respondWith(Ready, 1),
+		"an older version": respondWith(StateReply, 0),
+		"a newer version":  respondWith(StateReply, 2),
+		"not the protocol": func(c net.Conn) { io.WriteString(c, "HTTP/1.1 400 Bad Request\r\n\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
-			elder(t, dir, reply)
-			peer, k, err := Connect(dir, "n1")
-			if peer != nil || k != nil {
+			serveAsOldProcess(t, dir, reply)
+			peer, state, err := Connect(dir, "n1")
+			if peer != nil || state != nil {
 				peer.Close()
-				t.Fatal("taken over")
+				t.Fatal("state was taken over")
 			}
 			if err == nil {
-				t.Error("nothing to log")
+				t.Error("no error to log")
 			}
 		})
 	}
 }
 
-func frame(text []byte) []byte {
-	b := make([]byte, sealed.HeadBytes, sealed.HeadBytes+len(text))
-	binary.BigEndian.PutUint32(b, uint32(len(text)))
-	binary.BigEndian.PutUint32(b[4:], crc(text))
-	return append(b, text...)
+func frame(payload []byte) []byte {
+	b := make([]byte, sealed.HeadBytes, sealed.HeadBytes+len(payload))
+	binary.BigEndian.PutUint32(b, uint32(len(payload)))
+	binary.BigEndian.PutUint32(b[4:], crc(payload))
+	return append(b, payload...)
 }
 
-func TestNobodyThereIsNoTrouble(t *testing.T) {
+func TestNoRunningProcessIsNoError(t *testing.T) {
 	dir := t.TempDir()
 	if peer, _, err := Connect(dir, "n1"); peer != nil || err != nil {
 		t.Errorf("%v, %v", peer, err)
@@ -187,37 +187,37 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Close() // the socket's file stays, as after a kill
+	l.Close() // the socket's file remains, as after SIGKILL
 	if _, err := os.Stat(filepath.Join(dir, "brasswell-n1.sock")); err != nil {
 		t.Fatal(err)
 	}
 	if peer, _, err := Connect(dir, "n1"); peer != nil || err != nil {
-		t.Errorf("at a socket left behind: %v, %v", peer, err)
+		t.Errorf("at an abandoned socket: %v, %v", peer, err)
 	}
 	if l, err = Listen(dir, "n1"); err != nil {
-		t.Fatalf("at a socket left behind: %v", err)
+		t.Fatalf("at an abandoned socket: %v", err)
 	}
 	l.Close()
 }
 
-// TestTheLatestIsMet has a second process take the place of the first.
-func TestTheLatestIsMet(t *testing.T) {
+// TestConnectReachesTheLatestListener replaces the first process's socket with that of a second one.
+func TestConnectReachesTheLatestListener(t *testing.T) {
 	dir := t.TempDir()
 	first, err := Listen(dir, "n1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer first.Close()
-	second := knowledge()
+	second := testState()
 	second.Seq = 99
-	elder(t, dir, func(c net.Conn) {
+	serveAsOldProcess(t, dir, func(c net.Conn) {
 		Read(c)
 		Write(c, Message{Kind: StateReply, State: second})
 		io.Copy(io.Discard, c)
 	})
-	peer, k, err := Connect(dir, "n1")
-	if err != nil || k == nil || k.Seq != 99 {
-		t.Fatalf("%+v, %v", k, err)
+	peer, state, err := Connect(dir, "n1")
+	if err != nil || state == nil || state.Seq != 99 {
+		t.Fatalf("%+v, %v", state, err)
 	}
 	peer.Close()
 }
@@ -229,16 +229,16 @@
 	return NewPeer(a), NewPeer(b)
 }
 
-func TestAskIsAnsweredByItsOwnDone(t *testing.T) {
+func TestRequestGetsItsOwnDone(t *testing.T) {
 	a, b := pair(t)
-	var following sync.WaitGroup
-	following.Go(func() { a.Serve(func(Message) {}) })
-	following.Go(func() {
+	var serving sync.WaitGroup
+	serving.Go(func() { a.Serve(func(Message) {}) })
+	serving.Go(func() {
 		b.Serve(func(m Message) { b.Send(Message{Kind: Done, Number: m.Number, Known: m.Server == "s1"}) })
 	})
-	var asking sync.WaitGroup
+	var requests sync.WaitGroup
 	for i := range 20 {
-		asking.Go(func() {
+		requests.Go(func() {
 			server := []string{"s1", "s2"}[i%2]
 			d, err := a.Request(context.Background(), Message{Kind: Ban, Server: server})
 			if err != nil || d.Known != (server == "s1") {
@@ -246,38 +246,38 @@
 			}
 		})
 	}
-	asking.Wait()
+	requests.Wait()
 	a.Close()
 	b.Close()
-	following.Wait()
-	if len(a.waiting) != 0 {
-		t.Errorf("%d are still waited for", len(a.waiting))
+	serving.Wait()
+	if len(a.pending) != 0 {
+		t.Errorf("%d requests are still pending", len(a.pending))
 	}
 	if _, err := a.Request(context.Background(), Message{Kind: Ban}); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("asked one that has gone: %v", err)
+		t.Errorf("request to a closed peer: %v", err)
 	}
 }
 
-// TestAskEndsWithItsPeer has the other die, and fall silent, while it is asked.
-func TestAskEndsWithItsPeer(t *testing.T) {
+// TestRequestEndsWithItsPeer sends requests to a peer that closes its connection, and to one that does not respond.
+func TestRequestEndsWithItsPeer(t *testing.T) {
 	a, b := pair(t)
-	var following sync.WaitGroup
-	following.Go(func() { a.Serve(func(Message) {}) })
-	following.Go(func() { b.Serve(func(Message) { b.Close() }) })
+	var serving sync.WaitGroup
+	serving.Go(func() { a.Serve(func(Message) {}) })
+	serving.Go(func() { b.Serve(func(Message) { b.Close() }) })
 	if _, err := a.Request(context.Background(), Message{Kind: Ready}); err == nil {
-		t.Error("an answer from the dead")
+		t.Error("a response from a closed peer")
 	}
-	following.Wait()
+	serving.Wait()
 
 	a, b = pair(t)
-	following.Go(func() { a.Serve(func(Message) {}) })
-	following.Go(func() { b.Serve(func(Message) {}) })
+	serving.Go(func() { a.Serve(func(Message) {}) })
+	serving.Go(func() { b.Serve(func(Message) {}) })
 	if _, err := a.Request(context.Background(), Message{Kind: Ready}); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("of a silent one: %v", err)
+		t.Errorf("peer that does not respond: %v", err)
 	}
 	a.Close()
 	b.Close()
-	following.Wait()
+	serving.Wait()
 }
 
-func crc(text []byte) uint32 { return crc32.Checksum(text, crc32.MakeTable(crc32.Castagnoli)) }
+func crc(payload []byte) uint32 { return crc32.Checksum(payload, crc32.MakeTable(crc32.Castagnoli)) }
--- a/internal/handover/state_test.go
+++ b/internal/handover/state_test.go
@@ -2,71 +2,71 @@
 
 import "testing"
 
-func TestElder(t *testing.T) {
-	var e OldProcess
-	if e.Shutdown() {
-		t.Error("handed over to nobody")
+func TestOldProcess(t *testing.T) {
+	var o OldProcess
+	if o.Shutdown() {
+		t.Error("handed over without a new process")
 	}
-	e = OldProcess{}
-	if p := e.StateRequested(10, 100); p != (Share{0.5, 0.5}) {
-		t.Errorf("beside a new one: %+v", p)
+	o = OldProcess{}
+	if p := o.StateRequested(10, 100); p != (Share{0.5, 0.5}) {
+		t.Errorf("with a new process: %+v", p)
 	}
-	if e.Shutdown() {
-		t.Error("handed over to one that is not ready")
+	if o.Shutdown() {
+		t.Error("handed over to a process that is not ready")
 	}
-	e = OldProcess{}
-	e.StateRequested(10, 100)
-	e.SuccessorReady()
-	if p := e.SuccessorGone(); p != FullShare {
-		t.Errorf("after the new one died: %+v", p)
+	o = OldProcess{}
+	o.StateRequested(10, 100)
+	o.SuccessorReady()
+	if p := o.SuccessorGone(); p != FullShare {
+		t.Errorf("after the end of the new process: %+v", p)
 	}
-	if e.Shutdown() {
-		t.Error("handed over to one that has died")
+	if o.Shutdown() {
+		t.Error("handed over to a process that has ended")
 	}
-	e = OldProcess{}
-	e.SuccessorReady() // of one that has asked for nothing
-	if e.Shutdown() {
-		t.Error("handed over to one that has not asked")
+	o = OldProcess{}
+	o.SuccessorReady() // from a process that has not requested the state
+	if o.Shutdown() {
+		t.Error("handed over to a process that has not requested the state")
 	}
-	e = OldProcess{}
-	e.StateRequested(10, 100)
-	e.SuccessorReady()
-	if !e.Shutdown() {
+	o = OldProcess{}
+	o.StateRequested(10, 100)
+	o.SuccessorReady()
+	if !o.Shutdown() {
 		t.Error("not handed over")
 	}
-	if p := e.StateRequested(10, 100); p.Other != 0 {
-		t.Errorf("a process that leaves keeps %+v", p)
+	if p := o.StateRequested(10, 100); p.Other != 0 {
+		t.Errorf("a process that shuts down keeps %+v", p)
 	}
-	// A second new process in place of the first.
-	e = OldProcess{}
-	e.StateRequested(1, 100)
-	e.SuccessorReady()
-	e.StateRequested(1, 100)
-	if e.Shutdown() {
-		t.Error("the first one's word counted for the second")
+	// A second new process replaces the first.
+	o = OldProcess{}
+	o.StateRequested(1, 100)
+	o.SuccessorReady()
+	o.StateRequested(1, 100)
+	if o.Shutdown() {
+		t.Error("the first process's Ready counted for the second")
 	}
 }
 
-// TestPartsDoNotExceedTheWhole goes through every number of connections that the old process may hold.
-func TestPartsDoNotExceedTheWhole(t *testing.T) {
-	const most = 100
-	for held := range 3 * most / 2 {
-		var e OldProcess
-		old, next := e.StateRequested(held, most), NewProcessShare(held, most)
-		if float64(held) <= most && old.Callers*most < float64(held)-0.001 {
-			t.Errorf("holding %d, the old one may keep %.0f", held, old.Callers*most)
+// TestSharesDoNotExceedTheWhole tries every number of connections that the old process may have.
+func TestSharesDoNotExceedTheWhole(t *testing.T) {
+	const maxConns = 100
+	for conns := range 3 * maxConns / 2 {
+		var o OldProcess
+		old, next := o.StateRequested(conns, maxConns), NewProcessShare(conns, maxConns)
+		if float64(conns) <= maxConns && old.Callers*maxConns < float64(conns)-0.001 {
+			t.Errorf("%d connections: the old process may keep %.0f", conns, old.Callers*maxConns)
 		}
-		if next.Callers < leastCallers {
-			t.Errorf("beside %d, the new one has %.2f", held, next.Callers)
+		if next.Callers < minCallers {
+			t.Errorf("%d connections: the new process has a share of %.2f", conns, next.Callers)
 		}
-		if sum := old.Callers + next.Callers; sum > 1.0001 && next.Callers > leastCallers {
-			t.Errorf("beside %d: %.2f of the callers' connections", held, sum)
+		if sum := old.Callers + next.Callers; sum > 1.0001 && next.Callers > minCallers {
+			t.Errorf("%d connections: shares of callers' connections add up to %.2f", conns, sum)
 		}
 		if old.Other+next.Other > 1 {
-			t.Errorf("beside %d: %.2f of the rest", held, old.Other+next.Other)
+			t.Errorf("%d connections: shares of other limits add up to %.2f", conns, old.Other+next.Other)
 		}
 	}
 	if p := ShareAfterShutdown(Share{0.4, 0.5}); p != (Share{0.4, 1}) {
-		t.Errorf("beside one that leaves: %+v", p)
+		t.Errorf("after shutdown of the old process: %+v", p)
 	}
 }
--- a/internal/idle/lot.go
+++ b/internal/idle/lot.go
@@ -11,83 +11,83 @@
 	"golang.org/x/sys/unix"
 )
 
-// Waiter is who is told that a socket of its has bytes, or is over. It is called by Run, one call at a time, and must not
-// wait long.
+// Handler is notified when its parked socket has bytes to read or its connection has ended. Run makes the calls, one
+// at a time, so they must not block for long.
 type Handler interface{ SocketReady() }
 
-// Lot is a set of sockets that do nothing. It is safe for concurrent use.
+// Poller is a set of parked, idle sockets. It is safe for concurrent use.
 type Poller struct {
-	set *os.File // the epoll set, itself in the runtime's poller: no thread waits in it
-	raw syscall.RawConn
-	fd  int
+	epoll *os.File // the epoll set, which the runtime's poller watches: no thread blocks in it
+	raw   syscall.RawConn
+	fd    int
 
 	mu     sync.Mutex
-	held   map[int32]Handler // by descriptor
+	parked map[int32]Handler // by descriptor
 	closed bool
 }
 
-// NewLot returns an empty lot. Run must be called, and Close ends it.
+// NewPoller returns an empty Poller. The caller must call Run, which returns after Close.
 func NewPoller() (*Poller, error) {
 	fd, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("idle connections: %w", os.NewSyscallError("epoll_create1", err))
 	}
-	if err := unix.SetNonblock(fd, true); err != nil { // else the runtime would not poll it
+	if err := unix.SetNonblock(fd, true); err != nil { // the runtime only polls nonblocking descriptors
 		unix.Close(fd)
 		return nil, fmt.Errorf("idle connections: %w", os.NewSyscallError("fcntl", err))
 	}
-	l := &Poller{set: os.NewFile(uintptr(fd), "epoll"), fd: fd, held: map[int32]Handler{}}
-	if l.raw, err = l.set.SyscallConn(); err != nil {
-		l.set.Close()
+	p := &Poller{epoll: os.NewFile(uintptr(fd), "epoll"), fd: fd, parked: map[int32]Handler{}}
+	if p.raw, err = p.epoll.SyscallConn(); err != nil {
+		p.epoll.Close()
 		return nil, fmt.Errorf("idle connections: %w", err)
 	}
-	return l, nil
+	return p, nil
 }
 
-var errClosed = errors.New("the lot is closed")
+var errClosed = errors.New("the poller is closed or does not hold the socket")
 
-// Hold takes a socket over and returns what it is known by until Take or Drop; c is closed in any case. After an error
-// the socket is closed, too.
-func (l *Poller) Park(c *net.TCPConn, w Handler) (key int32, err error) {
+// Park takes over a socket and returns the key that identifies it until Unpark or Drop. c is closed in any case; after an
+// error, the socket itself is closed, too.
+func (p *Poller) Park(c *net.TCPConn, h Handler) (key int32, err error) {
 	defer c.Close()
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
 	fd := -1
-	// The runtime's poller knows the socket by c's descriptor, and forgets it when that is closed.
+	// The runtime's poller has registered c's descriptor, and removes it when that is closed. The duplicate stays open.
 	if failed := raw.Control(func(own uintptr) { fd, err = unix.FcntlInt(own, unix.F_DUPFD_CLOEXEC, 0) }); failed != nil {
 		return 0, failed
 	}
 	if err != nil {
 		return 0, os.NewSyscallError("fcntl", err)
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.closed {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
 		unix.Close(fd)
 		return 0, errClosed
 	}
 	key = int32(fd)
 	event := unix.EpollEvent{Events: unix.EPOLLIN | unix.EPOLLRDHUP | unix.EPOLLONESHOT, Fd: key}
-	if err := unix.EpollCtl(l.fd, unix.EPOLL_CTL_ADD, fd, &event); err != nil {
+	if err := unix.EpollCtl(p.fd, unix.EPOLL_CTL_ADD, fd, &event); err != nil {
 		unix.Close(fd)
 		return 0, os.NewSyscallError("epoll_ctl", err)
 	}
-	l.held[key] = w
+	p.parked[key] = h
 	return key, nil
 }
 
-// Take gives a held socket back.
-func (l *Poller) Unpark(key int32) (*net.TCPConn, error) {
-	l.mu.Lock()
-	_, held := l.held[key]
-	delete(l.held, key)
-	if held {
-		unix.EpollCtl(l.fd, unix.EPOLL_CTL_DEL, int(key), nil)
+// Unpark removes a parked socket and returns it as a connection.
+func (p *Poller) Unpark(key int32) (*net.TCPConn, error) {
+	p.mu.Lock()
+	_, parked := p.parked[key]
+	delete(p.parked, key)
+	if parked {
+		unix.EpollCtl(p.fd, unix.EPOLL_CTL_DEL, int(key), nil)
 	}
-	l.mu.Unlock()
-	if !held {
+	p.mu.Unlock()
+	if !parked {
 		return nil, errClosed
 	}
 	f := os.NewFile(uintptr(key), "socket")
@@ -99,30 +99,31 @@
 	return c.(*net.TCPConn), nil
 }
 
-// Drop closes a held socket.
-func (l *Poller) Drop(key int32) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if _, held := l.held[key]; held {
-		delete(l.held, key)
+// Drop closes a parked socket.
+func (p *Poller) Drop(key int32) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if _, parked := p.parked[key]; parked {
+		delete(p.parked, key)
 		unix.Close(int(key))
 	}
 }
 
-// Len is how many sockets are held.
-func (l *Poller) Len() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.held)
+// Len returns the number of parked sockets.
+func (p *Poller) Len() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.parked)
 }
 
-// Run tells those whose sockets have bytes, or are over, until Close. Each is told once for each Hold.
-func (l *Poller) Run() error {
+// Run calls the handlers of sockets that have bytes to read or whose connection has ended, until Close. Each handler is
+// called at most once per Park.
+func (p *Poller) Run() error {
 	events := make([]unix.EpollEvent, 128)
 	for {
 		n := 0
 		var failed error
-		err := l.raw.Read(func(fd uintptr) bool {
+		err := p.raw.Read(func(fd uintptr) bool {
 			for {
 				if n, failed = unix.EpollWait(int(fd), events, 0); failed != unix.EINTR {
 					return n != 0 || failed != nil
@@ -130,7 +131,7 @@
 			}
 		})
 		switch {
-		case err != nil && l.over(): // the set's file says so with an error that cannot be told from others
+		case err != nil && p.isClosed(): // a read of the closed file fails with an error that cannot be distinguished from others
 			return nil
 		case err != nil:
 			return fmt.Errorf("idle connections: %w", err)
@@ -138,33 +139,33 @@
 			return fmt.Errorf("idle connections: %w", os.NewSyscallError("epoll_wait", failed))
 		}
 		for _, e := range events[:n] {
-			l.mu.Lock()
-			w := l.held[e.Fd]
-			l.mu.Unlock()
-			if w != nil { // else it has been dropped meanwhile
-				w.SocketReady()
+			p.mu.Lock()
+			h := p.parked[e.Fd]
+			p.mu.Unlock()
+			if h != nil { // nil if the socket has been removed meanwhile
+				h.SocketReady()
 			}
 		}
 	}
 }
 
-func (l *Poller) over() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.closed
+func (p *Poller) isClosed() bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.closed
 }
 
-// Close closes every held socket and ends Run.
-func (l *Poller) Close() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.closed {
+// Close closes all parked sockets and ends Run.
+func (p *Poller) Close() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.closed {
 		return
 	}
-	l.closed = true
-	for fd := range l.held {
+	p.closed = true
+	for fd := range p.parked {
 		unix.Close(int(fd))
 	}
-	clear(l.held)
-	l.set.Close()
+	clear(p.parked)
+	p.epoll.Close()
 }
