--- a/internal/proxy/backend_test.go
+++ b/internal/proxy/backend_test.go
@@ -13,7 +13,7 @@
 
 // TestSpoiltAnswersAreFailedAttempts has one backend answer so at first; a request that is free to repeat is
 // then served by the next, and one that must not run twice fails.
-func TestSpoiltAnswersAreFailedAttempts(t *testing.T) {
+func TestMalformedAnswersAreFailedAttempts(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	for name, spoilt := range map[string]string{
 		"noise":                 "\x00\x01\x02 noise\r\n\r\n",
@@ -30,8 +30,8 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			bad := newBackend(t, "127.0.0.1:0", func(string) string { return spoilt })
-			good := newBackend(t, "127.0.0.1:0", whole)
-			g := newRig(t, nil, entry("s1", bad.address, "up"), entry("s2", good.address, "up"))
+			good := newBackend(t, "127.0.0.1:0", idAnswer)
+			g := newTestProxy(t, nil, entry("s1", bad.address, "up"), entry("s2", good.address, "up"))
 			c := g.dial()
 			for i := range 2 { // in turn, so one of them meets the spoilt answer first
 				id := fmt.Sprint("r", i)
@@ -45,7 +45,7 @@
 		t.Run(name+", once", func(t *testing.T) {
 			t.Parallel()
 			bad := newBackend(t, "127.0.0.1:0", func(string) string { return spoilt })
-			g := newRig(t, nil, entry("s1", bad.address, "up"))
+			g := newTestProxy(t, nil, entry("s1", bad.address, "up"))
 			status, _ := g.dial().send(strings.Replace(strings.Replace(head("a"), "search", "once", 1), "GET", "POST", 1)).answer()
 			if status != 502 {
 				t.Fatalf("answered %d", status)
@@ -54,11 +54,11 @@
 	}
 }
 
-func TestGoodAnswersWithMoreThanBelongsToThem(t *testing.T) {
+func TestValidAnswersWithExtraBytes(t *testing.T) {
 	for name, reply := range map[string]func(string) string{
-		"second copy":   func(id string) string { return whole(id) + whole(id) },
-		"noise behind":  func(id string) string { return whole(id) + "\x00noise" },
-		"interim ahead": func(id string) string { return strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 3) + whole(id) },
+		"second copy":   func(id string) string { return idAnswer(id) + idAnswer(id) },
+		"noise behind":  func(id string) string { return idAnswer(id) + "\x00noise" },
+		"interim ahead": func(id string) string { return strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 3) + idAnswer(id) },
 		"chunks": func(id string) string {
 			return fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(id), id)
 		},
@@ -66,7 +66,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b := newBackend(t, "127.0.0.1:0", reply)
-			c := newRig(t, nil, entry("s1", b.address, "up")).dial()
+			c := newTestProxy(t, nil, entry("s1", b.address, "up")).dial()
 			for i := range 20 {
 				id := fmt.Sprint("r", i)
 				if status, body := c.send(head(id)).answer(); status != 200 || body != id {
@@ -79,8 +79,8 @@
 
 // TestNewServerAtAnOldAddressGetsNewConnections replaces a server by another at the same address.
 func TestNewServerAtAnOldAddressGetsNewConnections(t *testing.T) {
-	b := newBackend(t, "127.0.0.1:0", whole)
-	g := newRig(t, nil, entry("old", b.address, "up"))
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
+	g := newTestProxy(t, nil, entry("old", b.address, "up"))
 	c := g.dial()
 	c.send(head("a")).answer()
 	await(t, "the first connection", b.conns)
@@ -118,7 +118,7 @@
 				close(end)
 			}
 			address := endingServer(t, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+c.text, c.reset, end)
-			g := newRig(t, nil, entry("s1", address, "up"))
+			g := newTestProxy(t, nil, entry("s1", address, "up"))
 			resp, err := http.ReadResponse(g.dial().send(strings.Replace(strings.Replace(head("a"), "search", "once", 1), "GET", "POST", 1)).r, nil)
 			if passedOn {
 				close(end)
--- a/internal/proxy/ban_story_test.go
+++ b/internal/proxy/ban_story_test.go
@@ -21,20 +21,20 @@
 var banSeeds = flag.Int("ban-seeds", 2, "how many stories of backends by hand are played, each with a seed of its own")
 
 // inUseWithin is how soon a backend that was put back has to get a request.
-const inUseWithin = 5 * time.Second
+const inUseTimeout = 5 * time.Second
 
 // TestBansByHand takes random backends out by the console and puts them back, under load and while others fail, and has
 // the auditor look for what comes to one later than the grace after the console's yes.
-func TestBansByHand(t *testing.T) {
+func TestOperatorBans(t *testing.T) {
 	for seed := range *banSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playBans(t, uint64(seed))
+			runBans(t, uint64(seed))
 		})
 	}
 }
 
-func playBans(t *testing.T, seed uint64) {
+func runBans(t *testing.T, seed uint64) {
 	f, err := standin.NewFleet(standin.FleetConfig{Seed: seed, Backends: 6, Rules: rules()})
 	if err != nil {
 		t.Fatal(err)
@@ -59,7 +59,7 @@
 	console := p.ConsoleAddr()
 	endProxy := serveProxy(t, p)
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	say := func(id, verb string) {
+	call := func(id, verb string) {
 		resp, err := client.Post("http://"+console+"/v1/backends/"+id+"/"+verb, "", nil)
 		if err != nil {
 			t.Errorf("%s %s: %v", verb, id, err)
@@ -71,42 +71,42 @@
 		}
 	}
 
-	dice := rand.New(rand.NewPCG(seed, 17))
+	rng := rand.New(rand.NewPCG(seed, 17))
 	var script standin.Script
 	script.Length = time.Minute // at most: the load ends with the story
 	script.Load = standin.Load{Rate: 100, Retries: 2, Backoff: 5 * time.Millisecond, Slack: rules().AnswerSlack}
-	for _, kind := range []string{"fail", "slow", "reset-after"}[:dice.IntN(3)+1] {
-		script.Steps = append(script.Steps, step(kind, 6, dice))
+	for _, kind := range []string{"fail", "slow", "reset-after"}[:rng.IntN(3)+1] {
+		script.Steps = append(script.Steps, step(kind, 6, rng))
 	}
 	ctx, end := context.WithCancel(t.Context())
-	var playing sync.WaitGroup
-	playing.Go(func() {
+	var running sync.WaitGroup
+	running.Go(func() {
 		if err := f.Play(ctx, script, f.Callers(p.Addr().String()), nil); err != nil {
 			t.Error(err)
 		}
 	})
 	bans, slowest := 0, time.Duration(0)
-	for range 2 + dice.IntN(3) {
-		time.Sleep(time.Duration(dice.IntN(200)) * time.Millisecond)
-		who := dice.Perm(6)[:1+dice.IntN(3)]
-		for _, i := range who {
+	for range 2 + rng.IntN(3) {
+		time.Sleep(time.Duration(rng.IntN(200)) * time.Millisecond)
+		indexes := rng.Perm(6)[:1+rng.IntN(3)]
+		for _, i := range indexes {
 			id := f.Backends[i].State().ID
-			say(id, "suspend")
+			call(id, "suspend")
 			f.Books.ByHand(id, true)
 			bans++
 		}
-		time.Sleep(rules().DrainGrace + time.Duration(dice.IntN(300))*time.Millisecond)
-		for _, i := range who {
+		time.Sleep(rules().DrainGrace + time.Duration(rng.IntN(300))*time.Millisecond)
+		for _, i := range indexes {
 			id := f.Backends[i].State().ID
-			if dice.IntN(4) == 0 {
-				say(id, "suspend") // again, which changes nothing
+			if rng.IntN(4) == 0 {
+				call(id, "suspend") // again, which changes nothing
 			}
 			before := f.Backends[i].State().Arrived
 			f.Books.ByHand(id, false)
 			back := time.Now()
-			say(id, "resume")
+			call(id, "resume")
 			for f.Backends[i].State().Arrived == before {
-				if time.Since(back) > inUseWithin {
+				if time.Since(back) > inUseTimeout {
 					t.Errorf("%s is back and gets nothing", id)
 					break
 				}
@@ -116,7 +116,7 @@
 		}
 	}
 	end()
-	playing.Wait()
+	running.Wait()
 	endProxy()
 	f.Books.Settle()
 	r := f.Books.Report()
--- a/internal/proxy/channel_story_test.go
+++ b/internal/proxy/channel_story_test.go
@@ -19,7 +19,7 @@
 var channelSeeds = flag.Int("channel-seeds", 2, "how many seeds the stories with channels play")
 
 // channelStory is a fleet whose proxy has channels, and clients that keep some open.
-type channelStory struct {
+type channelScenario struct {
 	t       *testing.T
 	fleet   *standin.Fleet
 	clients *standin.ChannelClients
@@ -27,7 +27,7 @@
 	end     func() audit.Report
 }
 
-func newChannelStory(t *testing.T, f standin.FleetConfig, load standin.ChannelLoad, change func(*channel.Options)) *channelStory {
+func newChannelScenario(t *testing.T, f standin.FleetConfig, load standin.ChannelLoad, change func(*channel.Options)) *channelScenario {
 	t.Helper()
 	if f.Rules == (audit.Rules{}) {
 		f.Rules = rules()
@@ -60,7 +60,7 @@
 	}
 	fleet.OnMove = p.MoveDiscovery
 	endProxy := serveProxy(t, p)
-	s := &channelStory{t: t, fleet: fleet, address: p.Addr().String()}
+	s := &channelScenario{t: t, fleet: fleet, address: p.Addr().String()}
 	s.clients = fleet.ChannelClients(s.address)
 	coming, leave := context.WithCancel(context.Background())
 	gone := make(chan struct{})
@@ -80,7 +80,7 @@
 }
 
 // open waits until so many channels are open, or the test fails.
-func (s *channelStory) open(n int, within time.Duration) {
+func (s *channelScenario) awaitOpen(n int, within time.Duration) {
 	s.t.Helper()
 	for end := time.Now().Add(within); s.clients.Tally().Open != n; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -91,7 +91,7 @@
 }
 
 // kept ends the story and checks the rules.
-func (s *channelStory) kept() audit.Report {
+func (s *channelScenario) finish() audit.Report {
 	s.t.Helper()
 	r := s.end()
 	if !r.Kept() {
@@ -107,14 +107,14 @@
 	for seed := range *channelSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			s := newChannelStory(t, standin.FleetConfig{Seed: uint64(seed)}, standin.ChannelLoad{
+			s := newChannelScenario(t, standin.FleetConfig{Seed: uint64(seed)}, standin.ChannelLoad{
 				Clients: 150, Impatient: 2, Within: 500 * time.Millisecond, Path: "/events", Hold: 400 * time.Millisecond,
 			}, func(o *channel.Options) { o.MoveWindow = 500 * time.Millisecond })
-			dice := rand.New(rand.NewPCG(uint64(seed), 5))
+			rng := rand.New(rand.NewPCG(uint64(seed), 5))
 			script := standin.Script{Length: 4 * time.Second, Load: standin.Load{Rate: 80, Retries: 2, Backoff: 5 * time.Millisecond, Slack: rules().AnswerSlack}}
 			for n := range 4 {
-				for _, kind := range []string{"drain", kinds[dice.IntN(len(kinds))]} {
-					one := step(kind, 8, dice)
+				for _, kind := range []string{"drain", kinds[rng.IntN(len(kinds))]} {
+					one := step(kind, 8, rng)
 					one.At += time.Duration(n) * 800 * time.Millisecond
 					if kind == "drain" {
 						one.For = 700 * time.Millisecond // past the grace
@@ -129,7 +129,7 @@
 				t.Error(err)
 			}
 			tally := s.clients.Tally()
-			r := s.kept()
+			r := s.finish()
 			if tally.Opened < 200 || r.Checks[audit.Drains] < 4 {
 				t.Errorf("the story tests too little: %+v, %v checks", tally, r.Checks)
 			}
@@ -143,35 +143,35 @@
 	}
 }
 
-func TestRoomDrainsOneServerAfterAnother(t *testing.T) {
+func TestZoneDrainsOneServerAfterAnother(t *testing.T) {
 	t.Parallel()
-	s := newChannelStory(t, standin.FleetConfig{Seed: 1, Backends: 6}, standin.ChannelLoad{Clients: 180, Path: "/events"}, nil)
-	s.open(180, 20*time.Second)
-	room := []int{0, 2, 4}
-	for _, i := range room {
+	s := newChannelScenario(t, standin.FleetConfig{Seed: 1, Backends: 6}, standin.ChannelLoad{Clients: 180, Path: "/events"}, nil)
+	s.awaitOpen(180, 20*time.Second)
+	zone := []int{0, 2, 4}
+	for _, i := range zone {
 		s.fleet.List(i, "draining")
 		time.Sleep(300 * time.Millisecond)
 	}
-	held := func(who []int) (n int) {
-		for _, i := range who {
+	openAt := func(indexes []int) (n int) {
+		for _, i := range indexes {
 			n += s.fleet.Backends[i].State().Channels
 		}
 		return n
 	}
-	for end := time.Now().Add(20 * time.Second); held(room) > 0; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); openAt(zone) > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d channels stay in the room", held(room))
+			t.Fatalf("%d channels stay in the room", openAt(zone))
 		}
 	}
-	s.open(180, 20*time.Second)
-	if n := held([]int{1, 3, 5}); n != 180 {
+	s.awaitOpen(180, 20*time.Second)
+	if n := openAt([]int{1, 3, 5}); n != 180 {
 		t.Errorf("%d channels are in the other room", n)
 	}
 	tally := s.clients.Tally()
 	if tally.Closed[1012] != sum(tally.Closed) || tally.Closed[1012] < 90 {
 		t.Errorf("channels ended with %v", tally.Closed)
 	}
-	s.kept()
+	s.finish()
 }
 
 func sum(m map[int]int) (n int) {
@@ -183,12 +183,12 @@
 
 func TestServerDiesWithItsChannelsAndReturnsCold(t *testing.T) {
 	t.Parallel()
-	s := newChannelStory(t, standin.FleetConfig{Seed: 2, Backends: 2, Slots: 8, Queue: 200, WarmUp: 3 * time.Second},
+	s := newChannelScenario(t, standin.FleetConfig{Seed: 2, Backends: 2, Slots: 8, Queue: 200, WarmUp: 3 * time.Second},
 		standin.ChannelLoad{Clients: 1000, Within: 2 * time.Second, Path: "/events"},
 		func(o *channel.Options) {
 			o.MaxChannels, o.NodeRate, o.Rate, o.MaxWait = 2000, 300, 600, 10*time.Second
 		})
-	s.open(1000, 30*time.Second)
+	s.awaitOpen(1000, 30*time.Second)
 	before := s.fleet.Backends[0].State().Channels
 	if before < 300 {
 		t.Fatalf("%d of 1000 channels are at the server", before)
@@ -201,21 +201,21 @@
 	}
 	born := len(s.fleet.Backends[0].Opened())
 	s.fleet.List(0, "up")
-	s.open(1000, 30*time.Second)
+	s.awaitOpen(1000, 30*time.Second)
 	t.Logf("%d ended: %v; %d came to the cold server while all returned", before, s.clients.Tally().Closed, len(s.fleet.Backends[0].Opened())-born)
-	s.kept()
+	s.finish()
 }
 
-func TestClientsThatReconnectAtOnceForEver(t *testing.T) {
-	s := newChannelStory(t, standin.FleetConfig{Seed: 3, Backends: 4}, standin.ChannelLoad{Clients: 60, Impatient: 10, Path: "/events"},
+func TestClientsThatReconnectImmediately(t *testing.T) {
+	s := newChannelScenario(t, standin.FleetConfig{Seed: 3, Backends: 4}, standin.ChannelLoad{Clients: 60, Impatient: 10, Path: "/events"},
 		func(o *channel.Options) { o.Rate, o.MaxChannels = 20, 55 })
 	// Of ten impatient and fifty patient ones, 55 find room; the limit holds, and who is refused is answered.
-	s.open(55, 30*time.Second)
+	s.awaitOpen(55, 30*time.Second)
 	before := s.clients.Tally()
 	time.Sleep(500 * time.Millisecond)
 	after := s.clients.Tally()
 	if after.Refused-before.Refused < 20 || after.Failed > before.Failed || after.Open != 55 {
 		t.Errorf("before %+v, after %+v", before, after)
 	}
-	s.kept()
+	s.finish()
 }
--- a/internal/proxy/channel_test.go
+++ b/internal/proxy/channel_test.go
@@ -35,7 +35,7 @@
 }
 
 // wsNode is a server of channels at whose raw sockets the test plays the other end.
-type wsNode struct {
+type wsServer struct {
 	t       *testing.T
 	address string
 	heads   chan *http.Request // those that came
@@ -61,7 +61,7 @@
 }
 
 // newWSNode answers each request with what answer returns; nil for 101.
-func newWSNode(t *testing.T, answer func(*http.Request) string) *wsNode {
+func newWSServer(t *testing.T, answer func(*http.Request) string) *wsServer {
 	t.Helper()
 	if answer == nil {
 		answer = func(r *http.Request) string { return accept(r) }
@@ -70,11 +70,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n := &wsNode{
+	n := &wsServer{
 		t: t, address: l.Addr().String(), answer: answer, listen: l,
 		heads: make(chan *http.Request, 2000), conns: make(chan *wsConn, 2000),
 	}
-	t.Cleanup(n.die)
+	t.Cleanup(n.kill)
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -90,7 +90,7 @@
 	return n
 }
 
-func (n *wsNode) serve(c net.Conn) {
+func (n *wsServer) serve(c net.Conn) {
 	r := bufio.NewReader(c)
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -100,7 +100,7 @@
 	text := n.answer(req)
 	io.WriteString(c, text)
 	if strings.HasPrefix(text, "HTTP/1.1 101") {
-		c.SetDeadline(time.Now().Add(patient))
+		c.SetDeadline(time.Now().Add(eventTimeout))
 		n.conns <- &wsConn{n.t, c, r, false}
 		return
 	}
@@ -108,7 +108,7 @@
 }
 
 // die ends the process: its connections are reset, and new ones refused.
-func (n *wsNode) die() {
+func (n *wsServer) kill() {
 	n.listen.Close()
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -121,16 +121,16 @@
 const wsKey = "dGhlIHNhbXBsZSBub25jZQ=="
 
 // shake is a request for a channel, with further fields.
-func shake(id string, fields ...string) string {
+func upgradeRequest(id string, fields ...string) string {
 	return "GET /api HTTP/1.1\r\nHost: x\r\nX-Txn: " + id + "\r\nX-Lane: search\r\nX-Remaining-Ms: 9000\r\n" +
 		"Connection: Upgrade\r\nUpgrade: websocket\r\nSec-WebSocket-Version: 13\r\nSec-WebSocket-Key: " + wsKey + "\r\n" +
 		strings.Join(fields, "") + "\r\n"
 }
 
 // open opens a channel, and returns the client's end and the answer's head.
-func (g *rig) open(id string, fields ...string) (*wsConn, *http.Response) {
+func (g *testProxy) openChannel(id string, fields ...string) (*wsConn, *http.Response) {
 	g.t.Helper()
-	c := g.dial().send(shake(id, fields...))
+	c := g.dial().send(upgradeRequest(id, fields...))
 	resp, err := http.ReadResponse(c.r, &http.Request{Method: "GET"})
 	if err != nil {
 		g.t.Fatal(err)
@@ -139,9 +139,9 @@
 }
 
 // pair opens a channel to a node, and returns both ends.
-func (g *rig) pair(n *wsNode, id string, fields ...string) (client, server *wsConn) {
+func (g *testProxy) openPair(n *wsServer, id string, fields ...string) (client, server *wsConn) {
 	g.t.Helper()
-	client, resp := g.open(id, fields...)
+	client, resp := g.openChannel(id, fields...)
 	if resp.StatusCode != http.StatusSwitchingProtocols {
 		g.t.Fatalf("answered %d", resp.StatusCode)
 	}
@@ -149,7 +149,7 @@
 }
 
 // bytes is one frame as this end sends it.
-func (c *wsConn) bytes(first byte, payload string) []byte {
+func (c *wsConn) encodeFrame(first byte, payload string) []byte {
 	b := []byte{first}
 	bit := byte(0)
 	if c.mask {
@@ -174,13 +174,13 @@
 	return b
 }
 
-func (c *wsConn) send(first byte, payload string) { c.Write(c.bytes(first, payload)) }
+func (c *wsConn) sendFrame(first byte, payload string) { c.Write(c.encodeFrame(first, payload)) }
 
 // eof stands for a frame's first byte at the connection's end: no frame begins with it.
 const eof = 0x70
 
 // frame reads one frame: its first byte and payload. first is eof at the end of the connection.
-func (c *wsConn) frame() (first byte, payload string) {
+func (c *wsConn) readFrame() (first byte, payload string) {
 	c.t.Helper()
 	head := make([]byte, 2)
 	if _, err := io.ReadFull(c.r, head); err != nil {
@@ -216,18 +216,18 @@
 }
 
 // wants reads one frame and checks it.
-func (c *wsConn) wants(first byte, payload string) {
+func (c *wsConn) expectFrame(first byte, payload string) {
 	c.t.Helper()
-	if f, p := c.frame(); f != first || p != payload {
+	if f, p := c.readFrame(); f != first || p != payload {
 		c.t.Fatalf("frame %#x %.60q, want %#x %.60q", f, p, first, payload)
 	}
 }
 
 // code reads up to the next Close frame, and returns its code; 0 if the connection ends without one.
-func (c *wsConn) code() frame.Code {
+func (c *wsConn) closeCode() frame.Code {
 	c.t.Helper()
 	for {
-		switch f, p := c.frame(); {
+		switch f, p := c.readFrame(); {
 		case f == eof:
 			return 0
 		case f == 0x88 && len(p) < 2:
@@ -238,12 +238,12 @@
 	}
 }
 
-func closing(code frame.Code) string { return string([]byte{byte(code >> 8), byte(code)}) }
+func closePayload(code frame.Code) string { return string([]byte{byte(code >> 8), byte(code)}) }
 
 // ended waits for the connection's end.
-func (c *wsConn) ended() {
+func (c *wsConn) expectEOF() {
 	c.t.Helper()
-	if f, p := c.frame(); f != eof {
+	if f, p := c.readFrame(); f != eof {
 		c.t.Fatalf("frame %#x %q where the end was due", f, p)
 	}
 }
@@ -269,8 +269,8 @@
 	})}
 	go s.Serve(l)
 	defer s.Close()
-	g := newRig(t, withChannels(nil), entry("a", l.Addr().String(), "up"))
-	ctx, cancel := context.WithTimeout(t.Context(), patient)
+	g := newTestProxy(t, withChannels(nil), entry("a", l.Addr().String(), "up"))
+	ctx, cancel := context.WithTimeout(t.Context(), eventTimeout)
 	defer cancel()
 	for _, mode := range []websocket.CompressionMode{websocket.CompressionDisabled, websocket.CompressionNoContextTakeover, websocket.CompressionContextTakeover} {
 		c, _, err := websocket.Dial(ctx, "ws://"+g.address+"/api", &websocket.DialOptions{
@@ -303,23 +303,23 @@
 	}
 }
 
-func (c *wsConn) raw(text string) { io.WriteString(c, text) }
+func (c *wsConn) sendRaw(text string) { io.WriteString(c, text) }
 
 // takes reads frames until the connection ends, and returns the data and the code of the Close.
-func (c *wsConn) takes() (data string, code frame.Code) {
+func (c *wsConn) readUntilEOF() (data string, code frame.Code) {
 	c.t.Helper()
 	for {
-		switch f, p := c.frame(); {
+		switch f, p := c.readFrame(); {
 		case f == eof:
 			return data, code
 		case f == 0x88 && len(p) >= 2:
 			code = frame.Code(p[0])<<8 | frame.Code(p[1])
-			c.send(0x88, p) // an end that keeps the protocol answers
+			c.sendFrame(0x88, p) // an end that keeps the protocol answers
 		case f == 0x88:
 			code = frame.NoStatus
-			c.send(0x88, "")
+			c.sendFrame(0x88, "")
 		case f == 0x89:
-			c.send(0x8a, p)
+			c.sendFrame(0x8a, p)
 		default:
 			data += p
 		}
@@ -327,55 +327,55 @@
 }
 
 // drained waits for the proxy to hold no channel.
-func (g *rig) drained() {
+func (g *testProxy) awaitNoChannels() {
 	g.t.Helper()
-	g.holds(0)
+	g.awaitChannels(0)
 }
 
-func (g *rig) holds(n int) {
+func (g *testProxy) awaitChannels(n int) {
 	g.t.Helper()
-	for end := time.Now().Add(patient); g.channels.Len() != n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); g.channels.Len() != n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			g.t.Fatalf("%d channels, want %d", g.channels.Len(), n)
 		}
 	}
 }
 
-func TestFramesGoOnAsTheyCame(t *testing.T) {
-	n := newWSNode(t, nil)
-	g := newRig(t, withChannels(nil), entry("a", n.address, "up"))
-	client, server := g.pair(n, "1")
+func TestFramesAreForwardedUnchanged(t *testing.T) {
+	n := newWSServer(t, nil)
+	g := newTestProxy(t, withChannels(nil), entry("a", n.address, "up"))
+	client, server := g.openPair(n, "1")
 	for _, from := range []*wsConn{client, server} {
 		to := client
 		if from == client {
 			to = server
 		}
-		from.send(0x01, "in ")
-		from.send(0x89, "ping of an end")
-		from.send(0x00, "three ")
-		from.send(0x8a, "pong that nobody asked for")
-		from.send(0x80, "parts")
-		to.wants(0x01, "in ")
-		to.wants(0x89, "ping of an end")
-		to.wants(0x00, "three ")
-		to.wants(0x8a, "pong that nobody asked for")
-		to.wants(0x80, "parts")
-	}
-	client.send(0x88, closing(4001)+"done")
-	server.wants(0x88, closing(4001)+"done")
-	server.send(0x88, closing(4001))
-	client.wants(0x88, closing(4001))
-	client.ended()
-	server.ended()
-	g.drained()
+		from.sendFrame(0x01, "in ")
+		from.sendFrame(0x89, "ping of an end")
+		from.sendFrame(0x00, "three ")
+		from.sendFrame(0x8a, "pong that nobody asked for")
+		from.sendFrame(0x80, "parts")
+		to.expectFrame(0x01, "in ")
+		to.expectFrame(0x89, "ping of an end")
+		to.expectFrame(0x00, "three ")
+		to.expectFrame(0x8a, "pong that nobody asked for")
+		to.expectFrame(0x80, "parts")
+	}
+	client.sendFrame(0x88, closePayload(4001)+"done")
+	server.expectFrame(0x88, closePayload(4001)+"done")
+	server.sendFrame(0x88, closePayload(4001))
+	client.expectFrame(0x88, closePayload(4001))
+	client.expectEOF()
+	server.expectEOF()
+	g.awaitNoChannels()
 }
 
-func TestOffersAndChoicesAreTheEnds(t *testing.T) {
-	n := newWSNode(t, func(r *http.Request) string {
+func TestNegotiationIsBetweenTheEndpoints(t *testing.T) {
+	n := newWSServer(t, func(r *http.Request) string {
 		return accept(r, "Sec-WebSocket-Protocol: b\r\n", "Sec-WebSocket-Extensions: permessage-deflate; server_no_context_takeover\r\n", "X-Own: 1\r\n")
 	})
-	g := newRig(t, withChannels(nil), entry("a", n.address, "up"))
-	c, resp := g.open("1", "Sec-WebSocket-Protocol: a, b\r\n", "Sec-WebSocket-Extensions: permessage-deflate; client_max_window_bits, x; q=\"a,b\"\r\n", "Origin: https://x\r\n", "Cookie: k=v\r\n")
+	g := newTestProxy(t, withChannels(nil), entry("a", n.address, "up"))
+	c, resp := g.openChannel("1", "Sec-WebSocket-Protocol: a, b\r\n", "Sec-WebSocket-Extensions: permessage-deflate; client_max_window_bits, x; q=\"a,b\"\r\n", "Origin: https://x\r\n", "Cookie: k=v\r\n")
 	for field, want := range map[string]string{
 		"Sec-Websocket-Protocol": "b", "Sec-Websocket-Extensions": "permessage-deflate; server_no_context_takeover", "X-Own": "1",
 		"Sec-Websocket-Accept": handshake.AcceptKey(wsKey),
@@ -394,31 +394,31 @@
 		}
 	}
 	server := await(t, "the server's end", n.conns)
-	c.send(0xc1, "deflated") // the reserved bit that was agreed on
-	server.wants(0xc1, "deflated")
-	c.send(0xa1, "another")
-	if code := c.code(); code != frame.ProtocolError {
+	c.sendFrame(0xc1, "deflated") // the reserved bit that was agreed on
+	server.expectFrame(0xc1, "deflated")
+	c.sendFrame(0xa1, "another")
+	if code := c.closeCode(); code != frame.ProtocolError {
 		t.Errorf("a bit that was not agreed on: code %d", code)
 	}
-	if code := server.code(); code != frame.GoingAway {
+	if code := server.closeCode(); code != frame.GoingAway {
 		t.Errorf("the server is told %d", code)
 	}
 }
 
-func TestDrainWithChannelsInTheMidstOfMessages(t *testing.T) {
+func TestDrainWithChannelsMidMessage(t *testing.T) {
 	const channels = 500
-	a, b := newWSNode(t, nil), newWSNode(t, nil)
-	g := newRig(t, withChannels(func(c *Config) {
+	a, b := newWSServer(t, nil), newWSServer(t, nil)
+	g := newTestProxy(t, withChannels(func(c *Config) {
 		c.Options.Channels.MoveWindow = 2 * time.Second
 	}), entry("a", a.address, "up"))
 	type pair struct{ client, server *wsConn }
 	var all []pair
 	for i := range channels {
-		client, server := g.pair(a, fmt.Sprint(i))
+		client, server := g.openPair(a, fmt.Sprint(i))
 		all = append(all, pair{client, server})
 		if i%2 == 0 {
-			server.send(0x01, "first ")
-			client.wants(0x01, "first ")
+			server.sendFrame(0x01, "first ")
+			client.expectFrame(0x01, "first ")
 		}
 	}
 	g.registry.lists <- list(2, false, entry("a", a.address, "draining"), entry("b", b.address, "up"))
@@ -429,18 +429,18 @@
 		ends.Go(func() {
 			if i%2 == 0 && i%4 == 0 { // half of those in a message go on with it
 				time.Sleep(500 * time.Millisecond)
-				p.server.send(0x80, "last")
+				p.server.sendFrame(0x80, "last")
 			}
 		})
-		ends.Go(func() { data[i], codes[i] = p.client.takes() })
+		ends.Go(func() { data[i], codes[i] = p.client.readUntilEOF() })
 		ends.Go(func() {
-			if _, code := p.server.takes(); code != frame.GoingAway {
+			if _, code := p.server.readUntilEOF(); code != frame.GoingAway {
 				t.Errorf("server %d is told %d", i, code)
 			}
 		})
 	}
 	// New ones go to the other server meanwhile.
-	g.pair(b, "new")
+	g.openPair(b, "new")
 	ends.Wait()
 	for i := range all {
 		want := map[bool]string{true: "last", false: ""}[i%4 == 0]
@@ -448,7 +448,7 @@
 			t.Errorf("client %d: code %d, data %q; want %q", i, codes[i], data[i], want)
 		}
 	}
-	g.holds(1)
+	g.awaitChannels(1)
 	if len(a.heads) != channels {
 		t.Errorf("%d upgrades reached the server that drains", len(a.heads)-channels)
 	}
@@ -490,9 +490,9 @@
 		{"1xx without end", func(*http.Request) string { return strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 40) }},
 	} {
 		t.Run(k.name, func(t *testing.T) {
-			n := newWSNode(t, k.answer)
-			g := newRig(t, withChannels(nil), entry("a", n.address, "up"))
-			c, resp := g.open("1")
+			n := newWSServer(t, k.answer)
+			g := newTestProxy(t, withChannels(nil), entry("a", n.address, "up"))
+			c, resp := g.openChannel("1")
 			if resp.StatusCode/100 != 5 {
 				t.Errorf("answered %d", resp.StatusCode)
 			}
@@ -512,20 +512,20 @@
 const failure500 = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 
 func TestInterimAnswersBeforeThe101(t *testing.T) {
-	n := newWSNode(t, func(r *http.Request) string {
+	n := newWSServer(t, func(r *http.Request) string {
 		return "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + accept(r)
 	})
 	n.answer = func(r *http.Request) string { return "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + accept(r) }
-	g := newRig(t, withChannels(nil), entry("a", n.address, "up"))
-	if _, resp := g.open("1"); resp.StatusCode != http.StatusSwitchingProtocols {
+	g := newTestProxy(t, withChannels(nil), entry("a", n.address, "up"))
+	if _, resp := g.openChannel("1"); resp.StatusCode != http.StatusSwitchingProtocols {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
 }
 
 func TestBrokenHandshakesOfClients(t *testing.T) {
-	n := newWSNode(t, nil)
-	g := newRig(t, withChannels(nil), entry("a", n.address, "up"))
-	swap := func(old, new string) string { return strings.Replace(shake("1"), old, new, 1) }
+	n := newWSServer(t, nil)
+	g := newTestProxy(t, withChannels(nil), entry("a", n.address, "up"))
+	swap := func(old, new string) string { return strings.Replace(upgradeRequest("1"), old, new, 1) }
 	for _, k := range []struct {
 		name, text string
 		status     int
@@ -556,7 +556,7 @@
 			if status, _ := c.answer(); status != k.status {
 				t.Errorf("answered %d, want %d", status, k.status)
 			}
-			c.closed()
+			c.expectClosed()
 		})
 	}
 	if len(n.heads) != 0 {
@@ -566,17 +566,17 @@
 
 func TestBytesBeforeThe101(t *testing.T) {
 	hold := make(chan struct{})
-	n := newWSNode(t, func(r *http.Request) string { <-hold; return accept(r) })
-	g := newRig(t, withChannels(nil), entry("a", n.address, "up"))
-	c := g.dial().send(shake("1") + "\x81\x80\x00\x00\x00\x00" + strings.Replace(head("smuggled"), "search", "search", 1))
+	n := newWSServer(t, func(r *http.Request) string { <-hold; return accept(r) })
+	g := newTestProxy(t, withChannels(nil), entry("a", n.address, "up"))
+	c := g.dial().send(upgradeRequest("1") + "\x81\x80\x00\x00\x00\x00" + strings.Replace(head("smuggled"), "search", "search", 1))
 	await(t, "the request", n.heads)
 	close(hold)
 	if status, _ := c.answer(); status != 400 {
 		t.Errorf("answered %d", status)
 	}
-	c.closed()
+	c.expectClosed()
 	server := await(t, "the server's end", n.conns)
-	server.ended()
+	server.expectEOF()
 	if len(n.heads) != 0 || g.channels.Len() != 0 {
 		t.Error("what stood behind the handshake was taken for a request")
 	}
@@ -584,12 +584,12 @@
 
 func TestRetriesOnlyBeforeThe101(t *testing.T) {
 	t.Parallel()
-	dead := newWSNode(t, nil)
-	dead.die()
-	n := newWSNode(t, nil)
-	g := newRig(t, withChannels(nil), entry("a", dead.address, "up"), entry("b", n.address, "up"))
+	dead := newWSServer(t, nil)
+	dead.kill()
+	n := newWSServer(t, nil)
+	g := newTestProxy(t, withChannels(nil), entry("a", dead.address, "up"), entry("b", n.address, "up"))
 	for i := range 4 { // turns go to both
-		if _, resp := g.open(fmt.Sprint(i)); resp.StatusCode != http.StatusSwitchingProtocols {
+		if _, resp := g.openChannel(fmt.Sprint(i)); resp.StatusCode != http.StatusSwitchingProtocols {
 			t.Errorf("answered %d", resp.StatusCode)
 		}
 	}
@@ -597,48 +597,48 @@
 		t.Errorf("%d upgrades", len(n.heads))
 	}
 	// A channel that breaks is not opened again by the proxy.
-	n.die()
-	g.drained()
+	n.kill()
+	g.awaitNoChannels()
 }
 
-func TestGarbageBehindThe101(t *testing.T) {
-	n := newWSNode(t, func(r *http.Request) string { return accept(r) + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" })
-	g := newRig(t, withChannels(nil), entry("a", n.address, "up"))
-	client, server := g.pair(n, "1")
-	if code := client.code(); code != frame.InternalError {
+func TestGarbageAfterThe101(t *testing.T) {
+	n := newWSServer(t, func(r *http.Request) string { return accept(r) + "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n" })
+	g := newTestProxy(t, withChannels(nil), entry("a", n.address, "up"))
+	client, server := g.openPair(n, "1")
+	if code := client.closeCode(); code != frame.InternalError {
 		t.Errorf("the client is told %d", code)
 	}
-	if code := server.code(); code != frame.ProtocolError {
+	if code := server.closeCode(); code != frame.ProtocolError {
 		t.Errorf("the server is told %d", code)
 	}
 }
 
-func TestFramesBehindThe101GoOn(t *testing.T) {
-	n := newWSNode(t, func(r *http.Request) string { return accept(r) + "\x81\x05hello\x82" })
-	g := newRig(t, withChannels(nil), entry("a", n.address, "up"))
-	client, server := g.pair(n, "1")
-	client.wants(0x81, "hello")
-	server.raw("\x01x")
-	client.wants(0x82, "x")
+func TestFramesAfterThe101AreForwarded(t *testing.T) {
+	n := newWSServer(t, func(r *http.Request) string { return accept(r) + "\x81\x05hello\x82" })
+	g := newTestProxy(t, withChannels(nil), entry("a", n.address, "up"))
+	client, server := g.openPair(n, "1")
+	client.expectFrame(0x81, "hello")
+	server.sendRaw("\x01x")
+	client.expectFrame(0x82, "x")
 }
 
 func TestOneByteASecond(t *testing.T) {
 	t.Parallel()
-	n := newWSNode(t, nil)
-	g := newRig(t, withChannels(func(c *Config) {
+	n := newWSServer(t, nil)
+	g := newTestProxy(t, withChannels(func(c *Config) {
 		c.Options.Channels.FrameGrace, c.Options.Channels.MinFrameRate = 300*time.Millisecond, 1000
 	}), entry("a", n.address, "up"))
 	for _, slow := range []string{"client", "server"} {
-		client, server := g.pair(n, slow)
-		from, to, told := client, server, frame.GoingAway
+		client, server := g.openPair(n, slow)
+		from, to, wantOther := client, server, frame.GoingAway
 		if slow == "server" {
-			from, to, told = server, client, frame.ServiceRestart
+			from, to, wantOther = server, client, frame.ServiceRestart
 		}
 		stop := make(chan struct{})
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			for _, b := range from.bytes(0x82, strings.Repeat("x", 100)) {
+			for _, b := range from.encodeFrame(0x82, strings.Repeat("x", 100)) {
 				select {
 				case <-stop:
 					return
@@ -647,48 +647,48 @@
 				}
 			}
 		}()
-		if code := from.code(); code != frame.PolicyViolation {
+		if code := from.closeCode(); code != frame.PolicyViolation {
 			t.Errorf("a slow %s is told %d", slow, code)
 		}
 		close(stop)
 		<-done
-		if code := to.code(); code != told && code != 0 {
+		if code := to.closeCode(); code != wantOther && code != 0 {
 			t.Errorf("the other end of a slow %s is told %d", slow, code)
 		}
 	}
-	g.drained()
+	g.awaitNoChannels()
 }
 
 func TestCloseThatIsNeverAnswered(t *testing.T) {
 	t.Parallel()
-	n := newWSNode(t, nil)
-	g := newRig(t, withChannels(func(c *Config) { c.Options.Channels.CloseTimeout = 200 * time.Millisecond }), entry("a", n.address, "up"))
-	client, server := g.pair(n, "1")
-	client.send(0x88, closing(1000))
-	server.wants(0x88, closing(1000))
-	if code := client.code(); code != frame.ServiceRestart && code != 0 {
+	n := newWSServer(t, nil)
+	g := newTestProxy(t, withChannels(func(c *Config) { c.Options.Channels.CloseTimeout = 200 * time.Millisecond }), entry("a", n.address, "up"))
+	client, server := g.openPair(n, "1")
+	client.sendFrame(0x88, closePayload(1000))
+	server.expectFrame(0x88, closePayload(1000))
+	if code := client.closeCode(); code != frame.ServiceRestart && code != 0 {
 		t.Errorf("the client is told %d", code)
 	}
-	server.ended()
-	g.drained()
+	server.expectEOF()
+	g.awaitNoChannels()
 	// The same where the server closes first.
-	client, server = g.pair(n, "2")
-	server.send(0x88, "")
-	client.wants(0x88, "")
-	client.ended()
-	server.code()
-	g.drained()
+	client, server = g.openPair(n, "2")
+	server.sendFrame(0x88, "")
+	client.expectFrame(0x88, "")
+	client.expectEOF()
+	server.closeCode()
+	g.awaitNoChannels()
 }
 
-func TestEndThatTakesNothingBoundsItsSender(t *testing.T) {
-	n := newWSNode(t, nil)
-	g := newRig(t, withChannels(func(c *Config) {
+func TestEndpointThatReadsNothingLimitsItsSender(t *testing.T) {
+	n := newWSServer(t, nil)
+	g := newTestProxy(t, withChannels(func(c *Config) {
 		o := &c.Options.Channels
 		o.WriteTimeout, o.PingEvery, o.PongTimeout = 800*time.Millisecond, 100*time.Millisecond, 400*time.Millisecond
 	}), entry("a", n.address, "up"))
-	client, _ := g.pair(n, "1") // the server's end is never read
+	client, _ := g.openPair(n, "1") // the server's end is never read
 	sent := 0
-	one := client.bytes(0x82, strings.Repeat("x", 60_000))
+	one := client.encodeFrame(0x82, strings.Repeat("x", 60_000))
 	for {
 		m, err := client.Write(one)
 		if sent += m; err != nil {
@@ -699,32 +699,32 @@
 	if sent > 8<<20 {
 		t.Errorf("%d bytes were taken for an end that reads nothing", sent)
 	}
-	g.drained()
+	g.awaitNoChannels()
 }
 
 func TestSlowReaderThatMovesIsKept(t *testing.T) {
-	n := newWSNode(t, nil)
-	g := newRig(t, withChannels(func(c *Config) {
+	n := newWSServer(t, nil)
+	g := newTestProxy(t, withChannels(func(c *Config) {
 		o := &c.Options.Channels
 		o.WriteTimeout, o.PingEvery, o.PongTimeout = time.Second, 100*time.Millisecond, 300*time.Millisecond
 		o.FrameGrace = 300 * time.Millisecond
 	}), entry("a", n.address, "up"))
-	client, server := g.pair(n, "1")
+	client, server := g.openPair(n, "1")
 	const total = 1 << 20
 	go func() {
-		one := client.bytes(0x82, strings.Repeat("x", 60_000))
+		one := client.encodeFrame(0x82, strings.Repeat("x", 60_000))
 		for sent := 0; sent < total; sent += len(one) {
 			client.Write(one)
 		}
-		client.send(0x88, closing(1000))
+		client.sendFrame(0x88, closePayload(1000))
 	}()
 	// The server's end takes 60 kB, rests, and so on; it answers pings as it comes to them.
 	server.r = bufio.NewReaderSize(server.Conn, 1<<10)
 	for got := 0; ; {
-		f, p := server.frame()
+		f, p := server.readFrame()
 		switch f {
 		case 0x89:
-			server.send(0x8a, p)
+			server.sendFrame(0x8a, p)
 			continue
 		case 0x88:
 			if got < total {
@@ -743,45 +743,45 @@
 // than the kernel holds. Other channels go on as ever, and nothing of what waits is lost.
 func TestSlowReadersDoNotHoldAllBuffers(t *testing.T) {
 	const buffers, slow, messages, size = 8, 24, 50, 20_000
-	n := newWSNode(t, nil)
-	g := newRig(t, withChannels(func(c *Config) {
+	n := newWSServer(t, nil)
+	g := newTestProxy(t, withChannels(func(c *Config) {
 		o := &c.Options.Channels
 		o.Memory = buffers * 32 << 10
-		o.WriteTimeout, o.PingEvery = patient, time.Hour
+		o.WriteTimeout, o.PingEvery = eventTimeout, time.Hour
 	}), entry("a", n.address, "up"))
-	quick, server := g.pair(n, "quick")
+	fast, server := g.openPair(n, "quick")
 	var readers []*wsConn
 	var senders sync.WaitGroup
-	var standing atomic.Int64
+	var halfSent atomic.Int64
 	defer senders.Wait()
 	for i := range slow {
-		reader, sender := g.pair(n, fmt.Sprint("slow", i))
+		reader, sender := g.openPair(n, fmt.Sprint("slow", i))
 		reader.Conn.(*net.TCPConn).SetReadBuffer(32 << 10)
 		sender.Conn.(*net.TCPConn).SetWriteBuffer(32 << 10)
 		readers = append(readers, reader)
 		senders.Go(func() {
-			one := sender.bytes(0x82, strings.Repeat("x", size))
+			one := sender.encodeFrame(0x82, strings.Repeat("x", size))
 			for k := range messages {
 				if k == messages/2 {
-					standing.Add(1)
+					halfSent.Add(1)
 				}
 				sender.Write(one)
 			}
-			sender.send(0x88, closing(1000))
+			sender.sendFrame(0x88, closePayload(1000))
 		})
 	}
-	trip := func(i int) {
+	roundTrip := func(i int) {
 		text := fmt.Sprint("trip ", i)
-		quick.send(0x81, text)
-		server.wants(0x81, text)
-		server.send(0x81, text)
-		quick.wants(0x81, text)
+		fast.sendFrame(0x81, text)
+		server.expectFrame(0x81, text)
+		server.sendFrame(0x81, text)
+		fast.expectFrame(0x81, text)
 	}
 	for i := range 300 { // while the others come to a stand, and stand
-		trip(i)
+		roundTrip(i)
 		time.Sleep(time.Millisecond)
 	}
-	if standing.Load() == slow {
+	if halfSent.Load() == slow {
 		t.Fatal("what waits for the readers stands in the kernel; send more")
 	}
 	var done sync.WaitGroup
@@ -789,7 +789,7 @@
 		done.Go(func() {
 			got := 0
 			for {
-				f, p := r.frame()
+				f, p := r.readFrame()
 				if f != 0x82 {
 					if f != 0x88 || got != messages*size {
 						t.Errorf("%d of %d bytes, then %#x", got, messages*size, f)
@@ -801,76 +801,76 @@
 		})
 	}
 	for i := range 100 { // while all of it moves
-		trip(i)
+		roundTrip(i)
 	}
 	done.Wait()
 }
 
 func TestGiBAnnounced(t *testing.T) {
-	n := newWSNode(t, nil)
-	g := newRig(t, withChannels(nil), entry("a", n.address, "up"))
-	client, server := g.pair(n, "1")
-	client.raw("\x82\xff\x00\x00\x00\x00\x40\x00\x00\x00")
-	if code := client.code(); code != frame.MessageTooBig {
+	n := newWSServer(t, nil)
+	g := newTestProxy(t, withChannels(nil), entry("a", n.address, "up"))
+	client, server := g.openPair(n, "1")
+	client.sendRaw("\x82\xff\x00\x00\x00\x00\x40\x00\x00\x00")
+	if code := client.closeCode(); code != frame.MessageTooBig {
 		t.Errorf("told %d", code)
 	}
-	if code := server.code(); code != frame.GoingAway {
+	if code := server.closeCode(); code != frame.GoingAway {
 		t.Errorf("the server is told %d", code)
 	}
 	// Fragments add up.
-	client, server = g.pair(n, "2")
+	client, server = g.openPair(n, "2")
 	var sending sync.WaitGroup
 	sending.Go(func() {
-		server.send(0x02, strings.Repeat("x", 60_000))
+		server.sendFrame(0x02, strings.Repeat("x", 60_000))
 		for range 20 {
-			server.send(0x00, strings.Repeat("x", 60_000))
+			server.sendFrame(0x00, strings.Repeat("x", 60_000))
 		}
 	})
-	if code := client.code(); code != frame.InternalError {
+	if code := client.closeCode(); code != frame.InternalError {
 		t.Errorf("the client is told %d", code)
 	}
 	sending.Wait()
-	if code := server.code(); code != frame.MessageTooBig {
+	if code := server.closeCode(); code != frame.MessageTooBig {
 		t.Errorf("told %d", code)
 	}
 }
 
-func TestHalfOpenPeerIsFound(t *testing.T) {
-	n := newWSNode(t, nil)
-	g := newRig(t, withChannels(func(c *Config) {
+func TestHalfOpenPeerIsDetected(t *testing.T) {
+	n := newWSServer(t, nil)
+	g := newTestProxy(t, withChannels(func(c *Config) {
 		o := &c.Options.Channels
 		o.PingEvery, o.PongTimeout, o.WriteTimeout = 100*time.Millisecond, 300*time.Millisecond, time.Second
 	}), entry("a", n.address, "up"))
-	client, server := g.pair(n, "1")
+	client, server := g.openPair(n, "1")
 	go func() { // this end answers pings, the client's says nothing more
 		for {
-			f, p := server.frame()
+			f, p := server.readFrame()
 			if f == eof || f == 0x88 {
 				return
 			}
 			if f == 0x89 {
-				server.send(0x8a, p)
+				server.sendFrame(0x8a, p)
 			}
 		}
 	}()
-	f, p := client.frame()
+	f, p := client.readFrame()
 	if f != 0x89 || len(p) != 8 {
 		t.Fatalf("frame %#x %q, want a ping", f, p)
 	}
-	g.drained()
+	g.awaitNoChannels()
 }
 
-func TestOwnPongsGoNoFurther(t *testing.T) {
-	n := newWSNode(t, nil)
-	g := newRig(t, withChannels(func(c *Config) { c.Options.Channels.PingEvery = 100 * time.Millisecond }), entry("a", n.address, "up"))
-	client, server := g.pair(n, "1")
-	_, p := client.frame()
-	client.send(0x8a, p)
-	client.send(0x81, "x")
+func TestPongsToProxyPingsAreNotForwarded(t *testing.T) {
+	n := newWSServer(t, nil)
+	g := newTestProxy(t, withChannels(func(c *Config) { c.Options.Channels.PingEvery = 100 * time.Millisecond }), entry("a", n.address, "up"))
+	client, server := g.openPair(n, "1")
+	_, p := client.readFrame()
+	client.sendFrame(0x8a, p)
+	client.sendFrame(0x81, "x")
 	for {
-		f, p := server.frame()
+		f, p := server.readFrame()
 		if f == 0x89 {
-			server.send(0x8a, p)
+			server.sendFrame(0x8a, p)
 			continue
 		}
 		if f != 0x81 || p != "x" {
@@ -882,9 +882,9 @@
 
 func TestRestartMovesChannels(t *testing.T) {
 	t.Parallel()
-	n := newWSNode(t, nil)
+	n := newWSServer(t, nil)
 	g := newRegistry(t)
-	c := rigConfig(g.address, []byte(list(1, true, entry("a", n.address, "up"))))
+	c := testConfig(g.address, []byte(list(1, true, entry("a", n.address, "up"))))
 	withChannels(func(c *Config) { c.Options.Channels.RestartWindow = time.Second })(&c)
 	p, err := New(c)
 	if err != nil {
@@ -893,18 +893,18 @@
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- p.Serve(ctx) }()
-	confirmed(t, p)
-	r := &rig{t, p, g, p.Addr().String()}
+	awaitConfirmed(t, p)
+	r := &testProxy{t, p, g, p.Addr().String()}
 	var ends sync.WaitGroup
 	for i := range 50 {
-		client, server := r.pair(n, fmt.Sprint(i))
+		client, server := r.openPair(n, fmt.Sprint(i))
 		ends.Go(func() {
-			if _, code := client.takes(); code != frame.GoingAway {
+			if _, code := client.readUntilEOF(); code != frame.GoingAway {
 				t.Errorf("told %d", code)
 			}
 		})
 		ends.Go(func() {
-			if _, code := server.takes(); code != frame.GoingAway {
+			if _, code := server.readUntilEOF(); code != frame.GoingAway {
 				t.Errorf("the server is told %d", code)
 			}
 		})
@@ -916,11 +916,11 @@
 	}
 }
 
-func TestTurnedAwayClientsComeBackWithTheirTicket(t *testing.T) {
-	n := newWSNode(t, nil)
-	g := newRig(t, withChannels(func(c *Config) { c.Options.Channels.Rate = 4 }), entry("a", n.address, "up"))
-	g.pair(n, "1")
-	_, resp := g.open("2")
+func TestRefusedClientsReturnWithTheirTicket(t *testing.T) {
+	n := newWSServer(t, nil)
+	g := newTestProxy(t, withChannels(func(c *Config) { c.Options.Channels.Rate = 4 }), entry("a", n.address, "up"))
+	g.openPair(n, "1")
+	_, resp := g.openChannel("2")
 	wait, err := time.ParseDuration(resp.Header.Get("Retry-After") + "s")
 	if resp.StatusCode != 503 || err != nil || wait <= 0 || resp.Header.Get(ticket.Field) == "" {
 		t.Fatalf("answered %d, %v", resp.StatusCode, resp.Header)
@@ -929,11 +929,11 @@
 		t.Errorf("cookies %v", c)
 	}
 	time.Sleep(wait)
-	if _, again := g.open("3", "Cookie: "+ticket.Cookie+"="+resp.Header.Get(ticket.Field)+"\r\n"); again.StatusCode != 101 {
+	if _, again := g.openChannel("3", "Cookie: "+ticket.Cookie+"="+resp.Header.Get(ticket.Field)+"\r\n"); again.StatusCode != 101 {
 		t.Errorf("answered %d when it came as told", again.StatusCode)
 	}
 	// Another's ticket, or a made up one, is none.
-	if _, forged := g.open("4", ticket.Field+": "+strings.Repeat("A", 48)+"\r\n"); forged.StatusCode != 503 {
+	if _, forged := g.openChannel("4", ticket.Field+": "+strings.Repeat("A", 48)+"\r\n"); forged.StatusCode != 503 {
 		t.Errorf("answered %d to a forged ticket", forged.StatusCode)
 	}
 	await(t, "the first", n.heads)
@@ -948,14 +948,14 @@
 func TestQuietChannelsNeitherShunNorLoad(t *testing.T) {
 	serves := func(r *http.Request) string {
 		if r.Header.Get("Upgrade") == "" {
-			return whole(r.Header.Get("X-Txn"))
+			return idAnswer(r.Header.Get("X-Txn"))
 		}
 		return accept(r)
 	}
-	a, b := newWSNode(t, serves), newWSNode(t, serves)
-	g := newRig(t, withChannels(nil), entry("a", a.address, "up"))
+	a, b := newWSServer(t, serves), newWSServer(t, serves)
+	g := newTestProxy(t, withChannels(nil), entry("a", a.address, "up"))
 	for i := range 300 {
-		g.pair(a, fmt.Sprint(i))
+		g.openPair(a, fmt.Sprint(i))
 	}
 	g.registry.lists <- list(2, false, entry("b", b.address, "up"))
 	await(t, "the watch that follows", g.registry.calls)
@@ -974,7 +974,7 @@
 	}
 	before := len(a.heads)
 	for i := range 100 {
-		if _, resp := g.open(fmt.Sprint("channel", i)); resp.StatusCode != 101 {
+		if _, resp := g.openChannel(fmt.Sprint("channel", i)); resp.StatusCode != 101 {
 			t.Fatalf("answered %d", resp.StatusCode)
 		}
 	}
@@ -984,16 +984,16 @@
 }
 
 // TestEndsThatRestAreHeard: quiet ends are waited for in another way, and all that may come next still does.
-func TestEndsThatRestAreHeard(t *testing.T) {
+func TestParkedChannelsStillReceive(t *testing.T) {
 	t.Parallel()
-	n := newWSNode(t, nil)
-	g := newRig(t, withChannels(func(c *Config) {
+	n := newWSServer(t, nil)
+	g := newTestProxy(t, withChannels(func(c *Config) {
 		o := &c.Options.Channels
 		o.FrameGrace, o.MoveWindow = 500*time.Millisecond, 100*time.Millisecond
 	}), entry("a", n.address, "up"))
-	rest := func(ends int) {
+	awaitParked := func(ends int) {
 		t.Helper()
-		for end := time.Now().Add(patient); g.channels.Parked() != ends; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(eventTimeout); g.channels.Parked() != ends; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("%d ends rest, want %d", g.channels.Parked(), ends)
 			}
@@ -1002,64 +1002,64 @@
 	type pair struct{ client, server *wsConn }
 	var all []pair
 	for i := range 6 {
-		client, server := g.pair(n, fmt.Sprint(i))
+		client, server := g.openPair(n, fmt.Sprint(i))
 		all = append(all, pair{client, server})
 	}
-	rest(12)
+	awaitParked(12)
 	for range 2 { // they carry again, and rest again
 		for _, p := range all {
-			p.client.send(0x81, strings.Repeat("x", 70_000))
-			p.server.wants(0x81, strings.Repeat("x", 70_000))
-			p.server.send(0x81, "hold ready")
-			p.client.wants(0x81, "hold ready")
+			p.client.sendFrame(0x81, strings.Repeat("x", 70_000))
+			p.server.expectFrame(0x81, strings.Repeat("x", 70_000))
+			p.server.sendFrame(0x81, "hold ready")
+			p.client.expectFrame(0x81, "hold ready")
 		}
-		rest(12)
+		awaitParked(12)
 	}
 	// Each of the ways in which a channel ends.
-	all[0].client.send(0x88, closing(1000))
-	all[0].server.wants(0x88, closing(1000))
-	all[0].server.send(0x88, closing(1000))
-	all[0].client.wants(0x88, closing(1000))
+	all[0].client.sendFrame(0x88, closePayload(1000))
+	all[0].server.expectFrame(0x88, closePayload(1000))
+	all[0].server.sendFrame(0x88, closePayload(1000))
+	all[0].client.expectFrame(0x88, closePayload(1000))
 	all[1].server.Close()
-	if code := all[1].client.code(); code != frame.ServiceRestart {
+	if code := all[1].client.closeCode(); code != frame.ServiceRestart {
 		t.Errorf("told %d", code)
 	}
 	all[2].client.Close()
-	if code := all[2].server.code(); code != frame.GoingAway {
+	if code := all[2].server.closeCode(); code != frame.GoingAway {
 		t.Errorf("told %d", code)
 	}
-	all[3].client.raw("\xff\xff")
-	if code := all[3].client.code(); code != frame.ProtocolError {
+	all[3].client.sendRaw("\xff\xff")
+	if code := all[3].client.closeCode(); code != frame.ProtocolError {
 		t.Errorf("told %d", code)
 	}
 	g.host.SetBanned("a", true)
 	for _, p := range all[4:] {
-		if code := p.client.code(); code != frame.ServiceRestart {
+		if code := p.client.closeCode(); code != frame.ServiceRestart {
 			t.Errorf("told %d", code)
 		}
 	}
-	all[4].client.send(0x88, closing(1012)) // the other one never answers
-	if code := all[4].server.code(); code != frame.GoingAway {
+	all[4].client.sendFrame(0x88, closePayload(1012)) // the other one never answers
+	if code := all[4].server.closeCode(); code != frame.GoingAway {
 		t.Errorf("told %d", code)
 	}
-	all[5].client.ended()
-	g.drained()
+	all[5].client.expectEOF()
+	g.awaitNoChannels()
 }
 
-func TestServerTakenOutByHandLosesItsChannels(t *testing.T) {
+func TestServerTakenOutByOperatorLosesItsChannels(t *testing.T) {
 	t.Parallel()
-	a, b := newWSNode(t, nil), newWSNode(t, nil)
-	g := newRig(t, withChannels(func(c *Config) { c.Options.Channels.MoveWindow = 200 * time.Millisecond }),
+	a, b := newWSServer(t, nil), newWSServer(t, nil)
+	g := newTestProxy(t, withChannels(func(c *Config) { c.Options.Channels.MoveWindow = 200 * time.Millisecond }),
 		entry("a", a.address, "up"), entry("b", b.address, "up"))
 	var ends sync.WaitGroup
-	told := 0
+	moved := 0
 	var mu sync.Mutex
 	for i := range 20 {
-		client, _ := g.open(fmt.Sprint(i))
+		client, _ := g.openChannel(fmt.Sprint(i))
 		ends.Go(func() {
-			if _, code := client.takes(); code == frame.ServiceRestart {
+			if _, code := client.readUntilEOF(); code == frame.ServiceRestart {
 				mu.Lock()
-				told++
+				moved++
 				mu.Unlock()
 			}
 		})
@@ -1068,35 +1068,35 @@
 	if !g.host.SetBanned("a", true) {
 		t.Fatal("not known")
 	}
-	g.holds(20 - on)
-	if _, resp := g.open("new"); resp.StatusCode != 101 {
+	g.awaitChannels(20 - on)
+	if _, resp := g.openChannel("new"); resp.StatusCode != 101 {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
 	if len(a.heads) != on {
 		t.Error("a channel was opened at a server that was taken out")
 	}
-	b.die()
+	b.kill()
 	ends.Wait()
-	if told != 20 {
-		t.Errorf("%d of 20 clients were told to come again", told)
+	if moved != 20 {
+		t.Errorf("%d of 20 clients were told to come again", moved)
 	}
 }
 
 // figure is a line of the figures that has to come, and the one that may stand in its place until then; "" for one that has to be there at
 // once.
-type figure struct{ line, earlier string }
+type metric struct{ line, before string }
 
 // comesTo fails the test unless all figures come to their lines, and show nothing but the earlier ones until then. The program counts behind
 // the write that a figure tells of, so that the other end may have heard of that first.
-func (g *rig) comesTo(figures ...figure) {
+func (g *testProxy) awaitMetrics(figures ...metric) {
 	g.t.Helper()
-	for end := time.Now().Add(patient); ; time.Sleep(time.Millisecond) {
-		text := string(desk{g.Proxy}.Figures(nil))
+	for end := time.Now().Add(eventTimeout); ; time.Sleep(time.Millisecond) {
+		text := string(consoleHandler{g.Proxy}.Figures(nil))
 		late := ""
 		for _, f := range figures {
 			switch {
 			case strings.Contains(text, f.line):
-			case f.earlier == "" || !strings.Contains(text, f.earlier) || time.Now().After(end):
+			case f.before == "" || !strings.Contains(text, f.before) || time.Now().After(end):
 				g.t.Fatalf("%q is missing in\n%s", f.line, text)
 			default:
 				late = f.line
@@ -1110,40 +1110,40 @@
 
 // TestFiguresOfChannels guards the figures of a channel: each comes to its one value, and what was carried stays counted behind the end.
 func TestFiguresOfChannels(t *testing.T) {
-	n := newWSNode(t, nil)
-	g := newRig(t, withChannels(nil), entry("node-1", n.address, "up"))
-	client, server := g.pair(n, "1")
-	client.send(0x81, "hello")
-	server.wants(0x81, "hello")
-	server.send(0x81, "hold ready")
-	client.wants(0x81, "hold ready")
+	n := newWSServer(t, nil)
+	g := newTestProxy(t, withChannels(nil), entry("node-1", n.address, "up"))
+	client, server := g.openPair(n, "1")
+	client.sendFrame(0x81, "hello")
+	server.expectFrame(0x81, "hello")
+	server.sendFrame(0x81, "hold ready")
+	client.expectFrame(0x81, "hold ready")
 	const toServers, toClients = "edge_relay.channels.bytes_to_servers:11|c\n", "edge_relay.channels.bytes_to_clients:12|c\n"
-	g.comesTo(
-		figure{line: "edge_relay.channels.open:1|g\n"}, figure{line: "edge_relay.channels.open.node-1:1|g\n"},
-		figure{line: "edge_relay.channels.opened:1|c\n"}, figure{line: "edge_relay.channels.refused:0|c\n"},
-		figure{line: "edge_relay.channels.moved:0|c\n"},
-		figure{line: "edge_relay.ok.search:1|c\n", earlier: "edge_relay.ok.search:0|c\n"},
-		figure{line: "edge_relay.active:0|g\n", earlier: "edge_relay.active:1|g\n"},
-		figure{line: toServers, earlier: "edge_relay.channels.bytes_to_servers:0|c\n"},
-		figure{line: toClients, earlier: "edge_relay.channels.bytes_to_clients:0|c\n"},
+	g.awaitMetrics(
+		metric{line: "edge_relay.channels.open:1|g\n"}, metric{line: "edge_relay.channels.open.node-1:1|g\n"},
+		metric{line: "edge_relay.channels.opened:1|c\n"}, metric{line: "edge_relay.channels.refused:0|c\n"},
+		metric{line: "edge_relay.channels.moved:0|c\n"},
+		metric{line: "edge_relay.ok.search:1|c\n", before: "edge_relay.ok.search:0|c\n"},
+		metric{line: "edge_relay.active:0|g\n", before: "edge_relay.active:1|g\n"},
+		metric{line: toServers, before: "edge_relay.channels.bytes_to_servers:0|c\n"},
+		metric{line: toClients, before: "edge_relay.channels.bytes_to_clients:0|c\n"},
 	)
-	client.send(0x88, closing(1000))
-	server.wants(0x88, closing(1000))
-	server.send(0x88, closing(1000))
-	client.wants(0x88, closing(1000))
-	g.comesTo(
-		figure{line: "edge_relay.channels.open:0|g\n", earlier: "edge_relay.channels.open:1|g\n"},
-		figure{line: toServers}, figure{line: toClients},
+	client.sendFrame(0x88, closePayload(1000))
+	server.expectFrame(0x88, closePayload(1000))
+	server.sendFrame(0x88, closePayload(1000))
+	client.expectFrame(0x88, closePayload(1000))
+	g.awaitMetrics(
+		metric{line: "edge_relay.channels.open:0|g\n", before: "edge_relay.channels.open:1|g\n"},
+		metric{line: toServers}, metric{line: toClients},
 	)
-	if text := string(desk{newRig(t, nil).Proxy}.Figures(nil)); strings.Contains(text, "channels") {
+	if text := string(consoleHandler{newTestProxy(t, nil).Proxy}.Figures(nil)); strings.Contains(text, "channels") {
 		t.Error("figures of channels where there are none")
 	}
 }
 
 func TestUpgradesAreOrdinaryRequestsWhereThereAreNoChannels(t *testing.T) {
-	b := newBackend(t, "127.0.0.1:0", whole)
-	g := newRig(t, nil, entry("a", b.address, "up"))
-	if status, text := g.dial().send(shake("1")).answer(); status != 200 || text != "1" {
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
+	g := newTestProxy(t, nil, entry("a", b.address, "up"))
+	if status, text := g.dial().send(upgradeRequest("1")).answer(); status != 200 || text != "1" {
 		t.Errorf("answered %d %q", status, text)
 	}
 }
@@ -1154,7 +1154,7 @@
 		func(c *Config) { c.Memory = 32 << 20 },
 		func(c *Config) { c.Options.Channels.KeyFile = "/nowhere/key" },
 	} {
-		c := rigConfig("127.0.0.1:1", nil)
+		c := testConfig("127.0.0.1:1", nil)
 		withChannels(change)(&c)
 		if p, err := New(c); err == nil {
 			p.Close()
--- a/internal/proxy/channels.go
+++ b/internal/proxy/channels.go
@@ -8,25 +8,25 @@
 
 const (
 	// socketsOfChannel are its two ends, and bytesOfChannel what a quiet one holds (docs/measurements/channels.md).
-	socketsOfChannel, bytesOfChannel = 2, 12 << 10
+	socketsPerChannel, bytesPerChannel = 2, 12 << 10
 	// channelShare of the sockets, and of the memory, may be channels'; the rest is for requests.
 	channelShare = 0.8
 )
 
-func memoryOfChannels(o *channel.Options) int64 {
-	return o.Memory + bytesOfChannel*int64(o.MaxChannels)
+func channelMemory(o *channel.Options) int64 {
+	return o.Memory + bytesPerChannel*int64(o.MaxChannels)
 }
 
 // roomForChannels says what is too much where channels would leave too little to requests.
-func roomForChannels(c *Config, sockets float64) error {
+func checkChannelLimits(c *Config, sockets float64) error {
 	o := &c.Options.Channels
-	if most := channelShare * sockets / socketsOfChannel; float64(o.MaxChannels) > most {
+	if maxChannels := channelShare * sockets / socketsPerChannel; float64(o.MaxChannels) > maxChannels {
 		return fmt.Errorf("channels: most: %d channels take %d sockets, and the limit of %d leaves them %d; set it to %d or less",
-			o.MaxChannels, socketsOfChannel*o.MaxChannels, c.Sockets, int(channelShare*sockets), int(most))
+			o.MaxChannels, socketsPerChannel*o.MaxChannels, c.Sockets, int(channelShare*sockets), int(maxChannels))
 	}
-	if most := int64(channelShare * float64(c.Memory)); memoryOfChannels(o) > most {
+	if maxMemory := int64(channelShare * float64(c.Memory)); channelMemory(o) > maxMemory {
 		return fmt.Errorf("channels: memory: %d bytes, and %d for each of %d channels, are over the %d that the limit leaves them; lower memory or most",
-			o.Memory, bytesOfChannel, o.MaxChannels, most)
+			o.Memory, bytesPerChannel, o.MaxChannels, maxMemory)
 	}
 	return nil
 }
--- a/internal/proxy/clients.go
+++ b/internal/proxy/clients.go
@@ -45,7 +45,7 @@
 }
 
 // park serves connections that were parked and parks others until ctx is done.
-func (c *clientSide) park(ctx context.Context, log *slog.Logger) {
+func (c *clientSide) serveParked(ctx context.Context, log *slog.Logger) {
 	var served sync.WaitGroup
 	defer served.Wait()
 	served.Go(func() { c.http.Serve(c.parking) }) // ends with the Parking, or the server
@@ -56,10 +56,10 @@
 
 // left says whether no caller's connection is there or coming. Before that it closes those on which nothing is open, if
 // it is told to.
-func (c *clientSide) left(closeIdle bool) bool {
+func (c *clientSide) connsClosed(closeIdle bool) bool {
 	if !closeIdle {
 		return c.listener.Drained() && c.callers.Len() == 0
 	}
-	busy := c.callers.CloseIdle(acceptQuiet)
-	return busy == 0 && c.listener.SinceLastAccept() >= acceptQuiet
+	busy := c.callers.CloseIdle(acceptQuietPeriod)
+	return busy == 0 && c.listener.SinceLastAccept() >= acceptQuietPeriod
 }
--- a/internal/proxy/crowding_test.go
+++ b/internal/proxy/crowding_test.go
@@ -10,10 +10,10 @@
 // drain is obeyed, and a backend that was never used is dialled.
 func TestIdleCallersFillTheirShareWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
-	a := newBackend(t, "127.0.0.1:0", whole)
-	b := newBackend(t, "127.0.0.1:0", whole)
+	a := newBackend(t, "127.0.0.1:0", idAnswer)
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
 	const sockets = 96
-	g := newRig(t, func(c *Config) {
+	g := newTestProxy(t, func(c *Config) {
 		c.Sockets = sockets
 		c.Settings.Balancer.AskForList, c.Settings.Balancer.AskEvery = true, 10*time.Second
 	}, entry("a", a.address, "up"))
@@ -25,8 +25,8 @@
 			c.send(head("half")[:30])
 		}
 		all = append(all, c)
-		if open := g.callers.Len(); open > g.limits.hard {
-			t.Fatalf("%d callers' connections are open, %d at most", open, g.limits.hard)
+		if open := g.callers.Len(); open > g.limits.hardCallers {
+			t.Fatalf("%d callers' connections are open, %d at most", open, g.limits.hardCallers)
 		}
 	}
 	// All that are still held are past their grace, so that a newcomer finds room.
--- a/internal/proxy/desk.go
+++ b/internal/proxy/desk.go
@@ -11,15 +11,15 @@
 )
 
 // desk is what the console's callers reach of a proxy.
-type desk struct{ *Proxy }
+type consoleHandler struct{ *Proxy }
 
 // Ready says whether this process takes clients: its listener is served, there is a server to send to, and no
 // restart has begun.
-func (d desk) Ready() bool {
+func (d consoleHandler) Ready() bool {
 	return d.accepting.Load() && !d.restart.Begun() && d.host.Ready() && (d.rules == nil || d.rules.Mode() != accord.Away)
 }
 
-func (d desk) Figures(text []byte) []byte {
+func (d consoleHandler) Figures(text []byte) []byte {
 	listed, avoided := d.host.CountServers()
 	text = d.figures.Append(text, figures.Pool{Size: listed, Ejected: avoided})
 	text = d.discovery.AppendFigures(text)
@@ -28,7 +28,7 @@
 		text = d.channels.AppendFigures(text)
 	}
 	if d.fleet != nil {
-		ctx, cancel := context.WithTimeout(context.Background(), fleetTime)
+		ctx, cancel := context.WithTimeout(context.Background(), fleetTimeout)
 		defer cancel()
 		text = d.fleet.Figures(ctx, text)
 	}
@@ -42,21 +42,21 @@
 }
 
 // fleetTime bounds what the console waits for the view of the fleet; its callers are owed an answer within 1 s.
-const fleetTime = 500 * time.Millisecond
+const fleetTimeout = 500 * time.Millisecond
 
 // Fleet says who else of the fleet is there, as JSON.
-func (d desk) Fleet(ctx context.Context) ([]byte, error) {
+func (d consoleHandler) Fleet(ctx context.Context) ([]byte, error) {
 	if d.fleet == nil {
 		return nil, console.ErrNone
 	}
-	ctx, cancel := context.WithTimeout(ctx, fleetTime)
+	ctx, cancel := context.WithTimeout(ctx, fleetTimeout)
 	defer cancel()
 	return d.fleet.Status(ctx)
 }
 
-func (d desk) Suspend(ctx context.Context, id string) error { return d.ByHand(ctx, id, true) }
+func (d consoleHandler) Suspend(ctx context.Context, id string) error { return d.ByHand(ctx, id, true) }
 
-func (d desk) Resume(ctx context.Context, id string) error { return d.ByHand(ctx, id, false) }
+func (d consoleHandler) Resume(ctx context.Context, id string) error { return d.ByHand(ctx, id, false) }
 
 // ByHand takes a server out or puts it back, here and in the other process of this proxy, if there is one. Once it has
 // returned from taking one out, nothing new begins to go there.
@@ -64,19 +64,19 @@
 	known := p.host.SetBanned(id, out)
 	joined := false
 	if p.upgrade != nil {
-		joined = p.upgrade.tell(ctx, id, out)
+		joined = p.upgrade.sendBan(ctx, id, out)
 		known = joined || known
 	}
 	if !known {
-		return named(id, known)
+		return checkKnown(id, known)
 	}
-	if err := p.kept(ctx, id, out, joined); err != nil {
+	if err := p.persistBan(ctx, id, out, joined); err != nil {
 		return fmt.Errorf("%w: %w", console.ErrNotKept, err)
 	}
 	return nil
 }
 
-func named(id string, known bool) error {
+func checkKnown(id string, known bool) error {
 	if !known {
 		return fmt.Errorf("no list has ever named the backend %q", id)
 	}
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -8,9 +8,9 @@
 
 // TestMoveOfDiscovery moves while a watch is out at the old address.
 func TestMoveOfDiscovery(t *testing.T) {
-	a := newBackend(t, "127.0.0.1:0", whole)
-	b := newBackend(t, "127.0.0.1:0", whole)
-	g := newRig(t, nil, entry("a", a.address, "up"))
+	a := newBackend(t, "127.0.0.1:0", idAnswer)
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
+	g := newTestProxy(t, nil, entry("a", a.address, "up"))
 	await(t, "the first watch", g.registry.calls)
 
 	other := newRegistry(t)
@@ -32,8 +32,8 @@
 }
 
 // TestVersionsThatStartAnew: a service that counts from elsewhere is asked for the whole list.
-func TestVersionsThatStartAnew(t *testing.T) {
-	g := newRig(t, func(c *Config) { c.Known = json.RawMessage(list(40, true)) })
+func TestDiscoveryVersionsThatRestart(t *testing.T) {
+	g := newTestProxy(t, func(c *Config) { c.Known = json.RawMessage(list(40, true)) })
 	await(t, "the watch", g.registry.calls)
 	g.registry.lists <- list(3, false)
 	if query := await(t, "the next call", g.registry.calls); query != "" {
@@ -44,7 +44,7 @@
 // TestSilentWatchIsFollowedByAnother: discovery takes the watch and never says a word.
 func TestSilentWatchIsFollowedByAnother(t *testing.T) {
 	t.Parallel()
-	g := newRig(t, nil)
+	g := newTestProxy(t, nil)
 	await(t, "the first watch", g.registry.calls)
 	await(t, "another watch", g.registry.calls)
 }
--- a/internal/proxy/ending_test.go
+++ b/internal/proxy/ending_test.go
@@ -15,10 +15,10 @@
 )
 
 // served runs a proxy as its process does: SIGTERM is what term does, and over is closed once it has ended.
-func served(t *testing.T, change func(*Config), hosts ...string) (g *rig, term func(), over chan struct{}) {
+func newServedProxy(t *testing.T, change func(*Config), hosts ...string) (g *testProxy, term func(), done chan struct{}) {
 	t.Helper()
 	registry := newRegistry(t)
-	c := rigConfig(registry.address, []byte(list(1, true, hosts...)))
+	c := testConfig(registry.address, []byte(list(1, true, hosts...)))
 	if change != nil {
 		change(&c)
 	}
@@ -27,23 +27,23 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	over = make(chan struct{})
+	done = make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(done)
 		if err := p.Serve(ctx); err != nil {
 			t.Error(err)
 		}
 	}()
-	t.Cleanup(func() { cancel(); <-over })
-	confirmed(t, p)
-	return &rig{t, p, registry, p.Addr().String()}, cancel, over
+	t.Cleanup(func() { cancel(); <-done })
+	awaitConfirmed(t, p)
+	return &testProxy{t, p, registry, p.Addr().String()}, cancel, done
 }
 
 // briefly is how long the callers of brief wait; long enough for a machine that is busy.
-const briefly = 2 * time.Second
+const briefTimeout = 2 * time.Second
 
-func brief(id string) string {
-	return strings.Replace(head(id), "9000", fmt.Sprint(briefly.Milliseconds()), 1)
+func briefHead(id string) string {
+	return strings.Replace(head(id), "9000", fmt.Sprint(briefTimeout.Milliseconds()), 1)
 }
 
 // TestTermMeetsRequestsInEveryState: at SIGTERM a head is half read, a body is arriving, a request waits for a place, one for a
@@ -55,23 +55,23 @@
 		if strings.HasPrefix(id, "hangs") {
 			return ""
 		}
-		return whole(id)
+		return idAnswer(id)
 	})
-	g, term, over := served(t, func(c *Config) {
+	g, term, over := newServedProxy(t, func(c *Config) {
 		for n := range c.Settings.Balancer.Classes {
-			c.Settings.Balancer.Classes[n].ClientTimeout = briefly
+			c.Settings.Balancer.Classes[n].ClientTimeout = briefTimeout
 		}
 	}, entry("s1", hang.address, "up"))
-	between := g.dial().send(brief("between"))
+	between := g.dial().send(briefHead("between"))
 	if status, _ := between.answer(); status != 200 {
 		t.Fatal(status)
 	}
 	await(t, "the first request", hang.requests)
-	hanging := g.dial().send(brief("hangs"))
+	hanging := g.dial().send(briefHead("hangs"))
 	await(t, "the one that hangs", hang.requests)
-	text := brief("half")
+	text := briefHead("half")
 	half := g.dial().send(text[:len(text)-10])
-	post := strings.Replace(strings.Replace(brief("body"), "search", "hold", 1), "GET", "POST", 1)
+	post := strings.Replace(strings.Replace(briefHead("body"), "search", "hold", 1), "GET", "POST", 1)
 	post = strings.Replace(post, "\r\n\r\n", "\r\nIdempotency-Key: k\r\nContent-Length: 8\r\n\r\n", 1)
 	body := g.dial().send(post + "half")
 	for g.callers.States()["busy"] < 2 || g.callers.States()["partial"] < 1 { // the hanging one and the body's, and the half
@@ -86,7 +86,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	// Taken after SIGTERM: on connections old and new.
-	if status, got := between.send(brief("again")).answer(); status != 200 || got != "again" {
+	if status, got := between.send(briefHead("again")).answer(); status != 200 || got != "again" {
 		t.Errorf("between two: %d %q", status, got)
 	}
 	if status, got := half.send(text[len(text)-10:]).answer(); status != 200 || got != "half" {
@@ -97,7 +97,7 @@
 	}
 	for time.Since(began) < 400*time.Millisecond {
 		c := g.dial()
-		if status, got := c.send(brief("new")).answer(); status != 200 || got != "new" {
+		if status, got := c.send(briefHead("new")).answer(); status != 200 || got != "new" {
 			t.Errorf("on a new connection after %v: %d %q", time.Since(began), status, got)
 		}
 		c.Close()
@@ -111,15 +111,15 @@
 // TestTermAtOnceAndTwice: SIGTERM before anything has come, and again while it ends.
 func TestTermAtOnceAndTwice(t *testing.T) {
 	t.Parallel()
-	b := newBackend(t, "127.0.0.1:0", whole)
-	g, term, over := served(t, nil, entry("s1", b.address, "up"))
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
+	g, term, over := newServedProxy(t, nil, entry("s1", b.address, "up"))
 	term()
 	term()
 	g.MoveDiscovery(newRegistry(t).address) // SIGHUP
 	c, err := net.Dial("tcp", g.address)
 	if err == nil { // it may have ended
-		io.WriteString(c, brief("late"))
-		c.SetDeadline(time.Now().Add(patient))
+		io.WriteString(c, briefHead("late"))
+		c.SetDeadline(time.Now().Add(eventTimeout))
 		if got, err := io.ReadAll(c); err == nil && len(got) == 0 && len(b.requests) > 0 {
 			t.Error("sent on and not answered")
 		}
@@ -132,10 +132,10 @@
 // the end of a restart or for room. Its caller sends it again, so it must not be sent on here.
 func TestRequestReadAsItsConnectionIsShut(t *testing.T) {
 	t.Parallel()
-	b := newBackend(t, "127.0.0.1:0", whole)
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
 	read, release := make(chan struct{}), make(chan struct{})
 	var once sync.Once
-	g := newRigWith(t, nil, func(p *Proxy) {
+	g := newTestProxyWith(t, nil, func(p *Proxy) {
 		track := p.http.ConnState
 		p.http.ConnState = func(c net.Conn, s http.ConnState) {
 			if s == http.StateActive { // the head has come, and no handler has it yet
@@ -178,7 +178,7 @@
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("x", size))
 	})
 	ended := make(chan struct{})
-	g := newRigWith(t, nil, func(p *Proxy) {
+	g := newTestProxyWith(t, nil, func(p *Proxy) {
 		p.restart.HandOver() // so that each answer ends its connection
 		track := p.http.ConnState
 		p.http.ConnState = func(c net.Conn, s http.ConnState) {
@@ -193,7 +193,7 @@
 	c.send(head("a"))
 	await(t, "the request", b.requests)
 	c.send(head("next")[:60])
-	for unsent(c.Conn.(*net.TCPConn)) > 0 { // until the proxy's socket has it
+	for unsentBytes(c.Conn.(*net.TCPConn)) > 0 { // until the proxy's socket has it
 		time.Sleep(time.Millisecond)
 	}
 	close(answer)
@@ -203,14 +203,14 @@
 	if status != 200 || len(got) != size {
 		t.Errorf("%d with %d of %d bytes", status, len(got), size)
 	}
-	c.closed()
+	c.expectClosed()
 	if n := len(b.requests); n != 0 {
 		t.Errorf("%d further requests were sent on", n)
 	}
 }
 
 // unsent is how many bytes the other side's socket has not taken yet.
-func unsent(c *net.TCPConn) (n int) {
+func unsentBytes(c *net.TCPConn) (n int) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0
--- a/internal/proxy/faults_test.go
+++ b/internal/proxy/faults_test.go
@@ -20,7 +20,7 @@
 var (
 	seeds   = flag.Int("fault-seeds", 1, "how many seeds the fault tests play for each fault and each pair")
 	pairs   = flag.Bool("fault-pairs", false, "whether the fault tests play each fault and each pair by itself")
-	players = flag.Int("fault-players", 12, "how many fault stories are played at one time; they wait far more than they work")
+	workers = flag.Int("fault-players", 12, "how many fault stories are played at one time; they wait far more than they work")
 )
 
 // serve starts the fleet's proxy and returns its address and what ends it.
@@ -66,19 +66,19 @@
 }
 
 // step draws one fault of a kind for a fleet of so many backends.
-func step(kind string, backends int, dice *rand.Rand) standin.Step {
-	s := standin.Step{At: time.Duration(50+dice.IntN(150)) * time.Millisecond, Do: kind, Size: 0.3 + 0.5*dice.Float64()}
-	s.Who = append(s.Who, dice.Perm(backends)[:1+dice.IntN(backends/4)]...)
+func step(kind string, backends int, rng *rand.Rand) standin.Step {
+	s := standin.Step{At: time.Duration(50+rng.IntN(150)) * time.Millisecond, Do: kind, Size: 0.3 + 0.5*rng.Float64()}
+	s.Who = append(s.Who, rng.Perm(backends)[:1+rng.IntN(backends/4)]...)
 	switch kind {
 	case "slow":
-		s.Size = 5 + 5*dice.Float64()
+		s.Size = 5 + 5*rng.Float64()
 	case "surge":
-		s.Size = 1.6 + 0.8*dice.Float64()
+		s.Size = 1.6 + 0.8*rng.Float64()
 	case "storm":
 		s.Size = 40
 	}
 	if kind != "drain" && kind != "by-hand" { // which must outlast the grace
-		s.For = time.Duration(300+dice.IntN(400)) * time.Millisecond
+		s.For = time.Duration(300+rng.IntN(400)) * time.Millisecond
 	}
 	return s
 }
@@ -91,7 +91,7 @@
 }
 
 // playFaults plays a fleet with faults of these kinds, and returns what the auditor found.
-func playFaults(t *testing.T, seed uint64, kinds ...string) audit.Report {
+func runFaults(t *testing.T, seed uint64, kinds ...string) audit.Report {
 	t.Helper()
 	const backends = 8
 	f, err := standin.NewFleet(standin.FleetConfig{Seed: seed, Backends: backends, Rules: rules()})
@@ -100,13 +100,13 @@
 	}
 	defer f.Close()
 	address, end := serve(t, f)
-	dice := rand.New(rand.NewPCG(seed, 99))
+	rng := rand.New(rand.NewPCG(seed, 99))
 	script := standin.Script{
 		Length: 1600 * time.Millisecond,
 		Load:   standin.Load{Rate: 80, Retries: 2, Backoff: 5 * time.Millisecond, Leave: 0.02, Slack: rules().AnswerSlack},
 	}
 	for _, kind := range kinds {
-		script.Steps = append(script.Steps, step(kind, backends, dice))
+		script.Steps = append(script.Steps, step(kind, backends, rng))
 	}
 	if err := f.Play(t.Context(), script, f.Callers(address), nil); err != nil {
 		t.Error(err)
@@ -117,9 +117,9 @@
 }
 
 // together puts kinds of fault into stories of three, so that each pair of kinds meets in one of them at least.
-func together(kinds []string) (stories [][]string) {
+func groupKinds(kinds []string) (scenarios [][]string) {
 	met := map[[2]string]bool{}
-	news := func(a, b string) int {
+	newPair := func(a, b string) int {
 		if a == b || met[[2]string{a, b}] {
 			return 0
 		}
@@ -132,17 +132,17 @@
 			}
 			third, best := "", -1
 			for _, c := range kinds {
-				if n := news(min(a, c), max(a, c)) + news(min(b, c), max(b, c)); c != a && c != b && n > best {
+				if n := newPair(min(a, c), max(a, c)) + newPair(min(b, c), max(b, c)); c != a && c != b && n > best {
 					third, best = c, n
 				}
 			}
-			story := []string{a, b, third}
-			slices.Sort(story)
-			stories = append(stories, story)
-			met[[2]string{story[0], story[1]}], met[[2]string{story[0], story[2]}], met[[2]string{story[1], story[2]}] = true, true, true
+			scenario := []string{a, b, third}
+			slices.Sort(scenario)
+			scenarios = append(scenarios, scenario)
+			met[[2]string{scenario[0], scenario[1]}], met[[2]string{scenario[0], scenario[2]}], met[[2]string{scenario[1], scenario[2]}] = true, true, true
 		}
 	}
-	return stories
+	return scenarios
 }
 
 // TestFaultsBreakNoRule plays faults of all kinds, each beside each other, with callers that retry and leave, and has
@@ -152,37 +152,37 @@
 		t.Skip("plays for seconds")
 	}
 	kinds := standin.Kinds()
-	stories := [][]string{{"drain"}}
+	scenarios := [][]string{{"drain"}}
 	if !*pairs {
-		stories = append(stories, together(kinds)...)
+		scenarios = append(scenarios, groupKinds(kinds)...)
 	} else {
 		for i, a := range kinds {
-			stories = append(stories, []string{a})
+			scenarios = append(scenarios, []string{a})
 			for _, b := range kinds[i+1:] {
-				stories = append(stories, []string{a, b})
+				scenarios = append(scenarios, []string{a, b})
 			}
 		}
 	}
-	t.Logf("%d stories", len(stories))
-	type play struct {
-		story []string
-		n     int
-		seed  int
-	}
-	plays := make(chan play)
-	var playing sync.WaitGroup
-	for range *players {
-		playing.Go(func() {
-			for p := range plays {
-				t.Run(fmt.Sprintf("%v/%d", p.story, p.seed), func(t *testing.T) {
-					r := playFaults(t, uint64(1+p.n+1000*p.seed), p.story...)
+	t.Logf("%d stories", len(scenarios))
+	type run struct {
+		scenario []string
+		n        int
+		seed     int
+	}
+	runs := make(chan run)
+	var running sync.WaitGroup
+	for range *workers {
+		running.Go(func() {
+			for p := range runs {
+				t.Run(fmt.Sprintf("%v/%d", p.scenario, p.seed), func(t *testing.T) {
+					r := runFaults(t, uint64(1+p.n+1000*p.seed), p.scenario...)
 					if !r.Kept() {
 						t.Errorf("%+v", r)
 					}
 					if r.Served == 0 || r.Checks[audit.OneAnswer] == 0 || r.Checks[audit.Effects] == 0 || r.Unwatched != 0 {
 						t.Errorf("nothing was put to the test: %+v", r)
 					}
-					if slices.Contains(p.story, "drain") && len(p.story) == 1 && r.Checks[audit.Drains] == 0 {
+					if slices.Contains(p.scenario, "drain") && len(p.scenario) == 1 && r.Checks[audit.Drains] == 0 {
 						t.Errorf("no notice of a drain: %+v", r)
 					}
 					t.Logf("%d asked, %d served, %d refused, %d failed, %d left; checks %v", r.Asked, r.Served, r.Refused, r.Failed, r.Left, r.Checks)
@@ -190,11 +190,11 @@
 			}
 		})
 	}
-	for n, story := range stories {
+	for n, scenario := range scenarios {
 		for seed := range *seeds {
-			plays <- play{story, n, seed}
+			runs <- run{scenario, n, seed}
 		}
 	}
-	close(plays)
-	playing.Wait()
+	close(runs)
+	running.Wait()
 }
--- a/internal/proxy/following_test.go
+++ b/internal/proxy/following_test.go
@@ -15,13 +15,13 @@
 )
 
 // silentFleet is the link of a fleet of which nobody is heard: a start asks for others for as long as it may.
-type silentFleet struct{}
+type unreachableFleet struct{}
 
-var _ cluster.Carrier = silentFleet{}
+var _ cluster.Carrier = unreachableFleet{}
 
-func (silentFleet) Carry(string, []byte)         {}
-func (silentFleet) OnParcel(func([]byte))        {}
-func (silentFleet) Follow(func(s view.Standing)) {}
+func (unreachableFleet) Carry(string, []byte)         {}
+func (unreachableFleet) OnParcel(func([]byte))        {}
+func (unreachableFleet) Follow(func(s view.Standing)) {}
 
 // stateFolder is a folder for what processes know. One that ends does not wait for a slow disk, and may still write when the test is over.
 func stateFolder(t *testing.T) string {
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		for end := time.Now().Add(patient); os.RemoveAll(folder) != nil; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(eventTimeout); os.RemoveAll(folder) != nil; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Error("the folder cannot be removed")
 				return
@@ -42,16 +42,16 @@
 }
 
 // startRecovering starts a process that recovers what it knew from a folder, among so many.
-func startRecovering(t *testing.T, folder string, instances int, r *registry, ask bool, hosts ...string) *Proxy {
+func startWithRecovery(t *testing.T, folder string, instances int, r *registry, ask bool, hosts ...string) *Proxy {
 	t.Helper()
-	c := rigConfig(r.address, json.RawMessage(list(1, true, hosts...)))
+	c := testConfig(r.address, json.RawMessage(list(1, true, hosts...)))
 	c.Settings.Balancer.AskForList, c.Settings.Balancer.AskEvery = ask, 100*time.Millisecond
 	options := recovery.DefaultOptions()
 	options.Folder = folder
 	c.Recovery = recovery.Open(recovery.Config{
 		Options: options, Name: "n1", Seed: 1, Instances: instances, Classes: c.Settings.Classes, Balancer: c.Settings.Balancer,
 		Log: slog.New(slog.DiscardHandler),
-	}, silentFleet{})
+	}, unreachableFleet{})
 	p, err := New(c)
 	if err != nil {
 		t.Fatal(err)
@@ -61,10 +61,10 @@
 }
 
 // untilReady waits until a process has begun, and discovery has confirmed its list.
-func untilReady(t *testing.T, p *Proxy) {
+func awaitReady(t *testing.T, p *Proxy) {
 	t.Helper()
-	confirmed(t, p)
-	for end := time.Now().Add(patient); !p.host.Ready(); time.Sleep(time.Millisecond) {
+	awaitConfirmed(t, p)
+	for end := time.Now().Add(eventTimeout); !p.host.Ready(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("never ready")
 		}
@@ -81,14 +81,14 @@
 				t.Parallel()
 				folder, r := stateFolder(t), newRegistry(t)
 				if disk {
-					before := startRecovering(t, folder, 1, newRegistry(t), ask, up...)
-					untilReady(t, before)
+					before := startWithRecovery(t, folder, 1, newRegistry(t), ask, up...)
+					awaitReady(t, before)
 					before.Close()
 				}
-				p := startRecovering(t, folder, 2, r, ask, up...)
+				p := startWithRecovery(t, folder, 2, r, ask, up...)
 				p.MoveDiscovery(r.address)
 				r.lists <- list(2, true, entry("s1", "127.0.0.1:1", "draining"), up[1])
-				untilReady(t, p)
+				awaitReady(t, p)
 				if !p.discovery.Fresh() {
 					t.Fatal("the list is not acted on any more")
 				}
--- a/internal/proxy/leaving_test.go
+++ b/internal/proxy/leaving_test.go
@@ -9,7 +9,7 @@
 )
 
 // ways are how a caller may leave.
-var ways = map[string]func(*testCaller){
+var leaveActions = map[string]func(*testCaller){
 	"closes":      func(c *testCaller) { c.Close() },
 	"half-closes": func(c *testCaller) { c.Conn.(*net.TCPConn).CloseWrite() },
 	"resets":      func(c *testCaller) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
@@ -17,7 +17,7 @@
 
 // TestCallerLeavesBehindFurtherBytes: a caller sends more behind its open request and leaves. net/http reads one byte of that
 // and would not learn of the end behind it. The attempt that is out is called off, and nothing of the rest is sent on.
-func TestCallerLeavesBehindFurtherBytes(t *testing.T) {
+func TestCallerLeavesAfterExtraBytes(t *testing.T) {
 	t.Parallel()
 	var many strings.Builder
 	for n := range 400 {
@@ -27,10 +27,10 @@
 		"nothing": "", "a byte": "G", "half a head": head("next")[:40], "a request": head("next"), "two requests": head("next") + head("third"),
 		"a flood": many.String(),
 	} {
-		for way, leave := range ways {
+		for way, leave := range leaveActions {
 			t.Run(way+" behind "+what, func(t *testing.T) {
 				b := newBackend(t, "127.0.0.1:0", func(string) string { return "" })
-				g := newRig(t, nil, entry("s1", b.address, "up"))
+				g := newTestProxy(t, nil, entry("s1", b.address, "up"))
 				c := g.dial().send(head("open"))
 				if id := await(t, "the request", b.requests); id != "open" {
 					t.Fatal(id)
@@ -57,15 +57,15 @@
 		if id == "first" {
 			<-hold
 		}
-		return whole(id)
+		return idAnswer(id)
 	})
-	c = newRig(t, nil, entry("s1", b.address, "up")).dial().send(head("first"))
+	c = newTestProxy(t, nil, entry("s1", b.address, "up")).dial().send(head("first"))
 	await(t, "the first request", b.requests)
 	return c, b, hold
 }
 
 // TestFurtherRequestsAreServedInTurn: they were read ahead while the first was open, and are not lost by it.
-func TestFurtherRequestsAreServedInTurn(t *testing.T) {
+func TestPipelinedRequestsAreServedInOrder(t *testing.T) {
 	t.Parallel()
 	c, b, hold := openFirst(t)
 	c.send(head("second")[:30])
@@ -85,7 +85,7 @@
 
 // TestAFloodBehindARequest: more comes behind an open request than is kept. That one is answered, and then the connection
 // ends; the caller knows by that to send the others again.
-func TestAFloodBehindARequest(t *testing.T) {
+func TestFloodOfPipelinedRequests(t *testing.T) {
 	t.Parallel()
 	c, b, hold := openFirst(t)
 	sent := make(chan struct{})
@@ -99,7 +99,7 @@
 	}()
 	await(t, "the end of sending", sent)
 	// Once the proxy's socket has taken all, most of it has been read: it holds 128 KiB at most, and far more was sent.
-	for unsent(c.Conn.(*net.TCPConn)) > 0 {
+	for unsentBytes(c.Conn.(*net.TCPConn)) > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	done := make(chan struct{})
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -13,7 +13,7 @@
 	reservedSockets = 32
 	// callerShare and backendShare of the other sockets are for each side. A request uses one of each, and
 	// callers' connections that are only there to be refused need a few more.
-	callerShare, crowdShare, backendShare = 0.46, 0.54, 0.46
+	callerShare, hardCallerShare, backendShare = 0.46, 0.54, 0.46
 	// bodyShare of the memory may hold callers' bodies. The rest is for answers (body.WholeBytes for each
 	// backend connection at most), streams' windows, connections and the collector's slack.
 	bodyShare = 0.25
@@ -21,10 +21,10 @@
 	// the collector does not see it. Left alone, one connection's buffers grow to megabytes.
 	kernelShare = 0.2
 	// The console holds one of consoleShare descriptors, within bounds: its callers may stay and say nothing.
-	consoleShare, leastConsole, mostConsole = 24, 8, 64
+	socketsPerConsoleConn, minConsoleConns, maxConsoleConns = 24, 8, 64
 	// A socket's buffer is no smaller than leastBuffer, which the kernel would not go below by much, and
 	// needs to be no larger than mostBuffer, which takes a body that is read whole.
-	leastBuffer, mostBuffer = 8 << 10, 64 << 10
+	minBuffer, maxBuffer = 8 << 10, 64 << 10
 )
 
 // socketControl is called with each socket before it is used.
@@ -34,7 +34,7 @@
 func socketBuffers(memory int64, sockets int) socketControl {
 	// The kernel doubles what is asked for, to leave room for its own records.
 	size := int(kernelShare * float64(memory) / float64(4*max(sockets, 1)))
-	size = min(max(size, leastBuffer), mostBuffer)
+	size = min(max(size, minBuffer), maxBuffer)
 	return func(_, _ string, c syscall.RawConn) error {
 		var err error
 		control := c.Control(func(fd uintptr) {
@@ -48,24 +48,24 @@
 
 // limits are what a proxy may hold when it is alone.
 type limits struct {
-	soft, hard, backends int
-	bodies               int64
-	onPart               func(float64)
+	softCallers, hardCallers, backends int
+	bodyBytes                          int64
+	onMemoryShare                      func(float64)
 }
 
 // divide divides what the platform allows among the proxy's sides. What channels may hold is taken from c.
-func divide(c *Config) (limits, error) {
+func divideLimits(c *Config) (limits, error) {
 	sockets := float64(c.Sockets - reservedSockets - consoleConns(c))
 	if o := &c.Options.Channels; o.Enabled {
-		if err := roomForChannels(c, sockets); err != nil {
+		if err := checkChannelLimits(c, sockets); err != nil {
 			return limits{}, err
 		}
-		sockets -= socketsOfChannel * float64(o.MaxChannels)
-		c.Memory -= memoryOfChannels(o)
+		sockets -= socketsPerChannel * float64(o.MaxChannels)
+		c.Memory -= channelMemory(o)
 	}
 	return limits{
-		soft: int(callerShare * sockets), hard: int(crowdShare * sockets), backends: int(backendShare * sockets),
-		bodies: int64(bodyShare * float64(c.Memory)), onPart: c.OnPart,
+		softCallers: int(callerShare * sockets), hardCallers: int(hardCallerShare * sockets), backends: int(backendShare * sockets),
+		bodyBytes: int64(bodyShare * float64(c.Memory)), onMemoryShare: c.OnPart,
 	}, nil
 }
 
@@ -74,22 +74,22 @@
 	if c.Console == "" {
 		return 0
 	}
-	return min(max(c.Sockets/consoleShare, leastConsole), mostConsole)
+	return min(max(c.Sockets/socketsPerConsoleConn, minConsoleConns), maxConsoleConns)
 }
 
 // setPart makes a part of the proxy's limits this process's own.
-func (p *Proxy) setPart(part handover.Part) {
+func (p *Proxy) setShare(share handover.Part) {
 	l := p.limits
-	share := func(part float64, of int) int { return max(int(math.Round(part*float64(of))), 1) }
-	p.callers.SetLimits(share(part.Callers, l.soft), share(part.Callers, l.hard))
-	memory := max(part.Rest, leastPart)
-	p.backends.SetLimit(share(memory, l.backends))
-	p.bodies.Resize(int64(memory * float64(l.bodies)))
-	p.host.SetUpgradeShare(part.Rest)
-	if l.onPart != nil {
-		l.onPart(memory)
+	scale := func(part float64, of int) int { return max(int(math.Round(part*float64(of))), 1) }
+	p.callers.SetLimits(scale(share.Callers, l.softCallers), scale(share.Callers, l.hardCallers))
+	memoryShare := max(share.Rest, minMemoryShare)
+	p.backends.SetLimit(scale(memoryShare, l.backends))
+	p.bodies.Resize(int64(memoryShare * float64(l.bodyBytes)))
+	p.host.SetUpgradeShare(share.Rest)
+	if l.onMemoryShare != nil {
+		l.onMemoryShare(memoryShare)
 	}
 }
 
 // leastPart of the memory and the backends' connections is for a process that only finishes what it has.
-const leastPart = 0.25
+const minMemoryShare = 0.25
--- a/internal/proxy/listen.go
+++ b/internal/proxy/listen.go
@@ -31,19 +31,19 @@
 		l.Close()
 		return nil, fmt.Errorf("inherited socket: %w", err)
 	}
-	return &shared{l, raw}, nil
+	return &sharedListener{l, raw}, nil
 }
 
 // shared is a listener whose socket other processes hold as well. Whether a socket blocks is one setting for all of
 // them, and whoever hands it to a further process may change it, as os.File.Fd does: an accept that begins then would
 // stand until the next caller comes, and this process could not let go of the socket. So the setting is made anew before
 // each accept.
-type shared struct {
+type sharedListener struct {
 	net.Listener
 	raw syscall.RawConn
 }
 
-func (l *shared) Accept() (net.Conn, error) {
+func (l *sharedListener) Accept() (net.Conn, error) {
 	var err error
 	control := l.raw.Control(func(fd uintptr) { err = syscall.SetNonblock(int(fd), true) })
 	if err := errors.Join(control, err); err != nil {
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -22,36 +22,36 @@
 )
 
 // askTraffic is between two looks at which of the backends that are held answer, while some are.
-const askTraffic = 250 * time.Millisecond
+const ejectedPollInterval = 250 * time.Millisecond
 
 // keptLists stands between discovery and the host, and holds back what a judge does not believe. A nil one holds nothing. It has a
 // goroutine only while something is held.
-type keptLists struct {
-	host    *host.Instance
-	tell    func(ids []string) // what is held now, for people
-	log     *slog.Logger
-	ctx     context.Context // ends with the proxy
-	running *sync.WaitGroup
-	begun   time.Time
+type listGuard struct {
+	host       *host.Instance
+	reportHeld func(ids []string) // what is held now, for people
+	log        *slog.Logger
+	ctx        context.Context // ends with the proxy
+	running    *sync.WaitGroup
+	start      time.Time
 
 	held atomic.Pointer[map[string]bool] // nil for none
 
 	mu      sync.Mutex
-	judge   *lists.Judge
+	checker *lists.Judge
 	doc     *rules.Document // what was agreed last; nil for nothing
-	looking bool
+	polling bool
 }
 
-func newKeptLists(ctx context.Context, running *sync.WaitGroup, share float64, h *host.Instance, tell func([]string), log *slog.Logger) *keptLists {
-	k := &keptLists{host: h, tell: tell, log: log, ctx: ctx, running: running, begun: time.Now()}
-	set := lists.DefaultSettings()
-	set.Share = share
-	k.judge = lists.New(set, k.mayDrop)
+func newListGuard(ctx context.Context, running *sync.WaitGroup, share float64, h *host.Instance, tell func([]string), log *slog.Logger) *listGuard {
+	k := &listGuard{host: h, reportHeld: tell, log: log, ctx: ctx, running: running, start: time.Now()}
+	settings := lists.DefaultSettings()
+	settings.Share = share
+	k.checker = lists.New(settings, k.mayDrop)
 	return k
 }
 
 // mayDrop is asked by the judge, with mu held: who is banned everywhere is no loss, and no surprise.
-func (k *keptLists) mayDrop(id string) bool {
+func (k *listGuard) mayDrop(id string) bool {
 	if k.doc == nil {
 		return false
 	}
@@ -59,39 +59,39 @@
 	return out || k.doc.MayDrop(id)
 }
 
-func (k *keptLists) now() time.Duration { return time.Since(k.begun) }
+func (k *listGuard) now() time.Duration { return time.Since(k.start) }
 
 // update takes in what discovery says, in the host's stead.
-func (k *keptLists) update(kind balance.ListKind, entries []balance.Entry, addresses map[string]string) {
+func (k *listGuard) update(kind balance.ListKind, entries []balance.Entry, addresses map[string]string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	u := k.judge.Take(k.now(), lists.Update{Kind: kind, Entries: entries, Addresses: addresses})
+	u := k.checker.Take(k.now(), lists.Update{Kind: kind, Entries: entries, Addresses: addresses})
 	k.host.Update(u.Kind, u.Entries, u.Addresses)
-	k.noted()
+	k.updateHeld()
 }
 
 // agreed takes in the rules that are acted on.
-func (k *keptLists) agreed(doc *rules.Document) {
+func (k *listGuard) setRules(doc *rules.Document) {
 	if k == nil {
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.doc = doc
-	k.pass(k.judge.Agreed(k.now()))
+	k.forward(k.checker.Agreed(k.now()))
 }
 
 // pass passes on what is let go; mu is held.
-func (k *keptLists) pass(u lists.Update, any bool) {
+func (k *listGuard) forward(u lists.Update, any bool) {
 	if any {
 		k.host.Update(u.Kind, u.Entries, u.Addresses)
 	}
-	k.noted()
+	k.updateHeld()
 }
 
 // noted tells what is held, if that has changed, and looks at the traffic while anything is; mu is held.
-func (k *keptLists) noted() {
-	ids := k.judge.Held()
+func (k *listGuard) updateHeld() {
+	ids := k.checker.Held()
 	before := 0
 	if was := k.held.Load(); was != nil {
 		before = len(*was)
@@ -113,25 +113,25 @@
 		} else if len(ids) < before {
 			k.log.Info(LogLetGo, "held", len(ids))
 		}
-		if !k.looking {
-			k.looking = true
-			k.running.Go(k.look)
+		if !k.polling {
+			k.polling = true
+			k.running.Go(k.pollEjected)
 		}
 	}
-	k.tell(ids)
+	k.reportHeld(ids)
 }
 
 // look asks the traffic about what is held until nothing is.
-func (k *keptLists) look() {
+func (k *listGuard) pollEjected() {
 	for {
 		select {
 		case <-k.ctx.Done():
 			return
-		case <-time.After(askTraffic):
+		case <-time.After(ejectedPollInterval):
 		}
 		k.mu.Lock()
-		k.pass(k.judge.Gone(k.now(), k.host.Ejected(k.judge.Held())))
-		if k.looking = len(k.judge.Held()) > 0; !k.looking {
+		k.forward(k.checker.Gone(k.now(), k.host.Ejected(k.checker.Held())))
+		if k.polling = len(k.checker.Held()) > 0; !k.polling {
 			k.mu.Unlock()
 			return
 		}
@@ -140,51 +140,51 @@
 }
 
 // carry tells the next process what the balancer knows and what of that is held, as of one moment.
-func (k *keptLists) carry(to *handover.Knowledge) {
+func (k *listGuard) exportTo(state *handover.Knowledge) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	to.Balancer, to.Addresses = k.host.Snapshot()
-	to.Lists = k.judge.Carry(k.now())
+	state.Balancer, state.Addresses = k.host.Snapshot()
+	state.Lists = k.checker.Carry(k.now())
 }
 
 // adopt goes on with what the process before holds; it is for one that has taken in no list yet.
-func (k *keptLists) adopt(from *handover.Knowledge) {
+func (k *listGuard) importFrom(state *handover.Knowledge) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.judge.Adopt(k.now(), from.Lists, inService(from))
-	k.noted()
+	k.checker.Adopt(k.now(), state.Lists, inServiceServers(state))
+	k.updateHeld()
 }
 
 // inService are the servers that the process before has in service, as a list has told them.
-func inService(k *handover.Knowledge) (servers []lists.Server) {
-	for _, s := range k.Balancer.Servers {
+func inServiceServers(state *handover.Knowledge) (servers []lists.Server) {
+	for _, s := range state.Balancer.Servers {
 		if s.Entry.State == balance.InService {
 			entry := s.Entry
 			entry.Boot = cmp.Or(s.Told, entry.Boot)
-			servers = append(servers, lists.Server{Entry: entry, Address: k.Addresses[entry.ID]})
+			servers = append(servers, lists.Server{Entry: entry, Address: state.Addresses[entry.ID]})
 		}
 	}
 	return servers
 }
 
 // carryLists tells the next process what the balancer knows, and what of that the newest list leaves out.
-func (p *Proxy) carryLists(to *handover.Knowledge) {
+func (p *Proxy) exportLists(state *handover.Knowledge) {
 	if p.lists != nil {
-		p.lists.carry(to)
+		p.lists.exportTo(state)
 		return
 	}
-	to.Balancer, to.Addresses = p.host.Snapshot()
+	state.Balancer, state.Addresses = p.host.Snapshot()
 }
 
 // adoptLists goes on with what the process before holds. Where nothing is held back any more, it is let go of: discovery does not say again that
 // it is gone.
-func (p *Proxy) adoptLists(from *handover.Knowledge) {
+func (p *Proxy) importLists(state *handover.Knowledge) {
 	if p.lists != nil {
-		p.lists.adopt(from)
+		p.lists.importFrom(state)
 		return
 	}
 	var gone []balance.Entry
-	for _, id := range from.Lists.Held {
+	for _, id := range state.Lists.Held {
 		gone = append(gone, balance.Entry{ID: id, State: balance.Gone})
 	}
 	if len(gone) > 0 {
@@ -193,7 +193,7 @@
 }
 
 // holds says whether a backend is one that the newest list leaves out.
-func (k *keptLists) holds(id string) bool {
+func (k *listGuard) isHeld(id string) bool {
 	if k == nil {
 		return false
 	}
--- a/internal/proxy/parking_test.go
+++ b/internal/proxy/parking_test.go
@@ -22,9 +22,9 @@
 }
 
 // parked waits until so many connections are parked.
-func (g *rig) parked(n int) {
+func (g *testProxy) awaitParked(n int) {
 	g.t.Helper()
-	for end := time.Now().Add(patient); g.parking.Len() != n; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); g.parking.Len() != n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			g.t.Fatalf("%d connections are parked, want %d", g.parking.Len(), n)
 		}
@@ -32,13 +32,13 @@
 }
 
 // asks sends a request and wants it served.
-func (c *testCaller) asks(id string) {
+func (c *testCaller) request(id string) {
 	c.t.Helper()
 	c.send("GET /api HTTP/1.1\r\nHost: x\r\nX-Txn: " + id + "\r\nX-Lane: search\r\nX-Remaining-Ms: 9000\r\n\r\n")
-	c.served(id)
+	c.expectOK(id)
 }
 
-func (c *testCaller) served(id string) {
+func (c *testCaller) expectOK(id string) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.r, &http.Request{Method: "GET"})
 	if err != nil {
@@ -52,7 +52,7 @@
 }
 
 // counted counts every id that comes to the backend until the function that it returns is called, which tells them.
-func (b *backend) counted() func() map[string]int {
+func (b *backend) countRequests() func() map[string]int {
 	came := make(chan map[string]int)
 	go func() {
 		ids := map[string]int{}
@@ -72,19 +72,19 @@
 
 // TestParkedConnectionsServeOn parks connections again and again: requests whole, in pieces and one behind the other
 // come on parked ones, and each is served once; those that callers close are let go.
-func TestParkedConnectionsServeOn(t *testing.T) {
+func TestParkedConnectionsKeepServing(t *testing.T) {
 	t.Parallel()
-	b := newBackend(t, "127.0.0.1:0", whole)
-	g := newRig(t, withParking(nil), entry("a", b.address, "up"))
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
+	g := newTestProxy(t, withParking(nil), entry("a", b.address, "up"))
 	const callers = 40
-	came := b.counted()
+	came := b.countRequests()
 	var all []*testCaller
 	for i := range callers {
 		c := g.dial()
-		c.asks(fmt.Sprint("first", i))
+		c.request(fmt.Sprint("first", i))
 		all = append(all, c)
 	}
-	g.parked(callers)
+	g.awaitParked(callers)
 	if n := g.callers.Len(); n != callers {
 		t.Errorf("%d connections are counted, %d are open", n, callers)
 	}
@@ -95,23 +95,23 @@
 				id := fmt.Sprint(round, "-", i)
 				switch i % 3 {
 				case 0:
-					c.asks(id)
+					c.request(id)
 				case 1: // the first byte alone
 					text := "GET /api HTTP/1.1\r\nHost: x\r\nX-Txn: " + id + "\r\nX-Lane: search\r\nX-Remaining-Ms: 9000\r\n\r\n"
 					c.send(text[:1])
 					time.Sleep(20 * time.Millisecond)
 					c.send(text[1:])
-					c.served(id)
+					c.expectOK(id)
 				case 2:
 					text := "GET /api HTTP/1.1\r\nHost: x\r\nX-Txn: %s\r\nX-Lane: search\r\nX-Remaining-Ms: 9000\r\n\r\n"
 					c.send(fmt.Sprintf(text+text, id+"a", id+"b"))
-					c.served(id + "a")
-					c.served(id + "b")
+					c.expectOK(id + "a")
+					c.expectOK(id + "b")
 				}
 			})
 		}
 		asking.Wait()
-		g.parked(callers)
+		g.awaitParked(callers)
 	}
 	ids := came()
 	for id, n := range ids {
@@ -128,8 +128,8 @@
 	for _, c := range all {
 		c.Close()
 	}
-	g.parked(0)
-	for end := time.Now().Add(patient); g.callers.Len() > 0; time.Sleep(time.Millisecond) {
+	g.awaitParked(0)
+	for end := time.Now().Add(eventTimeout); g.callers.Len() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%d connections are counted, and none is open", g.callers.Len())
 		}
@@ -140,37 +140,37 @@
 // all that are parked end with their time, in steps.
 func TestParkedConnectionsMakeRoom(t *testing.T) {
 	t.Parallel()
-	b := newBackend(t, "127.0.0.1:0", whole)
-	g := newRig(t, withParking(func(c *Config) { c.Options.Callers.IdleTimeout = 1500 * time.Millisecond }), entry("a", b.address, "up"))
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
+	g := newTestProxy(t, withParking(func(c *Config) { c.Options.Callers.IdleTimeout = 1500 * time.Millisecond }), entry("a", b.address, "up"))
 	several, single := g.dial(), g.dial()
-	several.asks("s1")
-	several.asks("s2")
-	single.asks("o1")
-	g.parked(2)
+	several.request("s1")
+	several.request("s2")
+	single.request("o1")
+	g.awaitParked(2)
 	g.callers.SetLimits(2, 3)
-	g.dial().asks("n1")
+	g.dial().request("n1")
 	if _, err := single.r.ReadByte(); err == nil || strings.Contains(err.Error(), "timeout") {
 		t.Errorf("the one that has asked once is kept: %v", err)
 	}
-	several.asks("s3")
+	several.request("s3")
 	if _, err := several.r.ReadByte(); err == nil || strings.Contains(err.Error(), "timeout") {
 		t.Errorf("a parked connection does not end with its time: %v", err)
 	}
-	g.parked(0)
+	g.awaitParked(0)
 }
 
 // TestRestartWithParkedConnections: a planned restart closes what is parked, and ends.
 func TestRestartWithParkedConnections(t *testing.T) {
 	t.Parallel()
-	b := newBackend(t, "127.0.0.1:0", whole)
-	g := newRig(t, withParking(nil), entry("a", b.address, "up"))
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
+	g := newTestProxy(t, withParking(nil), entry("a", b.address, "up"))
 	c := g.dial()
-	c.asks("1")
-	g.parked(1)
+	c.request("1")
+	g.awaitParked(1)
 	if others := g.callers.CloseIdle(0); others != 0 {
 		t.Errorf("%d connections are left", others)
 	}
-	g.parked(0)
+	g.awaitParked(0)
 	if _, err := c.r.ReadByte(); err == nil || strings.Contains(err.Error(), "timeout") {
 		t.Errorf("the parked connection is open: %v", err)
 	}
@@ -181,14 +181,14 @@
 // reached a backend, so that it may be sent again.
 func TestRequestsThatMeetTheirConnectionsEnd(t *testing.T) {
 	const callers, idleTime = 200, time.Second
-	b := newBackend(t, "127.0.0.1:0", whole)
-	came := b.counted()
-	g := newRig(t, withParking(func(c *Config) { c.Options.Callers.IdleTimeout = idleTime }), entry("a", b.address, "up"))
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
+	came := b.countRequests()
+	g := newTestProxy(t, withParking(func(c *Config) { c.Options.Callers.IdleTimeout = idleTime }), entry("a", b.address, "up"))
 	var all []*testCaller
 	var since []time.Time
 	for i := range callers {
 		c := g.dial()
-		c.asks(fmt.Sprint("first", i))
+		c.request(fmt.Sprint("first", i))
 		all, since = append(all, c), append(since, time.Now())
 	}
 	stop := make(chan struct{})
@@ -200,7 +200,7 @@
 			case <-stop:
 				return
 			default:
-				c.asks(fmt.Sprint("busy", n))
+				c.request(fmt.Sprint("busy", n))
 			}
 		}
 	})
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -30,37 +30,37 @@
 	clientSide
 	background
 
-	restart   *restart.Restart
-	host      *host.Instance
-	backends  *backends.Pool
-	discovery *discovery.Client
-	following following
-	fileList  json.RawMessage // the list in the platform's file
-	lists     *keptLists      // nil where none is held back
-	channels  *channel.Table  // nil where there are none
-	console   *console.Server // nil where operators have no address
-	upgrade   *upgrade        // nil where no second process is met
-	fleet     Fleet           // nil for none
-	rules     Rules           // nil for none
-	recovery  *recovery.Node  // nil for none
-	figures   *figures.Book
-	settings  *settings.Settings
-	limits    limits
-	log       *slog.Logger
+	restart     *restart.Restart
+	host        *host.Instance
+	backends    *backends.Pool
+	discovery   *discovery.Client
+	followState followState
+	fileList    json.RawMessage // the list in the platform's file
+	lists       *listGuard      // nil where none is held back
+	channels    *channel.Table  // nil where there are none
+	console     *console.Server // nil where operators have no address
+	upgrade     *upgrade        // nil where no second process is met
+	fleet       Fleet           // nil for none
+	rules       Rules           // nil for none
+	recovery    *recovery.Node  // nil for none
+	figures     *figures.Book
+	settings    *settings.Settings
+	limits      limits
+	log         *slog.Logger
 }
 
 // New checks the configuration, opens the listener and begins to watch; nothing is answered before Serve. A proxy
 // that is not served must be closed.
 func New(c Config) (*Proxy, error) {
-	if err := checkTimes(c.Settings); err != nil {
+	if err := checkTimeouts(c.Settings); err != nil {
 		return nil, err
 	}
-	most, err := divide(&c)
+	lim, err := divideLimits(&c)
 	if err != nil {
 		return nil, err
 	}
 	buffers := socketBuffers(c.Memory, c.Sockets)
-	p := newProxy(&c, most, buffers)
+	p := newProxy(&c, lim, buffers)
 	if err := p.openHost(&c); err != nil {
 		p.stop()
 		return nil, err
@@ -80,7 +80,7 @@
 }
 
 // checkTimes says which of the platform's times makes no sense.
-func checkTimes(s *settings.Settings) error {
+func checkTimeouts(s *settings.Settings) error {
 	if s.ConnectTimeout <= 0 {
 		return fmt.Errorf("settings: limits.connect_timeout_ms: %v is not above 0", s.ConnectTimeout)
 	}
@@ -91,16 +91,16 @@
 }
 
 // newProxy puts together what needs no socket and knows no server.
-func newProxy(c *Config, most limits, buffers socketControl) *Proxy {
-	book := figures.NewBook(c.Settings.Classes)
+func newProxy(c *Config, lim limits, buffers socketControl) *Proxy {
+	counters := figures.NewBook(c.Settings.Classes)
 	return &Proxy{
-		clientSide: clientSide{callers: callers.NewSet(most.soft, most.hard, c.Options.Callers.OnceIdle), bodies: body.NewBudget(most.bodies)},
+		clientSide: clientSide{callers: callers.NewSet(lim.softCallers, lim.hardCallers, c.Options.Callers.OnceIdle), bodies: body.NewBudget(lim.bodyBytes)},
 		background: newBackground(),
-		restart:    restart.New(), recovery: c.Recovery, fileList: c.Known, log: c.Log, fleet: c.Fleet, rules: c.Rules, figures: book,
-		settings: c.Settings, limits: most,
+		restart:    restart.New(), recovery: c.Recovery, fileList: c.Known, log: c.Log, fleet: c.Fleet, rules: c.Rules, figures: counters,
+		settings: c.Settings, limits: lim,
 		backends: backends.NewPool(backends.Limits{
-			Conns: most.backends, ConnectTimeout: c.Settings.ConnectTimeout, ConnIdle: c.Settings.ConnIdle,
-			Control: buffers, Written: book.Try, Options: c.Options.Backends,
+			Conns: lim.backends, ConnectTimeout: c.Settings.ConnectTimeout, ConnIdle: c.Settings.ConnIdle,
+			Control: buffers, Written: counters.Try, Options: c.Options.Backends,
 		}),
 	}
 }
@@ -112,20 +112,20 @@
 		return err
 	}
 	update := p.host.Update
-	wait := time.Duration(0) // that refused callers are asked for
+	retryAfter := time.Duration(0) // that refused callers are asked for
 	if s.Balancer.RetryAfter {
-		wait = min(closedWait, s.Balancer.MaxRetryAfter)
+		retryAfter = min(closedRetryAfter, s.Balancer.MaxRetryAfter)
 	}
 	if p.rules != nil {
 		if share := p.rules.ListDrop(); share < 1 {
-			p.lists = newKeptLists(p.ctx, &p.running, share, p.host, p.rules.Hold, c.Log)
+			p.lists = newListGuard(p.ctx, &p.running, share, p.host, p.rules.Hold, c.Log)
 			update = p.lists.update
 		}
-		p.host.SetAgreedRules(gate{p.rules, s.Classes, p.lists}, wait)
+		p.host.SetAgreedRules(rulesGate{p.rules, s.Classes, p.lists}, retryAfter)
 	}
 	if p.recovery != nil {
 		p.host.SetAdmissionGate(p.recovery)
-		update = p.listed(update)
+		update = p.notifyRecovery(update)
 	}
 	p.discovery = discovery.New(c.Discovery, s.Zones, c.Options.Discovery, c.Log, update)
 	if s.Balancer.AskForList {
@@ -133,7 +133,7 @@
 	} else {
 		p.discovery.SetPushed()
 	}
-	p.host.SetServerList(p.discovery, wait)
+	p.host.SetServerList(p.discovery, retryAfter)
 	return nil
 }
 
@@ -162,37 +162,37 @@
 		if err := p.startParking(&c.Options.Callers); err != nil {
 			return err
 		}
-		p.running.Go(func() { p.park(p.ctx, p.log) })
+		p.running.Go(func() { p.serveParked(p.ctx, p.log) })
 	}
 	if c.Inherited != nil && c.MeetIn != "" {
 		p.upgrade = newUpgrade(p, c.MeetIn, c.Name)
 	}
-	joined := p.upgrade != nil && p.upgrade.join()
+	joined := p.upgrade != nil && p.upgrade.restoreState()
 	if !joined && p.recovery == nil { // what a running process knows is newer than the file's list, and so is a folder
-		if err := p.known(c.Known); err != nil {
+		if err := p.loadCachedList(c.Known); err != nil {
 			return err
 		}
 	}
 	if c.Console != "" {
 		var err error
-		if p.console, err = console.New(c.Console, consoleConns(c), desk{p}, c.Log); err != nil {
+		if p.console, err = console.New(c.Console, consoleConns(c), consoleHandler{p}, c.Log); err != nil {
 			return err
 		}
 	}
 	if p.rules != nil {
-		p.rules.Follow(p.agreed)
+		p.rules.Follow(p.applyRules)
 	}
 	if p.recovery == nil || joined {
-		p.follow()
+		p.startFollowing()
 	}
 	if p.recovery != nil {
-		p.recovery.Start(side{p}, joined)
+		p.recovery.Start(recoverySide{p}, joined)
 	}
 	return nil
 }
 
 // known starts the balancer with the list as this proxy last had it; it can serve from that at once.
-func (p *Proxy) known(text json.RawMessage) error {
+func (p *Proxy) loadCachedList(text json.RawMessage) error {
 	c := &discovery.Catalog{Seq: -1}
 	if len(text) > 0 && string(text) != "null" {
 		var err error
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -29,7 +29,7 @@
 }
 
 // patient is how long a test waits for an event that must come.
-const patient = 20 * time.Second
+const eventTimeout = 20 * time.Second
 
 // await fails the test if the event does not come.
 func await[T any](t *testing.T, what string, c <-chan T) T {
@@ -37,7 +37,7 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(patient):
+	case <-time.After(eventTimeout):
 		t.Fatalf("%s did not come", what)
 		panic("unreachable")
 	}
@@ -112,7 +112,7 @@
 }
 
 // whole is a sound answer that names the request it belongs to.
-func whole(id string) string {
+func idAnswer(id string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 }
 
@@ -157,7 +157,7 @@
 }
 
 // rig is a running proxy.
-type rig struct {
+type testProxy struct {
 	t *testing.T
 	*Proxy
 	registry *registry
@@ -165,7 +165,7 @@
 }
 
 // rigConfig is a configuration for tests.
-func rigConfig(discovery string, known json.RawMessage) Config {
+func testConfig(discovery string, known json.RawMessage) Config {
 	return Config{
 		Listen: "127.0.0.1:0", Discovery: discovery, Seed: 1, Memory: 64 << 20, Sockets: 256,
 		Known: known, Log: slog.New(slog.DiscardHandler), Options: DefaultOptions(),
@@ -188,16 +188,16 @@
 }
 
 // newRig starts a proxy that knows the given hosts, with settings that change may alter.
-func newRig(t *testing.T, change func(*Config), hosts ...string) *rig {
+func newTestProxy(t *testing.T, change func(*Config), hosts ...string) *testProxy {
 	t.Helper()
-	return newRigWith(t, change, func(*Proxy) {}, hosts...)
+	return newTestProxyWith(t, change, func(*Proxy) {}, hosts...)
 }
 
 // newRigWith is newRig with a look at the proxy before it serves.
-func newRigWith(t *testing.T, change func(*Config), before func(*Proxy), hosts ...string) *rig {
+func newTestProxyWith(t *testing.T, change func(*Config), before func(*Proxy), hosts ...string) *testProxy {
 	t.Helper()
 	g := newRegistry(t)
-	c := rigConfig(g.address, json.RawMessage(list(1, true, hosts...)))
+	c := testConfig(g.address, json.RawMessage(list(1, true, hosts...)))
 	if change != nil {
 		change(&c)
 	}
@@ -212,14 +212,14 @@
 		p.Close()
 		<-done
 	})
-	confirmed(t, p)
-	return &rig{t, p, g, p.Addr().String()}
+	awaitConfirmed(t, p)
+	return &testProxy{t, p, g, p.Addr().String()}
 }
 
 // confirmed waits until discovery has confirmed a proxy's list.
-func confirmed(t *testing.T, p *Proxy) {
+func awaitConfirmed(t *testing.T, p *Proxy) {
 	t.Helper()
-	for end := time.Now().Add(patient); !p.discovery.Fresh(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); !p.discovery.Fresh(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the list is never confirmed")
 		}
@@ -233,7 +233,7 @@
 	r *bufio.Reader
 }
 
-func (g *rig) dial() *testCaller {
+func (g *testProxy) dial() *testCaller {
 	g.t.Helper()
 	return dialAt(g.t, g.address)
 }
@@ -246,7 +246,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patient))
+	c.SetDeadline(time.Now().Add(eventTimeout))
 	return &testCaller{t, c, bufio.NewReader(c)}
 }
 
@@ -275,7 +275,7 @@
 }
 
 // closed waits for the proxy to close the connection.
-func (c *testCaller) closed() {
+func (c *testCaller) expectClosed() {
 	c.t.Helper()
 	if _, err := c.r.ReadByte(); err == nil {
 		c.t.Fatal("bytes where a close was due")
@@ -285,8 +285,8 @@
 }
 
 func TestServesARequest(t *testing.T) {
-	b := newBackend(t, "127.0.0.1:0", whole)
-	c := newRig(t, nil, entry("s1", b.address, "up")).dial()
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
+	c := newTestProxy(t, nil, entry("s1", b.address, "up")).dial()
 	for _, id := range []string{"a", "b"} {
 		if status, body := c.send(head(id)).answer(); status != 200 || body != id {
 			t.Fatalf("%d %q", status, body)
@@ -294,8 +294,8 @@
 	}
 }
 
-func TestRefusedCallerIsToldWhenToComeBack(t *testing.T) {
-	g := newRig(t, func(c *Config) {
+func TestRefusedCallerGetsRetryAfter(t *testing.T) {
+	g := newTestProxy(t, func(c *Config) {
 		c.Settings.Balancer.RetryAfter, c.Settings.Balancer.MaxRetryAfter = true, 2*time.Second
 	})
 	c := g.dial().send(strings.Replace(head("a"), "9000", "400", 1))
@@ -344,7 +344,7 @@
 				}); err != nil || optionErr != nil {
 					t.Fatal(err, optionErr)
 				}
-				if size > 2*mostBuffer || name == "least" && size > 2*leastBuffer {
+				if size > 2*maxBuffer || name == "least" && size > 2*minBuffer {
 					t.Errorf("option %d: %d bytes", option, size)
 				}
 			}
--- a/internal/proxy/rules.go
+++ b/internal/proxy/rules.go
@@ -13,13 +13,13 @@
 )
 
 // gate puts the names to the classes that the host knows by number.
-type gate struct {
+type rulesGate struct {
 	rules   Rules
 	classes []string
-	lists   *keptLists // nil where no list is held back
+	lists   *listGuard // nil where no list is held back
 }
 
-func (g gate) class(n int) string {
+func (g rulesGate) className(n int) string {
 	if n < 0 || n >= len(g.classes) {
 		return ""
 	}
@@ -27,42 +27,42 @@
 }
 
 // Open says whether requests of a class are taken now: what nothing may be sent for is refused before anything is done.
-func (g gate) Open(class int) bool {
-	ruling, _ := g.rules.Rule(rules.Send{Class: g.class(class)})
+func (g rulesGate) Open(class int) bool {
+	ruling, _ := g.rules.Rule(rules.Send{Class: g.className(class)})
 	return ruling == rules.Allowed
 }
 
-func (g gate) Rule(server string, class int, again bool) (rules.Ruling, rules.Ground) {
-	return g.rules.Rule(rules.Send{Server: server, Class: g.class(class), Again: again, Held: g.lists.holds(server)})
+func (g rulesGate) Rule(server string, class int, again bool) (rules.Ruling, rules.Ground) {
+	return g.rules.Rule(rules.Send{Server: server, Class: g.className(class), Again: again, Held: g.lists.isHeld(server)})
 }
 
 // agreed takes in on what acts rest.
-func (p *Proxy) agreed(b *accord.Basis) {
+func (p *Proxy) applyRules(b *accord.Basis) {
 	p.host.ApplyAgreed(b.Doc.Bans, b.Doc.Share())
 	if self, of, ok := p.rules.Number(b); ok {
 		p.host.Renumber(self, of)
 	}
-	p.lists.agreed(b.Doc)
+	p.lists.setRules(b.Doc)
 }
 
 // closedWait is for how long a caller is asked to stay away whose request the agreed rules don't let in.
-const closedWait = time.Second
+const closedRetryAfter = time.Second
 
 // rulesTime bounds what the console waits for the agreement; its callers are owed an answer within 1 s.
-const rulesTime = 700 * time.Millisecond
+const rulesTimeout = 700 * time.Millisecond
 
 // Rules says how this process stands in the agreement, as JSON.
-func (d desk) Rules(ctx context.Context) ([]byte, error) {
+func (d consoleHandler) Rules(ctx context.Context) ([]byte, error) {
 	if d.rules == nil {
 		return nil, console.ErrNone
 	}
-	ctx, cancel := context.WithTimeout(ctx, rulesTime)
+	ctx, cancel := context.WithTimeout(ctx, rulesTimeout)
 	defer cancel()
 	return d.rules.Status(ctx)
 }
 
 // Propose has a change agreed: text is a rules.Change in JSON, and the answer a rules.Answer.
-func (d desk) Propose(ctx context.Context, text []byte) ([]byte, error) {
+func (d consoleHandler) Propose(ctx context.Context, text []byte) ([]byte, error) {
 	if d.rules == nil {
 		return nil, console.ErrNone
 	}
@@ -76,7 +76,7 @@
 	if err := c.Check(); err != nil {
 		return nil, fmt.Errorf("%w: %w", console.ErrBad, err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, rulesTime)
+	ctx, cancel := context.WithTimeout(ctx, rulesTimeout)
 	defer cancel()
 	a, err := d.rules.Propose(ctx, c)
 	if err != nil {
@@ -89,11 +89,11 @@
 }
 
 // Refound has this keeper go on alone, in place of a majority that is lost for good.
-func (d desk) Refound(ctx context.Context) error {
+func (d consoleHandler) Refound(ctx context.Context) error {
 	if d.rules == nil {
 		return console.ErrNone
 	}
-	ctx, cancel := context.WithTimeout(ctx, rulesTime)
+	ctx, cancel := context.WithTimeout(ctx, rulesTimeout)
 	defer cancel()
 	return d.rules.Refound(ctx)
 }
--- a/internal/proxy/rules_test.go
+++ b/internal/proxy/rules_test.go
@@ -14,46 +14,46 @@
 )
 
 // agreement is one whose rules the test sets.
-type agreement struct {
-	basis  atomic.Pointer[accord.Basis]
-	follow func(*accord.Basis)
-	drop   float64
-	held   atomic.Pointer[[]string]
+type fakeRules struct {
+	basis    atomic.Pointer[accord.Basis]
+	onChange func(*accord.Basis)
+	maxDrop  float64
+	held     atomic.Pointer[[]string]
 }
 
-func agreeOn(d *rules.Document) *agreement {
-	a := &agreement{}
-	a.basis.Store(basisOf(d, time.Hour))
+func newFakeRules(d *rules.Document) *fakeRules {
+	a := &fakeRules{}
+	a.basis.Store(leaseUntil(d, time.Hour))
 	return a
 }
 
 // basisOf is a lease until a moment; the clock stands at 1 s.
-func basisOf(d *rules.Document, until time.Duration) *accord.Basis {
+func leaseUntil(d *rules.Document, until time.Duration) *accord.Basis {
 	return &accord.Basis{Version: 2, Last: 2, Doc: d, Vague: rules.Unknowing(d), Until: until, Tested: -1}
 }
 
-func (a *agreement) Rule(s rules.Send) (rules.Ruling, rules.Ground) {
+func (a *fakeRules) Rule(s rules.Send) (rules.Ruling, rules.Ground) {
 	b := a.basis.Load()
 	return b.Rule(time.Second, s), rules.Ground{Version: b.Last, Leased: b.Mode(time.Second) == accord.Leased}
 }
-func (a *agreement) Number(*accord.Basis) (int, int, bool)  { return 0, 0, false }
-func (a *agreement) ListDrop() float64                      { return cmp.Or(a.drop, 1) }
-func (a *agreement) Hold(ids []string)                      { a.held.Store(&ids) }
-func (a *agreement) Mode() accord.Mode                      { return a.basis.Load().Mode(time.Second) }
-func (a *agreement) Follow(f func(*accord.Basis))           { a.follow = f; f(a.basis.Load()) }
-func (a *agreement) Status(context.Context) ([]byte, error) { return []byte("{}"), nil }
-func (a *agreement) Figures(text []byte) []byte             { return text }
-func (a *agreement) Refound(context.Context) error          { return nil }
-func (a *agreement) Propose(context.Context, rules.Change) (rules.Answer, error) {
+func (a *fakeRules) Number(*accord.Basis) (int, int, bool)  { return 0, 0, false }
+func (a *fakeRules) ListDrop() float64                      { return cmp.Or(a.maxDrop, 1) }
+func (a *fakeRules) Hold(ids []string)                      { a.held.Store(&ids) }
+func (a *fakeRules) Mode() accord.Mode                      { return a.basis.Load().Mode(time.Second) }
+func (a *fakeRules) Follow(f func(*accord.Basis))           { a.onChange = f; f(a.basis.Load()) }
+func (a *fakeRules) Status(context.Context) ([]byte, error) { return []byte("{}"), nil }
+func (a *fakeRules) Figures(text []byte) []byte             { return text }
+func (a *fakeRules) Refound(context.Context) error          { return nil }
+func (a *fakeRules) Propose(context.Context, rules.Change) (rules.Answer, error) {
 	return rules.Answer{}, nil
 }
 
 // TestAgreedBans: what is out by agreement gets nothing, also where no list has named it before, until it is not any more.
 func TestAgreedBans(t *testing.T) {
-	one, two := newBackend(t, "127.0.0.1:0", whole), newBackend(t, "127.0.0.1:0", whole)
+	one, two := newBackend(t, "127.0.0.1:0", idAnswer), newBackend(t, "127.0.0.1:0", idAnswer)
 	ban := &rules.Document{Bans: map[string]rules.Ban{"s1": {}, "not listed": {}}}
-	a := agreeOn(ban)
-	g := newRig(t, func(c *Config) { c.Rules = a }, entry("s1", one.address, "up"), entry("s2", two.address, "up"))
+	a := newFakeRules(ban)
+	g := newTestProxy(t, func(c *Config) { c.Rules = a }, entry("s1", one.address, "up"), entry("s2", two.address, "up"))
 	c := g.dial()
 	for range 20 {
 		if status, _ := c.send(head("a")).answer(); status != 200 {
@@ -70,10 +70,10 @@
 	if n := len(one.requests); n > 0 {
 		t.Errorf("%d requests after one proxy put it back", n)
 	}
-	lifted := basisOf(&rules.Document{}, time.Hour)
+	lifted := leaseUntil(&rules.Document{}, time.Hour)
 	a.basis.Store(lifted)
-	a.follow(lifted)
-	for end := time.Now().Add(patient); len(one.requests) == 0; {
+	a.onChange(lifted)
+	for end := time.Now().Add(eventTimeout); len(one.requests) == 0; {
 		if time.Now().After(end) {
 			t.Fatal("nothing goes to a server that is back")
 		}
@@ -85,9 +85,9 @@
 
 // TestNoLeaseNoSend: without a lease, after a pause, a request is refused at once and nothing is sent for it.
 func TestNoLeaseNoSend(t *testing.T) {
-	b := newBackend(t, "127.0.0.1:0", whole)
-	a := agreeOn(&rules.Document{})
-	g := newRig(t, func(c *Config) {
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
+	a := newFakeRules(&rules.Document{})
+	g := newTestProxy(t, func(c *Config) {
 		c.Rules = a
 		c.Settings.Balancer.RetryAfter, c.Settings.Balancer.MaxRetryAfter = true, 2*time.Second
 	}, entry("s1", b.address, "up"))
@@ -96,7 +96,7 @@
 		t.Fatal(status)
 	}
 	<-b.requests
-	a.basis.Store(basisOf(&rules.Document{}, 0))
+	a.basis.Store(leaseUntil(&rules.Document{}, 0))
 	c.send(head("b"))
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
@@ -109,9 +109,9 @@
 
 // TestClosedClass: one class is closed, and the others go on.
 func TestClosedClass(t *testing.T) {
-	b := newBackend(t, "127.0.0.1:0", whole)
-	a := agreeOn(&rules.Document{Settings: rules.Settings{Classes: map[string]rules.Class{"search": {Closed: true}}}})
-	g := newRig(t, func(c *Config) { c.Rules = a }, entry("s1", b.address, "up"))
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
+	a := newFakeRules(&rules.Document{Settings: rules.Settings{Classes: map[string]rules.Class{"search": {Closed: true}}}})
+	g := newTestProxy(t, func(c *Config) { c.Rules = a }, entry("s1", b.address, "up"))
 	if status, _ := g.dial().send(head("a")).answer(); status != 503 {
 		t.Errorf("closed: %d", status)
 	}
@@ -133,11 +133,11 @@
 				if asked.Add(1) == 1 {
 					return "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nand no m" // of a server that dies while it answers
 				}
-				return whole(id)
+				return idAnswer(id)
 			}
 			one, two := newBackend(t, "127.0.0.1:0", reply), newBackend(t, "127.0.0.1:0", reply)
-			a := agreeOn(d)
-			g := newRig(t, func(c *Config) {
+			a := newFakeRules(d)
+			g := newTestProxy(t, func(c *Config) {
 				c.Rules = a
 				c.Options.Backends.AnswerTimeout = 50 * time.Millisecond
 			}, entry("s1", one.address, "up"), entry("s2", two.address, "up"))
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -9,10 +9,10 @@
 )
 
 // lastAnswers is how long answers that are being written at the very end may take; all are due before it.
-const lastAnswers = 50 * time.Millisecond
+const lastAnswerTimeout = 50 * time.Millisecond
 
 // acceptQuiet without a new connection shows that no more are coming, on a machine that runs late too.
-const acceptQuiet = 50 * time.Millisecond
+const acceptQuietPeriod = 50 * time.Millisecond
 
 // Serve answers callers until ctx is done, and then ends like a planned restart does: it returns once
 // everything taken is answered, and leaves nothing running.
@@ -31,8 +31,8 @@
 	served := make(chan error, 1)
 	go func() { served <- p.http.Serve(p.listener) }()
 	if p.upgrade != nil {
-		p.upgrade.begin()
-		defer p.upgrade.end()
+		p.upgrade.start()
+		defer p.upgrade.close()
 	}
 	p.accepting.Store(true)
 	select {
@@ -40,26 +40,26 @@
 		return err
 	case <-ctx.Done():
 	}
-	begun := time.Now()
+	start := time.Now()
 	if p.channels != nil {
 		p.channels.BeginShutdown()
 	}
-	if p.upgrade != nil && p.upgrade.leave() {
+	if p.upgrade != nil && p.upgrade.handOff() {
 		p.listener.Stop()
 		p.restart.HandOver()
 		if p.fleet != nil {
 			p.fleet.HandOver()
 		}
 	}
-	if !p.restart.Run(p.left) {
+	if !p.restart.Run(p.connsClosed) {
 		p.log.Warn("leaving with callers' connections still open")
 	}
-	for p.channels != nil && p.channels.Len() > 0 && time.Since(begun) < p.channels.ShutdownTimeout() {
-		time.Sleep(acceptQuiet)
+	for p.channels != nil && p.channels.Len() > 0 && time.Since(start) < p.channels.ShutdownTimeout() {
+		time.Sleep(acceptQuietPeriod)
 	}
 	// A request that is read between here and the end of the server would have nobody to answer it.
-	for shut := time.Now(); p.callers.Shutdown() > 0 && time.Since(shut) < lastAnswers; {
-		time.Sleep(lastAnswers / 10)
+	for shutdownStart := time.Now(); p.callers.Shutdown() > 0 && time.Since(shutdownStart) < lastAnswerTimeout; {
+		time.Sleep(lastAnswerTimeout / 10)
 	}
 	if err := p.http.Close(); err != nil {
 		return err
@@ -91,6 +91,6 @@
 	p.running.Wait()
 	p.discovery.CloseIdle()
 	if p.upgrade != nil {
-		p.upgrade.end()
+		p.upgrade.close()
 	}
 }
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestRequestsThatAreNotUnderstoodGoNowhere(t *testing.T) {
+func TestInvalidRequestsAreNotForwarded(t *testing.T) {
 	const rest = "X-Lane: search\r\nX-Remaining-Ms: 900\r\n"
 	const hold = "X-Txn: a\r\nX-Lane: hold\r\nX-Remaining-Ms: 900\r\n"
 	for name, request := range map[string]string{
@@ -32,18 +32,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBackend(t, "127.0.0.1:0", whole)
-			c := newRig(t, nil, entry("s1", b.address, "up")).dial()
+			b := newBackend(t, "127.0.0.1:0", idAnswer)
+			c := newTestProxy(t, nil, entry("s1", b.address, "up")).dial()
 			start := time.Now()
 			status, _ := c.send(request).answer()
 			if status != 0 && (status < 400 || status == 503) {
 				t.Fatalf("answered %d", status)
 			}
-			if d := time.Since(start); d > patient/2 {
+			if d := time.Since(start); d > eventTimeout/2 {
 				t.Errorf("only after %v", d)
 			}
 			if status != 0 {
-				c.closed()
+				c.expectClosed()
 			}
 			if len(b.requests) != 0 {
 				t.Fatal("it came to a backend")
@@ -54,8 +54,8 @@
 
 // TestRequestInsideABodyIsNotPassedOn sends a request whose body, for whoever goes by the length, is another.
 func TestRequestInsideABodyIsNotPassedOn(t *testing.T) {
-	b := newBackend(t, "127.0.0.1:0", whole)
-	g := newRig(t, nil, entry("s1", b.address, "up"))
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
+	g := newTestProxy(t, nil, entry("s1", b.address, "up"))
 	inner := "0\r\n\r\n" + head("hidden")
 	for name, lead := range map[string]string{"first": "", "behind another": head("sound")} {
 		t.Run(name, func(t *testing.T) {
@@ -71,7 +71,7 @@
 			if status, _ := c.answer(); status != 400 {
 				t.Fatalf("answered %d", status)
 			}
-			c.closed()
+			c.expectClosed()
 			if len(b.requests) != 0 {
 				t.Fatalf("%q came to a backend", <-b.requests)
 			}
@@ -80,8 +80,8 @@
 }
 
 func TestChunkedRequestIsServed(t *testing.T) {
-	b := newBackend(t, "127.0.0.1:0", whole)
-	c := newRig(t, nil, entry("s1", b.address, "up")).dial()
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
+	c := newTestProxy(t, nil, entry("s1", b.address, "up")).dial()
 	c.send("POST /api HTTP/1.1\r\nHost: x\r\nX-Txn: a\r\nX-Lane: hold\r\nX-Remaining-Ms: 9000\r\nIdempotency-Key: k\r\n" +
 		"Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n")
 	if status, body := c.answer(); status != 200 || body != "a" {
@@ -89,10 +89,10 @@
 	}
 }
 
-func TestIDOfAnOpenRequestIsTurnedAway(t *testing.T) {
+func TestDuplicateIDOfOpenRequestIsRejected(t *testing.T) {
 	release := make(chan struct{})
-	b := newBackend(t, "127.0.0.1:0", func(id string) string { <-release; return whole(id) })
-	g := newRig(t, nil, entry("s1", b.address, "up"))
+	b := newBackend(t, "127.0.0.1:0", func(id string) string { <-release; return idAnswer(id) })
+	g := newTestProxy(t, nil, entry("s1", b.address, "up"))
 	first := g.dial().send(head("a"))
 	await(t, "the first request", b.requests)
 	if status, _ := g.dial().send(head("a")).answer(); status != 409 {
@@ -109,11 +109,11 @@
 
 // TestCrowdOfIdleCallersGivesWay holds more connections than the proxy may, silent ones and such that asked
 // once, and asks on a new one.
-func TestCrowdOfIdleCallersGivesWay(t *testing.T) {
-	b := newBackend(t, "127.0.0.1:0", whole)
+func TestIdleCallersAreClosedForNewcomers(t *testing.T) {
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
 	for name, first := range map[string]string{"silent": "", "asked once": "yes"} {
 		t.Run(name, func(t *testing.T) {
-			g := newRig(t, func(c *Config) { c.Sockets = 64 }, entry("s1", b.address, "up"))
+			g := newTestProxy(t, func(c *Config) { c.Sockets = 64 }, entry("s1", b.address, "up"))
 			for i := range 40 {
 				c := g.dial()
 				if first != "" {
@@ -123,7 +123,7 @@
 				}
 			}
 			// A silent crowd goes once it has been silent for a while, so a caller may meet a close.
-			for end := time.Now().Add(patient); ; {
+			for end := time.Now().Add(eventTimeout); ; {
 				if status, _ := g.dial().send(head("late")).answer(); status == 200 {
 					return
 				}
@@ -137,8 +137,8 @@
 
 // TestCallersThatAskAgainKeepTheirConnection fills the places with callers that ask once.
 func TestCallersThatAskAgainKeepTheirConnection(t *testing.T) {
-	b := newBackend(t, "127.0.0.1:0", whole)
-	g := newRig(t, func(c *Config) { c.Sockets = 64 }, entry("s1", b.address, "up"))
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
+	g := newTestProxy(t, func(c *Config) { c.Sockets = 64 }, entry("s1", b.address, "up"))
 	steady := g.dial()
 	for _, id := range []string{"s1", "s2"} {
 		steady.send(head(id)).answer()
@@ -156,7 +156,7 @@
 // TestCallerThatLeavesEndsItsAttempt waits for the backend to see its connection close.
 func TestCallerThatLeavesEndsItsAttempt(t *testing.T) {
 	b := newBackend(t, "127.0.0.1:0", func(string) string { return "" })
-	g := newRig(t, nil, entry("s1", b.address, "up"))
+	g := newTestProxy(t, nil, entry("s1", b.address, "up"))
 	for name, leave := range map[string]func(net.Conn){
 		"close":      func(c net.Conn) { c.Close() },
 		"half close": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
@@ -176,14 +176,14 @@
 
 // TestLeavingServesWhoStillAsks: during a planned restart connections go on being used, what cannot be served in
 // time is failed, and then all are closed.
-func TestLeavingServesWhoStillAsks(t *testing.T) {
+func TestShutdownServesRemainingCallers(t *testing.T) {
 	b := newBackend(t, "127.0.0.1:0", func(id string) string {
 		if id == "never" {
 			return ""
 		}
-		return whole(id)
+		return idAnswer(id)
 	})
-	g := newRig(t, nil, entry("s1", b.address, "up"))
+	g := newTestProxy(t, nil, entry("s1", b.address, "up"))
 	asks, waits := g.dial(), g.dial()
 	asks.send(head("before")).answer()
 	waits.send(head("never"))
@@ -199,13 +199,13 @@
 	}
 	left := make(chan struct{})
 	go func() {
-		g.restart.Run(g.left)
+		g.restart.Run(g.connsClosed)
 		close(left)
 	}()
 	if status, _ := waits.answer(); status != 502 {
 		t.Errorf("what cannot be served in time was answered %d", status)
 	}
-	asks.closed()
-	waits.closed()
+	asks.expectClosed()
+	waits.expectClosed()
 	await(t, "the end", left)
 }
--- a/internal/proxy/several_test.go
+++ b/internal/proxy/several_test.go
@@ -8,8 +8,8 @@
 // TestSeveralProxiesInOneProcess: each has a balancer, a list and callers of its own, and one that ends leaves the
 // other as it is.
 func TestSeveralProxiesInOneProcess(t *testing.T) {
-	a, b := newBackend(t, "127.0.0.1:0", whole), newBackend(t, "127.0.0.1:0", whole)
-	one, two := newRig(t, nil, entry("s1", a.address, "up")), newRig(t, nil, entry("s1", b.address, "up"))
+	a, b := newBackend(t, "127.0.0.1:0", idAnswer), newBackend(t, "127.0.0.1:0", idAnswer)
+	one, two := newTestProxy(t, nil, entry("s1", a.address, "up")), newTestProxy(t, nil, entry("s1", b.address, "up"))
 	callOne, callTwo := one.dial(), two.dial()
 	for i := range 3 {
 		id := fmt.Sprint("r", i) // the same id is open at both
@@ -25,7 +25,7 @@
 		t.Fatalf("backends got %d and %d requests, want 3 each", len(a.requests), len(b.requests))
 	}
 	one.Close()
-	callOne.closed()
+	callOne.expectClosed()
 	if status, body := callTwo.send(head("after")).answer(); status != 200 || body != "after" {
 		t.Fatalf("once the other had ended: %d %q", status, body)
 	}
--- a/internal/proxy/smuggling_test.go
+++ b/internal/proxy/smuggling_test.go
@@ -108,10 +108,10 @@
 
 // TestAmbiguousMessagesGoNowhere sends each of them as the first request on a connection, and behind a sound one. None
 // may reach a backend, nor may what is hidden in it, and the connection must end.
-func TestAmbiguousMessagesGoNowhere(t *testing.T) {
-	b := newBackend(t, "127.0.0.1:0", whole)
+func TestAmbiguousMessagesAreNotForwarded(t *testing.T) {
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
 	b.requests = make(chan string, 2000)
-	g := newRig(t, func(c *Config) { c.Sockets = 4096 }, entry("s1", b.address, "up"))
+	g := newTestProxy(t, func(c *Config) { c.Sockets = 4096 }, entry("s1", b.address, "up"))
 	messages := ambiguous()
 	if len(messages) < 200 {
 		t.Errorf("%d messages", len(messages))
@@ -138,7 +138,7 @@
 					if status, _ := c.send(text).answer(); status != 0 && (status < 400 || status == 503) {
 						t.Fatalf("answered %d", status)
 					}
-					c.closed()
+					c.expectClosed()
 				})
 			}
 		}
@@ -160,7 +160,7 @@
 
 // TestOddButSoundMessagesAreFramedAnew: what can be read in one way only is passed on, with a length of its own and none
 // of the caller's framing, however it was written; what follows is the next request or the connection's end.
-func TestOddButSoundMessagesAreFramedAnew(t *testing.T) {
+func TestUnusualValidMessagesAreReframed(t *testing.T) {
 	type arrival struct {
 		id, body string
 		length   int64
@@ -179,7 +179,7 @@
 	})}
 	go s.Serve(l)
 	defer s.Close()
-	g := newRig(t, nil, entry("s1", l.Addr().String(), "up"))
+	g := newTestProxy(t, nil, entry("s1", l.Addr().String(), "up"))
 	const start = "POST /api HTTP/1.1\r\nHost: x\r\nX-Lane: hold\r\nX-Remaining-Ms: 900\r\nIdempotency-Key: k\r\n"
 	for n, k := range []struct{ name, text string }{
 		{"a length", start + "Content-Length: 4\r\n\r\nabcd"},
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -10,7 +10,7 @@
 )
 
 // Status says how the proxy stands, as JSON.
-func (d desk) Status() ([]byte, error) {
+func (d consoleHandler) Status() ([]byte, error) {
 	h := d.host.State()
 	listed, _ := d.host.CountServers()
 	s := status.Status{
--- a/internal/proxy/status_test.go
+++ b/internal/proxy/status_test.go
@@ -8,21 +8,21 @@
 	"brasswell/internal/status"
 )
 
-func TestStatusTellsWhoIsAvoidedAndWhatIsOpen(t *testing.T) {
+func TestStatusShowsAvoidedServersAndOpenRequests(t *testing.T) {
 	b := newBackend(t, "127.0.0.1:0", func(id string) string {
 		if id == "never" {
 			return ""
 		}
-		return whole(id)
+		return idAnswer(id)
 	})
 	var hosts []string
 	for _, id := range []string{"s1", "s2", "s3"} {
 		hosts = append(hosts, entry(id, b.address, "up"))
 	}
-	g := newRig(t, nil, hosts...)
+	g := newTestProxy(t, nil, hosts...)
 	read := func() *status.Status {
 		t.Helper()
-		text, err := desk{g.Proxy}.Status()
+		text, err := consoleHandler{g.Proxy}.Status()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -49,7 +49,7 @@
 		t.Errorf("avoided %s", got)
 	}
 	// Connections come to rest a little after their answer is out.
-	for end := time.Now().Add(patient); s.Open["search"] != 1 || s.Callers["busy"] != 1 || s.Callers["once"] != 1 || s.Backends["busy"] != 1; s = read() {
+	for end := time.Now().Add(eventTimeout); s.Open["search"] != 1 || s.Callers["busy"] != 1 || s.Callers["once"] != 1 || s.Backends["busy"] != 1; s = read() {
 		if time.Now().After(end) {
 			t.Fatalf("%+v", s)
 		}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -19,16 +19,16 @@
 )
 
 // echo is a backend that answers a request with its own body, or with as many bytes as the path asks for.
-type echo struct {
-	address string
-	began   atomic.Int64  // requests whose last byte has come
-	broken  chan string   // the ids of requests that broke off
-	gate    chan struct{} // an answer's second half waits for one, if set
+type echoBackend struct {
+	address  string
+	received atomic.Int64  // requests whose last byte has come
+	broken   chan string   // the ids of requests that broke off
+	gate     chan struct{} // an answer's second half waits for one, if set
 }
 
-func newEcho(t *testing.T) *echo {
+func newEchoBackend(t *testing.T) *echoBackend {
 	t.Helper()
-	e := &echo{broken: make(chan string, 100)}
+	e := &echoBackend{broken: make(chan string, 100)}
 	s := httptest.NewServer(e)
 	t.Cleanup(func() {
 		s.CloseClientConnections()
@@ -38,13 +38,13 @@
 	return e
 }
 
-func (e *echo) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *echoBackend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	text, err := io.ReadAll(r.Body)
 	if err != nil {
 		e.broken <- r.Header.Get(front.IDField)
 		panic(http.ErrAbortHandler)
 	}
-	e.began.Add(1)
+	e.received.Add(1)
 	if n, err := strconv.Atoi(strings.TrimPrefix(r.URL.Path, "/bytes/")); err == nil {
 		text = pattern(n)
 	}
@@ -89,9 +89,9 @@
 		for _, how := range []string{"length", "chunks"} {
 			t.Run(fmt.Sprint(how, " ", size), func(t *testing.T) {
 				t.Parallel()
-				e := newEcho(t)
+				e := newEchoBackend(t)
 				text, want := pattern(size), string(pattern(size))
-				c := newRig(t, nil, entry("s1", e.address, "up")).dial() // last: a connection that stays silent is closed
+				c := newTestProxy(t, nil, entry("s1", e.address, "up")).dial() // last: a connection that stays silent is closed
 				go func() {
 					if how == "length" {
 						io.WriteString(c, keyed("a", "/")+"Content-Length: "+strconv.Itoa(size)+"\r\n\r\n")
@@ -112,7 +112,7 @@
 				if status != 200 || got != want {
 					t.Fatalf("%d, %d bytes of %d", status, len(got), size)
 				}
-				if n := e.began.Load(); n != 1 {
+				if n := e.received.Load(); n != 1 {
 					t.Errorf("it ran %d times", n)
 				}
 			})
@@ -123,9 +123,9 @@
 // TestLongAnswerIsPassedOnBeforeItsEnd has the backend wait in the middle until the caller has the first half.
 func TestLongAnswerIsPassedOnBeforeItsEnd(t *testing.T) {
 	for _, query := range []string{"", "?chunks=1"} {
-		e := newEcho(t)
+		e := newEchoBackend(t)
 		e.gate = make(chan struct{})
-		c := newRig(t, nil, entry("s1", e.address, "up")).dial()
+		c := newTestProxy(t, nil, entry("s1", e.address, "up")).dial()
 		const size = 4 * body.WholeBytes
 		c.send(get("a", "/bytes/"+strconv.Itoa(size)+query))
 		resp, err := http.ReadResponse(c.r, nil)
@@ -145,10 +145,10 @@
 }
 
 // TestBrokenAnswerDoesNotPassForWhole breaks answers in the middle, framed by a length and by chunks.
-func TestBrokenAnswerDoesNotPassForWhole(t *testing.T) {
+func TestTruncatedAnswerIsNotComplete(t *testing.T) {
 	for _, query := range []string{"?break=1", "?break=1&chunks=1"} {
-		e := newEcho(t)
-		g := newRig(t, nil, entry("s1", e.address, "up"))
+		e := newEchoBackend(t)
+		g := newTestProxy(t, nil, entry("s1", e.address, "up"))
 		c := g.dial().send(get("a", "/bytes/1000000"+query))
 		resp, err := http.ReadResponse(c.r, nil)
 		if err != nil {
@@ -157,7 +157,7 @@
 		if text, err := io.ReadAll(resp.Body); err == nil {
 			t.Errorf("%q: %d bytes and a clean end", query, len(text))
 		}
-		if n := e.began.Load(); n != 1 {
+		if n := e.received.Load(); n != 1 {
 			t.Errorf("%q: it ran %d times", query, n)
 		}
 		if n := g.figures.Class(0); n.Errors != 1 || n.OK != 0 || n.Tries != 1 {
@@ -168,10 +168,10 @@
 
 // TestSpentBodyIsNotSentAgain has the first backend take most of a long body and die; what is left here is no request
 // any more. It never ran, so trying again is harmless.
-func TestSpentBodyIsNotSentAgain(t *testing.T) {
-	good := newEcho(t)
-	bad := newTaker(t, 2<<20)
-	g := newRig(t, nil, entry("s1", bad.address, "up"), entry("s2", good.address, "up"))
+func TestDiscardedBodyIsNotResent(t *testing.T) {
+	good := newEchoBackend(t)
+	bad := newPartialReader(t, 2<<20)
+	g := newTestProxy(t, nil, entry("s1", bad.address, "up"), entry("s2", good.address, "up"))
 	for i := range 2 { // in turn, so one of them meets the bad one
 		c := g.dial()
 		go func() {
@@ -184,16 +184,16 @@
 		}
 	}
 	await(t, "the request that broke", bad.took)
-	if n := good.began.Load(); n != 1 {
+	if n := good.received.Load(); n != 1 {
 		t.Errorf("%d requests ran", n)
 	}
 }
 
 // TestKeptBodyIsSentAgain has it die early enough that the body is still whole here.
-func TestKeptBodyIsSentAgain(t *testing.T) {
-	good := newEcho(t)
-	bad := newTaker(t, 100<<10)
-	g := newRig(t, nil, entry("s1", bad.address, "up"), entry("s2", good.address, "up"))
+func TestBufferedBodyIsResent(t *testing.T) {
+	good := newEchoBackend(t)
+	bad := newPartialReader(t, 100<<10)
+	g := newTestProxy(t, nil, entry("s1", bad.address, "up"), entry("s2", good.address, "up"))
 	for i := range 2 {
 		c := g.dial()
 		go func() {
@@ -205,25 +205,25 @@
 		}
 	}
 	await(t, "the request that broke", bad.took)
-	if n := good.began.Load(); n != 2 {
+	if n := good.received.Load(); n != 2 {
 		t.Errorf("%d requests ran", n)
 	}
 }
 
 // taker is a backend that takes so much of each request and then dies.
-type taker struct {
+type partialReader struct {
 	address string
 	took    chan struct{}
 }
 
-func newTaker(t *testing.T, bytes int64) *taker {
+func newPartialReader(t *testing.T, bytes int64) *partialReader {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	k := &taker{l.Addr().String(), make(chan struct{}, 100)}
+	k := &partialReader{l.Addr().String(), make(chan struct{}, 100)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -243,8 +243,8 @@
 
 // TestCallerThatLeavesWithinItsBody must leave nothing behind, and no blame on the backend.
 func TestCallerThatLeavesWithinItsBody(t *testing.T) {
-	e := newEcho(t)
-	g := newRig(t, nil, entry("s1", e.address, "up"))
+	e := newEchoBackend(t)
+	g := newTestProxy(t, nil, entry("s1", e.address, "up"))
 	for i := range 5 {
 		c := g.dial()
 		io.WriteString(c, keyed(fmt.Sprint("r", i), "/")+"Content-Length: 5000000\r\n\r\n")
@@ -262,8 +262,8 @@
 
 // TestSlowCallerThatMovesIsServed sends a body and a head byte by byte, slower than any silence allows in the whole.
 func TestSlowCallerThatMovesIsServed(t *testing.T) {
-	e := newEcho(t)
-	g := newRig(t, func(c *Config) {
+	e := newEchoBackend(t)
+	g := newTestProxy(t, func(c *Config) {
 		c.Options.Callers.BodyTimeout, c.Options.Callers.BodyGrace = 300*time.Millisecond, time.Minute
 	}, entry("s1", e.address, "up"))
 	c := g.dial()
@@ -284,8 +284,8 @@
 
 // TestExpectIsAnsweredWhenTheBodyIsWanted sends a head that asks first; a request that is turned away hears no 100.
 func TestExpectIsAnsweredWhenTheBodyIsWanted(t *testing.T) {
-	e := newEcho(t)
-	g := newRig(t, nil, entry("s1", e.address, "up"))
+	e := newEchoBackend(t)
+	g := newTestProxy(t, nil, entry("s1", e.address, "up"))
 	for _, size := range []int{10, 300_000} {
 		c := g.dial().send(keyed(fmt.Sprint("a", size), "/") + fmt.Sprintf("Expect: 100-continue\r\nContent-Length: %d\r\n\r\n", size))
 		if line, err := c.r.ReadString('\n'); err != nil || !strings.Contains(line, " 100 ") {
@@ -305,7 +305,7 @@
 
 // TestRefusedLongBodyIsReadToItsEnd refuses while the caller still writes: the answer comes whole all the same.
 func TestRefusedLongBodyIsReadToItsEnd(t *testing.T) {
-	g := newRig(t, nil) // no backends
+	g := newTestProxy(t, nil) // no backends
 	c := g.dial()
 	wrote := make(chan error, 1)
 	go func() {
--- a/internal/proxy/upgrade.go
+++ b/internal/proxy/upgrade.go
@@ -10,108 +10,108 @@
 )
 
 // helloTime bounds how long a new process may take to say who it is.
-const helloTime = time.Second
+const helloTimeout = time.Second
 
 // upgrade is a proxy's side of a handover: to the process before it, and to the one after it.
 type upgrade struct {
 	proxy     *Proxy
 	dir, name string
 	running   sync.WaitGroup
-	ended     sync.Once
-
-	mu       sync.Mutex
-	elder    handover.Elder
-	part     handover.Part
-	older    *handover.Peer // nil once that has gone
-	younger  *handover.Peer
-	listener *net.UnixListener
-	over     bool
+	closeOnce sync.Once
+
+	mu          sync.Mutex
+	outgoing    handover.Elder
+	share       handover.Part
+	predecessor *handover.Peer // nil once that has gone
+	successor   *handover.Peer
+	listener    *net.UnixListener
+	closed      bool
 }
 
 func newUpgrade(p *Proxy, dir, name string) *upgrade {
-	return &upgrade{proxy: p, dir: dir, name: name, part: handover.Alone}
+	return &upgrade{proxy: p, dir: dir, name: name, share: handover.Alone}
 }
 
 // join takes over what the running process knows, and says whether there is one.
-func (u *upgrade) join() bool {
+func (u *upgrade) restoreState() bool {
 	p := u.proxy
-	peer, k, err := handover.Meet(u.dir, u.name)
+	peer, state, err := handover.Meet(u.dir, u.name)
 	if err != nil {
 		p.log.Warn("upgrade: nothing taken over, starting plainly", "error", err)
 	}
 	if peer == nil {
 		return false
 	}
-	p.host.Adopt(k.Balancer, k.Addresses, k.Clock)
-	p.adoptLists(k)
-	if k.ByHand == nil {
-		k.ByHand = k.Balancer.Banned
-	}
-	p.host.RecordBans(k.ByHand)
-	p.discovery.Resume(k.Seq)
-	p.front.SetOpenElsewhere(k.Open)
-	p.restart.Resume(k.Longest, k.Usual)
-	p.log.Info("upgrade: going on where the running process is", "servers", len(k.Balancer.Servers),
-		"out_by_hand", len(k.Balancer.Banned), "open", len(k.Open))
-	u.older = peer
-	u.setPart(handover.Joined(k.Callers, p.limits.soft))
+	p.host.Adopt(state.Balancer, state.Addresses, state.Clock)
+	p.importLists(state)
+	if state.ByHand == nil {
+		state.ByHand = state.Balancer.Banned
+	}
+	p.host.RecordBans(state.ByHand)
+	p.discovery.Resume(state.Seq)
+	p.front.SetOpenElsewhere(state.Open)
+	p.restart.Resume(state.Longest, state.Usual)
+	p.log.Info("upgrade: going on where the running process is", "servers", len(state.Balancer.Servers),
+		"out_by_hand", len(state.Balancer.Banned), "open", len(state.Open))
+	u.predecessor = peer
+	u.setShare(handover.Joined(state.Callers, p.limits.softCallers))
 	return true
 }
 
 // setPart must be called with mu held, or before begin.
-func (u *upgrade) setPart(part handover.Part) {
-	u.part = part
-	u.proxy.setPart(part)
+func (u *upgrade) setShare(share handover.Part) {
+	u.share = share
+	u.proxy.setShare(share)
 }
 
 // begin waits for the next process, and tells the one before that this one takes clients.
-func (u *upgrade) begin() {
+func (u *upgrade) start() {
 	u.mu.Lock()
 	l, err := handover.Listen(u.dir, u.name)
 	if err != nil {
 		u.proxy.log.Warn("upgrade: a new process will start plainly beside this one", "error", err)
 	} else {
 		u.listener = l
-		u.running.Go(func() { u.accept(l) })
+		u.running.Go(func() { u.acceptSuccessors(l) })
 	}
-	older := u.older
+	predecessor := u.predecessor
 	u.mu.Unlock()
-	if older == nil {
+	if predecessor == nil {
 		return
 	}
-	u.running.Go(func() { u.follow(older) })
-	if _, err := older.Ask(context.Background(), handover.Message{Kind: handover.Ready}); err != nil {
+	u.running.Go(func() { u.servePredecessor(predecessor) })
+	if _, err := predecessor.Ask(context.Background(), handover.Message{Kind: handover.Ready}); err != nil {
 		u.proxy.log.Warn("upgrade: the process before does not know that this one takes clients", "error", err)
 	}
 }
 
 // follow hears the process before until it has gone.
-func (u *upgrade) follow(older *handover.Peer) {
-	err := older.Follow(func(m handover.Message) {
+func (u *upgrade) servePredecessor(predecessor *handover.Peer) {
+	err := predecessor.Follow(func(m handover.Message) {
 		switch m.Kind {
 		case handover.Ban:
-			u.ban(older, m)
+			u.applyBan(predecessor, m)
 		case handover.Leaving:
 			u.mu.Lock()
-			u.setPart(handover.Left(u.part))
+			u.setShare(handover.Left(u.share))
 			u.mu.Unlock()
 		}
 	})
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.older = nil
-	if u.over {
+	u.predecessor = nil
+	if u.closed {
 		return
 	}
 	u.proxy.front.SetOpenElsewhere(nil)
-	u.setPart(handover.Alone)
+	u.setShare(handover.Alone)
 	u.proxy.log.Info("upgrade: the process before has gone", "last", err)
 }
 
-func (u *upgrade) ban(from *handover.Peer, m handover.Message) {
+func (u *upgrade) applyBan(from *handover.Peer, m handover.Message) {
 	known := u.proxy.host.SetBanned(m.Server, m.Out)
 	if known {
-		if err := u.proxy.kept(context.Background(), m.Server, m.Out, true); err != nil {
+		if err := u.proxy.persistBan(context.Background(), m.Server, m.Out, true); err != nil {
 			u.proxy.log.Error("by hand, at the other process: not on disk", "backend", m.Server, "error", err)
 		}
 	}
@@ -120,35 +120,35 @@
 }
 
 // accept serves the processes that come after this one, one at a time.
-func (u *upgrade) accept(l *net.UnixListener) {
+func (u *upgrade) acceptSuccessors(l *net.UnixListener) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
 			return
 		}
-		u.succeed(conn)
+		u.serveSuccessor(conn)
 	}
 }
 
-func (u *upgrade) succeed(conn net.Conn) {
+func (u *upgrade) serveSuccessor(conn net.Conn) {
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(helloTime))
+	conn.SetDeadline(time.Now().Add(helloTimeout))
 	m, err := handover.Read(conn)
 	if err != nil || m.Kind != handover.Hello {
 		u.proxy.log.Warn("upgrade: a caller that is no process of this proxy", "error", err)
 		return
 	}
 	peer := handover.NewPeer(conn)
-	if !u.give(conn, peer) {
+	if !u.sendState(conn, peer) {
 		return
 	}
 	err = peer.Follow(func(m handover.Message) {
 		switch m.Kind {
 		case handover.Ban:
-			u.ban(peer, m)
+			u.applyBan(peer, m)
 		case handover.Ready:
 			u.mu.Lock()
-			u.elder.Ready()
+			u.outgoing.Ready()
 			u.mu.Unlock()
 			u.proxy.log.Info("upgrade: the new process takes clients")
 			peer.Tell(handover.Message{Kind: handover.Done, Number: m.Number})
@@ -156,59 +156,59 @@
 	})
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.younger = nil
-	part := u.elder.Gone()
-	if u.over {
+	u.successor = nil
+	share := u.outgoing.Gone()
+	if u.closed {
 		return
 	}
-	u.setPart(part)
+	u.setShare(share)
 	u.proxy.log.Warn("upgrade: the new process has gone", "last", err)
 }
 
 // give tells a new process all that this one knows. It holds mu meanwhile, so that what is decided by hand stands in
 // it or is told behind it.
-func (u *upgrade) give(conn net.Conn, peer *handover.Peer) bool {
+func (u *upgrade) sendState(conn net.Conn, peer *handover.Peer) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.over {
+	if u.closed {
 		return false
 	}
 	p := u.proxy
-	k := &handover.Knowledge{
+	state := &handover.Knowledge{
 		Seq: p.discovery.Seq(), Open: p.front.OpenIDs(), Callers: p.callers.Len(),
 		Longest: p.restart.Longest(), Usual: p.restart.Usual(),
 	}
-	p.carryLists(k)
-	k.Clock = p.host.Clock()
-	k.ByHand = append([]string{}, p.host.Banned()...)
-	if err := peer.Tell(handover.Message{Kind: handover.Snapshot, Snapshot: k}); err != nil {
+	p.exportLists(state)
+	state.Clock = p.host.Clock()
+	state.ByHand = append([]string{}, p.host.Banned()...)
+	if err := peer.Tell(handover.Message{Kind: handover.Snapshot, Snapshot: state}); err != nil {
 		p.log.Warn("upgrade: the new process did not get what this one knows", "error", err)
 		return false
 	}
 	conn.SetDeadline(time.Time{})
-	u.younger = peer
-	u.setPart(u.elder.Asked(k.Callers, p.limits.soft))
+	u.successor = peer
+	u.setShare(u.outgoing.Asked(state.Callers, p.limits.softCallers))
 	return true
 }
 
 // leave says whether another process takes the callers, now that this one has been told to go.
-func (u *upgrade) leave() bool {
+func (u *upgrade) handOff() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !u.elder.Leave() {
+	if !u.outgoing.Leave() {
 		return false
 	}
-	u.setPart(handover.Part{Callers: u.part.Callers})
-	if err := u.younger.Tell(handover.Message{Kind: handover.Leaving}); err != nil {
+	u.setShare(handover.Part{Callers: u.share.Callers})
+	if err := u.successor.Tell(handover.Message{Kind: handover.Leaving}); err != nil {
 		u.proxy.log.Warn("upgrade: the new process does not know that this one leaves", "error", err)
 	}
 	return true
 }
 
 // tell tells the other processes what was decided by hand here, and says whether one of them knows the server.
-func (u *upgrade) tell(ctx context.Context, server string, out bool) (known bool) {
+func (u *upgrade) sendBan(ctx context.Context, server string, out bool) (known bool) {
 	u.mu.Lock()
-	peers := []*handover.Peer{u.older, u.younger}
+	peers := []*handover.Peer{u.predecessor, u.successor}
 	u.mu.Unlock()
 	for _, peer := range peers {
 		if peer == nil {
@@ -224,14 +224,14 @@
 }
 
 // end ends all talk with other processes.
-func (u *upgrade) end() {
-	u.ended.Do(func() {
+func (u *upgrade) close() {
+	u.closeOnce.Do(func() {
 		u.mu.Lock()
-		u.over = true
+		u.closed = true
 		if u.listener != nil {
 			u.listener.Close()
 		}
-		for _, peer := range []*handover.Peer{u.older, u.younger} {
+		for _, peer := range []*handover.Peer{u.predecessor, u.successor} {
 			if peer != nil {
 				peer.Close()
 			}
--- a/internal/proxy/upgrade_test.go
+++ b/internal/proxy/upgrade_test.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	c := rigConfig(p.registry.address, json.RawMessage(list(1, true, p.hosts...)))
+	c := testConfig(p.registry.address, json.RawMessage(list(1, true, p.hosts...)))
 	c.Inherited, c.Name, c.MeetIn, c.Console = file, "n1", p.folder, "127.0.0.1:0"
 	proxy, err := New(c)
 	if err != nil {
@@ -71,7 +71,7 @@
 	s := &process{proxy, p.t, term, make(chan error, 1)}
 	go func() { s.done <- proxy.Serve(ctx) }()
 	p.t.Cleanup(s.stop)
-	for end := time.Now().Add(patient); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); ; time.Sleep(time.Millisecond) {
 		if status, _ := s.console("GET", "/v1/readyz"); status == 200 {
 			return s
 		}
@@ -100,25 +100,25 @@
 }
 
 // crowd is callers that ask one request after the other on kept connections until they are told to end.
-type crowd struct {
-	address string
-	asked   atomic.Int64
-	broken  atomic.Int64 // requests that met a closed, reset or unread connection
-	unheard atomic.Int64 // answers that were not 200 with the request's own id
-	stop    chan struct{}
-	all     sync.WaitGroup
+type callerLoad struct {
+	address      string
+	asked        atomic.Int64
+	broken       atomic.Int64 // requests that met a closed, reset or unread connection
+	wrongAnswers atomic.Int64 // answers that were not 200 with the request's own id
+	stop         chan struct{}
+	all          sync.WaitGroup
 }
 
-func newCrowd(t *testing.T, address string, callers int) *crowd {
-	c := &crowd{address: address, stop: make(chan struct{})}
+func newCallerLoad(t *testing.T, address string, callers int) *callerLoad {
+	c := &callerLoad{address: address, stop: make(chan struct{})}
 	for n := range callers {
-		c.all.Go(func() { c.ask(fmt.Sprint("c", n)) })
+		c.all.Go(func() { c.run(fmt.Sprint("c", n)) })
 	}
 	t.Cleanup(c.end)
 	return c
 }
 
-func (c *crowd) end() {
+func (c *callerLoad) end() {
 	select {
 	case <-c.stop:
 	default:
@@ -127,7 +127,7 @@
 	c.all.Wait()
 }
 
-func (c *crowd) ask(name string) {
+func (c *callerLoad) run(name string) {
 	var conn net.Conn
 	var r *bufio.Reader
 	defer func() {
@@ -147,12 +147,12 @@
 				c.broken.Add(1)
 				return
 			}
-			conn.SetDeadline(time.Now().Add(patient))
+			conn.SetDeadline(time.Now().Add(eventTimeout))
 			r = bufio.NewReader(conn)
 		}
 		id := fmt.Sprint(name, "-", i)
 		c.asked.Add(1)
-		io.WriteString(conn, unsafe(id)+"Content-Length: 0\r\n\r\n")
+		io.WriteString(conn, onceHead(id)+"Content-Length: 0\r\n\r\n")
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil {
 			c.broken.Add(1)
@@ -162,7 +162,7 @@
 		}
 		text, err := io.ReadAll(resp.Body)
 		if err != nil || resp.StatusCode != 200 || string(text) != id {
-			c.unheard.Add(1)
+			c.wrongAnswers.Add(1)
 		}
 		if resp.Close {
 			conn.Close()
@@ -172,14 +172,14 @@
 }
 
 // unsafe is the head of a POST that must not run twice, but for what frames its body.
-func unsafe(id string) string {
+func onceHead(id string) string {
 	return "POST /api HTTP/1.1\r\nHost: x\r\nX-Txn: " + id + "\r\nX-Lane: once\r\nX-Remaining-Ms: 900\r\n"
 }
 
 // reached waits until the crowd has asked so many more.
-func (c *crowd) reached(t *testing.T, more int64) {
+func (c *callerLoad) awaitRequests(t *testing.T, more int64) {
 	t.Helper()
-	for want, end := c.asked.Load()+more, time.Now().Add(patient); c.asked.Load() < want; time.Sleep(time.Millisecond) {
+	for want, end := c.asked.Load()+more, time.Now().Add(eventTimeout); c.asked.Load() < want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the crowd stands still")
 		}
@@ -187,29 +187,29 @@
 }
 
 // ran counts how often each request ran, and at which backend since when.
-type ran struct {
-	mu    sync.Mutex
-	times map[string]int
-	at    map[string]int // by backend
+type runCounter struct {
+	mu        sync.Mutex
+	byID      map[string]int
+	byBackend map[string]int // by backend
 }
 
-func (r *ran) backend(t *testing.T, name string) string {
-	return newCounting(t, func(id string) {
+func (r *runCounter) backend(t *testing.T, name string) string {
+	return newCountingBackend(t, func(id string) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.times[id]++
-		r.at[name]++
+		r.byID[id]++
+		r.byBackend[name]++
 	})
 }
 
-func (r *ran) count(name string) int {
+func (r *runCounter) count(name string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.at[name]
+	return r.byBackend[name]
 }
 
 // newCounting is a backend that tells of each request and answers with its id.
-func newCounting(t *testing.T, tell func(id string)) (address string) {
+func newCountingBackend(t *testing.T, tell func(id string)) (address string) {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get(front.IDField)
@@ -223,30 +223,30 @@
 // TestUpgradesUnderLoad upgrades several times in a row while callers ask without a pause for what must not run twice.
 // Nobody meets a closed connection, every request is answered with its own answer, and each ran once.
 func TestUpgradesUnderLoad(t *testing.T) {
-	r := &ran{times: map[string]int{}, at: map[string]int{}}
+	r := &runCounter{byID: map[string]int{}, byBackend: map[string]int{}}
 	p := newPlatform(t, entry("s1", r.backend(t, "s1"), "up"), entry("s2", r.backend(t, "s2"), "up"), entry("s3", r.backend(t, "s3"), "up"))
 	now := p.start()
-	c := newCrowd(t, p.listener.Addr().String(), 8)
+	c := newCallerLoad(t, p.listener.Addr().String(), 8)
 	for range 6 {
-		c.reached(t, 200)
+		c.awaitRequests(t, 200)
 		next := p.start()
 		now.stop()
 		now = next
 	}
-	c.reached(t, 200)
+	c.awaitRequests(t, 200)
 	c.end()
 	if n := c.broken.Load(); n != 0 {
 		t.Errorf("%d of %d requests met a connection that was closed", n, c.asked.Load())
 	}
-	if n := c.unheard.Load(); n != 0 {
+	if n := c.wrongAnswers.Load(); n != 0 {
 		t.Errorf("%d of %d requests got another answer than their own", n, c.asked.Load())
 	}
-	for id, n := range r.times {
+	for id, n := range r.byID {
 		if n != 1 {
 			t.Errorf("%s ran %d times", id, n)
 		}
 	}
-	if n := int64(len(r.times)); n != c.asked.Load() {
+	if n := int64(len(r.byID)); n != c.asked.Load() {
 		t.Errorf("%d requests ran of %d", n, c.asked.Load())
 	}
 }
@@ -254,7 +254,7 @@
 // TestBanHoldsOverUpgrades takes a backend out before an upgrade, and another between the new process's yes and the
 // old one's end, by the new one's console and by the old one's.
 func TestBanHoldsOverUpgrades(t *testing.T) {
-	r := &ran{times: map[string]int{}, at: map[string]int{}}
+	r := &runCounter{byID: map[string]int{}, byBackend: map[string]int{}}
 	names := []string{"s1", "s2", "s3", "s4"}
 	var hosts []string
 	for _, name := range names {
@@ -262,8 +262,8 @@
 	}
 	p := newPlatform(t, hosts...)
 	first := p.start()
-	c := newCrowd(t, p.listener.Addr().String(), 4)
-	c.reached(t, 100)
+	c := newCallerLoad(t, p.listener.Addr().String(), 4)
+	c.awaitRequests(t, 100)
 	out := func(s *process, name string) {
 		t.Helper()
 		if status, text := s.console("POST", "/v1/backends/"+name+"/suspend"); status != 200 {
@@ -275,14 +275,14 @@
 	out(second, "s2")
 	out(first, "s3")
 	// A send that had its last look before the yes may still be on its way; what the callers ask from now on is later.
-	c.reached(t, 20)
+	c.awaitRequests(t, 20)
 	before := map[string]int{}
 	for _, name := range names {
 		before[name] = r.count(name)
 	}
-	c.reached(t, 200)
+	c.awaitRequests(t, 200)
 	first.stop()
-	c.reached(t, 200)
+	c.awaitRequests(t, 200)
 	for _, name := range names[:3] {
 		if n := r.count(name) - before[name]; n != 0 {
 			t.Errorf("%s, which is out, got %d requests", name, n)
@@ -297,7 +297,7 @@
 	if status, _ := second.console("POST", "/v1/backends/s1/resume"); status != 200 {
 		t.Errorf("resume: %d", status)
 	}
-	for end := time.Now().Add(patient); r.count("s1") == before["s1"]; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); r.count("s1") == before["s1"]; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("s1 is back and gets nothing")
 		}
@@ -310,10 +310,10 @@
 
 // TestNewProcessThatDies has new processes come and go before and after their yes; the old one serves on alone.
 func TestNewProcessThatDies(t *testing.T) {
-	r := &ran{times: map[string]int{}, at: map[string]int{}}
+	r := &runCounter{byID: map[string]int{}, byBackend: map[string]int{}}
 	p := newPlatform(t, entry("s1", r.backend(t, "s1"), "up"))
 	old := p.start()
-	c := newCrowd(t, p.listener.Addr().String(), 4)
+	c := newCallerLoad(t, p.listener.Addr().String(), 4)
 	for range 3 {
 		peer, _, err := handover.Meet(p.folder, "n1") // asks, and dies before its yes
 		if err != nil || peer == nil {
@@ -321,15 +321,15 @@
 		}
 		peer.Close()
 	}
-	c.reached(t, 100)
+	c.awaitRequests(t, 100)
 	c.end() // a process that dies takes what it has with it
 	next := p.start()
 	next.Close()
 	<-next.done // with an error: it was not told to go
 	next.done = nil
-	for end := time.Now().Add(patient); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); ; time.Sleep(time.Millisecond) {
 		old.upgrade.mu.Lock()
-		part := old.upgrade.part
+		part := old.upgrade.share
 		old.upgrade.mu.Unlock()
 		if part == handover.Alone {
 			break
@@ -338,24 +338,24 @@
 			t.Fatalf("the old one still keeps to %+v", part)
 		}
 	}
-	if c.broken.Load()+c.unheard.Load() != 0 {
-		t.Errorf("%d broken, %d unheard", c.broken.Load(), c.unheard.Load())
+	if c.broken.Load()+c.wrongAnswers.Load() != 0 {
+		t.Errorf("%d broken, %d unheard", c.broken.Load(), c.wrongAnswers.Load())
 	}
-	again := newCrowd(t, p.listener.Addr().String(), 4)
-	again.reached(t, 200)
+	again := newCallerLoad(t, p.listener.Addr().String(), 4)
+	again.awaitRequests(t, 200)
 	again.end()
-	if again.broken.Load()+again.unheard.Load() != 0 {
-		t.Errorf("afterwards %d broken, %d unheard", again.broken.Load(), again.unheard.Load())
+	if again.broken.Load()+again.wrongAnswers.Load() != 0 {
+		t.Errorf("afterwards %d broken, %d unheard", again.broken.Load(), again.wrongAnswers.Load())
 	}
 }
 
 // TestFiguresAgainstTheBooks holds the figures against what callers and backends have counted themselves.
-func TestFiguresAgainstTheBooks(t *testing.T) {
-	r := &ran{times: map[string]int{}, at: map[string]int{}}
+func TestMetricsMatchCallerAndBackendCounts(t *testing.T) {
+	r := &runCounter{byID: map[string]int{}, byBackend: map[string]int{}}
 	p := newPlatform(t, entry("s1", r.backend(t, "s1"), "up"), entry("s2", r.backend(t, "s2"), "up"))
 	s := p.start()
-	c := newCrowd(t, p.listener.Addr().String(), 6)
-	c.reached(t, 300)
+	c := newCallerLoad(t, p.listener.Addr().String(), 6)
+	c.awaitRequests(t, 300)
 	c.end()
 	served := c.asked.Load()
 	if status, _ := dialAt(t, p.listener.Addr().String()).send(strings.Replace(keyed("x", "/"), "hold", "nonsense", 1) + "Content-Length: 0\r\n\r\n").answer(); status != 400 {
