--- a/internal/proxy/backend_test.go
+++ b/internal/proxy/backend_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// TestSpoiltAnswersAreFailedAttempts has one backend answer so at first; a request that is free to repeat is
-// then served by the next, and one that must not run twice fails.
+// TestMalformedAnswersAreFailedAttempts has one backend send a malformed answer. An idempotent request is then
+// served by the next backend, and a request that must not run twice fails.
 func TestMalformedAnswersAreFailedAttempts(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
 	for name, spoilt := range map[string]string{
@@ -33,13 +33,13 @@
 			good := newBackend(t, "127.0.0.1:0", idAnswer)
 			g := newTestProxy(t, nil, entry("s1", bad.address, "up"), entry("s2", good.address, "up"))
 			c := g.dial()
-			for i := range 2 { // in turn, so one of them meets the spoilt answer first
+			for i := range 2 { // round robin, so one of them gets the malformed answer first
 				id := fmt.Sprint("r", i)
 				if status, body := c.send(head(id)).answer(); status != 200 || body != id {
 					t.Fatalf("%d %q", status, body)
 				}
 			}
-			await(t, "the request that was spoilt", bad.requests)
+			await(t, "the request with the malformed answer", bad.requests)
 			await(t, "the close of its connection", bad.gone)
 		})
 		t.Run(name+", once", func(t *testing.T) {
@@ -57,7 +57,7 @@
 func TestValidAnswersWithExtraBytes(t *testing.T) {
 	for name, reply := range map[string]func(string) string{
 		"second copy":   func(id string) string { return idAnswer(id) + idAnswer(id) },
-		"noise behind":  func(id string) string { return idAnswer(id) + "\x00noise" },
+		"noise after it":  func(id string) string { return idAnswer(id) + "\x00noise" },
 		"interim ahead": func(id string) string { return strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 3) + idAnswer(id) },
 		"chunks": func(id string) string {
 			return fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(id), id)
@@ -77,7 +77,8 @@
 	}
 }
 
-// TestNewServerAtAnOldAddressGetsNewConnections replaces a server by another at the same address.
+// TestNewServerAtAnOldAddressGetsNewConnections replaces a server with another one at the same address. Connections to
+// the old server must be closed, not reused for the new one.
 func TestNewServerAtAnOldAddressGetsNewConnections(t *testing.T) {
 	b := newBackend(t, "127.0.0.1:0", idAnswer)
 	g := newTestProxy(t, nil, entry("old", b.address, "up"))
@@ -85,15 +86,16 @@
 	c.send(head("a")).answer()
 	await(t, "the first connection", b.conns)
 	g.registry.lists <- list(2, true, entry("new", b.address, "up"))
-	await(t, "the close of what was held to the old server", b.gone)
+	await(t, "the close of the connection to the old server", b.gone)
 	if status, _ := c.send(head("b")).answer(); status != 200 {
 		t.Fatalf("answered %d", status)
 	}
 	await(t, "the connection to the new server", b.conns)
 }
 
-// TestAnswersThatEndWithTheirConnection: without a length, the orderly end of the connection is that of the answer, and a
-// reset is none. The answer is served whole, also of a request that must not run twice, or the caller can tell.
+// TestAnswersThatEndWithTheirConnection checks answers without a length: an orderly close of the connection ends the
+// answer, and a reset does not. The caller gets the whole answer, also to a request that must not run twice, or can
+// detect that it is incomplete.
 func TestAnswersThatEndWithTheirConnection(t *testing.T) {
 	t.Parallel()
 	long := strings.Repeat("0123456789", 20<<10)
@@ -105,15 +107,15 @@
 	}{
 		"short, ended":         {"short", false, 200, true},
 		"nothing, ended":       {"", false, 200, true},
-		"short, reset":         {"short", true, 502, true}, // the proxy's own word
+		"short, reset":         {"short", true, 502, true}, // the proxy's own answer
 		"long, ended":          {long, false, 200, true},
-		"long, reset":          {long, true, 200, false}, // it was being passed on
+		"long, reset":          {long, true, 200, false}, // part of it was already forwarded
 		"long, reset at first": {long[:60<<10], true, 502, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			end := make(chan struct{})
-			passedOn := len(c.text) > 64<<10 // its head comes before its end
+			passedOn := len(c.text) > 64<<10 // its head is forwarded before its end has arrived
 			if !passedOn {
 				close(end)
 			}
@@ -134,8 +136,8 @@
 	}
 }
 
-// endingServer answers one request on each connection, and ends that in order or by a reset.
-// A reset waits for end.
+// endingServer answers one request on each connection and then closes or resets the connection. A reset waits until end is
+// closed.
 func endingServer(t *testing.T, answer string, reset bool, end <-chan struct{}) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/proxy/background.go
+++ b/internal/proxy/background.go
@@ -5,7 +5,8 @@
 	"sync"
 )
 
-// background is what runs beside requests, until stop is called and running has been waited for.
+// background controls the goroutines that run independently of requests. They end after stop is called; running waits for
+// them.
 type background struct {
 	ctx     context.Context
 	stop    context.CancelFunc
--- a/internal/proxy/ban_story_test.go
+++ b/internal/proxy/ban_story_test.go
@@ -18,13 +18,14 @@
 	"brasswell/internal/standin/audit"
 )
 
-var banSeeds = flag.Int("ban-seeds", 2, "how many stories of backends by hand are played, each with a seed of its own")
+var banSeeds = flag.Int("ban-seeds", 2, "number of operator ban scenarios to run, each with its own seed")
 
-// inUseWithin is how soon a backend that was put back has to get a request.
+// inUseTimeout is the time within which a backend must get a request after its ban is lifted.
 const inUseTimeout = 5 * time.Second
 
-// TestBansByHand takes random backends out by the console and puts them back, under load and while others fail, and has
-// the auditor look for what comes to one later than the grace after the console's yes.
+// TestOperatorBans bans random backends through the console and lifts the bans, under load and while other backends
+// fail. The auditor looks for requests that reach a banned backend later than the grace period after the console's
+// confirmation.
 func TestOperatorBans(t *testing.T) {
 	for seed := range *banSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -73,7 +74,7 @@
 
 	rng := rand.New(rand.NewPCG(seed, 17))
 	var script standin.Script
-	script.Length = time.Minute // at most: the load ends with the story
+	script.Length = time.Minute // at most: the load ends with the scenario
 	script.Load = standin.Load{Rate: 100, Retries: 2, Backoff: 5 * time.Millisecond, Slack: rules().AnswerSlack}
 	for _, kind := range []string{"fail", "slow", "reset-after"}[:rng.IntN(3)+1] {
 		script.Steps = append(script.Steps, step(kind, 6, rng))
@@ -99,7 +100,7 @@
 		for _, i := range indexes {
 			id := f.Backends[i].State().ID
 			if rng.IntN(4) == 0 {
-				call(id, "suspend") // again, which changes nothing
+				call(id, "suspend") // a repeated ban has no effect
 			}
 			before := f.Backends[i].State().Arrived
 			f.Books.ByHand(id, false)
@@ -107,7 +108,7 @@
 			call(id, "resume")
 			for f.Backends[i].State().Arrived == before {
 				if time.Since(back) > inUseTimeout {
-					t.Errorf("%s is back and gets nothing", id)
+					t.Errorf("%s got no request after its ban was lifted", id)
 					break
 				}
 				time.Sleep(time.Millisecond)
@@ -123,11 +124,11 @@
 	if !r.Kept() {
 		t.Errorf("%v of %v checks: %+v", r.Broken, r.Checks, r.Cases)
 	}
-	if r.Latest > rules().DrainGrace { // the auditor's own slack is longer than most bans here
-		t.Errorf("something came %v after the yes", r.Latest)
+	if r.Latest > rules().DrainGrace { // the auditor's slack is longer than most bans here
+		t.Errorf("a request arrived %v after the confirmation", r.Latest)
 	}
 	if r.Checks[audit.Drains] < bans {
 		t.Errorf("%d bans, and %d notices to check", bans, r.Checks[audit.Drains])
 	}
-	t.Logf("%d bans, %d requests, %d served; the latest came %v after a yes, the slowest was in use after %v", bans, r.Asked, r.Served, r.Latest, slowest)
+	t.Logf("%d bans, %d requests, %d served; the latest arrived %v after a confirmation, the slowest backend was in use again after %v", bans, r.Asked, r.Served, r.Latest, slowest)
 }
--- a/internal/proxy/begin_test.go
+++ b/internal/proxy/begin_test.go
@@ -8,8 +8,8 @@
 	"brasswell/internal/handover"
 )
 
-// TestWhatTheDiskKnowsDoesNotReplaceWhatDiscoveryHasTold: a new configuration begins a watch while a proxy still looks for what it knew before its
-// start. What that watch has told is newer than the disk, and is not told again.
+// TestStoredStateDoesNotReplaceNewerList starts a watch by a new configuration while a proxy still recovers the state from
+// before its start. The watch's list is newer than the state on disk, and discovery does not send it again.
 func TestStoredStateDoesNotReplaceNewerList(t *testing.T) {
 	g := newTestProxy(t, nil, entry("s1", "127.0.0.1:1", "up"), entry("s2", "127.0.0.1:2", "up"))
 	disk := handover.Knowledge{}
@@ -17,16 +17,16 @@
 	g.registry.lists <- list(2, false, entry("s1", "127.0.0.1:1", "draining"))
 	for end := time.Now().Add(eventTimeout); g.host.State().InRoundRobin != 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the news are never taken in")
+			t.Fatal("the update is never applied")
 		}
 	}
 	recoverySide{g.Proxy}.Begin(disk, 0)
 	if !g.discovery.Fresh() {
-		return // a list of the disk is not acted on
+		return // the list from disk is not used as confirmed
 	}
 	for _, s := range g.host.State().Snapshot.Servers {
 		if s.Entry.ID == "s1" && s.Entry.State == balance.InService {
-			t.Error("a server that drains is in service again, by a list that is taken for confirmed")
+			t.Error("a draining server is in service again, by a list that counts as confirmed")
 		}
 	}
 }
--- a/internal/proxy/channel_story_test.go
+++ b/internal/proxy/channel_story_test.go
@@ -16,9 +16,9 @@
 	"brasswell/internal/standin/audit"
 )
 
-var channelSeeds = flag.Int("channel-seeds", 2, "how many seeds the stories with channels play")
+var channelSeeds = flag.Int("channel-seeds", 2, "number of seeds for which the channel scenarios run")
 
-// channelStory is a fleet whose proxy has channels, and clients that keep some open.
+// channelScenario is a fleet whose proxy has channels, with clients that keep channels open.
 type channelScenario struct {
 	t       *testing.T
 	fleet   *standin.Fleet
@@ -79,7 +79,7 @@
 	return s
 }
 
-// open waits until so many channels are open, or the test fails.
+// awaitOpen waits until n channels are open, and fails the test if that takes too long.
 func (s *channelScenario) awaitOpen(n int, within time.Duration) {
 	s.t.Helper()
 	for end := time.Now().Add(within); s.clients.Tally().Open != n; time.Sleep(10 * time.Millisecond) {
@@ -90,7 +90,7 @@
 	}
 }
 
-// kept ends the story and checks the rules.
+// finish ends the scenario and checks the rules.
 func (s *channelScenario) finish() audit.Report {
 	s.t.Helper()
 	r := s.end()
@@ -100,8 +100,8 @@
 	return r
 }
 
-// TestChannelsThroughFaults has clients that open and leave channels all the time while servers drain, die and return
-// cold, fail and fall silent, and counts what reaches a server after notice.
+// TestChannelsThroughFaults has clients that open and close channels continuously while servers drain, die and return
+// cold, fail and stop responding. It counts what reaches a server after the notice that the server is out of service.
 func TestChannelsThroughFaults(t *testing.T) {
 	kinds := []string{"drain", "die", "silent", "spoil", "turn-away", "reset-after", "discovery-late", "surge"}
 	for seed := range *channelSeeds {
@@ -117,7 +117,7 @@
 					one := step(kind, 8, rng)
 					one.At += time.Duration(n) * 800 * time.Millisecond
 					if kind == "drain" {
-						one.For = 700 * time.Millisecond // past the grace
+						one.For = 700 * time.Millisecond // longer than the grace period
 					}
 					if kind == "discovery-late" {
 						one.Size = 0.1
@@ -131,13 +131,13 @@
 			tally := s.clients.Tally()
 			r := s.finish()
 			if tally.Opened < 200 || r.Checks[audit.Drains] < 4 {
-				t.Errorf("the story tests too little: %+v, %v checks", tally, r.Checks)
+				t.Errorf("the scenario tests too little: %+v, %v checks", tally, r.Checks)
 			}
 			var begun []int
 			for _, b := range s.fleet.Backends {
 				begun = append(begun, len(b.Opened()))
 			}
-			t.Logf("%d upgrades, %d channels opened, %d refused, %d failed; ended with %v; %d notices, the latest after notice %v; begun at each server: %v",
+			t.Logf("%d upgrades, %d channels opened, %d refused, %d failed; ended with %v; %d notices, the latest after notice %v; opened at each server: %v",
 				tally.Asked, tally.Opened, tally.Refused, tally.Failed, tally.Closed, r.Checks[audit.Drains], r.Latest, begun)
 		})
 	}
@@ -160,12 +160,12 @@
 	}
 	for end := time.Now().Add(20 * time.Second); openAt(zone) > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d channels stay in the room", openAt(zone))
+			t.Fatalf("%d channels remain in the zone", openAt(zone))
 		}
 	}
 	s.awaitOpen(180, 20*time.Second)
 	if n := openAt([]int{1, 3, 5}); n != 180 {
-		t.Errorf("%d channels are in the other room", n)
+		t.Errorf("%d channels are in the other zone", n)
 	}
 	tally := s.clients.Tally()
 	if tally.Closed[1012] != sum(tally.Closed) || tally.Closed[1012] < 90 {
@@ -202,14 +202,15 @@
 	born := len(s.fleet.Backends[0].Opened())
 	s.fleet.List(0, "up")
 	s.awaitOpen(1000, 30*time.Second)
-	t.Logf("%d ended: %v; %d came to the cold server while all returned", before, s.clients.Tally().Closed, len(s.fleet.Backends[0].Opened())-born)
+	t.Logf("%d ended: %v; %d went to the cold server while all reconnected", before, s.clients.Tally().Closed, len(s.fleet.Backends[0].Opened())-born)
 	s.finish()
 }
 
 func TestClientsThatReconnectImmediately(t *testing.T) {
 	s := newChannelScenario(t, standin.FleetConfig{Seed: 3, Backends: 4}, standin.ChannelLoad{Clients: 60, Impatient: 10, Path: "/events"},
 		func(o *channel.Options) { o.Rate, o.MaxChannels = 20, 55 })
-	// Of ten impatient and fifty patient ones, 55 find room; the limit holds, and who is refused is answered.
+	// There are 10 impatient and 50 patient clients and 55 places. The limit must hold, and every refused client must
+	// get an answer.
 	s.awaitOpen(55, 30*time.Second)
 	before := s.clients.Tally()
 	time.Sleep(500 * time.Millisecond)
--- a/internal/proxy/channel_test.go
+++ b/internal/proxy/channel_test.go
@@ -21,7 +21,7 @@
 	"brasswell/internal/channel/ticket"
 )
 
-// withChannels turns channels on, with limits that fit tests.
+// withChannels enables channels, with limits that fit tests.
 func withChannels(change func(*Config)) func(*Config) {
 	return func(c *Config) {
 		c.Memory, c.Sockets = 256<<20, 4096
@@ -34,33 +34,33 @@
 	}
 }
 
-// wsNode is a server of channels at whose raw sockets the test plays the other end.
+// wsServer is a server of channels. The test reads and writes its raw sockets.
 type wsServer struct {
 	t       *testing.T
 	address string
-	heads   chan *http.Request // those that came
-	conns   chan *wsConn       // and were answered with 101
+	heads   chan *http.Request // requests received
+	conns   chan *wsConn       // connections answered with 101
 	answer  func(*http.Request) string
 	listen  net.Listener
 	mu      sync.Mutex
 	open    []net.Conn
 }
 
-// wsConn is one raw end of a channel.
+// wsConn is the raw connection at one end of a channel.
 type wsConn struct {
 	t *testing.T
 	net.Conn
 	r    *bufio.Reader
-	mask bool // it is the client's end
+	mask bool // set for the client's end
 }
 
-// accept is an answer of 101 to a request, with further fields.
+// accept returns a 101 answer to a request, with additional fields.
 func accept(r *http.Request, fields ...string) string {
 	return "HTTP/1.1 101 Switching Protocols\r\nUpgrade: websocket\r\nConnection: Upgrade\r\n" +
 		"Sec-WebSocket-Accept: " + handshake.AcceptKey(r.Header.Get(handshake.KeyField)) + "\r\n" + strings.Join(fields, "") + "\r\n"
 }
 
-// newWSNode answers each request with what answer returns; nil for 101.
+// newWSServer starts a server that answers each request with the result of answer; nil for 101.
 func newWSServer(t *testing.T, answer func(*http.Request) string) *wsServer {
 	t.Helper()
 	if answer == nil {
@@ -107,7 +107,7 @@
 	c.Close()
 }
 
-// die ends the process: its connections are reset, and new ones refused.
+// kill acts like the end of the process: it resets all connections, and new ones are refused.
 func (n *wsServer) kill() {
 	n.listen.Close()
 	n.mu.Lock()
@@ -120,14 +120,14 @@
 
 const wsKey = "dGhlIHNhbXBsZSBub25jZQ=="
 
-// shake is a request for a channel, with further fields.
+// upgradeRequest returns a request for a channel, with additional fields.
 func upgradeRequest(id string, fields ...string) string {
 	return "GET /api HTTP/1.1\r\nHost: x\r\nX-Txn: " + id + "\r\nX-Lane: search\r\nX-Remaining-Ms: 9000\r\n" +
 		"Connection: Upgrade\r\nUpgrade: websocket\r\nSec-WebSocket-Version: 13\r\nSec-WebSocket-Key: " + wsKey + "\r\n" +
 		strings.Join(fields, "") + "\r\n"
 }
 
-// open opens a channel, and returns the client's end and the answer's head.
+// openChannel requests a channel, and returns the client's end and the head of the answer.
 func (g *testProxy) openChannel(id string, fields ...string) (*wsConn, *http.Response) {
 	g.t.Helper()
 	c := g.dial().send(upgradeRequest(id, fields...))
@@ -138,7 +138,7 @@
 	return &wsConn{g.t, c.Conn, c.r, true}, resp
 }
 
-// pair opens a channel to a node, and returns both ends.
+// openPair opens a channel to a server, and returns both ends.
 func (g *testProxy) openPair(n *wsServer, id string, fields ...string) (client, server *wsConn) {
 	g.t.Helper()
 	client, resp := g.openChannel(id, fields...)
@@ -148,7 +148,7 @@
 	return client, await(g.t, "the server's end", n.conns)
 }
 
-// bytes is one frame as this end sends it.
+// encodeFrame returns one frame as this end sends it.
 func (c *wsConn) encodeFrame(first byte, payload string) []byte {
 	b := []byte{first}
 	bit := byte(0)
@@ -176,10 +176,10 @@
 
 func (c *wsConn) sendFrame(first byte, payload string) { c.Write(c.encodeFrame(first, payload)) }
 
-// eof stands for a frame's first byte at the connection's end: no frame begins with it.
+// eof is the first byte that readFrame returns at the end of the connection. No frame begins with it.
 const eof = 0x70
 
-// frame reads one frame: its first byte and payload. first is eof at the end of the connection.
+// readFrame reads one frame and returns its first byte and payload. first is eof at the end of the connection.
 func (c *wsConn) readFrame() (first byte, payload string) {
 	c.t.Helper()
 	head := make([]byte, 2)
@@ -203,7 +203,7 @@
 		io.ReadFull(c.r, mask[:])
 	}
 	if (head[1]&0x80 != 0) == c.mask {
-		c.t.Error("masked to the wrong side")
+		c.t.Error("wrong masking for this direction")
 	}
 	text := make([]byte, n)
 	if _, err := io.ReadFull(c.r, text); err != nil {
@@ -215,7 +215,7 @@
 	return head[0], string(text)
 }
 
-// wants reads one frame and checks it.
+// expectFrame reads one frame and fails the test if it differs from the arguments.
 func (c *wsConn) expectFrame(first byte, payload string) {
 	c.t.Helper()
 	if f, p := c.readFrame(); f != first || p != payload {
@@ -223,7 +223,7 @@
 	}
 }
 
-// code reads up to the next Close frame, and returns its code; 0 if the connection ends without one.
+// closeCode reads up to the next Close frame and returns its code, or 0 if the connection ends without one.
 func (c *wsConn) closeCode() frame.Code {
 	c.t.Helper()
 	for {
@@ -240,11 +240,11 @@
 
 func closePayload(code frame.Code) string { return string([]byte{byte(code >> 8), byte(code)}) }
 
-// ended waits for the connection's end.
+// expectEOF waits for the end of the connection.
 func (c *wsConn) expectEOF() {
 	c.t.Helper()
 	if f, p := c.readFrame(); f != eof {
-		c.t.Fatalf("frame %#x %q where the end was due", f, p)
+		c.t.Fatalf("frame %#x %q instead of the end of the connection", f, p)
 	}
 }
 
@@ -299,13 +299,13 @@
 		}
 	}
 	if n := g.channels.Len(); n > 1 {
-		t.Errorf("%d channels are left", n)
+		t.Errorf("%d channels remain", n)
 	}
 }
 
 func (c *wsConn) sendRaw(text string) { io.WriteString(c, text) }
 
-// takes reads frames until the connection ends, and returns the data and the code of the Close.
+// readUntilEOF reads frames until the connection ends, and returns the data and the code of the Close frame.
 func (c *wsConn) readUntilEOF() (data string, code frame.Code) {
 	c.t.Helper()
 	for {
@@ -314,7 +314,7 @@
 			return data, code
 		case f == 0x88 && len(p) >= 2:
 			code = frame.Code(p[0])<<8 | frame.Code(p[1])
-			c.sendFrame(0x88, p) // an end that keeps the protocol answers
+			c.sendFrame(0x88, p) // the protocol requires an answer
 		case f == 0x88:
 			code = frame.NoStatus
 			c.sendFrame(0x88, "")
@@ -326,7 +326,7 @@
 	}
 }
 
-// drained waits for the proxy to hold no channel.
+// awaitNoChannels waits until the proxy has no open channel.
 func (g *testProxy) awaitNoChannels() {
 	g.t.Helper()
 	g.awaitChannels(0)
@@ -394,14 +394,14 @@
 		}
 	}
 	server := await(t, "the server's end", n.conns)
-	c.sendFrame(0xc1, "deflated") // the reserved bit that was agreed on
+	c.sendFrame(0xc1, "deflated") // the reserved bit that was negotiated
 	server.expectFrame(0xc1, "deflated")
 	c.sendFrame(0xa1, "another")
 	if code := c.closeCode(); code != frame.ProtocolError {
-		t.Errorf("a bit that was not agreed on: code %d", code)
+		t.Errorf("a reserved bit that was not negotiated: code %d", code)
 	}
 	if code := server.closeCode(); code != frame.GoingAway {
-		t.Errorf("the server is told %d", code)
+		t.Errorf("the server got code %d", code)
 	}
 }
 
@@ -427,7 +427,7 @@
 	data := make([]string, channels)
 	for i, p := range all {
 		ends.Go(func() {
-			if i%2 == 0 && i%4 == 0 { // half of those in a message go on with it
+			if i%2 == 0 && i%4 == 0 { // half of the channels with an open message finish it
 				time.Sleep(500 * time.Millisecond)
 				p.server.sendFrame(0x80, "last")
 			}
@@ -435,11 +435,11 @@
 		ends.Go(func() { data[i], codes[i] = p.client.readUntilEOF() })
 		ends.Go(func() {
 			if _, code := p.server.readUntilEOF(); code != frame.GoingAway {
-				t.Errorf("server %d is told %d", i, code)
+				t.Errorf("server %d got code %d", i, code)
 			}
 		})
 	}
-	// New ones go to the other server meanwhile.
+	// New channels go to the other server in the meantime.
 	g.openPair(b, "new")
 	ends.Wait()
 	for i := range all {
@@ -450,7 +450,7 @@
 	}
 	g.awaitChannels(1)
 	if len(a.heads) != channels {
-		t.Errorf("%d upgrades reached the server that drains", len(a.heads)-channels)
+		t.Errorf("%d upgrades reached the draining server", len(a.heads)-channels)
 	}
 }
 
@@ -500,7 +500,7 @@
 				t.Errorf("%q", text)
 			}
 			if _, err := c.r.ReadByte(); err == nil {
-				t.Error("the connection goes on")
+				t.Error("the connection stays open")
 			}
 			if g.channels.Len() != 0 {
 				t.Error("a channel is open")
@@ -578,7 +578,7 @@
 	server := await(t, "the server's end", n.conns)
 	server.expectEOF()
 	if len(n.heads) != 0 || g.channels.Len() != 0 {
-		t.Error("what stood behind the handshake was taken for a request")
+		t.Error("the bytes after the handshake were treated as a request")
 	}
 }
 
@@ -588,7 +588,7 @@
 	dead.kill()
 	n := newWSServer(t, nil)
 	g := newTestProxy(t, withChannels(nil), entry("a", dead.address, "up"), entry("b", n.address, "up"))
-	for i := range 4 { // turns go to both
+	for i := range 4 { // the round robin uses both servers
 		if _, resp := g.openChannel(fmt.Sprint(i)); resp.StatusCode != http.StatusSwitchingProtocols {
 			t.Errorf("answered %d", resp.StatusCode)
 		}
@@ -596,7 +596,7 @@
 	if len(n.heads) != 4 {
 		t.Errorf("%d upgrades", len(n.heads))
 	}
-	// A channel that breaks is not opened again by the proxy.
+	// The proxy does not reopen a channel that breaks.
 	n.kill()
 	g.awaitNoChannels()
 }
@@ -606,10 +606,10 @@
 	g := newTestProxy(t, withChannels(nil), entry("a", n.address, "up"))
 	client, server := g.openPair(n, "1")
 	if code := client.closeCode(); code != frame.InternalError {
-		t.Errorf("the client is told %d", code)
+		t.Errorf("the client got code %d", code)
 	}
 	if code := server.closeCode(); code != frame.ProtocolError {
-		t.Errorf("the server is told %d", code)
+		t.Errorf("the server got code %d", code)
 	}
 }
 
@@ -642,18 +642,18 @@
 				select {
 				case <-stop:
 					return
-				case <-time.After(20 * time.Millisecond): // a second, as this test goes
+				case <-time.After(20 * time.Millisecond): // stands for a second in this test
 					from.Write([]byte{b})
 				}
 			}
 		}()
 		if code := from.closeCode(); code != frame.PolicyViolation {
-			t.Errorf("a slow %s is told %d", slow, code)
+			t.Errorf("a slow %s got code %d", slow, code)
 		}
 		close(stop)
 		<-done
 		if code := to.closeCode(); code != wantOther && code != 0 {
-			t.Errorf("the other end of a slow %s is told %d", slow, code)
+			t.Errorf("the other end of a slow %s got code %d", slow, code)
 		}
 	}
 	g.awaitNoChannels()
@@ -667,11 +667,11 @@
 	client.sendFrame(0x88, closePayload(1000))
 	server.expectFrame(0x88, closePayload(1000))
 	if code := client.closeCode(); code != frame.ServiceRestart && code != 0 {
-		t.Errorf("the client is told %d", code)
+		t.Errorf("the client got code %d", code)
 	}
 	server.expectEOF()
 	g.awaitNoChannels()
-	// The same where the server closes first.
+	// The same if the server closes first.
 	client, server = g.openPair(n, "2")
 	server.sendFrame(0x88, "")
 	client.expectFrame(0x88, "")
@@ -686,7 +686,7 @@
 		o := &c.Options.Channels
 		o.WriteTimeout, o.PingEvery, o.PongTimeout = 800*time.Millisecond, 100*time.Millisecond, 400*time.Millisecond
 	}), entry("a", n.address, "up"))
-	client, _ := g.openPair(n, "1") // the server's end is never read
+	client, _ := g.openPair(n, "1") // the test never reads the server's end
 	sent := 0
 	one := client.encodeFrame(0x82, strings.Repeat("x", 60_000))
 	for {
@@ -695,9 +695,9 @@
 			break
 		}
 	}
-	// The kernel's buffers on the way, and one of ours, hold what a sender got rid of.
+	// The kernel's buffers on the path and one of the proxy's hold what the sender could write.
 	if sent > 8<<20 {
-		t.Errorf("%d bytes were taken for an end that reads nothing", sent)
+		t.Errorf("%d bytes were accepted for an endpoint that reads nothing", sent)
 	}
 	g.awaitNoChannels()
 }
@@ -718,7 +718,7 @@
 		}
 		client.sendFrame(0x88, closePayload(1000))
 	}()
-	// The server's end takes 60 kB, rests, and so on; it answers pings as it comes to them.
+	// The server's end reads 60 kB, pauses, and repeats that; it answers pings as it reaches them.
 	server.r = bufio.NewReaderSize(server.Conn, 1<<10)
 	for got := 0; ; {
 		f, p := server.readFrame()
@@ -728,19 +728,19 @@
 			continue
 		case 0x88:
 			if got < total {
-				t.Errorf("%d of %d bytes came, and a Close", got, total)
+				t.Errorf("%d of %d bytes arrived, and then a Close", got, total)
 			}
 			return
 		case eof:
-			t.Fatalf("%d of %d bytes came", got, total)
+			t.Fatalf("%d of %d bytes arrived", got, total)
 		}
 		got += len(p)
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// TestSlowReadersDoNotHoldAllBuffers has more readers stand still than there are buffers, each with more waiting for it
-// than the kernel holds. Other channels go on as ever, and nothing of what waits is lost.
+// TestSlowReadersDoNotHoldAllBuffers has more stalled readers than there are buffers, each with more pending data than
+// the kernel buffers. Other channels must work as usual, and no pending data may be lost.
 func TestSlowReadersDoNotHoldAllBuffers(t *testing.T) {
 	const buffers, slow, messages, size = 8, 24, 50, 20_000
 	n := newWSServer(t, nil)
@@ -777,12 +777,12 @@
 		server.sendFrame(0x81, text)
 		fast.expectFrame(0x81, text)
 	}
-	for i := range 300 { // while the others come to a stand, and stand
+	for i := range 300 { // while the other channels stall, and after that
 		roundTrip(i)
 		time.Sleep(time.Millisecond)
 	}
 	if halfSent.Load() == slow {
-		t.Fatal("what waits for the readers stands in the kernel; send more")
+		t.Fatal("the kernel buffers all pending data, so no sender stalls; send more")
 	}
 	var done sync.WaitGroup
 	for _, r := range readers {
@@ -800,7 +800,7 @@
 			}
 		})
 	}
-	for i := range 100 { // while all of it moves
+	for i := range 100 { // while all pending data is transferred
 		roundTrip(i)
 	}
 	done.Wait()
@@ -812,12 +812,12 @@
 	client, server := g.openPair(n, "1")
 	client.sendRaw("\x82\xff\x00\x00\x00\x00\x40\x00\x00\x00")
 	if code := client.closeCode(); code != frame.MessageTooBig {
-		t.Errorf("told %d", code)
+		t.Errorf("got code %d", code)
 	}
 	if code := server.closeCode(); code != frame.GoingAway {
-		t.Errorf("the server is told %d", code)
+		t.Errorf("the server got code %d", code)
 	}
-	// Fragments add up.
+	// The size of a message is the sum of its fragments.
 	client, server = g.openPair(n, "2")
 	var sending sync.WaitGroup
 	sending.Go(func() {
@@ -827,11 +827,11 @@
 		}
 	})
 	if code := client.closeCode(); code != frame.InternalError {
-		t.Errorf("the client is told %d", code)
+		t.Errorf("the client got code %d", code)
 	}
 	sending.Wait()
 	if code := server.closeCode(); code != frame.MessageTooBig {
-		t.Errorf("told %d", code)
+		t.Errorf("got code %d", code)
 	}
 }
 
@@ -842,7 +842,7 @@
 		o.PingEvery, o.PongTimeout, o.WriteTimeout = 100*time.Millisecond, 300*time.Millisecond, time.Second
 	}), entry("a", n.address, "up"))
 	client, server := g.openPair(n, "1")
-	go func() { // this end answers pings, the client's says nothing more
+	go func() { // this end answers pings, and the client's end sends nothing more
 		for {
 			f, p := server.readFrame()
 			if f == eof || f == 0x88 {
@@ -900,12 +900,12 @@
 		client, server := r.openPair(n, fmt.Sprint(i))
 		ends.Go(func() {
 			if _, code := client.readUntilEOF(); code != frame.GoingAway {
-				t.Errorf("told %d", code)
+				t.Errorf("got code %d", code)
 			}
 		})
 		ends.Go(func() {
 			if _, code := server.readUntilEOF(); code != frame.GoingAway {
-				t.Errorf("the server is told %d", code)
+				t.Errorf("the server got code %d", code)
 			}
 		})
 	}
@@ -930,21 +930,21 @@
 	}
 	time.Sleep(wait)
 	if _, again := g.openChannel("3", "Cookie: "+ticket.Cookie+"="+resp.Header.Get(ticket.Field)+"\r\n"); again.StatusCode != 101 {
-		t.Errorf("answered %d when it came as told", again.StatusCode)
+		t.Errorf("answered %d to a client that returned with its ticket after the requested time", again.StatusCode)
 	}
-	// Another's ticket, or a made up one, is none.
+	// A forged ticket is not accepted.
 	if _, forged := g.openChannel("4", ticket.Field+": "+strings.Repeat("A", 48)+"\r\n"); forged.StatusCode != 503 {
 		t.Errorf("answered %d to a forged ticket", forged.StatusCode)
 	}
 	await(t, "the first", n.heads)
 	await(t, "the second", n.heads)
 	if len(n.heads) != 0 {
-		t.Error("who was refused reached the server")
+		t.Error("a refused client reached the server")
 	}
 }
 
-// TestQuietChannelsNeitherShunNorLoad: a server that holds 300 quiet channels, three times what a balancer's requests may
-// hold of it, gets its turns of requests and of new channels.
+// TestQuietChannelsNeitherShunNorLoad checks that a server with 300 idle channels, three times the requests that the
+// balancer may have open there, gets its share of requests and of new channels.
 func TestQuietChannelsNeitherShunNorLoad(t *testing.T) {
 	serves := func(r *http.Request) string {
 		if r.Header.Get("Upgrade") == "" {
@@ -963,7 +963,7 @@
 	for range 300 {
 		<-a.heads
 	}
-	time.Sleep(3 * time.Second) // the handshakes were work, which the balancer remembers for 0.7 s; the channels are none
+	time.Sleep(3 * time.Second) // the balancer counts the handshakes as load for 0.7 s; idle channels are no load
 	for i := range 100 {
 		if status, _ := g.dial().send(head(fmt.Sprint("request", i))).answer(); status != 200 {
 			t.Fatalf("answered %d", status)
@@ -979,11 +979,12 @@
 		}
 	}
 	if n := len(a.heads) - before; n < 40 || n > 60 {
-		t.Errorf("%d of 100 channels went there", n)
+		t.Errorf("%d of 100 new channels went to the server with the channels", n)
 	}
 }
 
-// TestEndsThatRestAreHeard: quiet ends are waited for in another way, and all that may come next still does.
+// TestParkedChannelsStillReceive checks parked channels: the proxy polls them in another way, and must still handle
+// every message, end of connection and ban that can come next.
 func TestParkedChannelsStillReceive(t *testing.T) {
 	t.Parallel()
 	n := newWSServer(t, nil)
@@ -995,7 +996,7 @@
 		t.Helper()
 		for end := time.Now().Add(eventTimeout); g.channels.Parked() != ends; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%d ends rest, want %d", g.channels.Parked(), ends)
+				t.Fatalf("%d ends are parked, want %d", g.channels.Parked(), ends)
 			}
 		}
 	}
@@ -1006,7 +1007,7 @@
 		all = append(all, pair{client, server})
 	}
 	awaitParked(12)
-	for range 2 { // they carry again, and rest again
+	for range 2 { // they carry data again, and are parked again
 		for _, p := range all {
 			p.client.sendFrame(0x81, strings.Repeat("x", 70_000))
 			p.server.expectFrame(0x81, strings.Repeat("x", 70_000))
@@ -1015,32 +1016,32 @@
 		}
 		awaitParked(12)
 	}
-	// Each of the ways in which a channel ends.
+	// Each way in which a channel can end.
 	all[0].client.sendFrame(0x88, closePayload(1000))
 	all[0].server.expectFrame(0x88, closePayload(1000))
 	all[0].server.sendFrame(0x88, closePayload(1000))
 	all[0].client.expectFrame(0x88, closePayload(1000))
 	all[1].server.Close()
 	if code := all[1].client.closeCode(); code != frame.ServiceRestart {
-		t.Errorf("told %d", code)
+		t.Errorf("got code %d", code)
 	}
 	all[2].client.Close()
 	if code := all[2].server.closeCode(); code != frame.GoingAway {
-		t.Errorf("told %d", code)
+		t.Errorf("got code %d", code)
 	}
 	all[3].client.sendRaw("\xff\xff")
 	if code := all[3].client.closeCode(); code != frame.ProtocolError {
-		t.Errorf("told %d", code)
+		t.Errorf("got code %d", code)
 	}
 	g.host.SetBanned("a", true)
 	for _, p := range all[4:] {
 		if code := p.client.closeCode(); code != frame.ServiceRestart {
-			t.Errorf("told %d", code)
+			t.Errorf("got code %d", code)
 		}
 	}
-	all[4].client.sendFrame(0x88, closePayload(1012)) // the other one never answers
+	all[4].client.sendFrame(0x88, closePayload(1012)) // the other client never answers
 	if code := all[4].server.closeCode(); code != frame.GoingAway {
-		t.Errorf("told %d", code)
+		t.Errorf("got code %d", code)
 	}
 	all[5].client.expectEOF()
 	g.awaitNoChannels()
@@ -1064,7 +1065,7 @@
 			}
 		})
 	}
-	on := len(a.heads) // which has come before its answer
+	on := len(a.heads) // each upgrade reached its server before the client got the answer
 	if !g.host.SetBanned("a", true) {
 		t.Fatal("not known")
 	}
@@ -1073,21 +1074,21 @@
 		t.Errorf("answered %d", resp.StatusCode)
 	}
 	if len(a.heads) != on {
-		t.Error("a channel was opened at a server that was taken out")
+		t.Error("a channel was opened at a banned server")
 	}
 	b.kill()
 	ends.Wait()
 	if moved != 20 {
-		t.Errorf("%d of 20 clients were told to come again", moved)
+		t.Errorf("%d of 20 clients got the code to reconnect", moved)
 	}
 }
 
-// figure is a line of the figures that has to come, and the one that may stand in its place until then; "" for one that has to be there at
-// once.
+// metric is an expected line of the metrics, and the line that may be there in its place until then. If before is "", the
+// expected line must be there at once.
 type metric struct{ line, before string }
 
-// comesTo fails the test unless all figures come to their lines, and show nothing but the earlier ones until then. The program counts behind
-// the write that a figure tells of, so that the other end may have heard of that first.
+// awaitMetrics waits until all metrics have their expected lines, and fails the test if one shows anything but its earlier
+// line until then. The proxy counts after the write that a metric is about, so the other end may see the write first.
 func (g *testProxy) awaitMetrics(figures ...metric) {
 	g.t.Helper()
 	for end := time.Now().Add(eventTimeout); ; time.Sleep(time.Millisecond) {
@@ -1108,7 +1109,8 @@
 	}
 }
 
-// TestFiguresOfChannels guards the figures of a channel: each comes to its one value, and what was carried stays counted behind the end.
+// TestFiguresOfChannels checks the metrics of a channel: each reaches one exact value, and the bytes carried remain counted
+// after the channel has ended.
 func TestFiguresOfChannels(t *testing.T) {
 	n := newWSServer(t, nil)
 	g := newTestProxy(t, withChannels(nil), entry("node-1", n.address, "up"))
@@ -1136,7 +1138,7 @@
 		metric{line: toServers}, metric{line: toClients},
 	)
 	if text := string(consoleHandler{newTestProxy(t, nil).Proxy}.Figures(nil)); strings.Contains(text, "channels") {
-		t.Error("figures of channels where there are none")
+		t.Error("metrics of channels although channels are disabled")
 	}
 }
 
--- a/internal/proxy/channels.go
+++ b/internal/proxy/channels.go
@@ -7,9 +7,10 @@
 )
 
 const (
-	// socketsOfChannel are its two ends, and bytesOfChannel what a quiet one holds (docs/measurements/channels.md).
+	// A channel has a socket on each side. bytesPerChannel is the memory that an idle channel uses
+	// (docs/measurements/channels.md).
 	socketsPerChannel, bytesPerChannel = 2, 12 << 10
-	// channelShare of the sockets, and of the memory, may be channels'; the rest is for requests.
+	// channelShare is the largest share of the sockets, and of the memory, that channels may use. The rest is for requests.
 	channelShare = 0.8
 )
 
@@ -17,7 +18,8 @@
 	return o.Memory + bytesPerChannel*int64(o.MaxChannels)
 }
 
-// roomForChannels says what is too much where channels would leave too little to requests.
+// checkChannelLimits returns an error if the limits of channels would leave too few sockets or too little memory for
+// requests.
 func checkChannelLimits(c *Config, sockets float64) error {
 	o := &c.Options.Channels
 	if maxChannels := channelShare * sockets / socketsPerChannel; float64(o.MaxChannels) > maxChannels {
--- a/internal/proxy/clients.go
+++ b/internal/proxy/clients.go
@@ -13,7 +13,7 @@
 	"brasswell/internal/idle"
 )
 
-// clientSide takes callers' connections in and serves the requests that come on them.
+// clientSide accepts callers' connections and serves their requests.
 type clientSide struct {
 	listener  *callers.Listener
 	callers   *callers.Set
@@ -21,10 +21,10 @@
 	front     *front.Front
 	http      *http.Server
 	bodies    *body.Budget
-	accepting atomic.Bool // callers' connections are taken
+	accepting atomic.Bool // callers' connections are accepted
 }
 
-// newServer returns the HTTP server before a front.
+// newServer returns the HTTP server that passes requests to f.
 func newServer(f *front.Front, set *callers.Set, o *front.Options, log *slog.Logger) *http.Server {
 	return &http.Server{
 		Handler:           f,
@@ -37,25 +37,25 @@
 	}
 }
 
-// startParking makes a place for idle connections, which park serves.
+// startParking creates the Parking for idle connections. serveParked runs it.
 func (c *clientSide) startParking(o *front.Options) (err error) {
 	pace := idle.Pace{After: o.ParkAfter, Timeout: o.IdleTimeout}
 	c.parking, err = c.callers.Park(pace, c.listener.Addr())
 	return err
 }
 
-// park serves connections that were parked and parks others until ctx is done.
+// serveParked parks idle connections and serves the parked ones that become active, until ctx is done.
 func (c *clientSide) serveParked(ctx context.Context, log *slog.Logger) {
 	var served sync.WaitGroup
 	defer served.Wait()
-	served.Go(func() { c.http.Serve(c.parking) }) // ends with the Parking, or the server
+	served.Go(func() { c.http.Serve(c.parking) }) // ends when the Parking or the server is closed
 	if err := c.parking.Run(ctx); err != nil {
 		log.Error("callers: park_after does not hold any more", "error", err)
 	}
 }
 
-// left says whether no caller's connection is there or coming. Before that it closes those on which nothing is open, if
-// it is told to.
+// connsClosed reports whether no caller's connection is open or about to be accepted. If closeIdle is set, it first closes
+// the connections that have no request open.
 func (c *clientSide) connsClosed(closeIdle bool) bool {
 	if !closeIdle {
 		return c.listener.Drained() && c.callers.Len() == 0
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -12,62 +12,62 @@
 	"brasswell/internal/settings"
 )
 
-// Config is all that a proxy is told.
+// Config is the configuration of one proxy.
 type Config struct {
 	Listen string
-	// Inherited is the platform's listening socket where it holds that itself, in place of Listen; the proxy
-	// closes its own copy and never shuts the socket down.
+	// Inherited, if set, is used in place of Listen: it is a listening socket that the platform owns. The proxy closes
+	// its own copy of it and never shuts the socket down.
 	Inherited *os.File
-	Console   string // where operators call; "" for nowhere
-	// Name and MeetIn are where a second process of this proxy is met, which goes on where this one is; "" for
-	// nowhere. It needs an Inherited socket.
+	Console   string // address of the operators' console; "" for none
+	// Name and HandoverDir locate the socket over which a second process of this proxy takes over this one's state;
+	// "" for no handover. A handover needs an Inherited socket.
 	Name, MeetIn string
-	// OnPart is called when the part of the process's memory that is this proxy's own changes; may be nil.
+	// OnMemoryShare is called when this process's share of the proxy's memory limit changes, as in a handover; may be nil.
 	OnPart    func(part float64)
 	Discovery string
 	Seed      uint64
 	Settings  *settings.Settings
-	Known     json.RawMessage // the server list as last had, in discovery's form; may be absent
+	Known     json.RawMessage // the last known server list, in discovery's format; may be absent
 	Memory    int64           // bytes
 	Sockets   int
 	Options   Options
-	Fleet     Fleet          // nil where it talks to no other proxy
-	Rules     Rules          // nil where it agrees on none with others
-	Recovery  *recovery.Node // nil where nothing lasts
+	Fleet     Fleet          // nil if the proxy does not communicate with other proxies
+	Rules     Rules          // nil if there are no agreed rules
+	Recovery  *recovery.Node // nil if no state is persisted
 	Log       *slog.Logger
 }
 
-// Fleet is this process's part in its fleet. Its methods may be called at any time.
+// Fleet is this process's membership in its fleet. Its methods may be called at any time.
 type Fleet interface {
-	// Status says who else is there, as JSON.
+	// Status returns the other known members as JSON.
 	Status(ctx context.Context) ([]byte, error)
-	// Figures appends its figures to text.
+	// Figures appends its metrics to text.
 	Figures(ctx context.Context, text []byte) []byte
-	// HandOver lets go of this process's place for another process of this proxy. It is called once that one takes the
-	// callers; nothing is said to other proxies.
+	// HandOver gives up this process's membership in favor of another process of this proxy. It is called once that
+	// process serves the callers. Other proxies are not notified.
 	HandOver()
 }
 
 // Rules are what this process's fleet agrees on. Its methods may be called at any time.
 type Rules interface {
-	// Rule says whether an act is allowed now, and on what that rests.
+	// Rule returns whether a send is allowed now, and the basis of that decision.
 	Rule(s rules.Send) (rules.Ruling, rules.Ground)
-	// Mode is on what this process acts.
+	// Mode returns the mode in which this process currently acts on the rules, such as under a lease.
 	Mode() accord.Mode
-	// Follow tells f on what acts rest, now and after every change of the rules. f must not block.
+	// Follow calls f with the current basis of decisions, and again after every change of the rules. f must not block.
 	Follow(f func(*accord.Basis))
-	// Number is this proxy's agreed own number, of how many; ok is false where there is none.
+	// Number returns this proxy's agreed instance number and the number of instances; ok is false if there is none.
 	Number(b *accord.Basis) (self, of int, ok bool)
-	// ListDrop is the share of the backends that lists may leave out at once; 1 for any.
+	// ListDrop returns the share of the backends that a list may leave out at once; 1 allows any.
 	ListDrop() float64
-	// Hold takes in which backends are gone on with though the newest list leaves them out, for people.
+	// Hold sets the backends that stay in use although the newest list leaves them out. They are reported to operators.
 	Hold(ids []string)
-	// Status says how this process stands in the agreement, as JSON.
+	// Status returns this process's position in the agreement as JSON.
 	Status(ctx context.Context) ([]byte, error)
-	// Figures appends its figures to text.
+	// Figures appends its metrics to text.
 	Figures(text []byte) []byte
-	// Propose has a change agreed and returns what became of it.
+	// Propose submits a change for agreement and returns the outcome.
 	Propose(ctx context.Context, c rules.Change) (rules.Answer, error)
-	// Refound has this keeper go on alone, in place of a majority that is lost for good.
+	// Refound makes this voter continue alone, to replace a majority that is permanently lost.
 	Refound(ctx context.Context) error
 }
--- a/internal/proxy/conformance_test.go
+++ b/internal/proxy/conformance_test.go
@@ -10,20 +10,21 @@
 	"brasswell/internal/channel/frame"
 )
 
-// wireCase is what one end of a channel sends, and what must come of it.
+// wireCase is the input from one end of a channel and its expected effects.
 type wireCase struct {
 	name      string
-	input     string     // byte for byte, as the client's end or the server's
-	forwarded []string   // first byte and payload of each frame that reaches the other end, but for a Close
-	code      frame.Code // what the sender is told; 0 where nothing is wrong
-	closeCode frame.Code // the code of its own Close, which reaches the other end; 0 for none
-	utf8      bool       // the client asks for text to be checked
-	deflate   bool       // permessage-deflate is agreed on
+	input     string     // bytes sent by the client's end or the server's
+	forwarded []string   // first byte and payload of each frame that reaches the other end, without Close frames
+	code      frame.Code // the code that the sender gets; 0 if there is no error
+	closeCode frame.Code // the code of the sender's own Close, which reaches the other end; 0 for none
+	utf8      bool       // the client requests UTF-8 checks of text
+	deflate   bool       // permessage-deflate is negotiated
 }
 
 const maxMessage = 1 << 20 // by default
 
-// wireCases are the same for both ends: build writes a frame as the end does, right or wrong.
+// wireCases returns the cases, which are the same for both ends. build encodes a frame, valid or not, as the end sends it;
+// header encodes only the start of a frame with the given length field.
 func wireCases(build func(first byte, payload string) string, header func(first byte, length string) string) []wireCase {
 	var all []wireCase
 	add := func(c wireCase) { all = append(all, c) }
@@ -69,7 +70,7 @@
 	}
 	for _, op := range []byte{3, 4, 5, 6, 7, 11, 12, 13, 14, 15} {
 		bad(fmt.Sprintf("opcodes/%#x", op), 1002, build(0x80|op, "x"))
-		bad(fmt.Sprintf("opcodes/%#x behind a message", op), 1002, build(0x81, "a")+build(0x80|op, ""), "\x81a")
+		bad(fmt.Sprintf("opcodes/%#x after a message", op), 1002, build(0x81, "a")+build(0x80|op, ""), "\x81a")
 	}
 
 	good("fragments/two", "\x01", "a", "\x80", "b")
@@ -83,8 +84,8 @@
 	good("fragments/messages one after another", "\x01", "a", "\x80", "b", "\x82", "c", "\x02", "d", "\x80", "e")
 	bad("fragments/continuation of nothing", 1002, build(0x80, "x"))
 	bad("fragments/open continuation of nothing", 1002, build(0x00, "x"))
-	bad("fragments/continuation behind a whole message", 1002, build(0x81, "a")+build(0x80, "b"), "\x81a")
-	bad("fragments/continuation behind the last", 1002, build(0x01, "a")+build(0x80, "b")+build(0x80, "c"), "\x01a", "\x80b")
+	bad("fragments/continuation after a whole message", 1002, build(0x81, "a")+build(0x80, "b"), "\x81a")
+	bad("fragments/continuation after the last", 1002, build(0x01, "a")+build(0x80, "b")+build(0x80, "c"), "\x01a", "\x80b")
 	bad("fragments/text within text", 1002, build(0x01, "a")+build(0x81, "b"), "\x01a")
 	bad("fragments/binary within text", 1002, build(0x01, "a")+build(0x02, "b"), "\x01a")
 	bad("fragments/text within binary", 1002, build(0x02, "a")+build(0x01, "b"), "\x02a")
@@ -101,11 +102,11 @@
 	bad("close/a reason of 124 bytes", 1002, build(0x88, closePayload(1000)+strings.Repeat("x", 124)))
 	bad("close/a reason that is not UTF-8", 1007, build(0x88, closePayload(1000)+"\xff"))
 	bad("close/a reason cut in a character", 1007, build(0x88, closePayload(1000)+"\xe6\x88"))
-	add(wireCase{name: "close/behind a message", input: build(0x81, "a") + build(0x88, closePayload(1000)), forwarded: []string{"\x81a"}, closeCode: 1000})
+	add(wireCase{name: "close/after a message", input: build(0x81, "a") + build(0x88, closePayload(1000)), forwarded: []string{"\x81a"}, closeCode: 1000})
 	add(wireCase{name: "close/within a message", input: build(0x01, "a") + build(0x88, closePayload(1000)), forwarded: []string{"\x01a"}, closeCode: 1000})
-	add(wireCase{name: "close/data behind it is dropped", input: build(0x88, closePayload(1000)) + build(0x81, "late"), closeCode: 1000})
+	add(wireCase{name: "close/data after it is dropped", input: build(0x88, closePayload(1000)) + build(0x81, "late"), closeCode: 1000})
 	add(wireCase{name: "close/twice", input: build(0x88, closePayload(1000)) + build(0x88, closePayload(1001)), closeCode: 1000})
-	add(wireCase{name: "close/nonsense behind it is dropped", input: build(0x88, closePayload(1000)) + "\xff\xff\xff", closeCode: 1000})
+	add(wireCase{name: "close/garbage after it is dropped", input: build(0x88, closePayload(1000)) + "\xff\xff\xff", closeCode: 1000})
 
 	bad("lengths/16 bits for 125", 1002, header(0x82, "\x7e\x00\x7d"))
 	bad("lengths/16 bits for 0", 1002, header(0x82, "\x7e\x00\x00"))
@@ -123,7 +124,7 @@
 
 	for name, text := range map[string]string{
 		"ASCII": "hold", "two bytes": "é", "three bytes": "予約", "four bytes": "\U0001F4DA", "the first of three": "\u0800", "before the surrogates": "\uD7FF",
-		"behind the surrogates": "\uE000", "the last": "\U0010FFFF", "a mark of byte order": "\uFEFF", "a zero": "\x00", "no characters": "\uFFFE\uFFFF",
+		"after the surrogates": "\uE000", "the last": "\U0010FFFF", "a byte order mark": "\uFEFF", "a zero": "\x00", "no characters": "\uFFFE\uFFFF",
 	} {
 		add(wireCase{name: "UTF-8/" + name, input: build(0x81, text), forwarded: []string{"\x81" + text}, utf8: true})
 	}
@@ -165,7 +166,7 @@
 		mask := name == "client"
 		own := &wsConn{mask: mask}
 		build := func(first byte, payload string) string { return string(own.encodeFrame(first, payload)) }
-		header := func(first byte, length string) string { // a head that announces, and no payload
+		header := func(first byte, length string) string { // the header of a frame, without its payload
 			b := append([]byte{first}, length...)
 			if mask {
 				b[1] |= 0x80
@@ -208,19 +209,19 @@
 				switch {
 				case k.code != 0:
 					if got := from.closeCode(); got != k.code {
-						t.Errorf("the sender is told %d, want %d", got, k.code)
+						t.Errorf("the sender got code %d, want %d", got, k.code)
 					}
-					// One that stands within a frame cannot be told.
+					// An end that is in the middle of a frame cannot be sent a Close.
 					if got := to.closeCode(); got != otherCode && got != 0 {
-						t.Errorf("the other end is told %d, want %d", got, otherCode)
+						t.Errorf("the other end got code %d, want %d", got, otherCode)
 					}
 				case k.closeCode != 0:
 					if got := to.closeCode(); got != k.closeCode {
-						t.Errorf("the other end is told %d, want %d", got, k.closeCode)
+						t.Errorf("the other end got code %d, want %d", got, k.closeCode)
 					}
 					to.sendFrame(0x88, closePayload(1000))
 					if got := from.closeCode(); got != 1000 {
-						t.Errorf("the answer is %d", got)
+						t.Errorf("the answering Close has code %d", got)
 					}
 					from.expectEOF()
 					to.expectEOF()
--- a/internal/proxy/crowding_test.go
+++ b/internal/proxy/crowding_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// TestIdleCallersFillTheirShareWhileDiscoveryIsDown: more callers than there are descriptors connect and say nothing, or half of
-// what they want, while discovery answers nobody. Newcomers get in or get a close; once discovery is back the watch opens, the
-// drain is obeyed, and a backend that was never used is dialled.
+// TestIdleCallersFillTheirShareWhileDiscoveryIsDown connects more callers than there are descriptors. They send nothing
+// or half a head, while discovery does not answer. New callers are served or their connections are closed. Once
+// discovery answers again, the watch opens, the drain is applied, and a backend that was never used gets a connection.
 func TestIdleCallersFillTheirShareWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
 	a := newBackend(t, "127.0.0.1:0", idAnswer)
@@ -29,10 +29,10 @@
 			t.Fatalf("%d callers' connections are open, %d at most", open, g.limits.hardCallers)
 		}
 	}
-	// All that are still held are past their grace, so that a newcomer finds room.
+	// All connections still open are past their grace period, so that a new caller can replace one.
 	time.Sleep(600 * time.Millisecond)
 	if status, body := g.dial().send(head("before")).answer(); status != 200 || body != "before" {
-		t.Errorf("while they fill it: %d %q", status, body)
+		t.Errorf("while the connections are full: %d %q", status, body)
 	}
 	await(t, "the request before", a.requests)
 	g.registry.lists <- list(2, false, entry("a", a.address, "draining"), entry("b", b.address, "up"))
@@ -42,12 +42,12 @@
 	}
 	await(t, "the request after", b.requests)
 	if n := len(a.requests); n != 0 {
-		t.Errorf("%d requests to the one that drains", n)
+		t.Errorf("%d requests to the draining server", n)
 	}
 	for _, c := range all {
 		c.Close()
 	}
-	for g.callers.Len() > 2 { // places come back
+	for g.callers.Len() > 2 { // closed connections free their places
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/proxy/desk.go
+++ b/internal/proxy/desk.go
@@ -10,11 +10,11 @@
 	"brasswell/internal/figures"
 )
 
-// desk is what the console's callers reach of a proxy.
+// consoleHandler implements the console's operations on a proxy.
 type consoleHandler struct{ *Proxy }
 
-// Ready says whether this process takes clients: its listener is served, there is a server to send to, and no
-// restart has begun.
+// Ready reports whether this process serves clients: its listener is served, no restart has begun, the host is ready, and
+// this process is not cut off from the agreed rules.
 func (d consoleHandler) Ready() bool {
 	return d.accepting.Load() && !d.restart.Begun() && d.host.Ready() && (d.rules == nil || d.rules.Mode() != accord.Away)
 }
@@ -41,10 +41,10 @@
 	return text
 }
 
-// fleetTime bounds what the console waits for the view of the fleet; its callers are owed an answer within 1 s.
+// fleetTimeout limits how long the console waits for the fleet's status. The console must answer its callers within 1 s.
 const fleetTimeout = 500 * time.Millisecond
 
-// Fleet says who else of the fleet is there, as JSON.
+// Fleet returns the other known members of the fleet as JSON.
 func (d consoleHandler) Fleet(ctx context.Context) ([]byte, error) {
 	if d.fleet == nil {
 		return nil, console.ErrNone
@@ -58,8 +58,8 @@
 
 func (d consoleHandler) Resume(ctx context.Context, id string) error { return d.ByHand(ctx, id, false) }
 
-// ByHand takes a server out or puts it back, here and in the other process of this proxy, if there is one. Once it has
-// returned from taking one out, nothing new begins to go there.
+// SetBanned bans a server by operator override, or lifts the ban, here and in the other process of this proxy, if there is
+// one. After a call that bans a server has returned, no new request is sent to it.
 func (p *Proxy) ByHand(ctx context.Context, id string, out bool) error {
 	known := p.host.SetBanned(id, out)
 	joined := false
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMoveOfDiscovery moves while a watch is out at the old address.
+// TestMoveOfDiscovery moves discovery while a watch is open at the old address.
 func TestMoveOfDiscovery(t *testing.T) {
 	a := newBackend(t, "127.0.0.1:0", idAnswer)
 	b := newBackend(t, "127.0.0.1:0", idAnswer)
@@ -16,7 +16,7 @@
 	other := newRegistry(t)
 	g.MoveDiscovery(other.address)
 	if query := await(t, "a call at the new address", other.calls); !strings.Contains(query, "from=1&") {
-		t.Fatalf("%q: what changed since the list that is held is not asked for", query)
+		t.Fatalf("%q: the changes since the current list are not requested", query)
 	}
 	c := g.dial()
 	if status, _ := c.send(head("before")).answer(); status != 200 {
@@ -31,17 +31,17 @@
 	await(t, "the request with the new list", b.requests)
 }
 
-// TestVersionsThatStartAnew: a service that counts from elsewhere is asked for the whole list.
+// TestDiscoveryVersionsThatRestart: if the service's versions restart at a lower number, the whole list is requested.
 func TestDiscoveryVersionsThatRestart(t *testing.T) {
 	g := newTestProxy(t, func(c *Config) { c.Known = json.RawMessage(list(40, true)) })
 	await(t, "the watch", g.registry.calls)
 	g.registry.lists <- list(3, false)
 	if query := await(t, "the next call", g.registry.calls); query != "" {
-		t.Fatalf("asked %q, not for the whole list", query)
+		t.Fatalf("requested %q, not the whole list", query)
 	}
 }
 
-// TestSilentWatchIsFollowedByAnother: discovery takes the watch and never says a word.
+// TestSilentWatchIsFollowedByAnother: discovery accepts the watch and never answers.
 func TestSilentWatchIsFollowedByAnother(t *testing.T) {
 	t.Parallel()
 	g := newTestProxy(t, nil)
--- a/internal/proxy/ending_test.go
+++ b/internal/proxy/ending_test.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// served runs a proxy as its process does: SIGTERM is what term does, and over is closed once it has ended.
+// newServedProxy runs a proxy as its process does. term has the effect of SIGTERM; done is closed once the proxy has ended.
 func newServedProxy(t *testing.T, change func(*Config), hosts ...string) (g *testProxy, term func(), done chan struct{}) {
 	t.Helper()
 	registry := newRegistry(t)
@@ -39,16 +39,17 @@
 	return &testProxy{t, p, registry, p.Addr().String()}, cancel, done
 }
 
-// briefly is how long the callers of brief wait; long enough for a machine that is busy.
+// briefTimeout is the deadline in requests from briefHead; it is long enough for a busy machine.
 const briefTimeout = 2 * time.Second
 
 func briefHead(id string) string {
 	return strings.Replace(head(id), "9000", fmt.Sprint(briefTimeout.Milliseconds()), 1)
 }
 
-// TestTermMeetsRequestsInEveryState: at SIGTERM a head is half read, a body is arriving, a request waits for a place, one for a
-// connection, one for a backend that hangs, and one is between two requests. Each that has been taken gets one answer before
-// the process ends; new connections are served for 0.4 s. (That the end comes before SIGKILL may is computed in restart.)
+// TestTermMeetsRequestsInEveryState sends SIGTERM while one caller has sent half a head, one half a body, one waits for
+// a backend that does not answer, and one is between two requests. Each accepted request gets one answer before the
+// process ends; new connections are served for 0.4 s. (Package restart computes that the end comes before a SIGKILL
+// may.)
 func TestTermMeetsRequestsInEveryState(t *testing.T) {
 	t.Parallel()
 	hang := newBackend(t, "127.0.0.1:0", func(id string) string {
@@ -74,7 +75,7 @@
 	post := strings.Replace(strings.Replace(briefHead("body"), "search", "hold", 1), "GET", "POST", 1)
 	post = strings.Replace(post, "\r\n\r\n", "\r\nIdempotency-Key: k\r\nContent-Length: 8\r\n\r\n", 1)
 	body := g.dial().send(post + "half")
-	for g.callers.States()["busy"] < 2 || g.callers.States()["partial"] < 1 { // the hanging one and the body's, and the half
+	for g.callers.States()["busy"] < 2 || g.callers.States()["partial"] < 1 { // busy: the hanging request and the body; partial: the half head
 		time.Sleep(time.Millisecond)
 	}
 	done := make(chan struct{})
@@ -85,9 +86,9 @@
 	for !g.restart.Begun() {
 		time.Sleep(time.Millisecond)
 	}
-	// Taken after SIGTERM: on connections old and new.
+	// Requests accepted after SIGTERM, on old and new connections.
 	if status, got := between.send(briefHead("again")).answer(); status != 200 || got != "again" {
-		t.Errorf("between two: %d %q", status, got)
+		t.Errorf("between two requests: %d %q", status, got)
 	}
 	if status, got := half.send(text[len(text)-10:]).answer(); status != 200 || got != "half" {
 		t.Errorf("half a head: %d %q", status, got)
@@ -102,13 +103,13 @@
 		}
 		c.Close()
 	}
-	if status, _ := hanging.answer(); status != 502 && status != 503 { // its class may be refused, too: which timer comes first is open
-		t.Errorf("the one that hangs: %d", status)
+	if status, _ := hanging.answer(); status != 502 && status != 503 { // its class may be refused instead, depending on which timer fires first
+		t.Errorf("the hanging request: %d", status)
 	}
 	await(t, "the end", over)
 }
 
-// TestTermAtOnceAndTwice: SIGTERM before anything has come, and again while it ends.
+// TestTermAtOnceAndTwice: SIGTERM arrives before any request, and again during the shutdown.
 func TestTermAtOnceAndTwice(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, "127.0.0.1:0", idAnswer)
@@ -117,19 +118,20 @@
 	term()
 	g.MoveDiscovery(newRegistry(t).address) // SIGHUP
 	c, err := net.Dial("tcp", g.address)
-	if err == nil { // it may have ended
+	if err == nil { // the proxy may have ended already
 		io.WriteString(c, briefHead("late"))
 		c.SetDeadline(time.Now().Add(eventTimeout))
 		if got, err := io.ReadAll(c); err == nil && len(got) == 0 && len(b.requests) > 0 {
-			t.Error("sent on and not answered")
+			t.Error("forwarded and not answered")
 		}
 		c.Close()
 	}
 	await(t, "the end", over)
 }
 
-// TestRequestReadAsItsConnectionIsShut: the proxy has read a whole head, and before that is handed on closes the connection, as at
-// the end of a restart or for room. Its caller sends it again, so it must not be sent on here.
+// TestRequestReadAsItsConnectionIsShut: the proxy has read a whole head and closes the connection before a handler gets
+// the request, as at the end of a restart or to free a place. The caller then sends the request again, so it must not
+// be forwarded here.
 func TestRequestReadAsItsConnectionIsShut(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, "127.0.0.1:0", idAnswer)
@@ -138,7 +140,7 @@
 	g := newTestProxyWith(t, nil, func(p *Proxy) {
 		track := p.http.ConnState
 		p.http.ConnState = func(c net.Conn, s http.ConnState) {
-			if s == http.StateActive { // the head has come, and no handler has it yet
+			if s == http.StateActive { // the head has arrived, and no handler has it yet
 				once.Do(func() { close(read) })
 				<-release
 			}
@@ -154,21 +156,22 @@
 	if status, _ := c.answer(); status != 0 {
 		t.Errorf("answered %d on a connection that was shut", status)
 	}
-	for n := range 2 { // the other is refused
+	for n := range 2 { // the second one is refused
 		if n == 1 {
 			if status, _ := g.dial().send(head("b")).answer(); status != 0 {
 				t.Errorf("answered %d after the end", status)
 			}
 		}
 	}
-	g.Close() // waits for all that is out
+	g.Close() // waits for all open attempts
 	if n := len(b.requests); n != 0 {
-		t.Errorf("%d requests were sent on", n)
+		t.Errorf("%d requests were forwarded", n)
 	}
 }
 
-// TestLastAnswerOverUnreadBytes: an answer that ends its connection is larger than what the sockets hold, its caller reads it
-// late, and more stands behind its request, of which some comes as late. The answer arrives whole.
+// TestLastAnswerOverUnreadBytes: an answer that ends its connection is larger than the socket buffers, and its caller
+// reads it late. The caller has sent more bytes after its request, some of them late as well. The answer must arrive
+// whole.
 func TestLastAnswerOverUnreadBytes(t *testing.T) {
 	t.Parallel()
 	const size = 60 << 10
@@ -193,7 +196,7 @@
 	c.send(head("a"))
 	await(t, "the request", b.requests)
 	c.send(head("next")[:60])
-	for unsentBytes(c.Conn.(*net.TCPConn)) > 0 { // until the proxy's socket has it
+	for unsentBytes(c.Conn.(*net.TCPConn)) > 0 { // until the proxy's socket has received it
 		time.Sleep(time.Millisecond)
 	}
 	close(answer)
@@ -205,11 +208,11 @@
 	}
 	c.expectClosed()
 	if n := len(b.requests); n != 0 {
-		t.Errorf("%d further requests were sent on", n)
+		t.Errorf("%d further requests were forwarded", n)
 	}
 }
 
-// unsent is how many bytes the other side's socket has not taken yet.
+// unsentBytes returns the number of bytes that the peer has not acknowledged yet.
 func unsentBytes(c *net.TCPConn) (n int) {
 	raw, err := c.SyscallConn()
 	if err != nil {
--- a/internal/proxy/export_test.go
+++ b/internal/proxy/export_test.go
@@ -1,4 +1,4 @@
 package proxy
 
-// ConsoleAddr is where the console listens, for tests outside of this package.
+// ConsoleAddr returns the address of the console, for tests in package proxy_test.
 func (p *Proxy) ConsoleAddr() string { return p.console.Addr().String() }
--- a/internal/proxy/faults_test.go
+++ b/internal/proxy/faults_test.go
@@ -18,12 +18,12 @@
 )
 
 var (
-	seeds   = flag.Int("fault-seeds", 1, "how many seeds the fault tests play for each fault and each pair")
-	pairs   = flag.Bool("fault-pairs", false, "whether the fault tests play each fault and each pair by itself")
-	workers = flag.Int("fault-players", 12, "how many fault stories are played at one time; they wait far more than they work")
+	seeds   = flag.Int("fault-seeds", 1, "number of seeds for which the fault tests run each fault and each pair")
+	pairs   = flag.Bool("fault-pairs", false, "run each fault and each pair of faults in its own scenario")
+	workers = flag.Int("fault-players", 12, "number of fault scenarios to run in parallel; they are mostly waiting")
 )
 
-// serve starts the fleet's proxy and returns its address and what ends it.
+// serve starts the fleet's proxy and returns its address and a function that ends it.
 func serve(t testing.TB, f *standin.Fleet) (address string, end func()) {
 	t.Helper()
 	return serveLogging(t, f, slog.New(slog.DiscardHandler))
@@ -44,10 +44,10 @@
 	return p.Addr().String(), serveProxy(t, p)
 }
 
-// startTime is how long a proxy may take until it is ready.
+// startTime is the time within which a proxy must be ready.
 const startTime = 10 * time.Second
 
-// serveProxy serves a proxy, and returns what ends it once it is ready.
+// serveProxy serves a proxy, waits until it is ready, and returns a function that ends it.
 func serveProxy(t testing.TB, p *proxy.Proxy) (end func()) {
 	ctx, stop := context.WithCancel(context.Background())
 	served := make(chan error, 1)
@@ -65,7 +65,7 @@
 	}
 }
 
-// step draws one fault of a kind for a fleet of so many backends.
+// step draws one fault of the given kind for a fleet with that number of backends.
 func step(kind string, backends int, rng *rand.Rand) standin.Step {
 	s := standin.Step{At: time.Duration(50+rng.IntN(150)) * time.Millisecond, Do: kind, Size: 0.3 + 0.5*rng.Float64()}
 	s.Who = append(s.Who, rng.Perm(backends)[:1+rng.IntN(backends/4)]...)
@@ -77,20 +77,20 @@
 	case "storm":
 		s.Size = 40
 	}
-	if kind != "drain" && kind != "by-hand" { // which must outlast the grace
+	if kind != "drain" && kind != "by-hand" { // these two must outlast the grace period
 		s.For = time.Duration(300+rng.IntN(400)) * time.Millisecond
 	}
 	return s
 }
 
-// rules have room for a machine on which many fleets run side by side.
+// rules returns rules with enough slack for a machine on which many fleets run in parallel.
 func rules() audit.Rules {
 	r := audit.DefaultRules()
 	r.Slack, r.AnswerSlack, r.Keep = 500*time.Millisecond, 3*time.Second, 5*time.Second
 	return r
 }
 
-// playFaults plays a fleet with faults of these kinds, and returns what the auditor found.
+// runFaults runs a fleet with faults of these kinds, and returns the auditor's report.
 func runFaults(t *testing.T, seed uint64, kinds ...string) audit.Report {
 	t.Helper()
 	const backends = 8
@@ -116,7 +116,7 @@
 	return f.Books.Report()
 }
 
-// together puts kinds of fault into stories of three, so that each pair of kinds meets in one of them at least.
+// groupKinds groups the kinds of fault into scenarios of three, so that each pair of kinds occurs in at least one scenario.
 func groupKinds(kinds []string) (scenarios [][]string) {
 	met := map[[2]string]bool{}
 	newPair := func(a, b string) int {
@@ -145,11 +145,11 @@
 	return scenarios
 }
 
-// TestFaultsBreakNoRule plays faults of all kinds, each beside each other, with callers that retry and leave, and has
-// the auditor check the four rules. -fault-pairs -fault-seeds 20 plays the long form.
+// TestFaultsBreakNoRule runs faults of all kinds, each combined with each other, with callers that retry and leave, and has
+// the auditor check the four rules. -fault-pairs -fault-seeds 20 runs the long form.
 func TestFaultsBreakNoRule(t *testing.T) {
 	if testing.Short() {
-		t.Skip("plays for seconds")
+		t.Skip("runs for seconds")
 	}
 	kinds := standin.Kinds()
 	scenarios := [][]string{{"drain"}}
@@ -163,7 +163,7 @@
 			}
 		}
 	}
-	t.Logf("%d stories", len(scenarios))
+	t.Logf("%d scenarios", len(scenarios))
 	type run struct {
 		scenario []string
 		n        int
@@ -180,7 +180,7 @@
 						t.Errorf("%+v", r)
 					}
 					if r.Served == 0 || r.Checks[audit.OneAnswer] == 0 || r.Checks[audit.Effects] == 0 || r.Unwatched != 0 {
-						t.Errorf("nothing was put to the test: %+v", r)
+						t.Errorf("nothing was tested: %+v", r)
 					}
 					if slices.Contains(p.scenario, "drain") && len(p.scenario) == 1 && r.Checks[audit.Drains] == 0 {
 						t.Errorf("no notice of a drain: %+v", r)
--- a/internal/proxy/following.go
+++ b/internal/proxy/following.go
@@ -2,15 +2,15 @@
 
 import "sync"
 
-// following says whether the server list is followed yet. Nothing asks discovery before what is known from before the start has been taken up: what
-// discovery tells is newer than that, and is told once.
+// followState records whether the proxy has begun to follow the server list. Discovery is not called before the state
+// from before the start has been restored: what discovery sends is newer than that state, and is sent only once.
 type followState struct {
 	mu             sync.Mutex
 	begun          bool
-	watchRequested bool // a watch was asked for too early
+	watchRequested bool // a watch was requested before begin
 }
 
-// mayWatch says whether a watch may start now. One that may not is remembered.
+// mayWatch reports whether a watch may start now. A request that comes too early is recorded for begin.
 func (f *followState) mayWatch() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -18,7 +18,7 @@
 	return f.begun
 }
 
-// begin allows watches from now on, and says whether one was asked for before.
+// begin allows watches from now on, and reports whether one was requested before.
 func (f *followState) begin() (wanted bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -26,25 +26,26 @@
 	return f.watchRequested
 }
 
-// hasBegun says whether watches are allowed.
+// hasBegun reports whether watches are allowed.
 func (f *followState) hasBegun() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.begun
 }
 
-// watch starts a watch on the server list, which ends with the first call that fails.
+// watch starts a watch on the server list, which ends with the first failed call.
 func (p *Proxy) watch() {
 	if p.followState.mayWatch() {
 		p.running.Go(func() { p.discovery.Watch(p.ctx) })
 	}
 }
 
-// follow begins to follow discovery. Where it pushes lists, a watch is kept up; where it is asked, the balancer says when.
+// startFollowing begins to follow discovery. If discovery pushes lists, a watch is kept open; otherwise the balancer
+// decides when to request the list.
 func (p *Proxy) startFollowing() {
 	wanted := p.followState.begin()
 	switch {
-	case p.ctx.Err() != nil: // the proxy ends
+	case p.ctx.Err() != nil: // the proxy is closing
 	case !p.settings.Balancer.AskForList:
 		p.running.Go(func() { p.discovery.Follow(p.ctx) })
 	case wanted:
--- a/internal/proxy/following_test.go
+++ b/internal/proxy/following_test.go
@@ -14,7 +14,7 @@
 	"brasswell/internal/recovery"
 )
 
-// silentFleet is the link of a fleet of which nobody is heard: a start asks for others for as long as it may.
+// unreachableFleet is the link to a fleet of which no member answers: a start asks for other members until its timeout.
 type unreachableFleet struct{}
 
 var _ cluster.Carrier = unreachableFleet{}
@@ -23,7 +23,8 @@
 func (unreachableFleet) OnParcel(func([]byte))        {}
 func (unreachableFleet) Follow(func(s view.Standing)) {}
 
-// stateFolder is a folder for what processes know. One that ends does not wait for a slow disk, and may still write when the test is over.
+// stateFolder creates a folder for the state of processes. A process that ends does not wait for a slow disk, and may still
+// write when the test is over, so the removal is retried.
 func stateFolder(t *testing.T) string {
 	t.Helper()
 	folder, err := os.MkdirTemp("", "state")
@@ -41,7 +42,7 @@
 	return folder
 }
 
-// startRecovering starts a process that recovers what it knew from a folder, among so many.
+// startWithRecovery starts a process that recovers its state from a folder, in a fleet of that number of instances.
 func startWithRecovery(t *testing.T, folder string, instances int, r *registry, ask bool, hosts ...string) *Proxy {
 	t.Helper()
 	c := testConfig(r.address, json.RawMessage(list(1, true, hosts...)))
@@ -60,7 +61,7 @@
 	return p
 }
 
-// untilReady waits until a process has begun, and discovery has confirmed its list.
+// awaitReady waits until discovery has confirmed a process's list and its host is ready.
 func awaitReady(t *testing.T, p *Proxy) {
 	t.Helper()
 	awaitConfirmed(t, p)
@@ -71,8 +72,8 @@
 	}
 }
 
-// TestNewConfigurationWhileOthersAreAskedFor: discovery moves while a start still asks who else is there. What is known from before the start, by
-// the disk or the platform's file, does not replace what discovery tells.
+// TestNewConfigurationWhileOthersAreAskedFor: discovery moves while a start still asks for other members. State from
+// before the start, from disk or from the platform's file, must not replace the list from discovery.
 func TestNewConfigurationWhileOthersAreAskedFor(t *testing.T) {
 	up := []string{entry("s1", "127.0.0.1:1", "up"), entry("s2", "127.0.0.1:2", "up")}
 	for _, disk := range []bool{false, true} {
@@ -90,11 +91,11 @@
 				r.lists <- list(2, true, entry("s1", "127.0.0.1:1", "draining"), up[1])
 				awaitReady(t, p)
 				if !p.discovery.Fresh() {
-					t.Fatal("the list is not acted on any more")
+					t.Fatal("the list does not count as confirmed any more")
 				}
 				for _, s := range p.host.State().Snapshot.Servers {
 					if s.Entry.ID == "s1" && s.Entry.State != balance.Draining {
-						t.Errorf("a server that drains is %v by a list that is taken for confirmed", s.Entry.State)
+						t.Errorf("a draining server is %v, by a list that counts as confirmed", s.Entry.State)
 					}
 				}
 			})
--- a/internal/proxy/heldover_test.go
+++ b/internal/proxy/heldover_test.go
@@ -9,7 +9,7 @@
 	"brasswell/internal/cluster/rules"
 )
 
-// startHolding starts a process of a platform that holds lists back by an agreement.
+// startWithListGuard starts a process that holds lists for confirmation by the given rules.
 func (p *platform) startWithListGuard(a *fakeRules) *Proxy {
 	p.t.Helper()
 	file, err := p.listener.File()
@@ -27,8 +27,8 @@
 	return proxy
 }
 
-// TestWhatIsHeldBackIsHeldBackOverUpgrades: servers that the newest list leaves out, and that are gone on with, are let go of by the next process
-// as by the one before, once an operator accepts the loss.
+// TestHeldServersStayHeldAcrossUpgrades: servers that the newest list leaves out and that stay in use are released by
+// the next process as well as by the previous one, once an operator accepts the loss.
 func TestHeldServersStayHeldAcrossUpgrades(t *testing.T) {
 	const drop = 0.22
 	p := newPlatform(t, entry("s1", "127.0.0.1:1", "up"), entry("s2", "127.0.0.1:2", "up"), entry("s3", "127.0.0.1:3", "up"), entry("s4", "127.0.0.1:4", "up"))
@@ -43,7 +43,7 @@
 	p.registry.lists <- list(2, false, removed...)
 	for end := time.Now().Add(eventTimeout); !first.lists.isHeld("s1"); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the loss is not held back")
+			t.Fatal("the removed servers are not held")
 		}
 	}
 	first.upgrade.start()
@@ -52,16 +52,17 @@
 	for name, process := range map[string]struct {
 		proxy *Proxy
 		rules *fakeRules
-	}{"the process before": {first, before}, "the next process": {second, after}} {
+	}{"the previous process": {first, before}, "the next process": {second, after}} {
 		process.rules.basis.Store(accepted)
 		process.rules.onChange(accepted)
 		if listed, _ := process.proxy.host.CountServers(); listed != 1 {
-			t.Errorf("%s goes on with %d servers, and the newest list has one", name, listed)
+			t.Errorf("%s uses %d servers, and the newest list has one", name, listed)
 		}
 	}
 }
 
-// holdingThree is a platform of four servers, and its first process: discovery has left three of them out, and they are held.
+// holdThreeServers starts the first process of a platform with four servers. Discovery leaves three of them out, and they
+// are held.
 func holdThreeServers(t *testing.T) (p *platform, first *Proxy, lost []string) {
 	t.Helper()
 	p = newPlatform(t, entry("s1", "127.0.0.1:1", "up"), entry("s2", "127.0.0.1:2", "up"), entry("s3", "127.0.0.1:3", "up"), entry("s4", "127.0.0.1:4", "up"))
@@ -71,15 +72,15 @@
 	p.registry.lists <- list(2, true, p.hosts[3])
 	for end := time.Now().Add(eventTimeout); !first.lists.isHeld("s1"); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the loss is not held back")
+			t.Fatal("the removed servers are not held")
 		}
 	}
 	first.upgrade.start()
 	return p, first, []string{"s1", "s2", "s3"}
 }
 
-// TestAWholeListIsJudgedBehindAnUpgrade: the next process judges a list by the servers that the one before has, tells people what it holds, and lets
-// go of that once an operator accepts the loss.
+// TestFullListIsCheckedAfterUpgrade: the next process checks a list against the servers of the previous one, reports to
+// operators what it holds, and releases it once an operator accepts the loss.
 func TestFullListIsCheckedAfterUpgrade(t *testing.T) {
 	p, _, lost := holdThreeServers(t)
 	p.registry = newRegistry(t)
@@ -87,30 +88,31 @@
 	after.maxDrop = 0.22
 	second := p.startWithListGuard(after)
 	if told := after.held.Load(); told == nil || !slices.Equal(*told, lost) {
-		t.Errorf("people are told that %v are held", told)
+		t.Errorf("reported as held: %v", told)
 	}
 	p.registry.lists <- list(3, true, p.hosts[3], entry("s5", "127.0.0.1:5", "up"))
 	for end := time.Now().Add(eventTimeout); second.discovery.Seq() != 3; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the news are never taken in")
+			t.Fatal("the update is never applied")
 		}
 	}
 	if listed, _ := second.host.CountServers(); listed != 5 {
-		t.Errorf("%d servers are gone on with; the list has two, and three are held", listed)
+		t.Errorf("%d servers are in use; the list has two, and three are held", listed)
 	}
 	accepted := leaseUntil(&rules.Document{Dropped: lost}, time.Hour)
 	after.basis.Store(accepted)
 	after.onChange(accepted)
 	if listed, _ := second.host.CountServers(); listed != 2 {
-		t.Errorf("%d servers are gone on with, and the newest list has two", listed)
+		t.Errorf("%d servers are in use, and the newest list has two", listed)
 	}
 }
 
-// TestAProcessThatHoldsNothingLetsGoAtAnUpgrade: what the process before holds is let go of by a next one that holds nothing back.
+// TestProcessWithoutListGuardReleasesHeldServers: servers that the previous process holds are released by a next process
+// that does not hold lists.
 func TestProcessWithoutListGuardReleasesHeldServers(t *testing.T) {
 	p, _, _ := holdThreeServers(t)
 	second := p.startWithListGuard(newFakeRules(&rules.Document{}))
 	if listed, _ := second.host.CountServers(); listed != 1 {
-		t.Errorf("%d servers are gone on with, and the newest list has one", listed)
+		t.Errorf("%d servers are in use, and the newest list has one", listed)
 	}
 }
--- a/internal/proxy/leaving_test.go
+++ b/internal/proxy/leaving_test.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// ways are how a caller may leave.
+// leaveActions are the ways in which a caller may leave.
 var leaveActions = map[string]func(*testCaller){
 	"closes":      func(c *testCaller) { c.Close() },
 	"half-closes": func(c *testCaller) { c.Conn.(*net.TCPConn).CloseWrite() },
 	"resets":      func(c *testCaller) { c.Conn.(*net.TCPConn).SetLinger(0); c.Close() },
 }
 
-// TestCallerLeavesBehindFurtherBytes: a caller sends more behind its open request and leaves. net/http reads one byte of that
-// and would not learn of the end behind it. The attempt that is out is called off, and nothing of the rest is sent on.
+// TestCallerLeavesAfterExtraBytes: a caller sends more bytes after its open request and leaves. net/http reads one byte of
+// them and would not detect the end of the connection after them. The open attempt must be canceled, and none of the
+// further bytes may be forwarded.
 func TestCallerLeavesAfterExtraBytes(t *testing.T) {
 	t.Parallel()
 	var many strings.Builder
@@ -28,7 +29,7 @@
 		"a flood": many.String(),
 	} {
 		for way, leave := range leaveActions {
-			t.Run(way+" behind "+what, func(t *testing.T) {
+			t.Run(way+" after "+what, func(t *testing.T) {
 				b := newBackend(t, "127.0.0.1:0", func(string) string { return "" })
 				g := newTestProxy(t, nil, entry("s1", b.address, "up"))
 				c := g.dial().send(head("open"))
@@ -38,18 +39,19 @@
 				c.send(more)
 				leave(c)
 				await(t, "the end of the attempt", b.gone)
-				for g.callers.Len() > 0 { // until the connection is done with
+				for g.callers.Len() > 0 { // until the connection is closed
 					time.Sleep(time.Millisecond)
 				}
 				if n := len(b.requests); n != 0 {
-					t.Errorf("%d requests sent for a caller that has gone, the first %s", n, <-b.requests)
+					t.Errorf("%d requests were forwarded for a caller that has left, the first %s", n, <-b.requests)
 				}
 			})
 		}
 	}
 }
 
-// openFirst is a caller whose first request is out at a backend, which answers it once hold is closed, and others at once.
+// openFirst returns a caller whose first request is open at a backend. The backend answers it once hold is closed, and
+// other requests at once.
 func openFirst(t *testing.T) (c *testCaller, b *backend, hold chan struct{}) {
 	t.Helper()
 	hold = make(chan struct{})
@@ -64,7 +66,7 @@
 	return c, b, hold
 }
 
-// TestFurtherRequestsAreServedInTurn: they were read ahead while the first was open, and are not lost by it.
+// TestPipelinedRequestsAreServedInOrder: requests that are read ahead while the first is open are not lost.
 func TestPipelinedRequestsAreServedInOrder(t *testing.T) {
 	t.Parallel()
 	c, b, hold := openFirst(t)
@@ -78,13 +80,13 @@
 	}
 	for _, id := range []string{"second", "third"} {
 		if got := await(t, id, b.requests); got != id {
-			t.Errorf("%s was sent on in place of %s", got, id)
+			t.Errorf("%s was forwarded in place of %s", got, id)
 		}
 	}
 }
 
-// TestAFloodBehindARequest: more comes behind an open request than is kept. That one is answered, and then the connection
-// ends; the caller knows by that to send the others again.
+// TestFloodOfPipelinedRequests: more bytes follow an open request than the proxy buffers. That request is answered, and
+// then the connection ends, so that the caller knows to send the others again.
 func TestFloodOfPipelinedRequests(t *testing.T) {
 	t.Parallel()
 	c, b, hold := openFirst(t)
@@ -98,7 +100,8 @@
 		}
 	}()
 	await(t, "the end of sending", sent)
-	// Once the proxy's socket has taken all, most of it has been read: it holds 128 KiB at most, and far more was sent.
+	// Once the proxy's socket has received everything, the proxy has read most of it: the socket buffers at most 128
+	// KiB, and far more was sent.
 	for unsentBytes(c.Conn.(*net.TCPConn)) > 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -116,8 +119,8 @@
 			t.Fatalf("%d %q", status, text)
 		}
 	}
-	// 16 KiB are kept, and net/http had up to 4 KiB behind the first head.
+	// The proxy buffers 16 KiB, and net/http up to 4 KiB after the first head.
 	if most := 2 + (20<<10)/len(head("more0")); answers < 1 || answers > most {
-		t.Errorf("%d answers, want the first's and those of what was kept, %d at most", answers, most)
+		t.Errorf("%d answers, want the first and those of the buffered requests, at most %d", answers, most)
 	}
 }
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -9,30 +9,32 @@
 )
 
 const (
-	// reservedSockets are for discovery, the listener, the runtime and the standard streams.
+	// reservedSockets is the number of descriptors for discovery, the listener, the runtime and the standard streams.
 	reservedSockets = 32
-	// callerShare and backendShare of the other sockets are for each side. A request uses one of each, and
-	// callers' connections that are only there to be refused need a few more.
+	// callerShare and backendShare are the shares of the other sockets for each side. A request uses one socket on each
+	// side. hardCallerShare is higher, because connections that are accepted only to be refused need a few more sockets.
 	callerShare, hardCallerShare, backendShare = 0.46, 0.54, 0.46
-	// bodyShare of the memory may hold callers' bodies. The rest is for answers (body.WholeBytes for each
-	// backend connection at most), streams' windows, connections and the collector's slack.
+	// bodyShare is the share of the memory for callers' bodies. The rest is for answers (at most body.WholeBytes for
+	// each backend connection), stream windows, connections and the headroom of the garbage collector.
 	bodyShare = 0.25
-	// kernelShare of the memory bounds what all sockets may hold in the kernel, where it counts as ours and
-	// the collector does not see it. Left alone, one connection's buffers grow to megabytes.
+	// kernelShare is the share of the memory for the kernel buffers of all sockets. They count toward this process's
+	// memory limit, but the garbage collector does not see them. Without a limit, the buffers of one connection grow to
+	// megabytes.
 	kernelShare = 0.2
-	// The console holds one of consoleShare descriptors, within bounds: its callers may stay and say nothing.
+	// The console may use one descriptor in socketsPerConsoleConn, within the bounds: its callers may keep idle
+	// connections open.
 	socketsPerConsoleConn, minConsoleConns, maxConsoleConns = 24, 8, 64
-	// A socket's buffer is no smaller than leastBuffer, which the kernel would not go below by much, and
-	// needs to be no larger than mostBuffer, which takes a body that is read whole.
+	// A socket's buffer is at least minBuffer, since the kernel's own minimum is not much lower, and at most maxBuffer,
+	// which holds a body that is read whole.
 	minBuffer, maxBuffer = 8 << 10, 64 << 10
 )
 
-// socketControl is called with each socket before it is used.
+// socketControl is called for each socket before it is used.
 type socketControl = func(network, address string, c syscall.RawConn) error
 
-// socketBuffers returns a hook that bounds the kernel's buffers of a socket, and of those that a listener accepts.
+// socketBuffers returns a hook that limits the kernel buffers of a socket, and of the sockets that a listener accepts.
 func socketBuffers(memory int64, sockets int) socketControl {
-	// The kernel doubles what is asked for, to leave room for its own records.
+	// The kernel doubles the requested size, for its own bookkeeping.
 	size := int(kernelShare * float64(memory) / float64(4*max(sockets, 1)))
 	size = min(max(size, minBuffer), maxBuffer)
 	return func(_, _ string, c syscall.RawConn) error {
@@ -46,14 +48,15 @@
 	}
 }
 
-// limits are what a proxy may hold when it is alone.
+// limits are the resources of a proxy while no second process of it is running.
 type limits struct {
 	softCallers, hardCallers, backends int
 	bodyBytes                          int64
 	onMemoryShare                      func(float64)
 }
 
-// divide divides what the platform allows among the proxy's sides. What channels may hold is taken from c.
+// divideLimits divides the platform's limits among callers, backends and bodies. It first subtracts what channels may use;
+// for memory, it subtracts that from c.
 func divideLimits(c *Config) (limits, error) {
 	sockets := float64(c.Sockets - reservedSockets - consoleConns(c))
 	if o := &c.Options.Channels; o.Enabled {
@@ -69,7 +72,7 @@
 	}, nil
 }
 
-// consoleConns is how many connections operators may have.
+// consoleConns returns the maximum number of console connections.
 func consoleConns(c *Config) int {
 	if c.Console == "" {
 		return 0
@@ -77,7 +80,7 @@
 	return min(max(c.Sockets/socketsPerConsoleConn, minConsoleConns), maxConsoleConns)
 }
 
-// setPart makes a part of the proxy's limits this process's own.
+// setShare limits this process to a share of the proxy's limits.
 func (p *Proxy) setShare(share handover.Part) {
 	l := p.limits
 	scale := func(part float64, of int) int { return max(int(math.Round(part*float64(of))), 1) }
@@ -91,5 +94,6 @@
 	}
 }
 
-// leastPart of the memory and the backends' connections is for a process that only finishes what it has.
+// minMemoryShare is the smallest share of the memory and of the backend connections. A process that only finishes its open
+// requests keeps this share.
 const minMemoryShare = 0.25
--- a/internal/proxy/listen.go
+++ b/internal/proxy/listen.go
@@ -8,12 +8,12 @@
 	"syscall"
 )
 
-// listen opens the callers' listener: the platform's where it hands one down, or its own.
+// listen opens the callers' listener: the inherited socket if there is one, or a new one.
 func listen(c Config, control func(network, address string, c syscall.RawConn) error) (net.Listener, error) {
 	if c.Inherited == nil {
 		return (&net.ListenConfig{Control: control}).Listen(context.Background(), "tcp", c.Listen)
 	}
-	defer c.Inherited.Close() // FileListener has a copy
+	defer c.Inherited.Close() // FileListener duplicates the descriptor
 	l, err := net.FileListener(c.Inherited)
 	if err != nil {
 		return nil, fmt.Errorf("inherited socket: %w", err)
@@ -34,10 +34,9 @@
 	return &sharedListener{l, raw}, nil
 }
 
-// shared is a listener whose socket other processes hold as well. Whether a socket blocks is one setting for all of
-// them, and whoever hands it to a further process may change it, as os.File.Fd does: an accept that begins then would
-// stand until the next caller comes, and this process could not let go of the socket. So the setting is made anew before
-// each accept.
+// sharedListener is a listener whose socket is also open in other processes. They all share the socket's non-blocking flag,
+// and a process that passes the socket on may clear it, as os.File.Fd does. An accept that starts then would block until
+// the next caller connects, and this process could not release the socket. Accept therefore sets the flag before each call.
 type sharedListener struct {
 	net.Listener
 	raw syscall.RawConn
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -15,30 +15,30 @@
 	"brasswell/internal/host"
 )
 
-// The log's lines about lists that are held back.
+// Log messages about servers that are missing from the newest list and are held for confirmation.
 const (
 	LogHeld  = "list: held back"
 	LogLetGo = "list: let go"
 )
 
-// askTraffic is between two looks at which of the backends that are held answer, while some are.
+// ejectedPollInterval is the interval between two checks for held backends that the host has ejected, while any are held.
 const ejectedPollInterval = 250 * time.Millisecond
 
-// keptLists stands between discovery and the host, and holds back what a judge does not believe. A nil one holds nothing. It has a
-// goroutine only while something is held.
+// listGuard passes discovery's lists to the host, but keeps servers in use if its checker does not accept that a list
+// leaves them out. A nil listGuard holds nothing. It runs a goroutine only while servers are held.
 type listGuard struct {
 	host       *host.Instance
-	reportHeld func(ids []string) // what is held now, for people
+	reportHeld func(ids []string) // receives the servers that are held now, for operators
 	log        *slog.Logger
-	ctx        context.Context // ends with the proxy
+	ctx        context.Context // done when the proxy closes
 	running    *sync.WaitGroup
 	start      time.Time
 
-	held atomic.Pointer[map[string]bool] // nil for none
+	held atomic.Pointer[map[string]bool] // IDs of the held servers; nil for none
 
 	mu      sync.Mutex
 	checker *lists.Judge
-	doc     *rules.Document // what was agreed last; nil for nothing
+	doc     *rules.Document // the rules agreed last; nil for none
 	polling bool
 }
 
@@ -50,7 +50,8 @@
 	return k
 }
 
-// mayDrop is asked by the judge, with mu held: who is banned everywhere is no loss, and no surprise.
+// mayDrop reports whether a list may leave out a server without confirmation: one that the agreed rules ban or allow to be
+// dropped. The checker calls it with mu held.
 func (k *listGuard) mayDrop(id string) bool {
 	if k.doc == nil {
 		return false
@@ -61,7 +62,7 @@
 
 func (k *listGuard) now() time.Duration { return time.Since(k.start) }
 
-// update takes in what discovery says, in the host's stead.
+// update receives discovery's lists in place of the host, checks them, and passes the result to the host.
 func (k *listGuard) update(kind balance.ListKind, entries []balance.Entry, addresses map[string]string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -70,7 +71,7 @@
 	k.updateHeld()
 }
 
-// agreed takes in the rules that are acted on.
+// setRules sets the agreed rules that are in force.
 func (k *listGuard) setRules(doc *rules.Document) {
 	if k == nil {
 		return
@@ -81,7 +82,7 @@
 	k.forward(k.checker.Agreed(k.now()))
 }
 
-// pass passes on what is let go; mu is held.
+// forward passes released servers on to the host; mu must be held.
 func (k *listGuard) forward(u lists.Update, any bool) {
 	if any {
 		k.host.Update(u.Kind, u.Entries, u.Addresses)
@@ -89,7 +90,7 @@
 	k.updateHeld()
 }
 
-// noted tells what is held, if that has changed, and looks at the traffic while anything is; mu is held.
+// updateHeld logs and reports the held servers, and starts the polling of their traffic if any are held; mu must be held.
 func (k *listGuard) updateHeld() {
 	ids := k.checker.Held()
 	before := 0
@@ -109,7 +110,7 @@
 		}
 		k.held.Store(&held)
 		if len(ids) > before {
-			k.log.Warn(LogHeld, "held", len(ids), "mend", "if they are gone, brasswell ctl rules drop; if not, mend the list")
+			k.log.Warn(LogHeld, "held", len(ids), "mend", "if they are gone, run brasswell ctl rules drop; if not, correct the list")
 		} else if len(ids) < before {
 			k.log.Info(LogLetGo, "held", len(ids))
 		}
@@ -121,7 +122,8 @@
 	k.reportHeld(ids)
 }
 
-// look asks the traffic about what is held until nothing is.
+// pollEjected periodically passes the held servers that the host has ejected to the checker, which may then release
+// them. It runs until none are held.
 func (k *listGuard) pollEjected() {
 	for {
 		select {
@@ -139,7 +141,7 @@
 	}
 }
 
-// carry tells the next process what the balancer knows and what of that is held, as of one moment.
+// exportTo stores a consistent snapshot of the balancer and of the held servers in the state for the next process.
 func (k *listGuard) exportTo(state *handover.Knowledge) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -147,7 +149,7 @@
 	state.Lists = k.checker.Carry(k.now())
 }
 
-// adopt goes on with what the process before holds; it is for one that has taken in no list yet.
+// importFrom restores the servers that the previous process holds. It must be called before the first list arrives.
 func (k *listGuard) importFrom(state *handover.Knowledge) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -155,7 +157,7 @@
 	k.updateHeld()
 }
 
-// inService are the servers that the process before has in service, as a list has told them.
+// inServiceServers returns the servers that are in service in the previous process, with their start times from the list.
 func inServiceServers(state *handover.Knowledge) (servers []lists.Server) {
 	for _, s := range state.Balancer.Servers {
 		if s.Entry.State == balance.InService {
@@ -167,7 +169,8 @@
 	return servers
 }
 
-// carryLists tells the next process what the balancer knows, and what of that the newest list leaves out.
+// exportLists stores the balancer's snapshot in the state for the next process, and the servers that the newest list leaves
+// out.
 func (p *Proxy) exportLists(state *handover.Knowledge) {
 	if p.lists != nil {
 		p.lists.exportTo(state)
@@ -176,8 +179,8 @@
 	state.Balancer, state.Addresses = p.host.Snapshot()
 }
 
-// adoptLists goes on with what the process before holds. Where nothing is held back any more, it is let go of: discovery does not say again that
-// it is gone.
+// importLists restores the servers that the previous process holds. If this process holds none, it removes them, because
+// discovery does not report their removal again.
 func (p *Proxy) importLists(state *handover.Knowledge) {
 	if p.lists != nil {
 		p.lists.importFrom(state)
@@ -192,7 +195,7 @@
 	}
 }
 
-// holds says whether a backend is one that the newest list leaves out.
+// isHeld reports whether a backend is held although the newest list leaves it out.
 func (k *listGuard) isHeld(id string) bool {
 	if k == nil {
 		return false
--- a/internal/proxy/options.go
+++ b/internal/proxy/options.go
@@ -8,7 +8,7 @@
 	"brasswell/internal/operator"
 )
 
-// Options are what an operator may set about a proxy.
+// Options are the settings of a proxy that an operator may change.
 type Options struct {
 	Callers   front.Options
 	Backends  backends.Options
@@ -16,12 +16,12 @@
 	Channels  channel.Options
 }
 
-// DefaultOptions fit the platform.
+// DefaultOptions returns defaults that fit the platform.
 func DefaultOptions() Options {
 	return Options{front.DefaultOptions(), backends.DefaultOptions(), discovery.DefaultOptions(), channel.DefaultOptions()}
 }
 
-// Sections describes the options to the operator file.
+// Sections returns the sections of the operator file that set these options.
 func (o *Options) Sections() []operator.Section {
 	return []operator.Section{o.Callers.Section(), o.Backends.Section(), o.Discovery.Section(), o.Channels.Section()}
 }
--- a/internal/proxy/parking_test.go
+++ b/internal/proxy/parking_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// withParking has connections parked that idle for a tenth of a second.
+// withParking enables the parking of connections that are idle for 0.1 s.
 func withParking(change func(*Config)) func(*Config) {
 	return func(c *Config) {
 		c.Options.Callers.ParkAfter = 100 * time.Millisecond
-		o := &c.Options.Callers // on a slow machine, the first has idled for seconds when the last comes
+		o := &c.Options.Callers // on a slow machine, the first connection has been idle for seconds when the last opens
 		o.IdleTimeout, o.OnceIdle, o.HeadTimeout = time.Minute, time.Minute, time.Minute
 		if change != nil {
 			change(c)
@@ -21,7 +21,7 @@
 	}
 }
 
-// parked waits until so many connections are parked.
+// awaitParked waits until n connections are parked.
 func (g *testProxy) awaitParked(n int) {
 	g.t.Helper()
 	for end := time.Now().Add(eventTimeout); g.parking.Len() != n; time.Sleep(time.Millisecond) {
@@ -31,7 +31,7 @@
 	}
 }
 
-// asks sends a request and wants it served.
+// request sends a request and expects the answer 200.
 func (c *testCaller) request(id string) {
 	c.t.Helper()
 	c.send("GET /api HTTP/1.1\r\nHost: x\r\nX-Txn: " + id + "\r\nX-Lane: search\r\nX-Remaining-Ms: 9000\r\n\r\n")
@@ -51,13 +51,14 @@
 	}
 }
 
-// counted counts every id that comes to the backend until the function that it returns is called, which tells them.
+// countRequests counts the requests that reach the backend, by id, until the returned function is called, which returns the
+// counts.
 func (b *backend) countRequests() func() map[string]int {
 	came := make(chan map[string]int)
 	go func() {
 		ids := map[string]int{}
 		for id := range b.requests {
-			if id == "" { // nobody sends it
+			if id == "" { // no request has this id
 				break
 			}
 			ids[id]++
@@ -70,8 +71,8 @@
 	}
 }
 
-// TestParkedConnectionsServeOn parks connections again and again: requests whole, in pieces and one behind the other
-// come on parked ones, and each is served once; those that callers close are let go.
+// TestParkedConnectionsKeepServing parks connections repeatedly. Whole, split and pipelined requests arrive on parked
+// connections, and each is served once. Parked connections that callers close are released.
 func TestParkedConnectionsKeepServing(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, "127.0.0.1:0", idAnswer)
@@ -116,14 +117,14 @@
 	ids := came()
 	for id, n := range ids {
 		if n != 1 {
-			t.Errorf("%s came to the backend %d times", id, n)
+			t.Errorf("%s reached the backend %d times", id, n)
 		}
 	}
 	if want := callers + 3*callers + 3*(callers/3); len(ids) != want {
-		t.Errorf("%d requests came to the backend, want %d", len(ids), want)
+		t.Errorf("%d requests reached the backend, want %d", len(ids), want)
 	}
 	if s := g.callers.States(); s["idle"] != callers {
-		t.Errorf("%v; all %d have asked several times and idle", s, callers)
+		t.Errorf("%v; all %d have sent several requests and are idle", s, callers)
 	}
 	for _, c := range all {
 		c.Close()
@@ -136,8 +137,8 @@
 	}
 }
 
-// TestParkedConnectionsMakeRoom: newcomers take the places of parked connections, those that have asked once first, and
-// all that are parked end with their time, in steps.
+// TestParkedConnectionsMakeRoom: new connections replace parked ones, beginning with those that have carried one
+// request, and every parked connection is closed at its idle timeout, in steps.
 func TestParkedConnectionsMakeRoom(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, "127.0.0.1:0", idAnswer)
@@ -150,16 +151,16 @@
 	g.callers.SetLimits(2, 3)
 	g.dial().request("n1")
 	if _, err := single.r.ReadByte(); err == nil || strings.Contains(err.Error(), "timeout") {
-		t.Errorf("the one that has asked once is kept: %v", err)
+		t.Errorf("the connection with one request is kept: %v", err)
 	}
 	several.request("s3")
 	if _, err := several.r.ReadByte(); err == nil || strings.Contains(err.Error(), "timeout") {
-		t.Errorf("a parked connection does not end with its time: %v", err)
+		t.Errorf("a parked connection is not closed at its idle timeout: %v", err)
 	}
 	g.awaitParked(0)
 }
 
-// TestRestartWithParkedConnections: a planned restart closes what is parked, and ends.
+// TestRestartWithParkedConnections: a planned restart closes the parked connections and ends.
 func TestRestartWithParkedConnections(t *testing.T) {
 	t.Parallel()
 	b := newBackend(t, "127.0.0.1:0", idAnswer)
@@ -168,7 +169,7 @@
 	c.request("1")
 	g.awaitParked(1)
 	if others := g.callers.CloseIdle(0); others != 0 {
-		t.Errorf("%d connections are left", others)
+		t.Errorf("%d connections remain", others)
 	}
 	g.awaitParked(0)
 	if _, err := c.r.ReadByte(); err == nil || strings.Contains(err.Error(), "timeout") {
@@ -176,9 +177,9 @@
 	}
 }
 
-// TestRequestsThatMeetTheirConnectionsEnd has many parked connections end within the same moment, while requests come on
-// them and a busy caller asks on. Each request is either served, or its connection is closed and nothing of it has
-// reached a backend, so that it may be sent again.
+// TestRequestsThatMeetTheirConnectionsEnd has many parked connections reach their idle timeout at about the same time,
+// while requests arrive on them and a busy caller keeps sending requests. Each request is either served, or its
+// connection is closed and no part of it has reached a backend, so that it may be sent again.
 func TestRequestsThatMeetTheirConnectionsEnd(t *testing.T) {
 	const callers, idleTime = 200, time.Second
 	b := newBackend(t, "127.0.0.1:0", idAnswer)
@@ -228,12 +229,12 @@
 	ids := came()
 	for id := range closed {
 		if ids[id] != 0 {
-			t.Errorf("%s reached a backend, and its connection was closed for idleness", id)
+			t.Errorf("%s reached a backend, and its connection was closed as idle", id)
 		}
 	}
 	for id, ok := range served {
 		if !ok || ids[id] != 1 {
-			t.Errorf("%s: served %v, came to the backend %d times", id, ok, ids[id])
+			t.Errorf("%s: served %v, reached the backend %d times", id, ok, ids[id])
 		}
 	}
 	t.Logf("%d served, %d closed", len(served), len(closed))
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,6 +1,6 @@
-// Package proxy puts one proxy together: a front for callers, a host for the balancer, connections to backends,
-// and discovery, which names them. A process may run several, each with a balancer of its own; they share
-// nothing. It decides nothing.
+// Package proxy assembles one proxy: a front for callers, a host for the balancer, connections to backends, and
+// discovery, which lists the backends. A process may run several proxies, each with its own balancer; they share nothing.
+// The package makes no balancing decisions itself.
 package proxy
 
 import (
@@ -36,10 +36,10 @@
 	discovery   *discovery.Client
 	followState followState
 	fileList    json.RawMessage // the list in the platform's file
-	lists       *listGuard      // nil where none is held back
-	channels    *channel.Table  // nil where there are none
-	console     *console.Server // nil where operators have no address
-	upgrade     *upgrade        // nil where no second process is met
+	lists       *listGuard      // nil if lists are not checked
+	channels    *channel.Table  // nil if channels are disabled
+	console     *console.Server // nil if there is no console
+	upgrade     *upgrade        // nil if there is no handover to a second process
 	fleet       Fleet           // nil for none
 	rules       Rules           // nil for none
 	recovery    *recovery.Node  // nil for none
@@ -49,8 +49,8 @@
 	log         *slog.Logger
 }
 
-// New checks the configuration, opens the listener and begins to watch; nothing is answered before Serve. A proxy
-// that is not served must be closed.
+// New checks the configuration, opens the listener and begins to follow discovery. No request is answered before Serve. A
+// proxy that is not served must be closed.
 func New(c Config) (*Proxy, error) {
 	if err := checkTimeouts(c.Settings); err != nil {
 		return nil, err
@@ -79,7 +79,7 @@
 	return p, nil
 }
 
-// checkTimes says which of the platform's times makes no sense.
+// checkTimeouts returns an error if a timeout in the platform's settings is not positive.
 func checkTimeouts(s *settings.Settings) error {
 	if s.ConnectTimeout <= 0 {
 		return fmt.Errorf("settings: limits.connect_timeout_ms: %v is not above 0", s.ConnectTimeout)
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// newProxy puts together what needs no socket and knows no server.
+// newProxy creates the parts that need neither a socket nor a server list.
 func newProxy(c *Config, lim limits, buffers socketControl) *Proxy {
 	counters := figures.NewBook(c.Settings.Classes)
 	return &Proxy{
@@ -105,14 +105,14 @@
 	}
 }
 
-// openHost makes the balancer's host and the client of discovery that feeds it.
+// openHost creates the balancer's host and the discovery client that updates it.
 func (p *Proxy) openHost(c *Config) (err error) {
 	s := c.Settings
 	if p.host, err = host.New(s.Balancer, c.Seed, p.backends, p.watch, c.Log); err != nil {
 		return err
 	}
 	update := p.host.Update
-	retryAfter := time.Duration(0) // that refused callers are asked for
+	retryAfter := time.Duration(0) // sent to refused callers
 	if s.Balancer.RetryAfter {
 		retryAfter = min(closedRetryAfter, s.Balancer.MaxRetryAfter)
 	}
@@ -137,7 +137,7 @@
 	return nil
 }
 
-// open opens the callers' listener, and the table of channels where there are any.
+// open opens the callers' listener, and creates the table of channels if they are enabled.
 func (p *Proxy) open(c *Config, buffers socketControl) error {
 	l, err := listen(*c, buffers)
 	if err != nil {
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// start takes up what is known of the servers, and begins to follow discovery, other processes and the fleet's rules.
+// start restores the known server list, and begins to follow discovery, other processes and the fleet's rules.
 func (p *Proxy) start(c *Config) error {
 	if c.Options.Callers.ParkAfter > 0 {
 		if err := p.startParking(&c.Options.Callers); err != nil {
@@ -168,7 +168,7 @@
 		p.upgrade = newUpgrade(p, c.MeetIn, c.Name)
 	}
 	joined := p.upgrade != nil && p.upgrade.restoreState()
-	if !joined && p.recovery == nil { // what a running process knows is newer than the file's list, and so is a folder
+	if !joined && p.recovery == nil { // state from a running process or from disk is newer than the file's list
 		if err := p.loadCachedList(c.Known); err != nil {
 			return err
 		}
@@ -191,7 +191,7 @@
 	return nil
 }
 
-// known starts the balancer with the list as this proxy last had it; it can serve from that at once.
+// loadCachedList gives the balancer the list that this proxy last had, from which it can serve at once.
 func (p *Proxy) loadCachedList(text json.RawMessage) error {
 	c := &discovery.Catalog{Seq: -1}
 	if len(text) > 0 && string(text) != "null" {
@@ -204,23 +204,23 @@
 	return nil
 }
 
-// MoveDiscovery goes over to discovery at another address, while serving with the list that is held.
+// MoveDiscovery switches to discovery at another address, while the proxy serves from its current list.
 func (p *Proxy) MoveDiscovery(address string) {
 	p.discovery.Move(address)
-	p.watch() // the balancer may be waiting for its time to ask again
+	p.watch() // the balancer may be waiting until its next request is due
 }
 
-// SetOptions changes the options that can change while serving.
+// SetOptions changes the options that may change while the proxy serves.
 func (p *Proxy) SetOptions(o Options) {
 	p.front.SetOptions(o.Callers)
 	p.backends.SetOptions(o.Backends)
 	p.discovery.SetOptions(o.Discovery)
 }
 
-// SetFleet takes in who of the fleet is there: this proxy's part of what all may do together follows from it.
+// SetFleet sets the count of the fleet's members, from which this proxy's share of the fleet-wide limits is derived.
 func (p *Proxy) SetFleet(c parts.Count) {
 	p.host.SetFleetShares(parts.Decide(p.settings.Balancer.Instances, c))
 }
 
-// Addr is where the proxy listens.
+// Addr returns the address at which the proxy listens.
 func (p *Proxy) Addr() net.Addr { return p.listener.Addr() }
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -24,34 +24,34 @@
 )
 
 func TestMain(m *testing.M) {
-	log.SetOutput(io.Discard) // net/http tells of each stray byte, of which there are many here
+	log.SetOutput(io.Discard) // net/http logs each unexpected byte, and these tests send many
 	goleak.VerifyTestMain(m)
 }
 
-// patient is how long a test waits for an event that must come.
+// eventTimeout is the time within which an expected event must occur.
 const eventTimeout = 20 * time.Second
 
-// await fails the test if the event does not come.
+// await returns the next value of c, and fails the test if none arrives in time.
 func await[T any](t *testing.T, what string, c <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-c:
 		return v
 	case <-time.After(eventTimeout):
-		t.Fatalf("%s did not come", what)
+		t.Fatalf("%s: timed out", what)
 		panic("unreachable")
 	}
 }
 
-// backend is a server on a loopback socket whose every answer the test writes itself.
+// backend is a server on a loopback socket. The test provides the bytes of each answer.
 type backend struct {
 	address  string
-	requests chan string // the ids that came, in order
+	requests chan string // the ids received, in order
 	conns    chan string // the remote address of each connection
-	gone     chan string // the same once its other side has closed
+	gone     chan string // the remote address of each connection that the peer has closed
 }
 
-// newBackend answers each request with what reply returns for its id, byte for byte; "" is silence.
+// newBackend starts a backend that answers each request with the bytes that reply returns for its id; "" for no answer.
 func newBackend(t *testing.T, address string, reply func(id string) string) *backend {
 	t.Helper()
 	l, err := net.Listen("tcp", address)
@@ -100,7 +100,7 @@
 	}
 }
 
-// drain takes the requests off their channel, which holds a hundred, until done.
+// drain receives from the channel of requests, which has a capacity of 100, until done is closed.
 func (b *backend) drain(done <-chan struct{}) {
 	for {
 		select {
@@ -111,16 +111,17 @@
 	}
 }
 
-// whole is a sound answer that names the request it belongs to.
+// idAnswer returns a valid answer whose body is the id of its request.
 func idAnswer(id string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 }
 
-// registry is discovery: a call that does not wait is answered with no news, and the test says what the others are answered with.
+// registry is a stub of discovery. It answers a call that does not wait with an empty delta. The test provides the answers
+// to other calls.
 type registry struct {
 	address string
-	calls   chan string // their queries
-	lists   chan string // answers; a call waits for one
+	calls   chan string // the queries of the calls
+	lists   chan string // the answers; each call waits for one
 }
 
 func newRegistry(t *testing.T) *registry {
@@ -156,7 +157,7 @@
 	return fmt.Sprintf(`{"seq":%d,"whole":%t,"hosts":[%s]}`, seq, full, strings.Join(hosts, ","))
 }
 
-// rig is a running proxy.
+// testProxy is a running proxy with its stub of discovery.
 type testProxy struct {
 	t *testing.T
 	*Proxy
@@ -164,7 +165,7 @@
 	address  string
 }
 
-// rigConfig is a configuration for tests.
+// testConfig returns a configuration for tests.
 func testConfig(discovery string, known json.RawMessage) Config {
 	return Config{
 		Listen: "127.0.0.1:0", Discovery: discovery, Seed: 1, Memory: 64 << 20, Sockets: 256,
@@ -187,13 +188,13 @@
 	}
 }
 
-// newRig starts a proxy that knows the given hosts, with settings that change may alter.
+// newTestProxy starts a proxy whose list has the given hosts. change may alter its configuration.
 func newTestProxy(t *testing.T, change func(*Config), hosts ...string) *testProxy {
 	t.Helper()
 	return newTestProxyWith(t, change, func(*Proxy) {}, hosts...)
 }
 
-// newRigWith is newRig with a look at the proxy before it serves.
+// newTestProxyWith is like newTestProxy, and calls before with the proxy before it serves.
 func newTestProxyWith(t *testing.T, change func(*Config), before func(*Proxy), hosts ...string) *testProxy {
 	t.Helper()
 	g := newRegistry(t)
@@ -216,7 +217,7 @@
 	return &testProxy{t, p, g, p.Addr().String()}
 }
 
-// confirmed waits until discovery has confirmed a proxy's list.
+// awaitConfirmed waits until discovery has confirmed the proxy's list.
 func awaitConfirmed(t *testing.T, p *Proxy) {
 	t.Helper()
 	for end := time.Now().Add(eventTimeout); !p.discovery.Fresh(); time.Sleep(time.Millisecond) {
@@ -226,7 +227,7 @@
 	}
 }
 
-// caller is one connection of a caller, as a test sees it.
+// testCaller is the test's end of one caller connection.
 type testCaller struct {
 	t *testing.T
 	net.Conn
@@ -238,7 +239,7 @@
 	return dialAt(g.t, g.address)
 }
 
-// dialAt opens a connection that the test's end closes.
+// dialAt opens a connection that is closed at the end of the test.
 func dialAt(t *testing.T, address string) *testCaller {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -250,17 +251,17 @@
 	return &testCaller{t, c, bufio.NewReader(c)}
 }
 
-// head is a GET's head with the fields that the protocol asks for.
+// head returns the head of a GET with the fields that the protocol requires.
 func head(id string) string {
 	return "GET /api HTTP/1.1\r\nHost: x\r\nX-Txn: " + id + "\r\nX-Lane: search\r\nX-Remaining-Ms: 9000\r\n\r\n"
 }
 
 func (c *testCaller) send(text string) *testCaller {
-	io.WriteString(c, text) // where the proxy has closed, reading tells
+	io.WriteString(c, text) // if the proxy has closed the connection, the next read fails
 	return c
 }
 
-// answer reads one answer, or what there is of it; its status is 0 if the connection ended before the head.
+// answer reads one answer, which may be cut off. status is 0 if the connection ended before the end of the head.
 func (c *testCaller) answer() (status int, body string) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.r, nil)
@@ -274,11 +275,11 @@
 	return resp.StatusCode, string(text)
 }
 
-// closed waits for the proxy to close the connection.
+// expectClosed waits until the proxy closes the connection.
 func (c *testCaller) expectClosed() {
 	c.t.Helper()
 	if _, err := c.r.ReadByte(); err == nil {
-		c.t.Fatal("bytes where a close was due")
+		c.t.Fatal("got a byte instead of a close")
 	} else if e, ok := err.(net.Error); ok && e.Timeout() {
 		c.t.Fatal("the connection stays open")
 	}
@@ -309,7 +310,7 @@
 	}
 }
 
-// TestKernelBuffersAreBounded asks the kernel what a connection that the proxy accepted may hold.
+// TestKernelBuffersAreBounded reads the buffer sizes of an accepted connection from the kernel.
 func TestKernelBuffersAreBounded(t *testing.T) {
 	for name, c := range map[string]struct {
 		memory  int64
--- a/internal/proxy/recovery.go
+++ b/internal/proxy/recovery.go
@@ -11,22 +11,23 @@
 	"brasswell/internal/recovery"
 )
 
-// side is the proxy's side of its way back.
+// recoverySide implements the proxy's part of recovery.
 type recoverySide struct{ *Proxy }
 
 var _ recovery.Side = recoverySide{}
 
-// Begin takes up what is known, and begins to follow discovery. Where that is followed already, its list is newer: only the bans are taken up.
+// Begin restores the recovered state and begins to follow discovery. If discovery is followed already, its list is newer,
+// and only the bans are restored.
 func (s recoverySide) Begin(state handover.Knowledge, lost time.Duration) {
 	if s.followState.hasBegun() {
-		s.log.Error("recovery: the server list is followed already; of what was known before this start only bans by hand are used")
+		s.log.Error("recovery: discovery is followed already; only operator bans are restored from the state before this start")
 		s.host.BanAll(state.Balancer.Banned)
 		return
 	}
 	s.host.Restore(state.Balancer, state.Addresses, lost)
-	if len(state.Balancer.Servers) == 0 { // the file's list, as the platform last had it
+	if len(state.Balancer.Servers) == 0 { // use the file's list, which the platform had last
 		if err := s.loadCachedList(s.fileList); err != nil {
-			s.log.Error("the platform's list is not used", "error", err)
+			s.log.Error("recovery: the platform's server list is unusable", "error", err)
 		}
 	}
 	if state.Longest > 0 {
@@ -58,7 +59,7 @@
 func (s recoverySide) Banned() []string        { return s.host.Banned() }
 func (s recoverySide) Ban(ids []string)        { s.host.BanAll(ids) }
 
-// listed tells the way back of each list that has been taken in.
+// notifyRecovery wraps update to notify recovery of each list that has been applied.
 func (p *Proxy) notifyRecovery(update func(balance.ListKind, []balance.Entry, map[string]string)) func(balance.ListKind, []balance.Entry, map[string]string) {
 	return func(kind balance.ListKind, entries []balance.Entry, addresses map[string]string) {
 		update(kind, entries, addresses)
@@ -68,10 +69,10 @@
 	}
 }
 
-// keepTime bounds what a console's call waits for the disk; its callers are owed an answer within 1 s.
+// persistTimeout limits how long a console call waits for the disk. The console must answer its callers within 1 s.
 const persistTimeout = 500 * time.Millisecond
 
-// kept makes a change by hand last, where anything does.
+// persistBan writes an operator's ban, or its lifting, to disk if the proxy persists state.
 func (p *Proxy) persistBan(ctx context.Context, id string, out, joined bool) error {
 	if p.recovery == nil {
 		return nil
@@ -81,7 +82,7 @@
 	return p.recovery.Keep(ctx, id, out, joined)
 }
 
-// Recovery says how this process has come back, as JSON.
+// Recovery returns the status of this process's recovery as JSON.
 func (d consoleHandler) Recovery(ctx context.Context) ([]byte, error) {
 	if d.recovery == nil {
 		return nil, console.ErrNone
--- a/internal/proxy/rules.go
+++ b/internal/proxy/rules.go
@@ -12,11 +12,11 @@
 	"brasswell/internal/console"
 )
 
-// gate puts the names to the classes that the host knows by number.
+// rulesGate checks sends against the agreed rules, and maps the host's class numbers to class names.
 type rulesGate struct {
 	rules   Rules
 	classes []string
-	lists   *listGuard // nil where no list is held back
+	lists   *listGuard // nil if lists are not checked
 }
 
 func (g rulesGate) className(n int) string {
@@ -26,7 +26,8 @@
 	return g.classes[n]
 }
 
-// Open says whether requests of a class are taken now: what nothing may be sent for is refused before anything is done.
+// Open reports whether requests of a class are admitted now. A request that the rules do not let the proxy send is refused
+// before any work is done for it.
 func (g rulesGate) Open(class int) bool {
 	ruling, _ := g.rules.Rule(rules.Send{Class: g.className(class)})
 	return ruling == rules.Allowed
@@ -36,7 +37,7 @@
 	return g.rules.Rule(rules.Send{Server: server, Class: g.className(class), Again: again, Held: g.lists.isHeld(server)})
 }
 
-// agreed takes in on what acts rest.
+// applyRules applies the current basis of the agreed rules.
 func (p *Proxy) applyRules(b *accord.Basis) {
 	p.host.ApplyAgreed(b.Doc.Bans, b.Doc.Share())
 	if self, of, ok := p.rules.Number(b); ok {
@@ -45,13 +46,13 @@
 	p.lists.setRules(b.Doc)
 }
 
-// closedWait is for how long a caller is asked to stay away whose request the agreed rules don't let in.
+// closedRetryAfter is the retry time for callers whose requests the agreed rules do not admit.
 const closedRetryAfter = time.Second
 
-// rulesTime bounds what the console waits for the agreement; its callers are owed an answer within 1 s.
+// rulesTimeout limits how long the console waits for the agreement. The console must answer its callers within 1 s.
 const rulesTimeout = 700 * time.Millisecond
 
-// Rules says how this process stands in the agreement, as JSON.
+// Rules returns this process's position in the agreement as JSON.
 func (d consoleHandler) Rules(ctx context.Context) ([]byte, error) {
 	if d.rules == nil {
 		return nil, console.ErrNone
@@ -61,7 +62,7 @@
 	return d.rules.Status(ctx)
 }
 
-// Propose has a change agreed: text is a rules.Change in JSON, and the answer a rules.Answer.
+// Propose submits a change for agreement: text is a rules.Change in JSON, and the answer is a rules.Answer.
 func (d consoleHandler) Propose(ctx context.Context, text []byte) ([]byte, error) {
 	if d.rules == nil {
 		return nil, console.ErrNone
@@ -71,7 +72,7 @@
 		return nil, fmt.Errorf("%w: %w", console.ErrBad, err)
 	}
 	if c.ID == "" {
-		return nil, fmt.Errorf("%w: a change needs an id of its own, so that asking twice is no second change", console.ErrBad)
+		return nil, fmt.Errorf("%w: a change needs a unique id, so that a repeated request is not applied as a second change", console.ErrBad)
 	}
 	if err := c.Check(); err != nil {
 		return nil, fmt.Errorf("%w: %w", console.ErrBad, err)
@@ -88,7 +89,7 @@
 	return json.Marshal(a)
 }
 
-// Refound has this keeper go on alone, in place of a majority that is lost for good.
+// Refound makes this voter continue alone, to replace a majority that is permanently lost.
 func (d consoleHandler) Refound(ctx context.Context) error {
 	if d.rules == nil {
 		return console.ErrNone
--- a/internal/proxy/rules_test.go
+++ b/internal/proxy/rules_test.go
@@ -13,7 +13,7 @@
 	"brasswell/internal/cluster/rules"
 )
 
-// agreement is one whose rules the test sets.
+// fakeRules implements Rules with rules that the test sets.
 type fakeRules struct {
 	basis    atomic.Pointer[accord.Basis]
 	onChange func(*accord.Basis)
@@ -27,7 +27,7 @@
 	return a
 }
 
-// basisOf is a lease until a moment; the clock stands at 1 s.
+// leaseUntil returns a basis with a lease that ends at until; the clock is fixed at 1 s.
 func leaseUntil(d *rules.Document, until time.Duration) *accord.Basis {
 	return &accord.Basis{Version: 2, Last: 2, Doc: d, Vague: rules.Unknowing(d), Until: until, Tested: -1}
 }
@@ -48,7 +48,8 @@
 	return rules.Answer{}, nil
 }
 
-// TestAgreedBans: what is out by agreement gets nothing, also where no list has named it before, until it is not any more.
+// TestAgreedBans: a server that the agreed rules ban gets no requests until the ban is lifted, also if no list has named it
+// before.
 func TestAgreedBans(t *testing.T) {
 	one, two := newBackend(t, "127.0.0.1:0", idAnswer), newBackend(t, "127.0.0.1:0", idAnswer)
 	ban := &rules.Document{Bans: map[string]rules.Ban{"s1": {}, "not listed": {}}}
@@ -61,21 +62,21 @@
 		}
 	}
 	if n := len(one.requests); n > 0 {
-		t.Errorf("%d requests to a server that is out", n)
+		t.Errorf("%d requests to a banned server", n)
 	}
 	if err := g.ByHand(t.Context(), "s1", false); err != nil {
 		t.Error(err)
 	}
 	c.send(head("a")).answer()
 	if n := len(one.requests); n > 0 {
-		t.Errorf("%d requests after one proxy put it back", n)
+		t.Errorf("%d requests after one proxy lifted its own ban", n)
 	}
 	lifted := leaseUntil(&rules.Document{}, time.Hour)
 	a.basis.Store(lifted)
 	a.onChange(lifted)
 	for end := time.Now().Add(eventTimeout); len(one.requests) == 0; {
 		if time.Now().After(end) {
-			t.Fatal("nothing goes to a server that is back")
+			t.Fatal("a server gets no requests after its ban is lifted")
 		}
 		if status, _ := c.send(head("a")).answer(); status != 200 {
 			t.Fatal(status)
@@ -83,7 +84,8 @@
 	}
 }
 
-// TestNoLeaseNoSend: without a lease, after a pause, a request is refused at once and nothing is sent for it.
+// TestNoLeaseNoSend: once the lease has expired, as after a pause of the process, a request is refused at once and
+// nothing is sent for it.
 func TestNoLeaseNoSend(t *testing.T) {
 	b := newBackend(t, "127.0.0.1:0", idAnswer)
 	a := newFakeRules(&rules.Document{})
@@ -107,7 +109,7 @@
 	}
 }
 
-// TestClosedClass: one class is closed, and the others go on.
+// TestClosedClass: requests of a closed class are refused, and those of other classes are served.
 func TestClosedClass(t *testing.T) {
 	b := newBackend(t, "127.0.0.1:0", idAnswer)
 	a := newFakeRules(&rules.Document{Settings: rules.Settings{Classes: map[string]rules.Class{"search": {Closed: true}}}})
@@ -120,8 +122,8 @@
 	}
 }
 
-// TestNoRepeatOfWhatMayHaveRun: a request that a server took and broke off is sent again as the platform's file allows, and fails
-// where the agreed rules allow no repeat.
+// TestNoRepeatOfWhatMayHaveRun: a request whose server broke off its answer is sent again if the platform's file allows it,
+// and fails if the agreed rules forbid repeats.
 func TestNoRepeatOfWhatMayHaveRun(t *testing.T) {
 	for name, d := range map[string]*rules.Document{
 		"allowed":   {},
@@ -131,7 +133,7 @@
 			var asked atomic.Int64
 			reply := func(id string) string {
 				if asked.Add(1) == 1 {
-					return "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nand no m" // of a server that dies while it answers
+					return "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nand no m" // as from a server that dies while it answers
 				}
 				return idAnswer(id)
 			}
--- a/internal/proxy/saturation_test.go
+++ b/internal/proxy/saturation_test.go
@@ -18,9 +18,9 @@
 	"brasswell/internal/standin/audit"
 )
 
-var saturation = flag.Duration("saturation", 2*time.Second, "how long the saturation test drives the proxy")
+var saturation = flag.Duration("saturation", 2*time.Second, "duration of the saturation test's load")
 
-// logCount counts the lines of a log that hold certain words.
+// logCount counts the log lines that contain one of the words.
 type logCount struct {
 	words []string
 	count atomic.Int64
@@ -43,8 +43,9 @@
 	return len(b), nil
 }
 
-// TestSaturationEjectsNobody drives the proxy with all that its machine can do, at 8 healthy backends that answer at
-// once. Every request meets pauses then, the proxy's own among them; none of them is a backend's failure.
+// TestSaturationEjectsNobody loads the proxy with as many requests as the machine can serve, with 8 healthy backends that
+// answer at once. Requests are then delayed by pauses, including the proxy's own. None of these is a backend failure, so
+// no backend may be ejected.
 func TestSaturationEjectsNobody(t *testing.T) {
 	f, err := standin.NewFleet(standin.FleetConfig{
 		Seed: 5, Rules: rules(), Slots: 64, Queue: 1000,
--- a/internal/proxy/serve.go
+++ b/internal/proxy/serve.go
@@ -8,14 +8,16 @@
 	"time"
 )
 
-// lastAnswers is how long answers that are being written at the very end may take; all are due before it.
+// lastAnswerTimeout limits how long Serve waits at the very end for answers that are still being written. All of them are
+// due before that.
 const lastAnswerTimeout = 50 * time.Millisecond
 
-// acceptQuiet without a new connection shows that no more are coming, on a machine that runs late too.
+// acceptQuietPeriod is the time without a new connection after which no more are expected, even on a machine that runs
+// late.
 const acceptQuietPeriod = 50 * time.Millisecond
 
-// Serve answers callers until ctx is done, and then ends like a planned restart does: it returns once
-// everything taken is answered, and leaves nothing running.
+// Serve answers callers until ctx is done, and then shuts down as in a planned restart: it returns once every accepted
+// request is answered, and leaves nothing running.
 func (p *Proxy) Serve(ctx context.Context) error {
 	defer p.Close()
 	if p.console != nil {
@@ -24,7 +26,7 @@
 		defer p.console.Close()
 		console.Go(func() {
 			if err := p.console.Serve(); err != nil {
-				p.log.Error("operators have no console any more", "error", err)
+				p.log.Error("console: server failed", "error", err)
 			}
 		})
 	}
@@ -52,12 +54,12 @@
 		}
 	}
 	if !p.restart.Run(p.connsClosed) {
-		p.log.Warn("leaving with callers' connections still open")
+		p.log.Warn("shutting down with callers' connections still open")
 	}
 	for p.channels != nil && p.channels.Len() > 0 && time.Since(start) < p.channels.ShutdownTimeout() {
 		time.Sleep(acceptQuietPeriod)
 	}
-	// A request that is read between here and the end of the server would have nobody to answer it.
+	// A request that is read after this point would not be answered, because the server is about to close.
 	for shutdownStart := time.Now(); p.callers.Shutdown() > 0 && time.Since(shutdownStart) < lastAnswerTimeout; {
 		time.Sleep(lastAnswerTimeout / 10)
 	}
@@ -70,10 +72,10 @@
 	return nil
 }
 
-// Close ends all at once, answered or not. After Serve has returned it does nothing.
+// Close stops the proxy at once, without waiting for open requests. After Serve has returned it has no effect.
 func (p *Proxy) Close() {
 	if p.recovery != nil {
-		p.recovery.Close() // it writes what is known a last time
+		p.recovery.Close() // writes the state a last time
 	}
 	p.stop()
 	p.callers.Shutdown()
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -40,40 +40,40 @@
 				t.Fatalf("answered %d", status)
 			}
 			if d := time.Since(start); d > eventTimeout/2 {
-				t.Errorf("only after %v", d)
+				t.Errorf("answered only after %v", d)
 			}
 			if status != 0 {
 				c.expectClosed()
 			}
 			if len(b.requests) != 0 {
-				t.Fatal("it came to a backend")
+				t.Fatal("it reached a backend")
 			}
 		})
 	}
 }
 
-// TestRequestInsideABodyIsNotPassedOn sends a request whose body, for whoever goes by the length, is another.
+// TestRequestInsideABodyIsNotPassedOn sends a request whose body, if read by its length, contains another request.
 func TestRequestInsideABodyIsNotPassedOn(t *testing.T) {
 	b := newBackend(t, "127.0.0.1:0", idAnswer)
 	g := newTestProxy(t, nil, entry("s1", b.address, "up"))
 	inner := "0\r\n\r\n" + head("hidden")
-	for name, lead := range map[string]string{"first": "", "behind another": head("sound")} {
+	for name, lead := range map[string]string{"first": "", "after another": head("sound")} {
 		t.Run(name, func(t *testing.T) {
 			c := g.dial().send(lead + fmt.Sprintf("POST /api HTTP/1.1\r\nHost: x\r\nX-Txn: outer\r\nX-Lane: hold\r\n"+
 				"X-Remaining-Ms: 900\r\nIdempotency-Key: k\r\ncontent-length: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s",
 				len(inner), inner))
 			if lead != "" {
 				if status, _ := c.answer(); status != 200 {
-					t.Fatalf("the sound request was answered %d", status)
+					t.Fatalf("the valid request was answered %d", status)
 				}
-				await(t, "the sound request", b.requests)
+				await(t, "the valid request", b.requests)
 			}
 			if status, _ := c.answer(); status != 400 {
 				t.Fatalf("answered %d", status)
 			}
 			c.expectClosed()
 			if len(b.requests) != 0 {
-				t.Fatalf("%q came to a backend", <-b.requests)
+				t.Fatalf("%q reached a backend", <-b.requests)
 			}
 		})
 	}
@@ -103,12 +103,12 @@
 		t.Fatalf("the first was answered %d", status)
 	}
 	if status, _ := g.dial().send(head("a")).answer(); status != 200 {
-		t.Fatalf("once it was over, answered %d", status)
+		t.Fatalf("after the first had ended, answered %d", status)
 	}
 }
 
-// TestCrowdOfIdleCallersGivesWay holds more connections than the proxy may, silent ones and such that asked
-// once, and asks on a new one.
+// TestIdleCallersAreClosedForNewcomers opens more connections than the proxy allows, some silent and some with one
+// request each, and then sends a request on a new connection.
 func TestIdleCallersAreClosedForNewcomers(t *testing.T) {
 	b := newBackend(t, "127.0.0.1:0", idAnswer)
 	for name, first := range map[string]string{"silent": "", "asked once": "yes"} {
@@ -122,7 +122,7 @@
 					}
 				}
 			}
-			// A silent crowd goes once it has been silent for a while, so a caller may meet a close.
+			// Silent connections are closed only after some time, so a new caller may get a close first.
 			for end := time.Now().Add(eventTimeout); ; {
 				if status, _ := g.dial().send(head("late")).answer(); status == 200 {
 					return
@@ -135,7 +135,8 @@
 	}
 }
 
-// TestCallersThatAskAgainKeepTheirConnection fills the places with callers that ask once.
+// TestCallersThatAskAgainKeepTheirConnection fills the places with callers that send one request each. A connection with
+// several requests must not be closed for them.
 func TestCallersThatAskAgainKeepTheirConnection(t *testing.T) {
 	b := newBackend(t, "127.0.0.1:0", idAnswer)
 	g := newTestProxy(t, func(c *Config) { c.Sockets = 64 }, entry("s1", b.address, "up"))
@@ -149,11 +150,11 @@
 		}
 	}
 	if status, body := steady.send(head("s3")).answer(); status != 200 || body != "s3" {
-		t.Fatalf("%d %q: its connection went before those of callers that asked once", status, body)
+		t.Fatalf("%d %q: its connection was closed before those with one request", status, body)
 	}
 }
 
-// TestCallerThatLeavesEndsItsAttempt waits for the backend to see its connection close.
+// TestCallerThatLeavesEndsItsAttempt checks that the backend's connection is closed soon after the caller has left.
 func TestCallerThatLeavesEndsItsAttempt(t *testing.T) {
 	b := newBackend(t, "127.0.0.1:0", func(string) string { return "" })
 	g := newTestProxy(t, nil, entry("s1", b.address, "up"))
@@ -168,14 +169,14 @@
 			leave(c.Conn)
 			await(t, "the end of the attempt", b.gone)
 			if d := time.Since(start); d > 8*time.Second {
-				t.Fatalf("the attempt ran on for %v, to its deadline", d)
+				t.Fatalf("the attempt continued for %v, up to its deadline", d)
 			}
 		})
 	}
 }
 
-// TestLeavingServesWhoStillAsks: during a planned restart connections go on being used, what cannot be served in
-// time is failed, and then all are closed.
+// TestShutdownServesRemainingCallers: during a planned restart connections stay in use, requests that cannot be served in
+// time fail, and then all connections are closed.
 func TestShutdownServesRemainingCallers(t *testing.T) {
 	b := newBackend(t, "127.0.0.1:0", func(id string) string {
 		if id == "never" {
@@ -192,10 +193,10 @@
 
 	g.restart.Begin()
 	if status, _ := g.dial().send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").answer(); status != 503 {
-		t.Errorf("health while leaving: %d", status)
+		t.Errorf("health during the shutdown: %d", status)
 	}
 	if status, body := asks.send(head("during")).answer(); status != 200 || body != "during" {
-		t.Errorf("while leaving: %d %q", status, body)
+		t.Errorf("during the shutdown: %d %q", status, body)
 	}
 	left := make(chan struct{})
 	go func() {
@@ -203,7 +204,7 @@
 		close(left)
 	}()
 	if status, _ := waits.answer(); status != 502 {
-		t.Errorf("what cannot be served in time was answered %d", status)
+		t.Errorf("the request that cannot be served in time was answered %d", status)
 	}
 	asks.expectClosed()
 	waits.expectClosed()
--- a/internal/proxy/several_test.go
+++ b/internal/proxy/several_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// TestSeveralProxiesInOneProcess: each has a balancer, a list and callers of its own, and one that ends leaves the
-// other as it is.
+// TestSeveralProxiesInOneProcess: each proxy has its own balancer, list and callers, and the end of one does not affect the
+// other.
 func TestSeveralProxiesInOneProcess(t *testing.T) {
 	a, b := newBackend(t, "127.0.0.1:0", idAnswer), newBackend(t, "127.0.0.1:0", idAnswer)
 	one, two := newTestProxy(t, nil, entry("s1", a.address, "up")), newTestProxy(t, nil, entry("s1", b.address, "up"))
@@ -27,6 +27,6 @@
 	one.Close()
 	callOne.expectClosed()
 	if status, body := callTwo.send(head("after")).answer(); status != 200 || body != "after" {
-		t.Fatalf("once the other had ended: %d %q", status, body)
+		t.Fatalf("after the other had ended: %d %q", status, body)
 	}
 }
--- a/internal/proxy/smuggling_test.go
+++ b/internal/proxy/smuggling_test.go
@@ -11,14 +11,14 @@
 	"testing"
 )
 
-// ambiguous is requests that two readers may take apart in two ways, each with a request hidden in what one of them
-// takes for the body. id is the outer one's; what begins a line of its own ends with its line's end.
+// ambiguous returns requests that two parsers may split differently. Each has another request hidden in what one of the
+// parsers reads as the body. id is the id of the outer request.
 func ambiguous() map[string]string {
 	const id = "ambiguous"
 	hidden := head("hidden")
 	chunks := "0\r\n\r\n" + hidden
 	all := map[string]string{}
-	// message is a POST with framing fields of its own.
+	// message returns a POST with the given framing fields.
 	message := func(fields, body string) string {
 		return "POST /api HTTP/1.1\r\nHost: x\r\nX-Txn: " + id + "\r\nX-Lane: hold\r\nX-Remaining-Ms: 900\r\nIdempotency-Key: k\r\n" + fields + "\r\n" + body
 	}
@@ -38,8 +38,8 @@
 	}
 	for _, coding := range codings {
 		field := "Transfer-Encoding: " + coding + "\r\n"
-		add("length and coding", fmt.Sprintf("%q behind", coding), message(length+field, chunks))
-		add("length and coding", fmt.Sprintf("%q ahead", coding), message(field+length, chunks))
+		add("length and coding", fmt.Sprintf("%q after", coding), message(length+field, chunks))
+		add("length and coding", fmt.Sprintf("%q before", coding), message(field+length, chunks))
 		add("length and coding", fmt.Sprintf("%q, short", coding), message(short+field, "0\r\n\r\n"+hidden))
 		if !strings.EqualFold(strings.TrimSpace(coding), "chunked") {
 			add("coding alone", fmt.Sprintf("%q", coding), message(field, chunks))
@@ -52,12 +52,12 @@
 		"Transfer-Encoding :", "Transfer-Encoding\t:", " Transfer-Encoding:", "\tTransfer-Encoding:", "Transfer-Encoding\x00:", "Transfer-Encoding\v:", "Transfer Encoding:",
 		"Transfer-Encoding\r:", "X: y\rTransfer-Encoding:", "(Transfer-Encoding:", "Transfer-Encoding=", "\"Transfer-Encoding\":", "\xffTransfer-Encoding:", "Transfer-Encoding::",
 	} {
-		add("spoilt names", fmt.Sprintf("%q", name), message(length+name+" chunked\r\n", chunks))
-		add("spoilt names", fmt.Sprintf("%q alone", name), message(name+" chunked\r\n", chunks))
+		add("malformed names", fmt.Sprintf("%q", name), message(length+name+" chunked\r\n", chunks))
+		add("malformed names", fmt.Sprintf("%q alone", name), message(name+" chunked\r\n", chunks))
 	}
 	for _, name := range []string{"Content-Length :", "Content-Length\t:", "Content-Length\x00:", "Content-Length\v:", "Content Length:", "Content-Length\r:", "\"Content-Length\":", "\xffContent-Length:"} {
-		add("spoilt names", fmt.Sprintf("%q", name), message(name+" 4\r\n", "abcd"+hidden))
-		add("spoilt names", fmt.Sprintf("%q with another", name), message(name+" 4\r\nContent-Length: 0\r\n", "abcd"+hidden))
+		add("malformed names", fmt.Sprintf("%q", name), message(name+" 4\r\n", "abcd"+hidden))
+		add("malformed names", fmt.Sprintf("%q with another", name), message(name+" 4\r\nContent-Length: 0\r\n", "abcd"+hidden))
 	}
 	for _, values := range []string{
 		"4, 9", "9, 4", "4,5", "4;", "+4", "-4", "0x4", "4 4", "4.0", "4e0", "4_0", "18446744073709551620", "9223372036854775808", "4,", ",4", "\"4\"", "４", "4\x00", "4\v", "four", "0004x", "4\r5",
@@ -106,8 +106,8 @@
 	return all
 }
 
-// TestAmbiguousMessagesGoNowhere sends each of them as the first request on a connection, and behind a sound one. None
-// may reach a backend, nor may what is hidden in it, and the connection must end.
+// TestAmbiguousMessagesAreNotForwarded sends each ambiguous message as the first request on a connection, and after a
+// valid one. Neither the message nor the request hidden in it may reach a backend, and the connection must be closed.
 func TestAmbiguousMessagesAreNotForwarded(t *testing.T) {
 	b := newBackend(t, "127.0.0.1:0", idAnswer)
 	b.requests = make(chan string, 2000)
@@ -117,7 +117,7 @@
 		t.Errorf("%d messages", len(messages))
 	}
 	t.Logf("%d messages", len(messages))
-	names := map[string]string{} // by what ids end with
+	names := map[string]string{} // by the suffix of the ids
 	t.Run("all", func(t *testing.T) {
 		for n, name := range slices.Sorted(maps.Keys(messages)) {
 			for k, lead := range []string{"", head("sound")} {
@@ -132,7 +132,7 @@
 						text = text[len(lead)+len(mark):]
 						c.send(strings.Replace(lead, "sound", "sound"+mark, 1))
 						if status, _ := c.answer(); status != 200 {
-							t.Fatalf("the sound one is answered %d", status)
+							t.Fatalf("the valid request is answered %d", status)
 						}
 					}
 					if status, _ := c.send(text).answer(); status != 0 && (status < 400 || status == 503) {
@@ -151,15 +151,15 @@
 			continue
 		}
 		_, mark, _ := strings.Cut(id, "-")
-		t.Errorf("%s: %s came to the backend", names["-"+mark], id)
+		t.Errorf("%s: %s reached the backend", names["-"+mark], id)
 	}
 	if sound != len(messages) {
-		t.Errorf("%d sound ones came, want %d", sound, len(messages))
+		t.Errorf("%d valid requests reached the backend, want %d", sound, len(messages))
 	}
 }
 
-// TestOddButSoundMessagesAreFramedAnew: what can be read in one way only is passed on, with a length of its own and none
-// of the caller's framing, however it was written; what follows is the next request or the connection's end.
+// TestUnusualValidMessagesAreReframed: an unusual message that can be parsed in only one way is forwarded with a new
+// length and without the caller's framing fields. After it comes the next request or the end of the connection.
 func TestUnusualValidMessagesAreReframed(t *testing.T) {
 	type arrival struct {
 		id, body string
@@ -184,8 +184,8 @@
 	for n, k := range []struct{ name, text string }{
 		{"a length", start + "Content-Length: 4\r\n\r\nabcd"},
 		{"names in lower case", strings.ToLower(start[len("POST /api HTTP/1.1\r\n"):]) + "content-length: 4\r\n\r\nabcd"},
-		{"no space behind the colon", start + "Content-Length:4\r\n\r\nabcd"},
-		{"blanks round the value", start + "Content-Length: \t 4 \t\r\n\r\nabcd"},
+		{"no space after the colon", start + "Content-Length:4\r\n\r\nabcd"},
+		{"blanks around the value", start + "Content-Length: \t 4 \t\r\n\r\nabcd"},
 		{"the same length twice", start + "Content-Length: 4\r\nContent-Length: 4\r\n\r\nabcd"},
 		{"bare line feeds", strings.ReplaceAll(start, "\r\n", "\n") + "Content-Length: 4\n\nabcd"},
 		{"chunks", start + "Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\n\r\n"},
@@ -195,7 +195,7 @@
 		{"extensions", start + "Transfer-Encoding: chunked\r\n\r\n4;a=b;c=\"d\"\r\nabcd\r\n0;e\r\n\r\n"},
 		{"an open quote in an extension", start + "Transfer-Encoding: chunked\r\n\r\n4;a=\"\r\nabcd\r\n0\r\n\r\n"},
 		{"trailers", start + "Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\nContent-Length: 9\r\nX-Txn: other\r\n\r\n"},
-		{"a spoilt trailer", start + "Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\nX : y\r\n\r\n"},
+		{"a malformed trailer", start + "Transfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n0\r\nX : y\r\n\r\n"},
 		{"the target's whole form", strings.Replace(start, "/api", "http://y/api", 1) + "Content-Length: 4\r\n\r\nabcd"},
 		{"HTTP/1.0", strings.Replace(start, "HTTP/1.1", "HTTP/1.0", 1) + "Content-Length: 4\r\n\r\nabcd"},
 		{"hop by hop fields that name the framing", start + "Connection: content-length, x-own\r\nX-Own: 1\r\nContent-Length: 4\r\n\r\nabcd"},
@@ -217,7 +217,7 @@
 			}
 			c.Close()
 			if len(arrivals) != 0 {
-				t.Errorf("and %+v", <-arrivals)
+				t.Errorf("unexpected second request %+v", <-arrivals)
 			}
 		})
 	}
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -9,7 +9,7 @@
 	"brasswell/internal/status"
 )
 
-// Status says how the proxy stands, as JSON.
+// Status returns the status of the proxy as JSON.
 func (d consoleHandler) Status() ([]byte, error) {
 	h := d.host.State()
 	listed, _ := d.host.CountServers()
@@ -28,7 +28,7 @@
 	return json.Marshal(&s)
 }
 
-// memoryMB is what this process holds, in MB of 2^20 bytes; 0 if the system does not say.
+// memoryMB returns the resident memory of this process, in units of 2^20 bytes, or 0 if it cannot be read.
 func memoryMB() float64 {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -45,7 +45,8 @@
 	return float64(pages) * float64(os.Getpagesize()) / (1 << 20)
 }
 
-// descriptors is how many this process holds, less the one that it takes to count them; 0 if that cannot be told.
+// descriptors returns the number of open descriptors of this process, without the one used to count them, or 0 if it
+// cannot be read.
 func descriptors() int {
 	entries, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
--- a/internal/proxy/status_test.go
+++ b/internal/proxy/status_test.go
@@ -48,7 +48,7 @@
 	if got := fmt.Sprint(s.Avoided); got != "[{s1 by hand 0 0 } {s2 drains 0 0 }]" && got != "[{s1 by hand 1 0 } {s2 drains 1 0 }]" {
 		t.Errorf("avoided %s", got)
 	}
-	// Connections come to rest a little after their answer is out.
+	// Connections become idle slightly after their answer has been sent.
 	for end := time.Now().Add(eventTimeout); s.Open["search"] != 1 || s.Callers["busy"] != 1 || s.Callers["once"] != 1 || s.Backends["busy"] != 1; s = read() {
 		if time.Now().After(end) {
 			t.Fatalf("%+v", s)
@@ -56,7 +56,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	g.host.SetBanned("s1", false)
-	if s := read(); len(s.Avoided) != 1 && len(s.Avoided) != 2 { // it is back, and cold where the settings know of that
+	if s := read(); len(s.Avoided) != 1 && len(s.Avoided) != 2 { // s1 is back in service, and may be listed as cold, depending on the settings
 		t.Errorf("%+v", s.Avoided)
 	}
 	waits.Close()
--- a/internal/proxy/stood_test.go
+++ b/internal/proxy/stood_test.go
@@ -12,12 +12,12 @@
 	"brasswell/internal/front"
 )
 
-// TestTheTimeOfARequestRunsWhileItStandsInItsSocket guards deadlines behind a hold-up: a process that was stopped as a request came takes it for a new
-// one, answers late, and tells its server more time than its caller waits.
+// TestDeadlineIncludesTimeInSocketBuffer guards deadlines after a pause: a process that was stopped while a request
+// arrived would treat it as new, answer late, and send its server a longer deadline than its caller has.
 func TestDeadlineIncludesTimeInSocketBuffer(t *testing.T) {
 	const (
 		delay = 600 * time.Millisecond
-		slack = 150 * time.Millisecond // of the protocol
+		slack = 150 * time.Millisecond // allowed by the protocol
 	)
 	for method, request := range map[string]string{
 		http.MethodGet:  head("a"),
@@ -40,14 +40,14 @@
 				}
 				sent = time.Now()
 				fmt.Fprint(caller, request)
-				time.Sleep(delay) // nobody accepts
+				time.Sleep(delay) // no process accepts the connection
 			}, entry("s1", server.Listener.Addr().String(), "up"))
 			defer caller.Close()
 			text := <-received
 			left := 9*time.Second - time.Since(sent)
 			ms, err := strconv.Atoi(text)
 			if err != nil || time.Duration(ms)*time.Millisecond > left+slack {
-				t.Errorf("the server is told %s ms, and the caller waits for %v", text, left)
+				t.Errorf("the server got a deadline of %s ms, and the caller waits for %v", text, left)
 			}
 		})
 	}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -18,12 +18,13 @@
 	"brasswell/internal/front"
 )
 
-// echo is a backend that answers a request with its own body, or with as many bytes as the path asks for.
+// echoBackend is a backend that answers a request with the request's body, or with the number of bytes that the path
+// requests.
 type echoBackend struct {
 	address  string
-	received atomic.Int64  // requests whose last byte has come
-	broken   chan string   // the ids of requests that broke off
-	gate     chan struct{} // an answer's second half waits for one, if set
+	received atomic.Int64  // requests received whole
+	broken   chan string   // the ids of requests that were cut off
+	gate     chan struct{} // if set, the second half of each answer waits for a value
 }
 
 func newEchoBackend(t *testing.T) *echoBackend {
@@ -68,7 +69,7 @@
 	w.Write(text[half:])
 }
 
-// pattern is n bytes in which a shift shows.
+// pattern returns n bytes in which missing, repeated or shifted bytes can be detected.
 func pattern(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
@@ -77,7 +78,7 @@
 	return b
 }
 
-// keyed is the head of a keyed POST but for what frames its body.
+// keyed returns the head of a POST with an idempotency key, without the framing fields and the blank line.
 func keyed(id, path string) string {
 	return "POST " + path + " HTTP/1.1\r\nHost: x\r\nX-Txn: " + id + "\r\nX-Lane: hold\r\nX-Remaining-Ms: 9000\r\nIdempotency-Key: k" + id + "\r\n"
 }
@@ -91,7 +92,7 @@
 				t.Parallel()
 				e := newEchoBackend(t)
 				text, want := pattern(size), string(pattern(size))
-				c := newTestProxy(t, nil, entry("s1", e.address, "up")).dial() // last: a connection that stays silent is closed
+				c := newTestProxy(t, nil, entry("s1", e.address, "up")).dial() // dialed last, because a silent connection is closed
 				go func() {
 					if how == "length" {
 						io.WriteString(c, keyed("a", "/")+"Content-Length: "+strconv.Itoa(size)+"\r\n\r\n")
@@ -101,7 +102,7 @@
 					io.WriteString(c, keyed("a", "/")+"Transfer-Encoding: chunked\r\n\r\n")
 					for n := 1; len(text) > 0; n = n*3 + 1 {
 						n = min(n, len(text))
-						fmt.Fprintf(c, "%x;note=\"x\"\r\n", n) // an extension that nobody knows
+						fmt.Fprintf(c, "%x;note=\"x\"\r\n", n) // an unknown chunk extension
 						c.Write(text[:n])
 						text = text[n:]
 						io.WriteString(c, "\r\n")
@@ -120,7 +121,8 @@
 	}
 }
 
-// TestLongAnswerIsPassedOnBeforeItsEnd has the backend wait in the middle until the caller has the first half.
+// TestLongAnswerIsPassedOnBeforeItsEnd has the backend wait in the middle of the answer until the caller has the first
+// half.
 func TestLongAnswerIsPassedOnBeforeItsEnd(t *testing.T) {
 	for _, query := range []string{"", "?chunks=1"} {
 		e := newEchoBackend(t)
@@ -139,12 +141,13 @@
 		e.gate <- struct{}{}
 		rest, err := io.ReadAll(resp.Body)
 		if err != nil || !bytes.Equal(append(first, rest...), pattern(size)) {
-			t.Errorf("%q: %d bytes behind the first half, %v", query, len(rest), err)
+			t.Errorf("%q: %d bytes after the first half, %v", query, len(rest), err)
 		}
 	}
 }
 
-// TestBrokenAnswerDoesNotPassForWhole breaks answers in the middle, framed by a length and by chunks.
+// TestTruncatedAnswerIsNotComplete cuts answers off in the middle, both with a length and with chunks. The caller must
+// detect that the answer is incomplete.
 func TestTruncatedAnswerIsNotComplete(t *testing.T) {
 	for _, query := range []string{"?break=1", "?break=1&chunks=1"} {
 		e := newEchoBackend(t)
@@ -166,13 +169,13 @@
 	}
 }
 
-// TestSpentBodyIsNotSentAgain has the first backend take most of a long body and die; what is left here is no request
-// any more. It never ran, so trying again is harmless.
+// TestDiscardedBodyIsNotResent has the first backend read most of a long body and die. The proxy has discarded the start
+// of the body by then and cannot send the request again. The request never ran, so the caller may repeat it.
 func TestDiscardedBodyIsNotResent(t *testing.T) {
 	good := newEchoBackend(t)
 	bad := newPartialReader(t, 2<<20)
 	g := newTestProxy(t, nil, entry("s1", bad.address, "up"), entry("s2", good.address, "up"))
-	for i := range 2 { // in turn, so one of them meets the bad one
+	for i := range 2 { // round robin, so one of them goes to the bad backend
 		c := g.dial()
 		go func() {
 			io.WriteString(c, keyed(fmt.Sprint("r", i), "/")+"Content-Length: "+strconv.Itoa(8<<20)+"\r\n\r\n")
@@ -189,7 +192,7 @@
 	}
 }
 
-// TestKeptBodyIsSentAgain has it die early enough that the body is still whole here.
+// TestBufferedBodyIsResent has the backend die so early that the proxy still buffers the whole body.
 func TestBufferedBodyIsResent(t *testing.T) {
 	good := newEchoBackend(t)
 	bad := newPartialReader(t, 100<<10)
@@ -210,7 +213,7 @@
 	}
 }
 
-// taker is a backend that takes so much of each request and then dies.
+// partialReader is a backend that reads a fixed number of bytes of each request and then closes the connection.
 type partialReader struct {
 	address string
 	took    chan struct{}
@@ -241,7 +244,8 @@
 	return k
 }
 
-// TestCallerThatLeavesWithinItsBody must leave nothing behind, and no blame on the backend.
+// TestCallerThatLeavesWithinItsBody checks that a caller that leaves in the middle of its body leaves no open request, and
+// that the backend is not ejected for it.
 func TestCallerThatLeavesWithinItsBody(t *testing.T) {
 	e := newEchoBackend(t)
 	g := newTestProxy(t, nil, entry("s1", e.address, "up"))
@@ -256,11 +260,12 @@
 		t.Errorf("after callers that left: %d", status)
 	}
 	if _, avoided := g.host.CountServers(); avoided != 0 {
-		t.Error("the backend is blamed for callers that left")
+		t.Error("the backend was ejected because of callers that left")
 	}
 }
 
-// TestSlowCallerThatMovesIsServed sends a body and a head byte by byte, slower than any silence allows in the whole.
+// TestSlowCallerThatMovesIsServed sends a body byte by byte. The whole body takes longer than the idle timeout, but no
+// pause does. A caller that stops sending gets a 408.
 func TestSlowCallerThatMovesIsServed(t *testing.T) {
 	e := newEchoBackend(t)
 	g := newTestProxy(t, func(c *Config) {
@@ -271,18 +276,18 @@
 	io.WriteString(c, keyed("a", "/")+"Content-Length: 40\r\n\r\n")
 	for i := range text {
 		c.Write(text[i : i+1])
-		time.Sleep(15 * time.Millisecond) // the pace is what is tested: 0.6 s in all
+		time.Sleep(15 * time.Millisecond) // this rate is under test: 0.6 s in total
 	}
 	if status, got := c.answer(); status != 200 || got != string(text) {
 		t.Errorf("%d %q", status, got)
 	}
 	c = g.dial().send(keyed("b", "/") + "Content-Length: 40\r\n\r\nab")
 	if status, _ := c.answer(); status != 408 {
-		t.Errorf("a caller that fell silent: %d", status)
+		t.Errorf("a caller that stopped sending: %d", status)
 	}
 }
 
-// TestExpectIsAnsweredWhenTheBodyIsWanted sends a head that asks first; a request that is turned away hears no 100.
+// TestExpectIsAnsweredWhenTheBodyIsWanted sends a head with Expect: 100-continue. A request that is refused gets no 100.
 func TestExpectIsAnsweredWhenTheBodyIsWanted(t *testing.T) {
 	e := newEchoBackend(t)
 	g := newTestProxy(t, nil, entry("s1", e.address, "up"))
@@ -299,11 +304,12 @@
 	}
 	c := g.dial().send(strings.Replace(keyed("b", "/"), "hold", "nonsense", 1) + "Expect: 100-continue\r\nContent-Length: 10\r\n\r\n")
 	if status, _ := c.answer(); status != 400 {
-		t.Errorf("a request that is turned away: %d first", status)
+		t.Errorf("a refused request: answered %d first", status)
 	}
 }
 
-// TestRefusedLongBodyIsReadToItsEnd refuses while the caller still writes: the answer comes whole all the same.
+// TestRefusedLongBodyIsReadToItsEnd refuses a request while the caller still writes its body. The caller must still get the
+// whole answer.
 func TestRefusedLongBodyIsReadToItsEnd(t *testing.T) {
 	g := newTestProxy(t, nil) // no backends
 	c := g.dial()
--- a/internal/proxy/upgrade.go
+++ b/internal/proxy/upgrade.go
@@ -9,10 +9,10 @@
 	"brasswell/internal/handover"
 )
 
-// helloTime bounds how long a new process may take to say who it is.
+// helloTimeout limits how long a new process may take to send its hello.
 const helloTimeout = time.Second
 
-// upgrade is a proxy's side of a handover: to the process before it, and to the one after it.
+// upgrade runs a proxy's handovers: from the process before it, its predecessor, and to the one after it, its successor.
 type upgrade struct {
 	proxy     *Proxy
 	dir, name string
@@ -22,7 +22,7 @@
 	mu          sync.Mutex
 	outgoing    handover.Elder
 	share       handover.Part
-	predecessor *handover.Peer // nil once that has gone
+	predecessor *handover.Peer // nil once it has ended
 	successor   *handover.Peer
 	listener    *net.UnixListener
 	closed      bool
@@ -32,7 +32,7 @@
 	return &upgrade{proxy: p, dir: dir, name: name, share: handover.Alone}
 }
 
-// join takes over what the running process knows, and says whether there is one.
+// restoreState takes over the state of the running process, and reports whether there is one.
 func (u *upgrade) restoreState() bool {
 	p := u.proxy
 	peer, state, err := handover.Meet(u.dir, u.name)
@@ -58,13 +58,13 @@
 	return true
 }
 
-// setPart must be called with mu held, or before begin.
+// setShare must be called with mu held, or before start.
 func (u *upgrade) setShare(share handover.Part) {
 	u.share = share
 	u.proxy.setShare(share)
 }
 
-// begin waits for the next process, and tells the one before that this one takes clients.
+// start begins to wait for a successor, and notifies the predecessor that this process serves clients.
 func (u *upgrade) start() {
 	u.mu.Lock()
 	l, err := handover.Listen(u.dir, u.name)
@@ -81,11 +81,11 @@
 	}
 	u.running.Go(func() { u.servePredecessor(predecessor) })
 	if _, err := predecessor.Ask(context.Background(), handover.Message{Kind: handover.Ready}); err != nil {
-		u.proxy.log.Warn("upgrade: the process before does not know that this one takes clients", "error", err)
+		u.proxy.log.Warn("upgrade: could not notify the previous process that this one serves clients", "error", err)
 	}
 }
 
-// follow hears the process before until it has gone.
+// servePredecessor handles the predecessor's messages until it has ended.
 func (u *upgrade) servePredecessor(predecessor *handover.Peer) {
 	err := predecessor.Follow(func(m handover.Message) {
 		switch m.Kind {
@@ -119,7 +119,7 @@
 	from.Tell(handover.Message{Kind: handover.Done, Number: m.Number, Known: known})
 }
 
-// accept serves the processes that come after this one, one at a time.
+// acceptSuccessors serves the processes that connect to take over from this one, one at a time.
 func (u *upgrade) acceptSuccessors(l *net.UnixListener) {
 	for {
 		conn, err := l.Accept()
@@ -135,7 +135,7 @@
 	conn.SetDeadline(time.Now().Add(helloTimeout))
 	m, err := handover.Read(conn)
 	if err != nil || m.Kind != handover.Hello {
-		u.proxy.log.Warn("upgrade: a caller that is no process of this proxy", "error", err)
+		u.proxy.log.Warn("upgrade: rejected a connection without a valid hello", "error", err)
 		return
 	}
 	peer := handover.NewPeer(conn)
@@ -150,7 +150,7 @@
 			u.mu.Lock()
 			u.outgoing.Ready()
 			u.mu.Unlock()
-			u.proxy.log.Info("upgrade: the new process takes clients")
+			u.proxy.log.Info("upgrade: the new process serves clients")
 			peer.Tell(handover.Message{Kind: handover.Done, Number: m.Number})
 		}
 	})
@@ -165,8 +165,8 @@
 	u.proxy.log.Warn("upgrade: the new process has gone", "last", err)
 }
 
-// give tells a new process all that this one knows. It holds mu meanwhile, so that what is decided by hand stands in
-// it or is told behind it.
+// sendState sends this process's state to a new process. It holds mu throughout, so that every operator override is either
+// in the state or is sent after it.
 func (u *upgrade) sendState(conn net.Conn, peer *handover.Peer) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -182,7 +182,7 @@
 	state.Clock = p.host.Clock()
 	state.ByHand = append([]string{}, p.host.Banned()...)
 	if err := peer.Tell(handover.Message{Kind: handover.Snapshot, Snapshot: state}); err != nil {
-		p.log.Warn("upgrade: the new process did not get what this one knows", "error", err)
+		p.log.Warn("upgrade: could not send the state to the new process", "error", err)
 		return false
 	}
 	conn.SetDeadline(time.Time{})
@@ -191,7 +191,8 @@
 	return true
 }
 
-// leave says whether another process takes the callers, now that this one has been told to go.
+// handOff reports whether the successor serves the callers now that this process is to shut down. If so, it keeps only
+// its share of the callers' connections and notifies the successor.
 func (u *upgrade) handOff() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -200,12 +201,13 @@
 	}
 	u.setShare(handover.Part{Callers: u.share.Callers})
 	if err := u.successor.Tell(handover.Message{Kind: handover.Leaving}); err != nil {
-		u.proxy.log.Warn("upgrade: the new process does not know that this one leaves", "error", err)
+		u.proxy.log.Warn("upgrade: could not notify the new process of the shutdown", "error", err)
 	}
 	return true
 }
 
-// tell tells the other processes what was decided by hand here, and says whether one of them knows the server.
+// sendBan sends an operator's ban, or its lifting, to the other processes, and reports whether one of them knows the
+// server.
 func (u *upgrade) sendBan(ctx context.Context, server string, out bool) (known bool) {
 	u.mu.Lock()
 	peers := []*handover.Peer{u.predecessor, u.successor}
@@ -216,14 +218,14 @@
 		}
 		done, err := peer.Ask(ctx, handover.Message{Kind: handover.Ban, Server: server, Out: out})
 		if err != nil {
-			u.proxy.log.Warn("by hand: the other process has not answered", "backend", server, "error", err)
+			u.proxy.log.Warn("operator override: the other process has not answered", "backend", server, "error", err)
 		}
 		known = known || done.Known
 	}
 	return known
 }
 
-// end ends all talk with other processes.
+// close closes the connections to other processes and waits until they are no longer served.
 func (u *upgrade) close() {
 	u.closeOnce.Do(func() {
 		u.mu.Lock()
--- a/internal/proxy/upgrade_test.go
+++ b/internal/proxy/upgrade_test.go
@@ -21,8 +21,8 @@
 	"brasswell/internal/handover"
 )
 
-// platform holds the callers' listening socket, as the platform does, and starts processes of one proxy at it. They run
-// in this process; what they share is the socket and the folder.
+// platform owns the callers' listening socket, as the real platform does, and starts processes of one proxy that use
+// it. They all run in the test's process and share only the socket and the folder.
 type platform struct {
 	t        *testing.T
 	listener *net.TCPListener
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	folder, err := os.MkdirTemp("", "up") // a socket's path may have 107 bytes
+	folder, err := os.MkdirTemp("", "up") // the path of a Unix socket may have at most 107 bytes
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 	return &platform{t, l.(*net.TCPListener), folder, newRegistry(t), hosts}
 }
 
-// process is one running process of the proxy.
+// process is one simulated process of the proxy.
 type process struct {
 	*Proxy
 	t    *testing.T
@@ -54,7 +54,7 @@
 	done chan error
 }
 
-// start starts a process, and returns once it says that it takes clients.
+// start starts a process, and returns once its console reports that it is ready.
 func (p *platform) start() *process {
 	p.t.Helper()
 	file, err := p.listener.File()
@@ -81,7 +81,7 @@
 	}
 }
 
-// stop tells the process to go and waits until it has gone.
+// stop shuts the process down and waits for its end.
 func (s *process) stop() {
 	s.term()
 	if s.done == nil {
@@ -93,18 +93,18 @@
 	s.done = nil
 }
 
-// console makes one call.
+// console makes one call to the process's console.
 func (s *process) console(method, path string) (int, string) {
 	s.t.Helper()
 	return dialAt(s.t, s.Proxy.console.Addr().String()).send(method + " " + path + " HTTP/1.1\r\nHost: console\r\n\r\n").answer()
 }
 
-// crowd is callers that ask one request after the other on kept connections until they are told to end.
+// callerLoad runs callers that send one request after another on persistent connections until stop is closed.
 type callerLoad struct {
 	address      string
 	asked        atomic.Int64
-	broken       atomic.Int64 // requests that met a closed, reset or unread connection
-	wrongAnswers atomic.Int64 // answers that were not 200 with the request's own id
+	broken       atomic.Int64 // requests whose connection was closed or reset before the answer
+	wrongAnswers atomic.Int64 // answers other than 200 with the request's own id
 	stop         chan struct{}
 	all          sync.WaitGroup
 }
@@ -171,26 +171,26 @@
 	}
 }
 
-// unsafe is the head of a POST that must not run twice, but for what frames its body.
+// onceHead returns the head of a POST that must not run twice, without the framing fields and the blank line.
 func onceHead(id string) string {
 	return "POST /api HTTP/1.1\r\nHost: x\r\nX-Txn: " + id + "\r\nX-Lane: once\r\nX-Remaining-Ms: 900\r\n"
 }
 
-// reached waits until the crowd has asked so many more.
+// awaitRequests waits until the callers have sent that many more requests.
 func (c *callerLoad) awaitRequests(t *testing.T, more int64) {
 	t.Helper()
 	for want, end := c.asked.Load()+more, time.Now().Add(eventTimeout); c.asked.Load() < want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the crowd stands still")
+			t.Fatal("the callers send no more requests")
 		}
 	}
 }
 
-// ran counts how often each request ran, and at which backend since when.
+// runCounter counts how often each request ran, and how many requests ran at each backend.
 type runCounter struct {
 	mu        sync.Mutex
 	byID      map[string]int
-	byBackend map[string]int // by backend
+	byBackend map[string]int // requests by backend name
 }
 
 func (r *runCounter) backend(t *testing.T, name string) string {
@@ -208,7 +208,7 @@
 	return r.byBackend[name]
 }
 
-// newCounting is a backend that tells of each request and answers with its id.
+// newCountingBackend starts a backend that calls onRequest for each request and answers with the request's id.
 func newCountingBackend(t *testing.T, tell func(id string)) (address string) {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -220,8 +220,8 @@
 	return s.Listener.Addr().String()
 }
 
-// TestUpgradesUnderLoad upgrades several times in a row while callers ask without a pause for what must not run twice.
-// Nobody meets a closed connection, every request is answered with its own answer, and each ran once.
+// TestUpgradesUnderLoad upgrades several times in a row while callers continuously send requests that must not run
+// twice. No caller may get a closed connection, every request must get its own answer, and each must run exactly once.
 func TestUpgradesUnderLoad(t *testing.T) {
 	r := &runCounter{byID: map[string]int{}, byBackend: map[string]int{}}
 	p := newPlatform(t, entry("s1", r.backend(t, "s1"), "up"), entry("s2", r.backend(t, "s2"), "up"), entry("s3", r.backend(t, "s3"), "up"))
@@ -236,10 +236,10 @@
 	c.awaitRequests(t, 200)
 	c.end()
 	if n := c.broken.Load(); n != 0 {
-		t.Errorf("%d of %d requests met a connection that was closed", n, c.asked.Load())
+		t.Errorf("%d of %d requests had their connection closed", n, c.asked.Load())
 	}
 	if n := c.wrongAnswers.Load(); n != 0 {
-		t.Errorf("%d of %d requests got another answer than their own", n, c.asked.Load())
+		t.Errorf("%d of %d requests did not get their own answer", n, c.asked.Load())
 	}
 	for id, n := range r.byID {
 		if n != 1 {
@@ -251,8 +251,8 @@
 	}
 }
 
-// TestBanHoldsOverUpgrades takes a backend out before an upgrade, and another between the new process's yes and the
-// old one's end, by the new one's console and by the old one's.
+// TestBanHoldsOverUpgrades bans a backend before an upgrade, and two others between the time when the new process is
+// ready and the end of the old one: one by the new process's console, and one by the old one's.
 func TestBanHoldsOverUpgrades(t *testing.T) {
 	r := &runCounter{byID: map[string]int{}, byBackend: map[string]int{}}
 	names := []string{"s1", "s2", "s3", "s4"}
@@ -274,7 +274,8 @@
 	second := p.start()
 	out(second, "s2")
 	out(first, "s3")
-	// A send that had its last look before the yes may still be on its way; what the callers ask from now on is later.
+	// A request that was checked before the confirmation may still be on its way to the backend. Requests that the callers
+	// send from now on are later.
 	c.awaitRequests(t, 20)
 	before := map[string]int{}
 	for _, name := range names {
@@ -285,47 +286,48 @@
 	c.awaitRequests(t, 200)
 	for _, name := range names[:3] {
 		if n := r.count(name) - before[name]; n != 0 {
-			t.Errorf("%s, which is out, got %d requests", name, n)
+			t.Errorf("%s, which is banned, got %d requests", name, n)
 		}
 	}
 	if r.count("s4") == before["s4"] {
-		t.Error("nothing came to the one that is in")
+		t.Error("the backend that is not banned got no requests")
 	}
 	if _, text := second.console("GET", "/v1/metrics"); !strings.Contains(text, "pool_size:4|g") || !strings.Contains(text, "pool_ejected:3|g") {
-		t.Errorf("figures\n%s", text)
+		t.Errorf("metrics\n%s", text)
 	}
 	if status, _ := second.console("POST", "/v1/backends/s1/resume"); status != 200 {
 		t.Errorf("resume: %d", status)
 	}
 	for end := time.Now().Add(eventTimeout); r.count("s1") == before["s1"]; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("s1 is back and gets nothing")
+			t.Fatal("s1 got no request after its ban was lifted")
 		}
 	}
 	if status, _ := second.console("POST", "/v1/backends/nobody/suspend"); status != 404 {
 		t.Errorf("an id that was never listed: %d", status)
 	}
-	c.end() // while there is somebody to answer
+	c.end() // while a process is there to answer
 }
 
-// TestNewProcessThatDies has new processes come and go before and after their yes; the old one serves on alone.
+// TestNewProcessThatDies has new processes die before and after they are ready. The old process must continue alone,
+// with its full share of the limits.
 func TestNewProcessThatDies(t *testing.T) {
 	r := &runCounter{byID: map[string]int{}, byBackend: map[string]int{}}
 	p := newPlatform(t, entry("s1", r.backend(t, "s1"), "up"))
 	old := p.start()
 	c := newCallerLoad(t, p.listener.Addr().String(), 4)
 	for range 3 {
-		peer, _, err := handover.Meet(p.folder, "n1") // asks, and dies before its yes
+		peer, _, err := handover.Meet(p.folder, "n1") // requests the state, and dies before it is ready
 		if err != nil || peer == nil {
 			t.Fatalf("%v, %v", peer, err)
 		}
 		peer.Close()
 	}
 	c.awaitRequests(t, 100)
-	c.end() // a process that dies takes what it has with it
+	c.end() // a process that dies loses its open requests
 	next := p.start()
 	next.Close()
-	<-next.done // with an error: it was not told to go
+	<-next.done // returns an error: it was not shut down
 	next.done = nil
 	for end := time.Now().Add(eventTimeout); ; time.Sleep(time.Millisecond) {
 		old.upgrade.mu.Lock()
@@ -335,21 +337,21 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the old one still keeps to %+v", part)
+			t.Fatalf("the old process still has the share %+v", part)
 		}
 	}
 	if c.broken.Load()+c.wrongAnswers.Load() != 0 {
-		t.Errorf("%d broken, %d unheard", c.broken.Load(), c.wrongAnswers.Load())
+		t.Errorf("%d broken, %d wrong answers", c.broken.Load(), c.wrongAnswers.Load())
 	}
 	again := newCallerLoad(t, p.listener.Addr().String(), 4)
 	again.awaitRequests(t, 200)
 	again.end()
 	if again.broken.Load()+again.wrongAnswers.Load() != 0 {
-		t.Errorf("afterwards %d broken, %d unheard", again.broken.Load(), again.wrongAnswers.Load())
+		t.Errorf("afterwards %d broken, %d wrong answers", again.broken.Load(), again.wrongAnswers.Load())
 	}
 }
 
-// TestFiguresAgainstTheBooks holds the figures against what callers and backends have counted themselves.
+// TestMetricsMatchCallerAndBackendCounts compares the metrics with the counts of the callers and backends.
 func TestMetricsMatchCallerAndBackendCounts(t *testing.T) {
 	r := &runCounter{byID: map[string]int{}, byBackend: map[string]int{}}
 	p := newPlatform(t, entry("s1", r.backend(t, "s1"), "up"), entry("s2", r.backend(t, "s2"), "up"))
