--- a/internal/proxy/backend_test.go
+++ b/internal/proxy/backend_test.go
@@ -56,9 +56,9 @@
 
 func TestValidAnswersWithExtraBytes(t *testing.T) {
 	for name, reply := range map[string]func(string) string{
-		"second copy":   func(id string) string { return idAnswer(id) + idAnswer(id) },
-		"noise after it":  func(id string) string { return idAnswer(id) + "\x00noise" },
-		"interim ahead": func(id string) string { return strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 3) + idAnswer(id) },
+		"second copy":    func(id string) string { return idAnswer(id) + idAnswer(id) },
+		"noise after it": func(id string) string { return idAnswer(id) + "\x00noise" },
+		"interim ahead":  func(id string) string { return strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 3) + idAnswer(id) },
 		"chunks": func(id string) string {
 			return fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(id), id)
 		},
