--- a/internal/proxy/backend_test.go
+++ b/internal/proxy/backend_test.go
@@ -15,7 +15,7 @@
 // served by the next backend, and a request that must not run twice fails.
 func TestMalformedAnswersAreFailedAttempts(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
-	for name, spoilt := range map[string]string{
+	for name, malformed := range map[string]string{
 		"noise":                 "\x00\x01\x02 noise\r\n\r\n",
 		"no length, no chunks":  ok + "\r\npart of it",
 		"length over 32 MiB":    ok + "Content-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<20),
@@ -29,7 +29,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			bad := newBackend(t, "127.0.0.1:0", func(string) string { return spoilt })
+			bad := newBackend(t, "127.0.0.1:0", func(string) string { return malformed })
 			good := newBackend(t, "127.0.0.1:0", idAnswer)
 			g := newTestProxy(t, nil, entry("s1", bad.address, "up"), entry("s2", good.address, "up"))
 			c := g.dial()
@@ -44,7 +44,7 @@
 		})
 		t.Run(name+", once", func(t *testing.T) {
 			t.Parallel()
-			bad := newBackend(t, "127.0.0.1:0", func(string) string { return spoilt })
+			bad := newBackend(t, "127.0.0.1:0", func(string) string { return malformed })
 			g := newTestProxy(t, nil, entry("s1", bad.address, "up"))
 			status, _ := g.dial().send(strings.Replace(strings.Replace(head("a"), "search", "once", 1), "GET", "POST", 1)).answer()
 			if status != 502 {
@@ -115,14 +115,14 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			end := make(chan struct{})
-			passedOn := len(c.text) > 64<<10 // its head is forwarded before its end has arrived
-			if !passedOn {
+			streamed := len(c.text) > 64<<10 // its head is forwarded before its end has arrived
+			if !streamed {
 				close(end)
 			}
 			address := endingServer(t, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+c.text, c.reset, end)
 			g := newTestProxy(t, nil, entry("s1", address, "up"))
 			resp, err := http.ReadResponse(g.dial().send(strings.Replace(strings.Replace(head("a"), "search", "once", 1), "GET", "POST", 1)).r, nil)
-			if passedOn {
+			if streamed {
 				close(end)
 			}
 			if err != nil {
--- a/internal/proxy/ban_story_test.go
+++ b/internal/proxy/ban_scenario_test.go
@@ -104,16 +104,16 @@
 			}
 			before := f.Backends[i].State().Arrived
 			f.Books.ByHand(id, false)
-			back := time.Now()
+			liftedAt := time.Now()
 			call(id, "resume")
 			for f.Backends[i].State().Arrived == before {
-				if time.Since(back) > inUseTimeout {
+				if time.Since(liftedAt) > inUseTimeout {
 					t.Errorf("%s got no request after its ban was lifted", id)
 					break
 				}
 				time.Sleep(time.Millisecond)
 			}
-			slowest = max(slowest, time.Since(back))
+			slowest = max(slowest, time.Since(liftedAt))
 		}
 	}
 	end()
--- a/internal/proxy/channel_test.go
+++ b/internal/proxy/channel_test.go
@@ -1065,15 +1065,15 @@
 			}
 		})
 	}
-	on := len(a.heads) // each upgrade reached its server before the client got the answer
+	atBanned := len(a.heads) // each upgrade reached its server before the client got the answer
 	if !g.host.SetBanned("a", true) {
 		t.Fatal("not known")
 	}
-	g.awaitChannels(20 - on)
+	g.awaitChannels(20 - atBanned)
 	if _, resp := g.openChannel("new"); resp.StatusCode != 101 {
 		t.Errorf("answered %d", resp.StatusCode)
 	}
-	if len(a.heads) != on {
+	if len(a.heads) != atBanned {
 		t.Error("a channel was opened at a banned server")
 	}
 	b.kill()
@@ -1109,9 +1109,9 @@
 	}
 }
 
-// TestFiguresOfChannels checks the metrics of a channel: each reaches one exact value, and the bytes carried remain counted
+// TestChannelMetrics checks the metrics of a channel: each reaches one exact value, and the bytes carried remain counted
 // after the channel has ended.
-func TestFiguresOfChannels(t *testing.T) {
+func TestChannelMetrics(t *testing.T) {
 	n := newWSServer(t, nil)
 	g := newTestProxy(t, withChannels(nil), entry("node-1", n.address, "up"))
 	client, server := g.openPair(n, "1")
--- a/internal/proxy/desk.go
+++ b/internal/proxy/console.go
@@ -60,17 +60,17 @@
 
 // SetBanned bans a server by operator override, or lifts the ban, here and in the other process of this proxy, if there is
 // one. After a call that bans a server has returned, no new request is sent to it.
-func (p *Proxy) ByHand(ctx context.Context, id string, out bool) error {
-	known := p.host.SetBanned(id, out)
+func (p *Proxy) ByHand(ctx context.Context, id string, banned bool) error {
+	known := p.host.SetBanned(id, banned)
 	joined := false
 	if p.upgrade != nil {
-		joined = p.upgrade.sendBan(ctx, id, out)
+		joined = p.upgrade.sendBan(ctx, id, banned)
 		known = joined || known
 	}
 	if !known {
 		return checkKnown(id, known)
 	}
-	if err := p.persistBan(ctx, id, out, joined); err != nil {
+	if err := p.persistBan(ctx, id, banned, joined); err != nil {
 		return fmt.Errorf("%w: %w", console.ErrNotKept, err)
 	}
 	return nil
--- a/internal/proxy/following.go
+++ b/internal/proxy/following.go
@@ -19,7 +19,7 @@
 }
 
 // begin allows watches from now on, and reports whether one was requested before.
-func (f *followState) begin() (wanted bool) {
+func (f *followState) begin() (requested bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.begun = true
@@ -43,12 +43,12 @@
 // startFollowing begins to follow discovery. If discovery pushes lists, a watch is kept open; otherwise the balancer
 // decides when to request the list.
 func (p *Proxy) startFollowing() {
-	wanted := p.followState.begin()
+	requested := p.followState.begin()
 	switch {
 	case p.ctx.Err() != nil: // the proxy is closing
 	case !p.settings.Balancer.AskForList:
 		p.running.Go(func() { p.discovery.Follow(p.ctx) })
-	case wanted:
+	case requested:
 		p.watch()
 	}
 }
--- a/internal/proxy/heldover_test.go
+++ b/internal/proxy/heldlists_test.go
@@ -87,8 +87,8 @@
 	after := newFakeRules(&rules.Document{})
 	after.maxDrop = 0.22
 	second := p.startWithListGuard(after)
-	if told := after.held.Load(); told == nil || !slices.Equal(*told, lost) {
-		t.Errorf("reported as held: %v", told)
+	if reported := after.reported.Load(); reported == nil || !slices.Equal(*reported, lost) {
+		t.Errorf("reported as held: %v", reported)
 	}
 	p.registry.lists <- list(3, true, p.hosts[3], entry("s5", "127.0.0.1:5", "up"))
 	for end := time.Now().Add(eventTimeout); second.discovery.Seq() != 3; time.Sleep(time.Millisecond) {
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -42,8 +42,8 @@
 	polling bool
 }
 
-func newListGuard(ctx context.Context, running *sync.WaitGroup, share float64, h *host.Instance, tell func([]string), log *slog.Logger) *listGuard {
-	k := &listGuard{host: h, reportHeld: tell, log: log, ctx: ctx, running: running, start: time.Now()}
+func newListGuard(ctx context.Context, running *sync.WaitGroup, share float64, h *host.Instance, reportHeld func([]string), log *slog.Logger) *listGuard {
+	k := &listGuard{host: h, reportHeld: reportHeld, log: log, ctx: ctx, running: running, start: time.Now()}
 	settings := lists.DefaultSettings()
 	settings.Share = share
 	k.checker = lists.New(settings, k.mayDrop)
--- a/internal/proxy/parking_test.go
+++ b/internal/proxy/parking_test.go
@@ -54,7 +54,7 @@
 // countRequests counts the requests that reach the backend, by id, until the returned function is called, which returns the
 // counts.
 func (b *backend) countRequests() func() map[string]int {
-	came := make(chan map[string]int)
+	counts := make(chan map[string]int)
 	go func() {
 		ids := map[string]int{}
 		for id := range b.requests {
@@ -63,11 +63,11 @@
 			}
 			ids[id]++
 		}
-		came <- ids
+		counts <- ids
 	}()
 	return func() map[string]int {
 		b.requests <- ""
-		return <-came
+		return <-counts
 	}
 }
 
@@ -78,7 +78,7 @@
 	b := newBackend(t, "127.0.0.1:0", idAnswer)
 	g := newTestProxy(t, withParking(nil), entry("a", b.address, "up"))
 	const callers = 40
-	came := b.countRequests()
+	requestCounts := b.countRequests()
 	var all []*testCaller
 	for i := range callers {
 		c := g.dial()
@@ -114,7 +114,7 @@
 		asking.Wait()
 		g.awaitParked(callers)
 	}
-	ids := came()
+	ids := requestCounts()
 	for id, n := range ids {
 		if n != 1 {
 			t.Errorf("%s reached the backend %d times", id, n)
@@ -183,7 +183,7 @@
 func TestRequestsThatMeetTheirConnectionsEnd(t *testing.T) {
 	const callers, idleTime = 200, time.Second
 	b := newBackend(t, "127.0.0.1:0", idAnswer)
-	came := b.countRequests()
+	requestCounts := b.countRequests()
 	g := newTestProxy(t, withParking(func(c *Config) { c.Options.Callers.IdleTimeout = idleTime }), entry("a", b.address, "up"))
 	var all []*testCaller
 	var since []time.Time
@@ -226,7 +226,7 @@
 	asking.Wait()
 	close(stop)
 	busy.Wait()
-	ids := came()
+	ids := requestCounts()
 	for id := range closed {
 		if ids[id] != 0 {
 			t.Errorf("%s reached a backend, and its connection was closed as idle", id)
--- a/internal/proxy/recovery.go
+++ b/internal/proxy/recovery.go
@@ -73,13 +73,13 @@
 const persistTimeout = 500 * time.Millisecond
 
 // persistBan writes an operator's ban, or its lifting, to disk if the proxy persists state.
-func (p *Proxy) persistBan(ctx context.Context, id string, out, joined bool) error {
+func (p *Proxy) persistBan(ctx context.Context, id string, banned, joined bool) error {
 	if p.recovery == nil {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, persistTimeout)
 	defer cancel()
-	return p.recovery.Keep(ctx, id, out, joined)
+	return p.recovery.Keep(ctx, id, banned, joined)
 }
 
 // Recovery returns the status of this process's recovery as JSON.
--- a/internal/proxy/rules_test.go
+++ b/internal/proxy/rules_test.go
@@ -18,7 +18,7 @@
 	basis    atomic.Pointer[accord.Basis]
 	onChange func(*accord.Basis)
 	maxDrop  float64
-	held     atomic.Pointer[[]string]
+	reported atomic.Pointer[[]string]
 }
 
 func newFakeRules(d *rules.Document) *fakeRules {
@@ -38,7 +38,7 @@
 }
 func (a *fakeRules) Number(*accord.Basis) (int, int, bool)  { return 0, 0, false }
 func (a *fakeRules) ListDrop() float64                      { return cmp.Or(a.maxDrop, 1) }
-func (a *fakeRules) Hold(ids []string)                      { a.held.Store(&ids) }
+func (a *fakeRules) Hold(ids []string)                      { a.reported.Store(&ids) }
 func (a *fakeRules) Mode() accord.Mode                      { return a.basis.Load().Mode(time.Second) }
 func (a *fakeRules) Follow(f func(*accord.Basis))           { a.onChange = f; f(a.basis.Load()) }
 func (a *fakeRules) Status(context.Context) ([]byte, error) { return []byte("{}"), nil }
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -198,15 +198,15 @@
 	if status, body := asks.send(head("during")).answer(); status != 200 || body != "during" {
 		t.Errorf("during the shutdown: %d %q", status, body)
 	}
-	left := make(chan struct{})
+	ended := make(chan struct{})
 	go func() {
 		g.restart.Run(g.connsClosed)
-		close(left)
+		close(ended)
 	}()
 	if status, _ := waits.answer(); status != 502 {
 		t.Errorf("the request that cannot be served in time was answered %d", status)
 	}
 	asks.expectClosed()
 	waits.expectClosed()
-	await(t, "the end", left)
+	await(t, "the end", ended)
 }
--- a/internal/proxy/smuggling_test.go
+++ b/internal/proxy/smuggling_test.go
@@ -18,7 +18,7 @@
 	hidden := head("hidden")
 	chunks := "0\r\n\r\n" + hidden
 	all := map[string]string{}
-	// message returns a POST with the given framing fields.
+	// message returns a POST with the given framing fields, which include the line break of each.
 	message := func(fields, body string) string {
 		return "POST /api HTTP/1.1\r\nHost: x\r\nX-Txn: " + id + "\r\nX-Lane: hold\r\nX-Remaining-Ms: 900\r\nIdempotency-Key: k\r\n" + fields + "\r\n" + body
 	}
@@ -143,18 +143,18 @@
 			}
 		}
 	})
-	sound := 0
+	valid := 0
 	for len(b.requests) > 0 {
 		id := <-b.requests
 		if strings.HasPrefix(id, "sound") {
-			sound++
+			valid++
 			continue
 		}
 		_, mark, _ := strings.Cut(id, "-")
 		t.Errorf("%s: %s reached the backend", names["-"+mark], id)
 	}
-	if sound != len(messages) {
-		t.Errorf("%d valid requests reached the backend, want %d", sound, len(messages))
+	if valid != len(messages) {
+		t.Errorf("%d valid requests reached the backend, want %d", valid, len(messages))
 	}
 }
 
--- a/internal/proxy/upgrade.go
+++ b/internal/proxy/upgrade.go
@@ -208,7 +208,7 @@
 
 // sendBan sends an operator's ban, or its lifting, to the other processes, and reports whether one of them knows the
 // server.
-func (u *upgrade) sendBan(ctx context.Context, server string, out bool) (known bool) {
+func (u *upgrade) sendBan(ctx context.Context, server string, banned bool) (known bool) {
 	u.mu.Lock()
 	peers := []*handover.Peer{u.predecessor, u.successor}
 	u.mu.Unlock()
@@ -216,7 +216,7 @@
 		if peer == nil {
 			continue
 		}
-		done, err := peer.Ask(ctx, handover.Message{Kind: handover.Ban, Server: server, Out: out})
+		done, err := peer.Ask(ctx, handover.Message{Kind: handover.Ban, Server: server, Out: banned})
 		if err != nil {
 			u.proxy.log.Warn("operator override: the other process has not answered", "backend", server, "error", err)
 		}
--- a/internal/proxy/upgrade_test.go
+++ b/internal/proxy/upgrade_test.go
@@ -209,11 +209,11 @@
 }
 
 // newCountingBackend starts a backend that calls onRequest for each request and answers with the request's id.
-func newCountingBackend(t *testing.T, tell func(id string)) (address string) {
+func newCountingBackend(t *testing.T, onRequest func(id string)) (address string) {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get(front.IDField)
-		tell(id)
+		onRequest(id)
 		io.WriteString(w, id)
 	}))
 	t.Cleanup(s.Close)
@@ -251,9 +251,9 @@
 	}
 }
 
-// TestBanHoldsOverUpgrades bans a backend before an upgrade, and two others between the time when the new process is
+// TestBansPersistAcrossUpgrades bans a backend before an upgrade, and two others between the time when the new process is
 // ready and the end of the old one: one by the new process's console, and one by the old one's.
-func TestBanHoldsOverUpgrades(t *testing.T) {
+func TestBansPersistAcrossUpgrades(t *testing.T) {
 	r := &runCounter{byID: map[string]int{}, byBackend: map[string]int{}}
 	names := []string{"s1", "s2", "s3", "s4"}
 	var hosts []string
@@ -264,16 +264,16 @@
 	first := p.start()
 	c := newCallerLoad(t, p.listener.Addr().String(), 4)
 	c.awaitRequests(t, 100)
-	out := func(s *process, name string) {
+	ban := func(s *process, name string) {
 		t.Helper()
 		if status, text := s.console("POST", "/v1/backends/"+name+"/suspend"); status != 200 {
 			t.Fatalf("%s: %d %s", name, status, text)
 		}
 	}
-	out(first, "s1")
+	ban(first, "s1")
 	second := p.start()
-	out(second, "s2")
-	out(first, "s3")
+	ban(second, "s2")
+	ban(first, "s3")
 	// A request that was checked before the confirmation may still be on its way to the backend. Requests that the callers
 	// send from now on are later.
 	c.awaitRequests(t, 20)
