--- a/internal/proxy/begin_test.go
+++ b/internal/proxy/begin_test.go
@@ -12,7 +12,7 @@
 // before its start. The watch's list is newer than the state on disk, and discovery does not send it again.
 func TestStoredStateDoesNotReplaceNewerList(t *testing.T) {
 	g := newTestProxy(t, nil, entry("s1", "127.0.0.1:1", "up"), entry("s2", "127.0.0.1:2", "up"))
-	disk := handover.Knowledge{}
+	disk := handover.State{}
 	disk.Balancer, disk.Addresses = g.host.Snapshot()
 	g.registry.lists <- list(2, false, entry("s1", "127.0.0.1:1", "draining"))
 	for end := time.Now().Add(eventTimeout); g.host.State().InRoundRobin != 1; time.Sleep(time.Millisecond) {
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -21,20 +21,20 @@
 	Console   string // address of the operators' console; "" for none
 	// Name and HandoverDir locate the socket over which a second process of this proxy takes over this one's state;
 	// "" for no handover. A handover needs an Inherited socket.
-	Name, MeetIn string
+	Name, HandoverDir string
 	// OnMemoryShare is called when this process's share of the proxy's memory limit changes, as in a handover; may be nil.
-	OnPart    func(part float64)
-	Discovery string
-	Seed      uint64
-	Settings  *settings.Settings
-	Known     json.RawMessage // the last known server list, in discovery's format; may be absent
-	Memory    int64           // bytes
-	Sockets   int
-	Options   Options
-	Fleet     Fleet          // nil if the proxy does not communicate with other proxies
-	Rules     Rules          // nil if there are no agreed rules
-	Recovery  *recovery.Node // nil if no state is persisted
-	Log       *slog.Logger
+	OnMemoryShare func(part float64)
+	Discovery     string
+	Seed          uint64
+	Settings      *settings.Settings
+	CachedList    json.RawMessage // the last known server list, in discovery's format; may be absent
+	Memory        int64           // bytes
+	Sockets       int
+	Options       Options
+	Fleet         Fleet          // nil if the proxy does not communicate with other proxies
+	Rules         Rules          // nil if there are no agreed rules
+	Recovery      *recovery.Node // nil if no state is persisted
+	Log           *slog.Logger
 }
 
 // Fleet is this process's membership in its fleet. Its methods may be called at any time.
@@ -51,17 +51,17 @@
 // Rules are what this process's fleet agrees on. Its methods may be called at any time.
 type Rules interface {
 	// Rule returns whether a send is allowed now, and the basis of that decision.
-	Rule(s rules.Send) (rules.Ruling, rules.Ground)
+	Decide(s rules.Send) (rules.Decision, rules.DecisionBasis)
 	// Mode returns the mode in which this process currently acts on the rules, such as under a lease.
 	Mode() accord.Mode
 	// Follow calls f with the current basis of decisions, and again after every change of the rules. f must not block.
 	Follow(f func(*accord.Basis))
 	// Number returns this proxy's agreed instance number and the number of instances; ok is false if there is none.
-	Number(b *accord.Basis) (self, of int, ok bool)
+	AgreedNumber(b *accord.Basis) (self, of int, ok bool)
 	// ListDrop returns the share of the backends that a list may leave out at once; 1 allows any.
-	ListDrop() float64
+	MaxListDrop() float64
 	// Hold sets the backends that stay in use although the newest list leaves them out. They are reported to operators.
-	Hold(ids []string)
+	SetHeldBackends(ids []string)
 	// Status returns this process's position in the agreement as JSON.
 	Status(ctx context.Context) ([]byte, error)
 	// Figures appends its metrics to text.
--- a/internal/proxy/desk.go
+++ b/internal/proxy/desk.go
@@ -16,7 +16,7 @@
 // Ready reports whether this process serves clients: its listener is served, no restart has begun, the host is ready, and
 // this process is not cut off from the agreed rules.
 func (d consoleHandler) Ready() bool {
-	return d.accepting.Load() && !d.restart.Begun() && d.host.Ready() && (d.rules == nil || d.rules.Mode() != accord.Away)
+	return d.accepting.Load() && !d.restart.Begun() && d.host.Ready() && (d.rules == nil || d.rules.Mode() != accord.Inactive)
 }
 
 func (d consoleHandler) Figures(text []byte) []byte {
@@ -54,13 +54,17 @@
 	return d.fleet.Status(ctx)
 }
 
-func (d consoleHandler) Suspend(ctx context.Context, id string) error { return d.ByHand(ctx, id, true) }
+func (d consoleHandler) Suspend(ctx context.Context, id string) error {
+	return d.SetBanned(ctx, id, true)
+}
 
-func (d consoleHandler) Resume(ctx context.Context, id string) error { return d.ByHand(ctx, id, false) }
+func (d consoleHandler) Resume(ctx context.Context, id string) error {
+	return d.SetBanned(ctx, id, false)
+}
 
 // SetBanned bans a server by operator override, or lifts the ban, here and in the other process of this proxy, if there is
 // one. After a call that bans a server has returned, no new request is sent to it.
-func (p *Proxy) ByHand(ctx context.Context, id string, banned bool) error {
+func (p *Proxy) SetBanned(ctx context.Context, id string, banned bool) error {
 	known := p.host.SetBanned(id, banned)
 	joined := false
 	if p.upgrade != nil {
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -33,7 +33,7 @@
 
 // TestDiscoveryVersionsThatRestart: if the service's versions restart at a lower number, the whole list is requested.
 func TestDiscoveryVersionsThatRestart(t *testing.T) {
-	g := newTestProxy(t, func(c *Config) { c.Known = json.RawMessage(list(40, true)) })
+	g := newTestProxy(t, func(c *Config) { c.CachedList = json.RawMessage(list(40, true)) })
 	await(t, "the watch", g.registry.calls)
 	g.registry.lists <- list(3, false)
 	if query := await(t, "the next call", g.registry.calls); query != "" {
--- a/internal/proxy/heldover_test.go
+++ b/internal/proxy/heldover_test.go
@@ -17,7 +17,7 @@
 		p.t.Fatal(err)
 	}
 	c := testConfig(p.registry.address, json.RawMessage(list(1, true, p.hosts...)))
-	c.Inherited, c.Name, c.MeetIn, c.Rules = file, "n1", p.folder, a
+	c.Inherited, c.Name, c.HandoverDir, c.Rules = file, "n1", p.folder, a
 	proxy, err := New(c)
 	if err != nil {
 		p.t.Fatal(err)
@@ -48,7 +48,7 @@
 	}
 	first.upgrade.start()
 	second := p.startWithListGuard(after)
-	accepted := leaseUntil(&rules.Document{Dropped: lost}, time.Hour)
+	accepted := leaseUntil(&rules.Document{Droppable: lost}, time.Hour)
 	for name, process := range map[string]struct {
 		proxy *Proxy
 		rules *fakeRules
@@ -99,7 +99,7 @@
 	if listed, _ := second.host.CountServers(); listed != 5 {
 		t.Errorf("%d servers are in use; the list has two, and three are held", listed)
 	}
-	accepted := leaseUntil(&rules.Document{Dropped: lost}, time.Hour)
+	accepted := leaseUntil(&rules.Document{Droppable: lost}, time.Hour)
 	after.basis.Store(accepted)
 	after.onChange(accepted)
 	if listed, _ := second.host.CountServers(); listed != 2 {
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -68,7 +68,7 @@
 	}
 	return limits{
 		softCallers: int(callerShare * sockets), hardCallers: int(hardCallerShare * sockets), backends: int(backendShare * sockets),
-		bodyBytes: int64(bodyShare * float64(c.Memory)), onMemoryShare: c.OnPart,
+		bodyBytes: int64(bodyShare * float64(c.Memory)), onMemoryShare: c.OnMemoryShare,
 	}, nil
 }
 
@@ -81,14 +81,14 @@
 }
 
 // setShare limits this process to a share of the proxy's limits.
-func (p *Proxy) setShare(share handover.Part) {
+func (p *Proxy) setShare(share handover.Share) {
 	l := p.limits
 	scale := func(part float64, of int) int { return max(int(math.Round(part*float64(of))), 1) }
 	p.callers.SetLimits(scale(share.Callers, l.softCallers), scale(share.Callers, l.hardCallers))
-	memoryShare := max(share.Rest, minMemoryShare)
+	memoryShare := max(share.Other, minMemoryShare)
 	p.backends.SetLimit(scale(memoryShare, l.backends))
 	p.bodies.Resize(int64(memoryShare * float64(l.bodyBytes)))
-	p.host.SetUpgradeShare(share.Rest)
+	p.host.SetUpgradeShare(share.Other)
 	if l.onMemoryShare != nil {
 		l.onMemoryShare(memoryShare)
 	}
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -17,8 +17,8 @@
 
 // Log messages about servers that are missing from the newest list and are held for confirmation.
 const (
-	LogHeld  = "list: held back"
-	LogLetGo = "list: let go"
+	LogListHeld     = "list: held back"
+	LogListReleased = "list: let go"
 )
 
 // ejectedPollInterval is the interval between two checks for held backends that the host has ejected, while any are held.
@@ -102,7 +102,7 @@
 		return
 	case len(ids) == 0:
 		k.held.Store(nil)
-		k.log.Info(LogLetGo, "held", 0)
+		k.log.Info(LogListReleased, "held", 0)
 	default:
 		held := make(map[string]bool, len(ids))
 		for _, id := range ids {
@@ -110,9 +110,9 @@
 		}
 		k.held.Store(&held)
 		if len(ids) > before {
-			k.log.Warn(LogHeld, "held", len(ids), "mend", "if they are gone, run brasswell ctl rules drop; if not, correct the list")
+			k.log.Warn(LogListHeld, "held", len(ids), "mend", "if they are gone, run brasswell ctl rules drop; if not, correct the list")
 		} else if len(ids) < before {
-			k.log.Info(LogLetGo, "held", len(ids))
+			k.log.Info(LogListReleased, "held", len(ids))
 		}
 		if !k.polling {
 			k.polling = true
@@ -142,7 +142,7 @@
 }
 
 // exportTo stores a consistent snapshot of the balancer and of the held servers in the state for the next process.
-func (k *listGuard) exportTo(state *handover.Knowledge) {
+func (k *listGuard) exportTo(state *handover.State) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	state.Balancer, state.Addresses = k.host.Snapshot()
@@ -150,7 +150,7 @@
 }
 
 // importFrom restores the servers that the previous process holds. It must be called before the first list arrives.
-func (k *listGuard) importFrom(state *handover.Knowledge) {
+func (k *listGuard) importFrom(state *handover.State) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.checker.Adopt(k.now(), state.Lists, inServiceServers(state))
@@ -158,7 +158,7 @@
 }
 
 // inServiceServers returns the servers that are in service in the previous process, with their start times from the list.
-func inServiceServers(state *handover.Knowledge) (servers []lists.Server) {
+func inServiceServers(state *handover.State) (servers []lists.Server) {
 	for _, s := range state.Balancer.Servers {
 		if s.Entry.State == balance.InService {
 			entry := s.Entry
@@ -171,7 +171,7 @@
 
 // exportLists stores the balancer's snapshot in the state for the next process, and the servers that the newest list leaves
 // out.
-func (p *Proxy) exportLists(state *handover.Knowledge) {
+func (p *Proxy) exportLists(state *handover.State) {
 	if p.lists != nil {
 		p.lists.exportTo(state)
 		return
@@ -181,7 +181,7 @@
 
 // importLists restores the servers that the previous process holds. If this process holds none, it removes them, because
 // discovery does not report their removal again.
-func (p *Proxy) importLists(state *handover.Knowledge) {
+func (p *Proxy) importLists(state *handover.State) {
 	if p.lists != nil {
 		p.lists.importFrom(state)
 		return
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -43,7 +43,7 @@
 	fleet       Fleet           // nil for none
 	rules       Rules           // nil for none
 	recovery    *recovery.Node  // nil for none
-	figures     *figures.Book
+	figures     *figures.Counters
 	settings    *settings.Settings
 	limits      limits
 	log         *slog.Logger
@@ -92,15 +92,15 @@
 
 // newProxy creates the parts that need neither a socket nor a server list.
 func newProxy(c *Config, lim limits, buffers socketControl) *Proxy {
-	counters := figures.NewBook(c.Settings.Classes)
+	counters := figures.NewCounters(c.Settings.Classes)
 	return &Proxy{
 		clientSide: clientSide{callers: callers.NewSet(lim.softCallers, lim.hardCallers, c.Options.Callers.OnceIdle), bodies: body.NewBudget(lim.bodyBytes)},
 		background: newBackground(),
-		restart:    restart.New(), recovery: c.Recovery, fileList: c.Known, log: c.Log, fleet: c.Fleet, rules: c.Rules, figures: counters,
+		restart:    restart.New(), recovery: c.Recovery, fileList: c.CachedList, log: c.Log, fleet: c.Fleet, rules: c.Rules, figures: counters,
 		settings: c.Settings, limits: lim,
 		backends: backends.NewPool(backends.Limits{
 			Conns: lim.backends, ConnectTimeout: c.Settings.ConnectTimeout, ConnIdle: c.Settings.ConnIdle,
-			Control: buffers, Written: counters.Try, Options: c.Options.Backends,
+			Control: buffers, OnWritten: counters.CountTry, Options: c.Options.Backends,
 		}),
 	}
 }
@@ -117,8 +117,8 @@
 		retryAfter = min(closedRetryAfter, s.Balancer.MaxRetryAfter)
 	}
 	if p.rules != nil {
-		if share := p.rules.ListDrop(); share < 1 {
-			p.lists = newListGuard(p.ctx, &p.running, share, p.host, p.rules.Hold, c.Log)
+		if share := p.rules.MaxListDrop(); share < 1 {
+			p.lists = newListGuard(p.ctx, &p.running, share, p.host, p.rules.SetHeldBackends, c.Log)
 			update = p.lists.update
 		}
 		p.host.SetAgreedRules(rulesGate{p.rules, s.Classes, p.lists}, retryAfter)
@@ -164,12 +164,12 @@
 		}
 		p.running.Go(func() { p.serveParked(p.ctx, p.log) })
 	}
-	if c.Inherited != nil && c.MeetIn != "" {
-		p.upgrade = newUpgrade(p, c.MeetIn, c.Name)
+	if c.Inherited != nil && c.HandoverDir != "" {
+		p.upgrade = newUpgrade(p, c.HandoverDir, c.Name)
 	}
 	joined := p.upgrade != nil && p.upgrade.restoreState()
 	if !joined && p.recovery == nil { // state from a running process or from disk is newer than the file's list
-		if err := p.loadCachedList(c.Known); err != nil {
+		if err := p.loadCachedList(c.CachedList); err != nil {
 			return err
 		}
 	}
--- a/internal/proxy/recovery.go
+++ b/internal/proxy/recovery.go
@@ -18,7 +18,7 @@
 
 // Begin restores the recovered state and begins to follow discovery. If discovery is followed already, its list is newer,
 // and only the bans are restored.
-func (s recoverySide) Begin(state handover.Knowledge, lost time.Duration) {
+func (s recoverySide) Begin(state handover.State, lost time.Duration) {
 	if s.followState.hasBegun() {
 		s.log.Error("recovery: discovery is followed already; only operator bans are restored from the state before this start")
 		s.host.BanAll(state.Balancer.Banned)
@@ -30,16 +30,16 @@
 			s.log.Error("recovery: the platform's server list is unusable", "error", err)
 		}
 	}
-	if state.Longest > 0 {
-		s.restart.Resume(state.Longest, state.Usual)
+	if state.LongestDeadline > 0 {
+		s.restart.Restore(state.LongestDeadline, state.LatencyP95)
 	}
 	s.startFollowing()
 }
 
 func (s recoverySide) Now() time.Duration { return s.host.Now() }
 
-func (s recoverySide) Known() handover.Knowledge {
-	state := handover.Knowledge{Seq: s.discovery.Seq(), Longest: s.restart.Longest(), Usual: s.restart.Usual()}
+func (s recoverySide) Known() handover.State {
+	state := handover.State{Seq: s.discovery.Seq(), LongestDeadline: s.restart.LongestDeadline(), LatencyP95: s.restart.LatencyP95()}
 	state.Balancer, state.Addresses = s.host.SnapshotInBatches()
 	return state
 }
--- a/internal/proxy/rules.go
+++ b/internal/proxy/rules.go
@@ -29,18 +29,18 @@
 // Open reports whether requests of a class are admitted now. A request that the rules do not let the proxy send is refused
 // before any work is done for it.
 func (g rulesGate) Open(class int) bool {
-	ruling, _ := g.rules.Rule(rules.Send{Class: g.className(class)})
+	ruling, _ := g.rules.Decide(rules.Send{Class: g.className(class)})
 	return ruling == rules.Allowed
 }
 
-func (g rulesGate) Rule(server string, class int, again bool) (rules.Ruling, rules.Ground) {
-	return g.rules.Rule(rules.Send{Server: server, Class: g.className(class), Again: again, Held: g.lists.isHeld(server)})
+func (g rulesGate) Rule(server string, class int, again bool) (rules.Decision, rules.DecisionBasis) {
+	return g.rules.Decide(rules.Send{Server: server, Class: g.className(class), MayHaveRun: again, DropHeld: g.lists.isHeld(server)})
 }
 
 // applyRules applies the current basis of the agreed rules.
 func (p *Proxy) applyRules(b *accord.Basis) {
-	p.host.ApplyAgreed(b.Doc.Bans, b.Doc.Share())
-	if self, of, ok := p.rules.Number(b); ok {
+	p.host.ApplyAgreed(b.Doc.Bans, b.Doc.QuotaShare())
+	if self, of, ok := p.rules.AgreedNumber(b); ok {
 		p.host.Renumber(self, of)
 	}
 	p.lists.setRules(b.Doc)
@@ -74,7 +74,7 @@
 	if c.ID == "" {
 		return nil, fmt.Errorf("%w: a change needs a unique id, so that a repeated request is not applied as a second change", console.ErrBad)
 	}
-	if err := c.Check(); err != nil {
+	if err := c.Validate(); err != nil {
 		return nil, fmt.Errorf("%w: %w", console.ErrBad, err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, rulesTimeout)
@@ -83,8 +83,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if a.No != "" {
-		return nil, errors.Join(console.ErrRefused, errors.New(a.No))
+	if a.Rejection != "" {
+		return nil, errors.Join(console.ErrRefused, errors.New(a.Rejection))
 	}
 	return json.Marshal(a)
 }
--- a/internal/proxy/rules_test.go
+++ b/internal/proxy/rules_test.go
@@ -29,21 +29,21 @@
 
 // leaseUntil returns a basis with a lease that ends at until; the clock is fixed at 1 s.
 func leaseUntil(d *rules.Document, until time.Duration) *accord.Basis {
-	return &accord.Basis{Version: 2, Last: 2, Doc: d, Vague: rules.Unknowing(d), Until: until, Tested: -1}
+	return &accord.Basis{Version: 2, Last: 2, Doc: d, Unleased: rules.Unleased(d), Until: until, LastUnanswered: -1}
 }
 
-func (a *fakeRules) Rule(s rules.Send) (rules.Ruling, rules.Ground) {
+func (a *fakeRules) Decide(s rules.Send) (rules.Decision, rules.DecisionBasis) {
 	b := a.basis.Load()
-	return b.Rule(time.Second, s), rules.Ground{Version: b.Last, Leased: b.Mode(time.Second) == accord.Leased}
+	return b.Decide(time.Second, s), rules.DecisionBasis{Version: b.Last, Leased: b.Mode(time.Second) == accord.Leased}
 }
-func (a *fakeRules) Number(*accord.Basis) (int, int, bool)  { return 0, 0, false }
-func (a *fakeRules) ListDrop() float64                      { return cmp.Or(a.maxDrop, 1) }
-func (a *fakeRules) Hold(ids []string)                      { a.reported.Store(&ids) }
-func (a *fakeRules) Mode() accord.Mode                      { return a.basis.Load().Mode(time.Second) }
-func (a *fakeRules) Follow(f func(*accord.Basis))           { a.onChange = f; f(a.basis.Load()) }
-func (a *fakeRules) Status(context.Context) ([]byte, error) { return []byte("{}"), nil }
-func (a *fakeRules) Figures(text []byte) []byte             { return text }
-func (a *fakeRules) Refound(context.Context) error          { return nil }
+func (a *fakeRules) AgreedNumber(*accord.Basis) (int, int, bool) { return 0, 0, false }
+func (a *fakeRules) MaxListDrop() float64                        { return cmp.Or(a.maxDrop, 1) }
+func (a *fakeRules) SetHeldBackends(ids []string)                { a.reported.Store(&ids) }
+func (a *fakeRules) Mode() accord.Mode                           { return a.basis.Load().Mode(time.Second) }
+func (a *fakeRules) Follow(f func(*accord.Basis))                { a.onChange = f; f(a.basis.Load()) }
+func (a *fakeRules) Status(context.Context) ([]byte, error)      { return []byte("{}"), nil }
+func (a *fakeRules) Figures(text []byte) []byte                  { return text }
+func (a *fakeRules) Refound(context.Context) error               { return nil }
 func (a *fakeRules) Propose(context.Context, rules.Change) (rules.Answer, error) {
 	return rules.Answer{}, nil
 }
@@ -64,7 +64,7 @@
 	if n := len(one.requests); n > 0 {
 		t.Errorf("%d requests to a banned server", n)
 	}
-	if err := g.ByHand(t.Context(), "s1", false); err != nil {
+	if err := g.SetBanned(t.Context(), "s1", false); err != nil {
 		t.Error(err)
 	}
 	c.send(head("a")).answer()
--- a/internal/proxy/upgrade.go
+++ b/internal/proxy/upgrade.go
@@ -20,8 +20,8 @@
 	closeOnce sync.Once
 
 	mu          sync.Mutex
-	outgoing    handover.Elder
-	share       handover.Part
+	outgoing    handover.OldProcess
+	share       handover.Share
 	predecessor *handover.Peer // nil once it has ended
 	successor   *handover.Peer
 	listener    *net.UnixListener
@@ -29,13 +29,13 @@
 }
 
 func newUpgrade(p *Proxy, dir, name string) *upgrade {
-	return &upgrade{proxy: p, dir: dir, name: name, share: handover.Alone}
+	return &upgrade{proxy: p, dir: dir, name: name, share: handover.FullShare}
 }
 
 // restoreState takes over the state of the running process, and reports whether there is one.
 func (u *upgrade) restoreState() bool {
 	p := u.proxy
-	peer, state, err := handover.Meet(u.dir, u.name)
+	peer, state, err := handover.Connect(u.dir, u.name)
 	if err != nil {
 		p.log.Warn("upgrade: nothing taken over, starting plainly", "error", err)
 	}
@@ -44,22 +44,22 @@
 	}
 	p.host.Adopt(state.Balancer, state.Addresses, state.Clock)
 	p.importLists(state)
-	if state.ByHand == nil {
-		state.ByHand = state.Balancer.Banned
+	if state.BannedByOperator == nil {
+		state.BannedByOperator = state.Balancer.Banned
 	}
-	p.host.RecordBans(state.ByHand)
+	p.host.RecordBans(state.BannedByOperator)
 	p.discovery.Resume(state.Seq)
-	p.front.SetOpenElsewhere(state.Open)
-	p.restart.Resume(state.Longest, state.Usual)
+	p.front.SetOpenElsewhere(state.OpenIDs)
+	p.restart.Restore(state.LongestDeadline, state.LatencyP95)
 	p.log.Info("upgrade: going on where the running process is", "servers", len(state.Balancer.Servers),
-		"out_by_hand", len(state.Balancer.Banned), "open", len(state.Open))
+		"out_by_hand", len(state.Balancer.Banned), "open", len(state.OpenIDs))
 	u.predecessor = peer
-	u.setShare(handover.Joined(state.Callers, p.limits.softCallers))
+	u.setShare(handover.NewProcessShare(state.CallerConns, p.limits.softCallers))
 	return true
 }
 
 // setShare must be called with mu held, or before start.
-func (u *upgrade) setShare(share handover.Part) {
+func (u *upgrade) setShare(share handover.Share) {
 	u.share = share
 	u.proxy.setShare(share)
 }
@@ -80,20 +80,20 @@
 		return
 	}
 	u.running.Go(func() { u.servePredecessor(predecessor) })
-	if _, err := predecessor.Ask(context.Background(), handover.Message{Kind: handover.Ready}); err != nil {
+	if _, err := predecessor.Request(context.Background(), handover.Message{Kind: handover.Ready}); err != nil {
 		u.proxy.log.Warn("upgrade: could not notify the previous process that this one serves clients", "error", err)
 	}
 }
 
 // servePredecessor handles the predecessor's messages until it has ended.
 func (u *upgrade) servePredecessor(predecessor *handover.Peer) {
-	err := predecessor.Follow(func(m handover.Message) {
+	err := predecessor.Serve(func(m handover.Message) {
 		switch m.Kind {
 		case handover.Ban:
 			u.applyBan(predecessor, m)
-		case handover.Leaving:
+		case handover.ShuttingDown:
 			u.mu.Lock()
-			u.setShare(handover.Left(u.share))
+			u.setShare(handover.ShareAfterShutdown(u.share))
 			u.mu.Unlock()
 		}
 	})
@@ -104,19 +104,19 @@
 		return
 	}
 	u.proxy.front.SetOpenElsewhere(nil)
-	u.setShare(handover.Alone)
+	u.setShare(handover.FullShare)
 	u.proxy.log.Info("upgrade: the process before has gone", "last", err)
 }
 
 func (u *upgrade) applyBan(from *handover.Peer, m handover.Message) {
-	known := u.proxy.host.SetBanned(m.Server, m.Out)
+	known := u.proxy.host.SetBanned(m.Server, m.Banned)
 	if known {
-		if err := u.proxy.persistBan(context.Background(), m.Server, m.Out, true); err != nil {
+		if err := u.proxy.persistBan(context.Background(), m.Server, m.Banned, true); err != nil {
 			u.proxy.log.Error("by hand, at the other process: not on disk", "backend", m.Server, "error", err)
 		}
 	}
-	u.proxy.log.Info("by hand, at the other process", "backend", m.Server, "out", m.Out, "known", known)
-	from.Tell(handover.Message{Kind: handover.Done, Number: m.Number, Known: known})
+	u.proxy.log.Info("by hand, at the other process", "backend", m.Server, "out", m.Banned, "known", known)
+	from.Send(handover.Message{Kind: handover.Done, Number: m.Number, Known: known})
 }
 
 // acceptSuccessors serves the processes that connect to take over from this one, one at a time.
@@ -142,22 +142,22 @@
 	if !u.sendState(conn, peer) {
 		return
 	}
-	err = peer.Follow(func(m handover.Message) {
+	err = peer.Serve(func(m handover.Message) {
 		switch m.Kind {
 		case handover.Ban:
 			u.applyBan(peer, m)
 		case handover.Ready:
 			u.mu.Lock()
-			u.outgoing.Ready()
+			u.outgoing.SuccessorReady()
 			u.mu.Unlock()
 			u.proxy.log.Info("upgrade: the new process serves clients")
-			peer.Tell(handover.Message{Kind: handover.Done, Number: m.Number})
+			peer.Send(handover.Message{Kind: handover.Done, Number: m.Number})
 		}
 	})
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.successor = nil
-	share := u.outgoing.Gone()
+	share := u.outgoing.SuccessorGone()
 	if u.closed {
 		return
 	}
@@ -174,20 +174,20 @@
 		return false
 	}
 	p := u.proxy
-	state := &handover.Knowledge{
-		Seq: p.discovery.Seq(), Open: p.front.OpenIDs(), Callers: p.callers.Len(),
-		Longest: p.restart.Longest(), Usual: p.restart.Usual(),
+	state := &handover.State{
+		Seq: p.discovery.Seq(), OpenIDs: p.front.OpenIDs(), CallerConns: p.callers.Len(),
+		LongestDeadline: p.restart.LongestDeadline(), LatencyP95: p.restart.LatencyP95(),
 	}
 	p.exportLists(state)
 	state.Clock = p.host.Clock()
-	state.ByHand = append([]string{}, p.host.Banned()...)
-	if err := peer.Tell(handover.Message{Kind: handover.Snapshot, Snapshot: state}); err != nil {
+	state.BannedByOperator = append([]string{}, p.host.Banned()...)
+	if err := peer.Send(handover.Message{Kind: handover.StateReply, State: state}); err != nil {
 		p.log.Warn("upgrade: could not send the state to the new process", "error", err)
 		return false
 	}
 	conn.SetDeadline(time.Time{})
 	u.successor = peer
-	u.setShare(u.outgoing.Asked(state.Callers, p.limits.softCallers))
+	u.setShare(u.outgoing.StateRequested(state.CallerConns, p.limits.softCallers))
 	return true
 }
 
@@ -196,11 +196,11 @@
 func (u *upgrade) handOff() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !u.outgoing.Leave() {
+	if !u.outgoing.Shutdown() {
 		return false
 	}
-	u.setShare(handover.Part{Callers: u.share.Callers})
-	if err := u.successor.Tell(handover.Message{Kind: handover.Leaving}); err != nil {
+	u.setShare(handover.Share{Callers: u.share.Callers})
+	if err := u.successor.Send(handover.Message{Kind: handover.ShuttingDown}); err != nil {
 		u.proxy.log.Warn("upgrade: could not notify the new process of the shutdown", "error", err)
 	}
 	return true
@@ -216,7 +216,7 @@
 		if peer == nil {
 			continue
 		}
-		done, err := peer.Ask(ctx, handover.Message{Kind: handover.Ban, Server: server, Out: banned})
+		done, err := peer.Request(ctx, handover.Message{Kind: handover.Ban, Server: server, Banned: banned})
 		if err != nil {
 			u.proxy.log.Warn("operator override: the other process has not answered", "backend", server, "error", err)
 		}
--- a/internal/proxy/upgrade_test.go
+++ b/internal/proxy/upgrade_test.go
@@ -62,7 +62,7 @@
 		p.t.Fatal(err)
 	}
 	c := testConfig(p.registry.address, json.RawMessage(list(1, true, p.hosts...)))
-	c.Inherited, c.Name, c.MeetIn, c.Console = file, "n1", p.folder, "127.0.0.1:0"
+	c.Inherited, c.Name, c.HandoverDir, c.Console = file, "n1", p.folder, "127.0.0.1:0"
 	proxy, err := New(c)
 	if err != nil {
 		p.t.Fatal(err)
@@ -317,7 +317,7 @@
 	old := p.start()
 	c := newCallerLoad(t, p.listener.Addr().String(), 4)
 	for range 3 {
-		peer, _, err := handover.Meet(p.folder, "n1") // requests the state, and dies before it is ready
+		peer, _, err := handover.Connect(p.folder, "n1") // requests the state, and dies before it is ready
 		if err != nil || peer == nil {
 			t.Fatalf("%v, %v", peer, err)
 		}
@@ -333,7 +333,7 @@
 		old.upgrade.mu.Lock()
 		part := old.upgrade.share
 		old.upgrade.mu.Unlock()
-		if part == handover.Alone {
+		if part == handover.FullShare {
 			break
 		}
 		if time.Now().After(end) {
