--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -50,17 +50,18 @@
 
 // Rules are what this process's fleet agrees on. Its methods may be called at any time.
 type Rules interface {
-	// Rule returns whether a send is allowed now, and the basis of that decision.
+	// Decide returns whether a send is allowed now, and the basis of that decision.
 	Decide(s rules.Send) (rules.Decision, rules.DecisionBasis)
 	// Mode returns the mode in which this process currently acts on the rules, such as under a lease.
 	Mode() accord.Mode
 	// Follow calls f with the current basis of decisions, and again after every change of the rules. f must not block.
 	Follow(f func(*accord.Basis))
-	// Number returns this proxy's agreed instance number and the number of instances; ok is false if there is none.
+	// AgreedNumber returns this proxy's agreed instance number and the number of instances; ok is false if there is none.
 	AgreedNumber(b *accord.Basis) (self, of int, ok bool)
-	// ListDrop returns the share of the backends that a list may leave out at once; 1 allows any.
+	// MaxListDrop returns the largest share of the backends that a list may leave out at once; 1 allows any.
 	MaxListDrop() float64
-	// Hold sets the backends that stay in use although the newest list leaves them out. They are reported to operators.
+	// SetHeldBackends sets the backends that stay in use although the newest list leaves them out. They are reported to
+	// operators.
 	SetHeldBackends(ids []string)
 	// Status returns this process's position in the agreement as JSON.
 	Status(ctx context.Context) ([]byte, error)
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -14,7 +14,7 @@
 	// callerShare and backendShare are the shares of the other sockets for each side. A request uses one socket on each
 	// side. hardCallerShare is higher, because connections that are accepted only to be refused need a few more sockets.
 	callerShare, hardCallerShare, backendShare = 0.46, 0.54, 0.46
-	// bodyShare is the share of the memory for callers' bodies. The rest is for answers (at most body.WholeBytes for
+	// bodyShare is the share of the memory for callers' bodies. The rest is for answers (at most body.MaxBufferedBytes for
 	// each backend connection), stream windows, connections and the headroom of the garbage collector.
 	bodyShare = 0.25
 	// kernelShare is the share of the memory for the kernel buffers of all sockets. They count toward this process's
