--- a/internal/proxy/channel_story_test.go
+++ b/internal/proxy/channel_story_test.go
@@ -114,15 +114,15 @@
 			script := standin.Script{Length: 4 * time.Second, Load: standin.Load{Rate: 80, Retries: 2, Backoff: 5 * time.Millisecond, Slack: rules().AnswerSlack}}
 			for n := range 4 {
 				for _, kind := range []string{"drain", kinds[rng.IntN(len(kinds))]} {
-					one := step(kind, 8, rng)
-					one.At += time.Duration(n) * 800 * time.Millisecond
+					fault := step(kind, 8, rng)
+					fault.At += time.Duration(n) * 800 * time.Millisecond
 					if kind == "drain" {
-						one.For = 700 * time.Millisecond // longer than the grace period
+						fault.For = 700 * time.Millisecond // longer than the grace period
 					}
 					if kind == "discovery-late" {
-						one.Size = 0.1
+						fault.Size = 0.1
 					}
-					script.Steps = append(script.Steps, one)
+					script.Steps = append(script.Steps, fault)
 				}
 			}
 			if err := s.fleet.Play(t.Context(), script, s.fleet.Callers(s.address), nil); err != nil {
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -23,7 +23,7 @@
 	// "" for no handover. A handover needs an Inherited socket.
 	Name, HandoverDir string
 	// OnMemoryShare is called when this process's share of the proxy's memory limit changes, as in a handover; may be nil.
-	OnMemoryShare func(part float64)
+	OnMemoryShare func(share float64)
 	Discovery     string
 	Seed          uint64
 	Settings      *settings.Settings
@@ -52,7 +52,7 @@
 type Rules interface {
 	// Decide returns whether a send is allowed now, and the basis of that decision.
 	Decide(s rules.Send) (rules.Decision, rules.DecisionBasis)
-	// Mode returns the mode in which this process currently acts on the rules, such as under a lease.
+	// Mode returns the mode in which this process acts on the rules: with a lease, alone, or not at all.
 	Mode() accord.Mode
 	// Follow calls f with the current basis of decisions, and again after every change of the rules. f must not block.
 	Follow(f func(*accord.Basis))
--- a/internal/proxy/conformance_test.go
+++ b/internal/proxy/conformance_test.go
@@ -36,8 +36,8 @@
 		}
 		add(c)
 	}
-	bad := func(name string, code frame.Code, sends string, passes ...string) {
-		add(wireCase{name: name, input: sends, code: code, forwarded: passes})
+	bad := func(name string, code frame.Code, sends string, forwarded ...string) {
+		add(wireCase{name: name, input: sends, code: code, forwarded: forwarded})
 	}
 	kinds := map[byte]string{0: "continuation", 1: "text", 2: "binary", 8: "close", 9: "ping", 10: "pong"}
 
--- a/internal/proxy/desk.go
+++ b/internal/proxy/desk.go
@@ -13,8 +13,8 @@
 // consoleHandler implements the console's operations on a proxy.
 type consoleHandler struct{ *Proxy }
 
-// Ready reports whether this process serves clients: its listener is served, no restart has begun, the host is ready, and
-// this process is not cut off from the agreed rules.
+// Ready reports whether this process serves clients: its listener is served, no restart has begun, there is a server to
+// send to, and the agreed rules, if there are any, are not in the mode accord.Inactive.
 func (d consoleHandler) Ready() bool {
 	return d.accepting.Load() && !d.restart.Begun() && d.host.Ready() && (d.rules == nil || d.rules.Mode() != accord.Inactive)
 }
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -83,7 +83,7 @@
 // setShare limits this process to a share of the proxy's limits.
 func (p *Proxy) setShare(share handover.Share) {
 	l := p.limits
-	scale := func(part float64, of int) int { return max(int(math.Round(part*float64(of))), 1) }
+	scale := func(fraction float64, of int) int { return max(int(math.Round(fraction*float64(of))), 1) }
 	p.callers.SetLimits(scale(share.Callers, l.softCallers), scale(share.Callers, l.hardCallers))
 	memoryShare := max(share.Other, minMemoryShare)
 	p.backends.SetLimit(scale(memoryShare, l.backends))
--- a/internal/proxy/rules.go
+++ b/internal/proxy/rules.go
@@ -29,12 +29,12 @@
 // Open reports whether requests of a class are admitted now. A request that the rules do not let the proxy send is refused
 // before any work is done for it.
 func (g rulesGate) Open(class int) bool {
-	ruling, _ := g.rules.Decide(rules.Send{Class: g.className(class)})
-	return ruling == rules.Allowed
+	decision, _ := g.rules.Decide(rules.Send{Class: g.className(class)})
+	return decision == rules.Allowed
 }
 
-func (g rulesGate) Rule(server string, class int, again bool) (rules.Decision, rules.DecisionBasis) {
-	return g.rules.Decide(rules.Send{Server: server, Class: g.className(class), MayHaveRun: again, DropHeld: g.lists.isHeld(server)})
+func (g rulesGate) Rule(server string, class int, mayHaveRun bool) (rules.Decision, rules.DecisionBasis) {
+	return g.rules.Decide(rules.Send{Server: server, Class: g.className(class), MayHaveRun: mayHaveRun, DropHeld: g.lists.isHeld(server)})
 }
 
 // applyRules applies the current basis of the agreed rules.
--- a/internal/proxy/upgrade_test.go
+++ b/internal/proxy/upgrade_test.go
@@ -331,13 +331,13 @@
 	next.done = nil
 	for end := time.Now().Add(eventTimeout); ; time.Sleep(time.Millisecond) {
 		old.upgrade.mu.Lock()
-		part := old.upgrade.share
+		share := old.upgrade.share
 		old.upgrade.mu.Unlock()
-		if part == handover.FullShare {
+		if share == handover.FullShare {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the old process still has the share %+v", part)
+			t.Fatalf("the old process still has the share %+v", share)
 		}
 	}
 	if c.broken.Load()+c.wrongAnswers.Load() != 0 {
