--- a/internal/proxy/channel_test.go
+++ b/internal/proxy/channel_test.go
@@ -642,7 +642,7 @@
 				select {
 				case <-stop:
 					return
-				case <-time.After(20 * time.Millisecond): // stands for a second in this test
+				case <-time.After(20 * time.Millisecond): // represents a second in this test
 					from.Write([]byte{b})
 				}
 			}
--- a/internal/proxy/conformance_test.go
+++ b/internal/proxy/conformance_test.go
@@ -56,7 +56,7 @@
 	}
 	bad("control/close in parts", 1002, build(0x08, closePayload(1000)))
 	good("control/ten pings", "\x89", "0", "\x89", "1", "\x89", "2", "\x89", "3", "\x89", "4", "\x89", "5", "\x89", "6", "\x89", "7", "\x89", "8", "\x89", "9")
-	good("control/pong that nobody asked for", "\x8a", "x", "\x81", "y")
+	good("control/unsolicited pong", "\x8a", "x", "\x81", "y")
 
 	for bits := byte(0x10); bits <= 0x70; bits += 0x10 {
 		for _, op := range []byte{1, 2, 8, 9, 10} {
