--- a/internal/proxy/backend_test.go
+++ b/internal/proxy/backend_test.go
@@ -11,11 +11,11 @@
 	"testing"
 )
 
-// TestSpoiltAnswersAreFailedAttempts has one backend answer so at first; a request that is free to repeat is
-// then served by the next, and one that must not run twice fails.
-func TestSpoiltAnswersAreFailedAttempts(t *testing.T) {
+// TestMalformedAnswersAreFailedAttempts has one backend send a malformed answer. An idempotent request is then
+// served by the next backend, and a request that must not run twice fails.
+func TestMalformedAnswersAreFailedAttempts(t *testing.T) {
 	const ok = "HTTP/1.1 200 OK\r\n"
-	for name, spoilt := range map[string]string{
+	for name, malformed := range map[string]string{
 		"noise":                 "\x00\x01\x02 noise\r\n\r\n",
 		"no length, no chunks":  ok + "\r\npart of it",
 		"length over 32 MiB":    ok + "Content-Length: 3000000000\r\n\r\n" + strings.Repeat("x", 1<<20),
@@ -29,23 +29,23 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			bad := newBackend(t, "127.0.0.1:0", func(string) string { return spoilt })
-			good := newBackend(t, "127.0.0.1:0", whole)
-			g := newRig(t, nil, entry("s1", bad.address, "up"), entry("s2", good.address, "up"))
+			bad := newBackend(t, "127.0.0.1:0", func(string) string { return malformed })
+			good := newBackend(t, "127.0.0.1:0", idAnswer)
+			g := newTestProxy(t, nil, entry("s1", bad.address, "up"), entry("s2", good.address, "up"))
 			c := g.dial()
-			for i := range 2 { // in turn, so one of them meets the spoilt answer first
+			for i := range 2 { // round robin, so one of them gets the malformed answer first
 				id := fmt.Sprint("r", i)
 				if status, body := c.send(head(id)).answer(); status != 200 || body != id {
 					t.Fatalf("%d %q", status, body)
 				}
 			}
-			await(t, "the request that was spoilt", bad.requests)
+			await(t, "the request with the malformed answer", bad.requests)
 			await(t, "the close of its connection", bad.gone)
 		})
 		t.Run(name+", once", func(t *testing.T) {
 			t.Parallel()
-			bad := newBackend(t, "127.0.0.1:0", func(string) string { return spoilt })
-			g := newRig(t, nil, entry("s1", bad.address, "up"))
+			bad := newBackend(t, "127.0.0.1:0", func(string) string { return malformed })
+			g := newTestProxy(t, nil, entry("s1", bad.address, "up"))
 			status, _ := g.dial().send(strings.Replace(strings.Replace(head("a"), "search", "once", 1), "GET", "POST", 1)).answer()
 			if status != 502 {
 				t.Fatalf("answered %d", status)
@@ -54,11 +54,11 @@
 	}
 }
 
-func TestGoodAnswersWithMoreThanBelongsToThem(t *testing.T) {
+func TestValidAnswersWithExtraBytes(t *testing.T) {
 	for name, reply := range map[string]func(string) string{
-		"second copy":   func(id string) string { return whole(id) + whole(id) },
-		"noise behind":  func(id string) string { return whole(id) + "\x00noise" },
-		"interim ahead": func(id string) string { return strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 3) + whole(id) },
+		"second copy":    func(id string) string { return idAnswer(id) + idAnswer(id) },
+		"noise after it": func(id string) string { return idAnswer(id) + "\x00noise" },
+		"interim ahead":  func(id string) string { return strings.Repeat("HTTP/1.1 103 Early Hints\r\n\r\n", 3) + idAnswer(id) },
 		"chunks": func(id string) string {
 			return fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(id), id)
 		},
@@ -66,7 +66,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b := newBackend(t, "127.0.0.1:0", reply)
-			c := newRig(t, nil, entry("s1", b.address, "up")).dial()
+			c := newTestProxy(t, nil, entry("s1", b.address, "up")).dial()
 			for i := range 20 {
 				id := fmt.Sprint("r", i)
 				if status, body := c.send(head(id)).answer(); status != 200 || body != id {
@@ -77,23 +77,25 @@
 	}
 }
 
-// TestNewServerAtAnOldAddressGetsNewConnections replaces a server by another at the same address.
+// TestNewServerAtAnOldAddressGetsNewConnections replaces a server with another one at the same address. Connections to
+// the old server must be closed, not reused for the new one.
 func TestNewServerAtAnOldAddressGetsNewConnections(t *testing.T) {
-	b := newBackend(t, "127.0.0.1:0", whole)
-	g := newRig(t, nil, entry("old", b.address, "up"))
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
+	g := newTestProxy(t, nil, entry("old", b.address, "up"))
 	c := g.dial()
 	c.send(head("a")).answer()
 	await(t, "the first connection", b.conns)
 	g.registry.lists <- list(2, true, entry("new", b.address, "up"))
-	await(t, "the close of what was held to the old server", b.gone)
+	await(t, "the close of the connection to the old server", b.gone)
 	if status, _ := c.send(head("b")).answer(); status != 200 {
 		t.Fatalf("answered %d", status)
 	}
 	await(t, "the connection to the new server", b.conns)
 }
 
-// TestAnswersThatEndWithTheirConnection: without a length, the orderly end of the connection is that of the answer, and a
-// reset is none. The answer is served whole, also of a request that must not run twice, or the caller can tell.
+// TestAnswersThatEndWithTheirConnection checks answers without a length: an orderly close of the connection ends the
+// answer, and a reset does not. The caller gets the whole answer, also to a request that must not run twice, or can
+// detect that it is incomplete.
 func TestAnswersThatEndWithTheirConnection(t *testing.T) {
 	t.Parallel()
 	long := strings.Repeat("0123456789", 20<<10)
@@ -105,22 +107,22 @@
 	}{
 		"short, ended":         {"short", false, 200, true},
 		"nothing, ended":       {"", false, 200, true},
-		"short, reset":         {"short", true, 502, true}, // the proxy's own word
+		"short, reset":         {"short", true, 502, true}, // the proxy's own answer
 		"long, ended":          {long, false, 200, true},
-		"long, reset":          {long, true, 200, false}, // it was being passed on
+		"long, reset":          {long, true, 200, false}, // part of it was already forwarded
 		"long, reset at first": {long[:60<<10], true, 502, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			end := make(chan struct{})
-			passedOn := len(c.text) > 64<<10 // its head comes before its end
-			if !passedOn {
+			streamed := len(c.text) > 64<<10 // its head is forwarded before its end has arrived
+			if !streamed {
 				close(end)
 			}
 			address := endingServer(t, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+c.text, c.reset, end)
-			g := newRig(t, nil, entry("s1", address, "up"))
+			g := newTestProxy(t, nil, entry("s1", address, "up"))
 			resp, err := http.ReadResponse(g.dial().send(strings.Replace(strings.Replace(head("a"), "search", "once", 1), "GET", "POST", 1)).r, nil)
-			if passedOn {
+			if streamed {
 				close(end)
 			}
 			if err != nil {
@@ -134,8 +136,8 @@
 	}
 }
 
-// endingServer answers one request on each connection, and ends that in order or by a reset.
-// A reset waits for end.
+// endingServer answers one request on each connection and then closes or resets the connection. A reset waits until end is
+// closed.
 func endingServer(t *testing.T, answer string, reset bool, end <-chan struct{}) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/proxy/ending_test.go
+++ b/internal/proxy/ending_test.go
@@ -14,11 +14,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// served runs a proxy as its process does: SIGTERM is what term does, and over is closed once it has ended.
-func served(t *testing.T, change func(*Config), hosts ...string) (g *rig, term func(), over chan struct{}) {
+// newServedProxy runs a proxy as its process does. term has the effect of SIGTERM; done is closed once the proxy has ended.
+func newServedProxy(t *testing.T, change func(*Config), hosts ...string) (g *testProxy, term func(), done chan struct{}) {
 	t.Helper()
 	registry := newRegistry(t)
-	c := rigConfig(registry.address, []byte(list(1, true, hosts...)))
+	c := testConfig(registry.address, []byte(list(1, true, hosts...)))
 	if change != nil {
 		change(&c)
 	}
@@ -27,54 +27,55 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	over = make(chan struct{})
+	done = make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(done)
 		if err := p.Serve(ctx); err != nil {
 			t.Error(err)
 		}
 	}()
-	t.Cleanup(func() { cancel(); <-over })
-	confirmed(t, p)
-	return &rig{t, p, registry, p.Addr().String()}, cancel, over
+	t.Cleanup(func() { cancel(); <-done })
+	awaitConfirmed(t, p)
+	return &testProxy{t, p, registry, p.Addr().String()}, cancel, done
 }
 
-// briefly is how long the callers of brief wait; long enough for a machine that is busy.
-const briefly = 2 * time.Second
+// briefTimeout is the deadline in requests from briefHead; it is long enough for a busy machine.
+const briefTimeout = 2 * time.Second
 
-func brief(id string) string {
-	return strings.Replace(head(id), "9000", fmt.Sprint(briefly.Milliseconds()), 1)
+func briefHead(id string) string {
+	return strings.Replace(head(id), "9000", fmt.Sprint(briefTimeout.Milliseconds()), 1)
 }
 
-// TestTermMeetsRequestsInEveryState: at SIGTERM a head is half read, a body is arriving, a request waits for a place, one for a
-// connection, one for a backend that hangs, and one is between two requests. Each that has been taken gets one answer before
-// the process ends; new connections are served for 0.4 s. (That the end comes before SIGKILL may is computed in restart.)
+// TestTermMeetsRequestsInEveryState sends SIGTERM while one caller has sent half a head, one half a body, one waits for
+// a backend that does not answer, and one is between two requests. Each accepted request gets one answer before the
+// process ends; new connections are served for 0.4 s. (Package restart computes that the end comes before a SIGKILL
+// may.)
 func TestTermMeetsRequestsInEveryState(t *testing.T) {
 	t.Parallel()
 	hang := newBackend(t, "127.0.0.1:0", func(id string) string {
 		if strings.HasPrefix(id, "hangs") {
 			return ""
 		}
-		return whole(id)
+		return idAnswer(id)
 	})
-	g, term, over := served(t, func(c *Config) {
+	g, term, over := newServedProxy(t, func(c *Config) {
 		for n := range c.Settings.Balancer.Classes {
-			c.Settings.Balancer.Classes[n].ClientTimeout = briefly
+			c.Settings.Balancer.Classes[n].ClientTimeout = briefTimeout
 		}
 	}, entry("s1", hang.address, "up"))
-	between := g.dial().send(brief("between"))
+	between := g.dial().send(briefHead("between"))
 	if status, _ := between.answer(); status != 200 {
 		t.Fatal(status)
 	}
 	await(t, "the first request", hang.requests)
-	hanging := g.dial().send(brief("hangs"))
+	hanging := g.dial().send(briefHead("hangs"))
 	await(t, "the one that hangs", hang.requests)
-	text := brief("half")
+	text := briefHead("half")
 	half := g.dial().send(text[:len(text)-10])
-	post := strings.Replace(strings.Replace(brief("body"), "search", "hold", 1), "GET", "POST", 1)
+	post := strings.Replace(strings.Replace(briefHead("body"), "search", "hold", 1), "GET", "POST", 1)
 	post = strings.Replace(post, "\r\n\r\n", "\r\nIdempotency-Key: k\r\nContent-Length: 8\r\n\r\n", 1)
 	body := g.dial().send(post + "half")
-	for g.callers.States()["busy"] < 2 || g.callers.States()["partial"] < 1 { // the hanging one and the body's, and the half
+	for g.callers.States()["busy"] < 2 || g.callers.States()["partial"] < 1 { // busy: the hanging request and the body; partial: the half head
 		time.Sleep(time.Millisecond)
 	}
 	done := make(chan struct{})
@@ -85,9 +86,9 @@
 	for !g.restart.Begun() {
 		time.Sleep(time.Millisecond)
 	}
-	// Taken after SIGTERM: on connections old and new.
-	if status, got := between.send(brief("again")).answer(); status != 200 || got != "again" {
-		t.Errorf("between two: %d %q", status, got)
+	// Requests accepted after SIGTERM, on old and new connections.
+	if status, got := between.send(briefHead("again")).answer(); status != 200 || got != "again" {
+		t.Errorf("between two requests: %d %q", status, got)
 	}
 	if status, got := half.send(text[len(text)-10:]).answer(); status != 200 || got != "half" {
 		t.Errorf("half a head: %d %q", status, got)
@@ -97,48 +98,49 @@
 	}
 	for time.Since(began) < 400*time.Millisecond {
 		c := g.dial()
-		if status, got := c.send(brief("new")).answer(); status != 200 || got != "new" {
+		if status, got := c.send(briefHead("new")).answer(); status != 200 || got != "new" {
 			t.Errorf("on a new connection after %v: %d %q", time.Since(began), status, got)
 		}
 		c.Close()
 	}
-	if status, _ := hanging.answer(); status != 502 && status != 503 { // its class may be refused, too: which timer comes first is open
-		t.Errorf("the one that hangs: %d", status)
+	if status, _ := hanging.answer(); status != 502 && status != 503 { // its class may be refused instead, depending on which timer fires first
+		t.Errorf("the hanging request: %d", status)
 	}
 	await(t, "the end", over)
 }
 
-// TestTermAtOnceAndTwice: SIGTERM before anything has come, and again while it ends.
+// TestTermAtOnceAndTwice: SIGTERM arrives before any request, and again during the shutdown.
 func TestTermAtOnceAndTwice(t *testing.T) {
 	t.Parallel()
-	b := newBackend(t, "127.0.0.1:0", whole)
-	g, term, over := served(t, nil, entry("s1", b.address, "up"))
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
+	g, term, over := newServedProxy(t, nil, entry("s1", b.address, "up"))
 	term()
 	term()
 	g.MoveDiscovery(newRegistry(t).address) // SIGHUP
 	c, err := net.Dial("tcp", g.address)
-	if err == nil { // it may have ended
-		io.WriteString(c, brief("late"))
-		c.SetDeadline(time.Now().Add(patient))
+	if err == nil { // the proxy may have ended already
+		io.WriteString(c, briefHead("late"))
+		c.SetDeadline(time.Now().Add(eventTimeout))
 		if got, err := io.ReadAll(c); err == nil && len(got) == 0 && len(b.requests) > 0 {
-			t.Error("sent on and not answered")
+			t.Error("forwarded and not answered")
 		}
 		c.Close()
 	}
 	await(t, "the end", over)
 }
 
-// TestRequestReadAsItsConnectionIsShut: the proxy has read a whole head, and before that is handed on closes the connection, as at
-// the end of a restart or for room. Its caller sends it again, so it must not be sent on here.
+// TestRequestReadAsItsConnectionIsShut: the proxy has read a whole head and closes the connection before a handler gets
+// the request, as at the end of a restart or to free a place. The caller then sends the request again, so it must not
+// be forwarded here.
 func TestRequestReadAsItsConnectionIsShut(t *testing.T) {
 	t.Parallel()
-	b := newBackend(t, "127.0.0.1:0", whole)
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
 	read, release := make(chan struct{}), make(chan struct{})
 	var once sync.Once
-	g := newRigWith(t, nil, func(p *Proxy) {
+	g := newTestProxyWith(t, nil, func(p *Proxy) {
 		track := p.http.ConnState
 		p.http.ConnState = func(c net.Conn, s http.ConnState) {
-			if s == http.StateActive { // the head has come, and no handler has it yet
+			if s == http.StateActive { // the head has arrived, and no handler has it yet
 				once.Do(func() { close(read) })
 				<-release
 			}
@@ -154,21 +156,22 @@
 	if status, _ := c.answer(); status != 0 {
 		t.Errorf("answered %d on a connection that was shut", status)
 	}
-	for n := range 2 { // the other is refused
+	for n := range 2 { // the second one is refused
 		if n == 1 {
 			if status, _ := g.dial().send(head("b")).answer(); status != 0 {
 				t.Errorf("answered %d after the end", status)
 			}
 		}
 	}
-	g.Close() // waits for all that is out
+	g.Close() // waits for all open attempts
 	if n := len(b.requests); n != 0 {
-		t.Errorf("%d requests were sent on", n)
+		t.Errorf("%d requests were forwarded", n)
 	}
 }
 
-// TestLastAnswerOverUnreadBytes: an answer that ends its connection is larger than what the sockets hold, its caller reads it
-// late, and more stands behind its request, of which some comes as late. The answer arrives whole.
+// TestLastAnswerOverUnreadBytes: an answer that ends its connection is larger than the socket buffers, and its caller
+// reads it late. The caller has sent more bytes after its request, some of them late as well. The answer must arrive
+// whole.
 func TestLastAnswerOverUnreadBytes(t *testing.T) {
 	t.Parallel()
 	const size = 60 << 10
@@ -178,7 +181,7 @@
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", size, strings.Repeat("x", size))
 	})
 	ended := make(chan struct{})
-	g := newRigWith(t, nil, func(p *Proxy) {
+	g := newTestProxyWith(t, nil, func(p *Proxy) {
 		p.restart.HandOver() // so that each answer ends its connection
 		track := p.http.ConnState
 		p.http.ConnState = func(c net.Conn, s http.ConnState) {
@@ -193,7 +196,7 @@
 	c.send(head("a"))
 	await(t, "the request", b.requests)
 	c.send(head("next")[:60])
-	for unsent(c.Conn.(*net.TCPConn)) > 0 { // until the proxy's socket has it
+	for unsentBytes(c.Conn.(*net.TCPConn)) > 0 { // until the proxy's socket has received it
 		time.Sleep(time.Millisecond)
 	}
 	close(answer)
@@ -203,14 +206,14 @@
 	if status != 200 || len(got) != size {
 		t.Errorf("%d with %d of %d bytes", status, len(got), size)
 	}
-	c.closed()
+	c.expectClosed()
 	if n := len(b.requests); n != 0 {
-		t.Errorf("%d further requests were sent on", n)
+		t.Errorf("%d further requests were forwarded", n)
 	}
 }
 
-// unsent is how many bytes the other side's socket has not taken yet.
-func unsent(c *net.TCPConn) (n int) {
+// unsentBytes returns the number of bytes that the peer has not acknowledged yet.
+func unsentBytes(c *net.TCPConn) (n int) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -9,32 +9,34 @@
 )
 
 const (
-	// reservedSockets are for discovery, the listener, the runtime and the standard streams.
+	// reservedSockets is the number of descriptors for discovery, the listener, the runtime and the standard streams.
 	reservedSockets = 32
-	// callerShare and backendShare of the other sockets are for each side. A request uses one of each, and
-	// callers' connections that are only there to be refused need a few more.
-	callerShare, crowdShare, backendShare = 0.46, 0.54, 0.46
-	// bodyShare of the memory may hold callers' bodies. The rest is for answers (body.WholeBytes for each
-	// backend connection at most), streams' windows, connections and the collector's slack.
+	// callerShare and backendShare are the shares of the other sockets for each side. A request uses one socket on each
+	// side. hardCallerShare is higher, because connections that are accepted only to be refused need a few more sockets.
+	callerShare, hardCallerShare, backendShare = 0.46, 0.54, 0.46
+	// bodyShare is the share of the memory for callers' bodies. The rest is for answers (at most body.MaxBufferedBytes for
+	// each backend connection), stream windows, connections and the headroom of the garbage collector.
 	bodyShare = 0.25
-	// kernelShare of the memory bounds what all sockets may hold in the kernel, where it counts as ours and
-	// the collector does not see it. Left alone, one connection's buffers grow to megabytes.
+	// kernelShare is the share of the memory for the kernel buffers of all sockets. They count toward this process's
+	// memory limit, but the garbage collector does not see them. Without a limit, the buffers of one connection grow to
+	// megabytes.
 	kernelShare = 0.2
-	// The console holds one of consoleShare descriptors, within bounds: its callers may stay and say nothing.
-	consoleShare, leastConsole, mostConsole = 24, 8, 64
-	// A socket's buffer is no smaller than leastBuffer, which the kernel would not go below by much, and
-	// needs to be no larger than mostBuffer, which takes a body that is read whole.
-	leastBuffer, mostBuffer = 8 << 10, 64 << 10
+	// The console may use one descriptor in socketsPerConsoleConn, within the bounds: its callers may keep idle
+	// connections open.
+	socketsPerConsoleConn, minConsoleConns, maxConsoleConns = 24, 8, 64
+	// A socket's buffer is at least minBuffer, since the kernel's own minimum is not much lower, and at most maxBuffer,
+	// which holds a body that is read whole.
+	minBuffer, maxBuffer = 8 << 10, 64 << 10
 )
 
-// socketControl is called with each socket before it is used.
+// socketControl is called for each socket before it is used.
 type socketControl = func(network, address string, c syscall.RawConn) error
 
-// socketBuffers returns a hook that bounds the kernel's buffers of a socket, and of those that a listener accepts.
+// socketBuffers returns a hook that limits the kernel buffers of a socket, and of the sockets that a listener accepts.
 func socketBuffers(memory int64, sockets int) socketControl {
-	// The kernel doubles what is asked for, to leave room for its own records.
+	// The kernel doubles the requested size, for its own bookkeeping.
 	size := int(kernelShare * float64(memory) / float64(4*max(sockets, 1)))
-	size = min(max(size, leastBuffer), mostBuffer)
+	size = min(max(size, minBuffer), maxBuffer)
 	return func(_, _ string, c syscall.RawConn) error {
 		var err error
 		control := c.Control(func(fd uintptr) {
@@ -46,50 +48,52 @@
 	}
 }
 
-// limits are what a proxy may hold when it is alone.
+// limits are the resources of a proxy while no second process of it is running.
 type limits struct {
-	soft, hard, backends int
-	bodies               int64
-	onPart               func(float64)
+	softCallers, hardCallers, backends int
+	bodyBytes                          int64
+	onMemoryShare                      func(float64)
 }
 
-// divide divides what the platform allows among the proxy's sides. What channels may hold is taken from c.
-func divide(c *Config) (limits, error) {
+// divideLimits divides the platform's limits among callers, backends and bodies. It first subtracts what channels may use;
+// for memory, it subtracts that from c.
+func divideLimits(c *Config) (limits, error) {
 	sockets := float64(c.Sockets - reservedSockets - consoleConns(c))
 	if o := &c.Options.Channels; o.Enabled {
-		if err := roomForChannels(c, sockets); err != nil {
+		if err := checkChannelLimits(c, sockets); err != nil {
 			return limits{}, err
 		}
-		sockets -= socketsOfChannel * float64(o.MaxChannels)
-		c.Memory -= memoryOfChannels(o)
+		sockets -= socketsPerChannel * float64(o.MaxChannels)
+		c.Memory -= channelMemory(o)
 	}
 	return limits{
-		soft: int(callerShare * sockets), hard: int(crowdShare * sockets), backends: int(backendShare * sockets),
-		bodies: int64(bodyShare * float64(c.Memory)), onPart: c.OnMemoryShare,
+		softCallers: int(callerShare * sockets), hardCallers: int(hardCallerShare * sockets), backends: int(backendShare * sockets),
+		bodyBytes: int64(bodyShare * float64(c.Memory)), onMemoryShare: c.OnMemoryShare,
 	}, nil
 }
 
-// consoleConns is how many connections operators may have.
+// consoleConns returns the maximum number of console connections.
 func consoleConns(c *Config) int {
 	if c.Console == "" {
 		return 0
 	}
-	return min(max(c.Sockets/consoleShare, leastConsole), mostConsole)
+	return min(max(c.Sockets/socketsPerConsoleConn, minConsoleConns), maxConsoleConns)
 }
 
-// setPart makes a part of the proxy's limits this process's own.
-func (p *Proxy) setPart(part handover.Share) {
+// setShare limits this process to a share of the proxy's limits.
+func (p *Proxy) setShare(share handover.Share) {
 	l := p.limits
-	share := func(part float64, of int) int { return max(int(math.Round(part*float64(of))), 1) }
-	p.callers.SetLimits(share(part.Callers, l.soft), share(part.Callers, l.hard))
-	memory := max(part.Other, leastPart)
-	p.backends.SetLimit(share(memory, l.backends))
-	p.bodies.Resize(int64(memory * float64(l.bodies)))
-	p.host.SetUpgradeShare(part.Other)
-	if l.onPart != nil {
-		l.onPart(memory)
+	scale := func(fraction float64, of int) int { return max(int(math.Round(fraction*float64(of))), 1) }
+	p.callers.SetLimits(scale(share.Callers, l.softCallers), scale(share.Callers, l.hardCallers))
+	memoryShare := max(share.Other, minMemoryShare)
+	p.backends.SetLimit(scale(memoryShare, l.backends))
+	p.bodies.Resize(int64(memoryShare * float64(l.bodyBytes)))
+	p.host.SetUpgradeShare(share.Other)
+	if l.onMemoryShare != nil {
+		l.onMemoryShare(memoryShare)
 	}
 }
 
-// leastPart of the memory and the backends' connections is for a process that only finishes what it has.
-const leastPart = 0.25
+// minMemoryShare is the smallest share of the memory and of the backend connections. A process that only finishes its open
+// requests keeps this share.
+const minMemoryShare = 0.25
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,6 +1,6 @@
-// Package proxy puts one proxy together: a front for callers, a host for the balancer, connections to backends,
-// and discovery, which names them. A process may run several, each with a balancer of its own; they share
-// nothing. It decides nothing.
+// Package proxy assembles one proxy: a front for callers, a host for the balancer, connections to backends, and
+// discovery, which lists the backends. A process may run several proxies, each with its own balancer; they share nothing.
+// The package makes no balancing decisions itself.
 package proxy
 
 import (
@@ -30,37 +30,37 @@
 	clientSide
 	background
 
-	restart   *restart.Restart
-	host      *host.Instance
-	backends  *backends.Pool
-	discovery *discovery.Client
-	following following
-	fileList  json.RawMessage // the list in the platform's file
-	lists     *keptLists      // nil where none is held back
-	channels  *channel.Table  // nil where there are none
-	console   *console.Server // nil where operators have no address
-	upgrade   *upgrade        // nil where no second process is met
-	fleet     Fleet           // nil for none
-	rules     Rules           // nil for none
-	recovery  *recovery.Node  // nil for none
-	figures   *figures.Counters
-	settings  *settings.Settings
-	limits    limits
-	log       *slog.Logger
+	restart     *restart.Restart
+	host        *host.Instance
+	backends    *backends.Pool
+	discovery   *discovery.Client
+	followState followState
+	fileList    json.RawMessage // the list in the platform's file
+	lists       *listGuard      // nil if lists are not checked
+	channels    *channel.Table  // nil if channels are disabled
+	console     *console.Server // nil if there is no console
+	upgrade     *upgrade        // nil if there is no handover to a second process
+	fleet       Fleet           // nil for none
+	rules       Rules           // nil for none
+	recovery    *recovery.Node  // nil for none
+	figures     *figures.Counters
+	settings    *settings.Settings
+	limits      limits
+	log         *slog.Logger
 }
 
-// New checks the configuration, opens the listener and begins to watch; nothing is answered before Serve. A proxy
-// that is not served must be closed.
+// New checks the configuration, opens the listener and begins to follow discovery. No request is answered before Serve. A
+// proxy that is not served must be closed.
 func New(c Config) (*Proxy, error) {
-	if err := checkTimes(c.Settings); err != nil {
+	if err := checkTimeouts(c.Settings); err != nil {
 		return nil, err
 	}
-	most, err := divide(&c)
+	lim, err := divideLimits(&c)
 	if err != nil {
 		return nil, err
 	}
 	buffers := socketBuffers(c.Memory, c.Sockets)
-	p := newProxy(&c, most, buffers)
+	p := newProxy(&c, lim, buffers)
 	if err := p.openHost(&c); err != nil {
 		p.stop()
 		return nil, err
@@ -79,8 +79,8 @@
 	return p, nil
 }
 
-// checkTimes says which of the platform's times makes no sense.
-func checkTimes(s *settings.Settings) error {
+// checkTimeouts returns an error if a timeout in the platform's settings is not positive.
+func checkTimeouts(s *settings.Settings) error {
 	if s.ConnectTimeout <= 0 {
 		return fmt.Errorf("settings: limits.connect_timeout_ms: %v is not above 0", s.ConnectTimeout)
 	}
@@ -90,42 +90,42 @@
 	return nil
 }
 
-// newProxy puts together what needs no socket and knows no server.
-func newProxy(c *Config, most limits, buffers socketControl) *Proxy {
-	book := figures.NewCounters(c.Settings.Classes)
+// newProxy creates the parts that need neither a socket nor a server list.
+func newProxy(c *Config, lim limits, buffers socketControl) *Proxy {
+	counters := figures.NewCounters(c.Settings.Classes)
 	return &Proxy{
-		clientSide: clientSide{callers: callers.NewSet(most.soft, most.hard, c.Options.Callers.OnceIdle), bodies: body.NewBudget(most.bodies)},
+		clientSide: clientSide{callers: callers.NewSet(lim.softCallers, lim.hardCallers, c.Options.Callers.OnceIdle), bodies: body.NewBudget(lim.bodyBytes)},
 		background: newBackground(),
-		restart:    restart.New(), recovery: c.Recovery, fileList: c.CachedList, log: c.Log, fleet: c.Fleet, rules: c.Rules, figures: book,
-		settings: c.Settings, limits: most,
+		restart:    restart.New(), recovery: c.Recovery, fileList: c.CachedList, log: c.Log, fleet: c.Fleet, rules: c.Rules, figures: counters,
+		settings: c.Settings, limits: lim,
 		backends: backends.NewPool(backends.Limits{
-			Conns: most.backends, ConnectTimeout: c.Settings.ConnectTimeout, ConnIdle: c.Settings.ConnIdle,
-			Control: buffers, OnWritten: book.CountTry, Options: c.Options.Backends,
+			Conns: lim.backends, ConnectTimeout: c.Settings.ConnectTimeout, ConnIdle: c.Settings.ConnIdle,
+			Control: buffers, OnWritten: counters.CountTry, Options: c.Options.Backends,
 		}),
 	}
 }
 
-// openHost makes the balancer's host and the client of discovery that feeds it.
+// openHost creates the balancer's host and the discovery client that updates it.
 func (p *Proxy) openHost(c *Config) (err error) {
 	s := c.Settings
 	if p.host, err = host.New(s.Balancer, c.Seed, p.backends, p.watch, c.Log); err != nil {
 		return err
 	}
 	update := p.host.Update
-	wait := time.Duration(0) // that refused callers are asked for
+	retryAfter := time.Duration(0) // sent to refused callers
 	if s.Balancer.RetryAfter {
-		wait = min(closedWait, s.Balancer.MaxRetryAfter)
+		retryAfter = min(closedRetryAfter, s.Balancer.MaxRetryAfter)
 	}
 	if p.rules != nil {
 		if share := p.rules.MaxListDrop(); share < 1 {
-			p.lists = newKeptLists(p.ctx, &p.running, share, p.host, p.rules.SetHeldBackends, c.Log)
+			p.lists = newListGuard(p.ctx, &p.running, share, p.host, p.rules.SetHeldBackends, c.Log)
 			update = p.lists.update
 		}
-		p.host.SetAgreedRules(gate{p.rules, s.Classes, p.lists}, wait)
+		p.host.SetAgreedRules(rulesGate{p.rules, s.Classes, p.lists}, retryAfter)
 	}
 	if p.recovery != nil {
 		p.host.SetAdmissionGate(p.recovery)
-		update = p.listed(update)
+		update = p.notifyRecovery(update)
 	}
 	p.discovery = discovery.New(c.Discovery, s.Zones, c.Options.Discovery, c.Log, update)
 	if s.Balancer.AskForList {
@@ -133,11 +133,11 @@
 	} else {
 		p.discovery.SetPushed()
 	}
-	p.host.SetServerList(p.discovery, wait)
+	p.host.SetServerList(p.discovery, retryAfter)
 	return nil
 }
 
-// open opens the callers' listener, and the table of channels where there are any.
+// open opens the callers' listener, and creates the table of channels if they are enabled.
 func (p *Proxy) open(c *Config, buffers socketControl) error {
 	l, err := listen(*c, buffers)
 	if err != nil {
@@ -156,43 +156,43 @@
 	return nil
 }
 
-// start takes up what is known of the servers, and begins to follow discovery, other processes and the fleet's rules.
+// start restores the known server list, and begins to follow discovery, other processes and the fleet's rules.
 func (p *Proxy) start(c *Config) error {
 	if c.Options.Callers.ParkAfter > 0 {
 		if err := p.startParking(&c.Options.Callers); err != nil {
 			return err
 		}
-		p.running.Go(func() { p.park(p.ctx, p.log) })
+		p.running.Go(func() { p.serveParked(p.ctx, p.log) })
 	}
 	if c.Inherited != nil && c.HandoverDir != "" {
 		p.upgrade = newUpgrade(p, c.HandoverDir, c.Name)
 	}
-	joined := p.upgrade != nil && p.upgrade.join()
-	if !joined && p.recovery == nil { // what a running process knows is newer than the file's list, and so is a folder
-		if err := p.known(c.CachedList); err != nil {
+	joined := p.upgrade != nil && p.upgrade.restoreState()
+	if !joined && p.recovery == nil { // state from a running process or from disk is newer than the file's list
+		if err := p.loadCachedList(c.CachedList); err != nil {
 			return err
 		}
 	}
 	if c.Console != "" {
 		var err error
-		if p.console, err = console.New(c.Console, consoleConns(c), desk{p}, c.Log); err != nil {
+		if p.console, err = console.New(c.Console, consoleConns(c), consoleHandler{p}, c.Log); err != nil {
 			return err
 		}
 	}
 	if p.rules != nil {
-		p.rules.Follow(p.agreed)
+		p.rules.Follow(p.applyRules)
 	}
 	if p.recovery == nil || joined {
-		p.follow()
+		p.startFollowing()
 	}
 	if p.recovery != nil {
-		p.recovery.Start(side{p}, joined)
+		p.recovery.Start(recoverySide{p}, joined)
 	}
 	return nil
 }
 
-// known starts the balancer with the list as this proxy last had it; it can serve from that at once.
-func (p *Proxy) known(text json.RawMessage) error {
+// loadCachedList gives the balancer the list that this proxy last had, from which it can serve at once.
+func (p *Proxy) loadCachedList(text json.RawMessage) error {
 	c := &discovery.Catalog{Seq: -1}
 	if len(text) > 0 && string(text) != "null" {
 		var err error
@@ -204,23 +204,23 @@
 	return nil
 }
 
-// MoveDiscovery goes over to discovery at another address, while serving with the list that is held.
+// MoveDiscovery switches to discovery at another address, while the proxy serves from its current list.
 func (p *Proxy) MoveDiscovery(address string) {
 	p.discovery.Move(address)
-	p.watch() // the balancer may be waiting for its time to ask again
+	p.watch() // the balancer may be waiting until its next request is due
 }
 
-// SetOptions changes the options that can change while serving.
+// SetOptions changes the options that may change while the proxy serves.
 func (p *Proxy) SetOptions(o Options) {
 	p.front.SetOptions(o.Callers)
 	p.backends.SetOptions(o.Backends)
 	p.discovery.SetOptions(o.Discovery)
 }
 
-// SetFleet takes in who of the fleet is there: this proxy's part of what all may do together follows from it.
+// SetFleet sets the count of the fleet's members, from which this proxy's share of the fleet-wide limits is derived.
 func (p *Proxy) SetFleet(c parts.Count) {
 	p.host.SetFleetShares(parts.Decide(p.settings.Balancer.Instances, c))
 }
 
-// Addr is where the proxy listens.
+// Addr returns the address at which the proxy listens.
 func (p *Proxy) Addr() net.Addr { return p.listener.Addr() }
--- a/internal/proxy/recovery.go
+++ b/internal/proxy/recovery.go
@@ -11,39 +11,40 @@
 	"brasswell/internal/recovery"
 )
 
-// side is the proxy's side of its way back.
-type side struct{ *Proxy }
+// recoverySide implements the proxy's part of recovery.
+type recoverySide struct{ *Proxy }
 
-var _ recovery.Side = side{}
+var _ recovery.Side = recoverySide{}
 
-// Begin takes up what is known, and begins to follow discovery. Where that is followed already, its list is newer: only the bans are taken up.
-func (s side) Begin(k handover.State, lost time.Duration) {
-	if s.following.hasBegun() {
-		s.log.Error("recovery: the server list is followed already; of what was known before this start only bans by hand are used")
-		s.host.BanAll(k.Balancer.Banned)
+// Begin restores the recovered state and begins to follow discovery. If discovery is followed already, its list is newer,
+// and only the bans are restored.
+func (s recoverySide) Begin(state handover.State, lost time.Duration) {
+	if s.followState.hasBegun() {
+		s.log.Error("recovery: discovery is followed already; only operator bans are restored from the state before this start")
+		s.host.BanAll(state.Balancer.Banned)
 		return
 	}
-	s.host.Restore(k.Balancer, k.Addresses, lost)
-	if len(k.Balancer.Servers) == 0 { // the file's list, as the platform last had it
-		if err := s.known(s.fileList); err != nil {
-			s.log.Error("the platform's list is not used", "error", err)
+	s.host.Restore(state.Balancer, state.Addresses, lost)
+	if len(state.Balancer.Servers) == 0 { // use the file's list, which the platform had last
+		if err := s.loadCachedList(s.fileList); err != nil {
+			s.log.Error("recovery: the platform's server list is unusable", "error", err)
 		}
 	}
-	if k.LongestDeadline > 0 {
-		s.restart.Restore(k.LongestDeadline, k.LatencyP95)
+	if state.LongestDeadline > 0 {
+		s.restart.Restore(state.LongestDeadline, state.LatencyP95)
 	}
-	s.follow()
+	s.startFollowing()
 }
 
-func (s side) Now() time.Duration { return s.host.Now() }
+func (s recoverySide) Now() time.Duration { return s.host.Now() }
 
-func (s side) Known() handover.State {
-	k := handover.State{Seq: s.discovery.Seq(), LongestDeadline: s.restart.LongestDeadline(), LatencyP95: s.restart.LatencyP95()}
-	k.Balancer, k.Addresses = s.host.SnapshotInBatches()
-	return k
+func (s recoverySide) Known() handover.State {
+	state := handover.State{Seq: s.discovery.Seq(), LongestDeadline: s.restart.LongestDeadline(), LatencyP95: s.restart.LatencyP95()}
+	state.Balancer, state.Addresses = s.host.SnapshotInBatches()
+	return state
 }
 
-func (s side) Outcomes() (asked, lost []int64) {
+func (s recoverySide) Outcomes() (asked, lost []int64) {
 	asked, lost = make([]int64, len(s.settings.Classes)), make([]int64, len(s.settings.Classes))
 	for i := range asked {
 		c := s.figures.Class(i)
@@ -53,13 +54,13 @@
 	return asked, lost
 }
 
-func (s side) Births() []time.Duration { return s.host.StartTimes() }
-func (s side) Leased() bool            { return s.rules != nil && s.rules.Mode() == accord.Leased }
-func (s side) Banned() []string        { return s.host.Banned() }
-func (s side) Ban(ids []string)        { s.host.BanAll(ids) }
+func (s recoverySide) Births() []time.Duration { return s.host.StartTimes() }
+func (s recoverySide) Leased() bool            { return s.rules != nil && s.rules.Mode() == accord.Leased }
+func (s recoverySide) Banned() []string        { return s.host.Banned() }
+func (s recoverySide) Ban(ids []string)        { s.host.BanAll(ids) }
 
-// listed tells the way back of each list that has been taken in.
-func (p *Proxy) listed(update func(balance.ListKind, []balance.Entry, map[string]string)) func(balance.ListKind, []balance.Entry, map[string]string) {
+// notifyRecovery wraps update to notify recovery of each list that has been applied.
+func (p *Proxy) notifyRecovery(update func(balance.ListKind, []balance.Entry, map[string]string)) func(balance.ListKind, []balance.Entry, map[string]string) {
 	return func(kind balance.ListKind, entries []balance.Entry, addresses map[string]string) {
 		update(kind, entries, addresses)
 		if kind != balance.ListFailed && (kind != balance.Delta || len(entries) > 0) {
@@ -68,25 +69,25 @@
 	}
 }
 
-// keepTime bounds what a console's call waits for the disk; its callers are owed an answer within 1 s.
-const keepTime = 500 * time.Millisecond
+// persistTimeout limits how long a console call waits for the disk. The console must answer its callers within 1 s.
+const persistTimeout = 500 * time.Millisecond
 
-// kept makes a change by hand last, where anything does.
-func (p *Proxy) kept(ctx context.Context, id string, out, joined bool) error {
+// persistBan writes an operator's ban, or its lifting, to disk if the proxy persists state.
+func (p *Proxy) persistBan(ctx context.Context, id string, banned, joined bool) error {
 	if p.recovery == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, keepTime)
+	ctx, cancel := context.WithTimeout(ctx, persistTimeout)
 	defer cancel()
-	return p.recovery.Keep(ctx, id, out, joined)
+	return p.recovery.Keep(ctx, id, banned, joined)
 }
 
-// Recovery says how this process has come back, as JSON.
-func (d desk) Recovery(ctx context.Context) ([]byte, error) {
+// Recovery returns the status of this process's recovery as JSON.
+func (d consoleHandler) Recovery(ctx context.Context) ([]byte, error) {
 	if d.recovery == nil {
 		return nil, console.ErrNone
 	}
-	ctx, cancel := context.WithTimeout(ctx, fleetTime)
+	ctx, cancel := context.WithTimeout(ctx, fleetTimeout)
 	defer cancel()
 	return d.recovery.Status(ctx)
 }
--- a/internal/proxy/rules.go
+++ b/internal/proxy/rules.go
@@ -12,57 +12,58 @@
 	"brasswell/internal/console"
 )
 
-// gate puts the names to the classes that the host knows by number.
-type gate struct {
+// rulesGate checks sends against the agreed rules, and maps the host's class numbers to class names.
+type rulesGate struct {
 	rules   Rules
 	classes []string
-	lists   *keptLists // nil where no list is held back
+	lists   *listGuard // nil if lists are not checked
 }
 
-func (g gate) class(n int) string {
+func (g rulesGate) className(n int) string {
 	if n < 0 || n >= len(g.classes) {
 		return ""
 	}
 	return g.classes[n]
 }
 
-// Open says whether requests of a class are taken now: what nothing may be sent for is refused before anything is done.
-func (g gate) Open(class int) bool {
-	ruling, _ := g.rules.Decide(rules.Send{Class: g.class(class)})
-	return ruling == rules.Allowed
+// Open reports whether requests of a class are admitted now. A request that the rules do not let the proxy send is refused
+// before any work is done for it.
+func (g rulesGate) Open(class int) bool {
+	decision, _ := g.rules.Decide(rules.Send{Class: g.className(class)})
+	return decision == rules.Allowed
 }
 
-func (g gate) Rule(server string, class int, again bool) (rules.Decision, rules.DecisionBasis) {
-	return g.rules.Decide(rules.Send{Server: server, Class: g.class(class), MayHaveRun: again, DropHeld: g.lists.holds(server)})
+func (g rulesGate) Rule(server string, class int, mayHaveRun bool) (rules.Decision, rules.DecisionBasis) {
+	return g.rules.Decide(rules.Send{Server: server, Class: g.className(class), MayHaveRun: mayHaveRun, DropHeld: g.lists.isHeld(server)})
 }
 
-// agreed takes in on what acts rest.
-func (p *Proxy) agreed(b *accord.Basis) {
+// applyRules applies the current basis of the agreed rules.
+func (p *Proxy) applyRules(b *accord.Basis) {
 	p.host.ApplyAgreed(b.Doc.Bans, b.Doc.QuotaShare())
 	if self, of, ok := p.rules.AgreedNumber(b); ok {
 		p.host.Renumber(self, of)
 	}
-	p.lists.agreed(b.Doc)
+	p.lists.setRules(b.Doc)
 }
 
-// closedWait is for how long a caller is asked to stay away whose request the agreed rules don't let in.
-const closedWait = time.Second
+// closedRetryAfter is the retry time for callers whose requests the agreed rules do not admit.
+const closedRetryAfter = time.Second
 
-// rulesTime bounds what the console waits for the agreement; its callers are owed an answer within 1 s.
-const rulesTime = 700 * time.Millisecond
+// rulesTimeout limits how long the console waits for the agreement. The console must answer its callers within 1 s.
+const rulesTimeout = 700 * time.Millisecond
 
-// Rules says how this process stands in the agreement, as JSON.
-func (d desk) Rules(ctx context.Context) ([]byte, error) {
+// Rules returns this process's position in the agreement as JSON.
+func (d consoleHandler) Rules(ctx context.Context) ([]byte, error) {
 	if d.rules == nil {
 		return nil, console.ErrNone
 	}
-	ctx, cancel := context.WithTimeout(ctx, rulesTime)
+	ctx, cancel := context.WithTimeout(ctx, rulesTimeout)
 	defer cancel()
 	return d.rules.Status(ctx)
 }
 
-// Propose has a change agreed: text is a rules.Change in JSON, and the answer a rules.Answer.
-func (d desk) Propose(ctx context.Context, text []byte) ([]byte, error) {
+// Propose submits a change for agreement: text is a rules.Change in JSON, and the answer is a rules.Answer.
+func (d consoleHandler) Propose(ctx context.Context, text []byte) ([]byte, error) {
 	if d.rules == nil {
 		return nil, console.ErrNone
 	}
@@ -71,12 +72,12 @@
 		return nil, fmt.Errorf("%w: %w", console.ErrBad, err)
 	}
 	if c.ID == "" {
-		return nil, fmt.Errorf("%w: a change needs an id of its own, so that asking twice is no second change", console.ErrBad)
+		return nil, fmt.Errorf("%w: a change needs a unique id, so that a repeated request is not applied as a second change", console.ErrBad)
 	}
 	if err := c.Validate(); err != nil {
 		return nil, fmt.Errorf("%w: %w", console.ErrBad, err)
 	}
-	ctx, cancel := context.WithTimeout(ctx, rulesTime)
+	ctx, cancel := context.WithTimeout(ctx, rulesTimeout)
 	defer cancel()
 	a, err := d.rules.Propose(ctx, c)
 	if err != nil {
@@ -88,12 +89,12 @@
 	return json.Marshal(a)
 }
 
-// Refound has this keeper go on alone, in place of a majority that is lost for good.
-func (d desk) Refound(ctx context.Context) error {
+// Refound makes this voter continue alone, to replace a majority that is permanently lost.
+func (d consoleHandler) Refound(ctx context.Context) error {
 	if d.rules == nil {
 		return console.ErrNone
 	}
-	ctx, cancel := context.WithTimeout(ctx, rulesTime)
+	ctx, cancel := context.WithTimeout(ctx, rulesTimeout)
 	defer cancel()
 	return d.rules.Refound(ctx)
 }
--- a/internal/proxy/rules_test.go
+++ b/internal/proxy/rules_test.go
@@ -13,47 +13,48 @@
 	"brasswell/internal/cluster/rules"
 )
 
-// agreement is one whose rules the test sets.
-type agreement struct {
-	basis  atomic.Pointer[accord.Basis]
-	follow func(*accord.Basis)
-	drop   float64
-	held   atomic.Pointer[[]string]
+// fakeRules implements Rules with rules that the test sets.
+type fakeRules struct {
+	basis    atomic.Pointer[accord.Basis]
+	onChange func(*accord.Basis)
+	maxDrop  float64
+	reported atomic.Pointer[[]string]
 }
 
-func agreeOn(d *rules.Document) *agreement {
-	a := &agreement{}
-	a.basis.Store(basisOf(d, time.Hour))
+func newFakeRules(d *rules.Document) *fakeRules {
+	a := &fakeRules{}
+	a.basis.Store(leaseUntil(d, time.Hour))
 	return a
 }
 
-// basisOf is a lease until a moment; the clock stands at 1 s.
-func basisOf(d *rules.Document, until time.Duration) *accord.Basis {
+// leaseUntil returns a basis with a lease that ends at until; the clock is fixed at 1 s.
+func leaseUntil(d *rules.Document, until time.Duration) *accord.Basis {
 	return &accord.Basis{Version: 2, Last: 2, Doc: d, Unleased: rules.Unleased(d), Until: until, LastUnanswered: -1}
 }
 
-func (a *agreement) Decide(s rules.Send) (rules.Decision, rules.DecisionBasis) {
+func (a *fakeRules) Decide(s rules.Send) (rules.Decision, rules.DecisionBasis) {
 	b := a.basis.Load()
 	return b.Decide(time.Second, s), rules.DecisionBasis{Version: b.Last, Leased: b.Mode(time.Second) == accord.Leased}
 }
-func (a *agreement) AgreedNumber(*accord.Basis) (int, int, bool) { return 0, 0, false }
-func (a *agreement) MaxListDrop() float64                        { return cmp.Or(a.drop, 1) }
-func (a *agreement) SetHeldBackends(ids []string)                { a.held.Store(&ids) }
-func (a *agreement) Mode() accord.Mode                           { return a.basis.Load().Mode(time.Second) }
-func (a *agreement) Follow(f func(*accord.Basis))                { a.follow = f; f(a.basis.Load()) }
-func (a *agreement) Status(context.Context) ([]byte, error)      { return []byte("{}"), nil }
-func (a *agreement) Figures(text []byte) []byte                  { return text }
-func (a *agreement) Refound(context.Context) error               { return nil }
-func (a *agreement) Propose(context.Context, rules.Change) (rules.Answer, error) {
+func (a *fakeRules) AgreedNumber(*accord.Basis) (int, int, bool) { return 0, 0, false }
+func (a *fakeRules) MaxListDrop() float64                        { return cmp.Or(a.maxDrop, 1) }
+func (a *fakeRules) SetHeldBackends(ids []string)                { a.reported.Store(&ids) }
+func (a *fakeRules) Mode() accord.Mode                           { return a.basis.Load().Mode(time.Second) }
+func (a *fakeRules) Follow(f func(*accord.Basis))                { a.onChange = f; f(a.basis.Load()) }
+func (a *fakeRules) Status(context.Context) ([]byte, error)      { return []byte("{}"), nil }
+func (a *fakeRules) Figures(text []byte) []byte                  { return text }
+func (a *fakeRules) Refound(context.Context) error               { return nil }
+func (a *fakeRules) Propose(context.Context, rules.Change) (rules.Answer, error) {
 	return rules.Answer{}, nil
 }
 
-// TestAgreedBans: what is out by agreement gets nothing, also where no list has named it before, until it is not any more.
+// TestAgreedBans: a server that the agreed rules ban gets no requests until the ban is lifted, also if no list has named it
+// before.
 func TestAgreedBans(t *testing.T) {
-	one, two := newBackend(t, "127.0.0.1:0", whole), newBackend(t, "127.0.0.1:0", whole)
+	one, two := newBackend(t, "127.0.0.1:0", idAnswer), newBackend(t, "127.0.0.1:0", idAnswer)
 	ban := &rules.Document{Bans: map[string]rules.Ban{"s1": {}, "not listed": {}}}
-	a := agreeOn(ban)
-	g := newRig(t, func(c *Config) { c.Rules = a }, entry("s1", one.address, "up"), entry("s2", two.address, "up"))
+	a := newFakeRules(ban)
+	g := newTestProxy(t, func(c *Config) { c.Rules = a }, entry("s1", one.address, "up"), entry("s2", two.address, "up"))
 	c := g.dial()
 	for range 20 {
 		if status, _ := c.send(head("a")).answer(); status != 200 {
@@ -61,21 +62,21 @@
 		}
 	}
 	if n := len(one.requests); n > 0 {
-		t.Errorf("%d requests to a server that is out", n)
+		t.Errorf("%d requests to a banned server", n)
 	}
 	if err := g.SetBanned(t.Context(), "s1", false); err != nil {
 		t.Error(err)
 	}
 	c.send(head("a")).answer()
 	if n := len(one.requests); n > 0 {
-		t.Errorf("%d requests after one proxy put it back", n)
+		t.Errorf("%d requests after one proxy lifted its own ban", n)
 	}
-	lifted := basisOf(&rules.Document{}, time.Hour)
+	lifted := leaseUntil(&rules.Document{}, time.Hour)
 	a.basis.Store(lifted)
-	a.follow(lifted)
-	for end := time.Now().Add(patient); len(one.requests) == 0; {
+	a.onChange(lifted)
+	for end := time.Now().Add(eventTimeout); len(one.requests) == 0; {
 		if time.Now().After(end) {
-			t.Fatal("nothing goes to a server that is back")
+			t.Fatal("a server gets no requests after its ban is lifted")
 		}
 		if status, _ := c.send(head("a")).answer(); status != 200 {
 			t.Fatal(status)
@@ -83,11 +84,12 @@
 	}
 }
 
-// TestNoLeaseNoSend: without a lease, after a pause, a request is refused at once and nothing is sent for it.
+// TestNoLeaseNoSend: once the lease has expired, as after a pause of the process, a request is refused at once and
+// nothing is sent for it.
 func TestNoLeaseNoSend(t *testing.T) {
-	b := newBackend(t, "127.0.0.1:0", whole)
-	a := agreeOn(&rules.Document{})
-	g := newRig(t, func(c *Config) {
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
+	a := newFakeRules(&rules.Document{})
+	g := newTestProxy(t, func(c *Config) {
 		c.Rules = a
 		c.Settings.Balancer.RetryAfter, c.Settings.Balancer.MaxRetryAfter = true, 2*time.Second
 	}, entry("s1", b.address, "up"))
@@ -96,7 +98,7 @@
 		t.Fatal(status)
 	}
 	<-b.requests
-	a.basis.Store(basisOf(&rules.Document{}, 0))
+	a.basis.Store(leaseUntil(&rules.Document{}, 0))
 	c.send(head("b"))
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil || resp.StatusCode != 503 || resp.Header.Get("Retry-After") == "" {
@@ -107,11 +109,11 @@
 	}
 }
 
-// TestClosedClass: one class is closed, and the others go on.
+// TestClosedClass: requests of a closed class are refused, and those of other classes are served.
 func TestClosedClass(t *testing.T) {
-	b := newBackend(t, "127.0.0.1:0", whole)
-	a := agreeOn(&rules.Document{Settings: rules.Settings{Classes: map[string]rules.Class{"search": {Closed: true}}}})
-	g := newRig(t, func(c *Config) { c.Rules = a }, entry("s1", b.address, "up"))
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
+	a := newFakeRules(&rules.Document{Settings: rules.Settings{Classes: map[string]rules.Class{"search": {Closed: true}}}})
+	g := newTestProxy(t, func(c *Config) { c.Rules = a }, entry("s1", b.address, "up"))
 	if status, _ := g.dial().send(head("a")).answer(); status != 503 {
 		t.Errorf("closed: %d", status)
 	}
@@ -120,8 +122,8 @@
 	}
 }
 
-// TestNoRepeatOfWhatMayHaveRun: a request that a server took and broke off is sent again as the platform's file allows, and fails
-// where the agreed rules allow no repeat.
+// TestNoRepeatOfWhatMayHaveRun: a request whose server broke off its answer is sent again if the platform's file allows it,
+// and fails if the agreed rules forbid repeats.
 func TestNoRepeatOfWhatMayHaveRun(t *testing.T) {
 	for name, d := range map[string]*rules.Document{
 		"allowed":   {},
@@ -131,13 +133,13 @@
 			var asked atomic.Int64
 			reply := func(id string) string {
 				if asked.Add(1) == 1 {
-					return "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nand no m" // of a server that dies while it answers
+					return "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nand no m" // as from a server that dies while it answers
 				}
-				return whole(id)
+				return idAnswer(id)
 			}
 			one, two := newBackend(t, "127.0.0.1:0", reply), newBackend(t, "127.0.0.1:0", reply)
-			a := agreeOn(d)
-			g := newRig(t, func(c *Config) {
+			a := newFakeRules(d)
+			g := newTestProxy(t, func(c *Config) {
 				c.Rules = a
 				c.Options.Backends.AnswerTimeout = 50 * time.Millisecond
 			}, entry("s1", one.address, "up"), entry("s2", two.address, "up"))
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestRequestsThatAreNotUnderstoodGoNowhere(t *testing.T) {
+func TestInvalidRequestsAreNotForwarded(t *testing.T) {
 	const rest = "X-Lane: search\r\nX-Remaining-Ms: 900\r\n"
 	const hold = "X-Txn: a\r\nX-Lane: hold\r\nX-Remaining-Ms: 900\r\n"
 	for name, request := range map[string]string{
@@ -32,56 +32,56 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			b := newBackend(t, "127.0.0.1:0", whole)
-			c := newRig(t, nil, entry("s1", b.address, "up")).dial()
+			b := newBackend(t, "127.0.0.1:0", idAnswer)
+			c := newTestProxy(t, nil, entry("s1", b.address, "up")).dial()
 			start := time.Now()
 			status, _ := c.send(request).answer()
 			if status != 0 && (status < 400 || status == 503) {
 				t.Fatalf("answered %d", status)
 			}
-			if d := time.Since(start); d > patient/2 {
-				t.Errorf("only after %v", d)
+			if d := time.Since(start); d > eventTimeout/2 {
+				t.Errorf("answered only after %v", d)
 			}
 			if status != 0 {
-				c.closed()
+				c.expectClosed()
 			}
 			if len(b.requests) != 0 {
-				t.Fatal("it came to a backend")
+				t.Fatal("it reached a backend")
 			}
 		})
 	}
 }
 
-// TestRequestInsideABodyIsNotPassedOn sends a request whose body, for whoever goes by the length, is another.
+// TestRequestInsideABodyIsNotPassedOn sends a request whose body, if read by its length, contains another request.
 func TestRequestInsideABodyIsNotPassedOn(t *testing.T) {
-	b := newBackend(t, "127.0.0.1:0", whole)
-	g := newRig(t, nil, entry("s1", b.address, "up"))
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
+	g := newTestProxy(t, nil, entry("s1", b.address, "up"))
 	inner := "0\r\n\r\n" + head("hidden")
-	for name, lead := range map[string]string{"first": "", "behind another": head("sound")} {
+	for name, lead := range map[string]string{"first": "", "after another": head("sound")} {
 		t.Run(name, func(t *testing.T) {
 			c := g.dial().send(lead + fmt.Sprintf("POST /api HTTP/1.1\r\nHost: x\r\nX-Txn: outer\r\nX-Lane: hold\r\n"+
 				"X-Remaining-Ms: 900\r\nIdempotency-Key: k\r\ncontent-length: %d\r\nTransfer-Encoding: chunked\r\n\r\n%s",
 				len(inner), inner))
 			if lead != "" {
 				if status, _ := c.answer(); status != 200 {
-					t.Fatalf("the sound request was answered %d", status)
+					t.Fatalf("the valid request was answered %d", status)
 				}
-				await(t, "the sound request", b.requests)
+				await(t, "the valid request", b.requests)
 			}
 			if status, _ := c.answer(); status != 400 {
 				t.Fatalf("answered %d", status)
 			}
-			c.closed()
+			c.expectClosed()
 			if len(b.requests) != 0 {
-				t.Fatalf("%q came to a backend", <-b.requests)
+				t.Fatalf("%q reached a backend", <-b.requests)
 			}
 		})
 	}
 }
 
 func TestChunkedRequestIsServed(t *testing.T) {
-	b := newBackend(t, "127.0.0.1:0", whole)
-	c := newRig(t, nil, entry("s1", b.address, "up")).dial()
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
+	c := newTestProxy(t, nil, entry("s1", b.address, "up")).dial()
 	c.send("POST /api HTTP/1.1\r\nHost: x\r\nX-Txn: a\r\nX-Lane: hold\r\nX-Remaining-Ms: 9000\r\nIdempotency-Key: k\r\n" +
 		"Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n")
 	if status, body := c.answer(); status != 200 || body != "a" {
@@ -89,10 +89,10 @@
 	}
 }
 
-func TestIDOfAnOpenRequestIsTurnedAway(t *testing.T) {
+func TestDuplicateIDOfOpenRequestIsRejected(t *testing.T) {
 	release := make(chan struct{})
-	b := newBackend(t, "127.0.0.1:0", func(id string) string { <-release; return whole(id) })
-	g := newRig(t, nil, entry("s1", b.address, "up"))
+	b := newBackend(t, "127.0.0.1:0", func(id string) string { <-release; return idAnswer(id) })
+	g := newTestProxy(t, nil, entry("s1", b.address, "up"))
 	first := g.dial().send(head("a"))
 	await(t, "the first request", b.requests)
 	if status, _ := g.dial().send(head("a")).answer(); status != 409 {
@@ -103,17 +103,17 @@
 		t.Fatalf("the first was answered %d", status)
 	}
 	if status, _ := g.dial().send(head("a")).answer(); status != 200 {
-		t.Fatalf("once it was over, answered %d", status)
+		t.Fatalf("after the first had ended, answered %d", status)
 	}
 }
 
-// TestCrowdOfIdleCallersGivesWay holds more connections than the proxy may, silent ones and such that asked
-// once, and asks on a new one.
-func TestCrowdOfIdleCallersGivesWay(t *testing.T) {
-	b := newBackend(t, "127.0.0.1:0", whole)
+// TestIdleCallersAreClosedForNewcomers opens more connections than the proxy allows, some silent and some with one
+// request each, and then sends a request on a new connection.
+func TestIdleCallersAreClosedForNewcomers(t *testing.T) {
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
 	for name, first := range map[string]string{"silent": "", "asked once": "yes"} {
 		t.Run(name, func(t *testing.T) {
-			g := newRig(t, func(c *Config) { c.Sockets = 64 }, entry("s1", b.address, "up"))
+			g := newTestProxy(t, func(c *Config) { c.Sockets = 64 }, entry("s1", b.address, "up"))
 			for i := range 40 {
 				c := g.dial()
 				if first != "" {
@@ -122,8 +122,8 @@
 					}
 				}
 			}
-			// A silent crowd goes once it has been silent for a while, so a caller may meet a close.
-			for end := time.Now().Add(patient); ; {
+			// Silent connections are closed only after some time, so a new caller may get a close first.
+			for end := time.Now().Add(eventTimeout); ; {
 				if status, _ := g.dial().send(head("late")).answer(); status == 200 {
 					return
 				}
@@ -135,10 +135,11 @@
 	}
 }
 
-// TestCallersThatAskAgainKeepTheirConnection fills the places with callers that ask once.
+// TestCallersThatAskAgainKeepTheirConnection fills the places with callers that send one request each. A connection with
+// several requests must not be closed for them.
 func TestCallersThatAskAgainKeepTheirConnection(t *testing.T) {
-	b := newBackend(t, "127.0.0.1:0", whole)
-	g := newRig(t, func(c *Config) { c.Sockets = 64 }, entry("s1", b.address, "up"))
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
+	g := newTestProxy(t, func(c *Config) { c.Sockets = 64 }, entry("s1", b.address, "up"))
 	steady := g.dial()
 	for _, id := range []string{"s1", "s2"} {
 		steady.send(head(id)).answer()
@@ -149,14 +150,14 @@
 		}
 	}
 	if status, body := steady.send(head("s3")).answer(); status != 200 || body != "s3" {
-		t.Fatalf("%d %q: its connection went before those of callers that asked once", status, body)
+		t.Fatalf("%d %q: its connection was closed before those with one request", status, body)
 	}
 }
 
-// TestCallerThatLeavesEndsItsAttempt waits for the backend to see its connection close.
+// TestCallerThatLeavesEndsItsAttempt checks that the backend's connection is closed soon after the caller has left.
 func TestCallerThatLeavesEndsItsAttempt(t *testing.T) {
 	b := newBackend(t, "127.0.0.1:0", func(string) string { return "" })
-	g := newRig(t, nil, entry("s1", b.address, "up"))
+	g := newTestProxy(t, nil, entry("s1", b.address, "up"))
 	for name, leave := range map[string]func(net.Conn){
 		"close":      func(c net.Conn) { c.Close() },
 		"half close": func(c net.Conn) { c.(*net.TCPConn).CloseWrite() },
@@ -168,22 +169,22 @@
 			leave(c.Conn)
 			await(t, "the end of the attempt", b.gone)
 			if d := time.Since(start); d > 8*time.Second {
-				t.Fatalf("the attempt ran on for %v, to its deadline", d)
+				t.Fatalf("the attempt continued for %v, up to its deadline", d)
 			}
 		})
 	}
 }
 
-// TestLeavingServesWhoStillAsks: during a planned restart connections go on being used, what cannot be served in
-// time is failed, and then all are closed.
-func TestLeavingServesWhoStillAsks(t *testing.T) {
+// TestShutdownServesRemainingCallers: during a planned restart connections stay in use, requests that cannot be served in
+// time fail, and then all connections are closed.
+func TestShutdownServesRemainingCallers(t *testing.T) {
 	b := newBackend(t, "127.0.0.1:0", func(id string) string {
 		if id == "never" {
 			return ""
 		}
-		return whole(id)
+		return idAnswer(id)
 	})
-	g := newRig(t, nil, entry("s1", b.address, "up"))
+	g := newTestProxy(t, nil, entry("s1", b.address, "up"))
 	asks, waits := g.dial(), g.dial()
 	asks.send(head("before")).answer()
 	waits.send(head("never"))
@@ -192,20 +193,20 @@
 
 	g.restart.Begin()
 	if status, _ := g.dial().send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n").answer(); status != 503 {
-		t.Errorf("health while leaving: %d", status)
+		t.Errorf("health during the shutdown: %d", status)
 	}
 	if status, body := asks.send(head("during")).answer(); status != 200 || body != "during" {
-		t.Errorf("while leaving: %d %q", status, body)
+		t.Errorf("during the shutdown: %d %q", status, body)
 	}
-	left := make(chan struct{})
+	ended := make(chan struct{})
 	go func() {
-		g.restart.Run(g.left)
-		close(left)
+		g.restart.Run(g.connsClosed)
+		close(ended)
 	}()
 	if status, _ := waits.answer(); status != 502 {
-		t.Errorf("what cannot be served in time was answered %d", status)
+		t.Errorf("the request that cannot be served in time was answered %d", status)
 	}
-	asks.closed()
-	waits.closed()
-	await(t, "the end", left)
+	asks.expectClosed()
+	waits.expectClosed()
+	await(t, "the end", ended)
 }
--- a/internal/proxy/upgrade.go
+++ b/internal/proxy/upgrade.go
@@ -9,109 +9,109 @@
 	"brasswell/internal/handover"
 )
 
-// helloTime bounds how long a new process may take to say who it is.
-const helloTime = time.Second
+// helloTimeout limits how long a new process may take to send its hello.
+const helloTimeout = time.Second
 
-// upgrade is a proxy's side of a handover: to the process before it, and to the one after it.
+// upgrade runs a proxy's handovers: from the process before it, its predecessor, and to the one after it, its successor.
 type upgrade struct {
 	proxy     *Proxy
 	dir, name string
 	running   sync.WaitGroup
-	ended     sync.Once
-
-	mu       sync.Mutex
-	elder    handover.OldProcess
-	part     handover.Share
-	older    *handover.Peer // nil once that has gone
-	younger  *handover.Peer
-	listener *net.UnixListener
-	over     bool
+	closeOnce sync.Once
+
+	mu          sync.Mutex
+	outgoing    handover.OldProcess
+	share       handover.Share
+	predecessor *handover.Peer // nil once it has ended
+	successor   *handover.Peer
+	listener    *net.UnixListener
+	closed      bool
 }
 
 func newUpgrade(p *Proxy, dir, name string) *upgrade {
-	return &upgrade{proxy: p, dir: dir, name: name, part: handover.FullShare}
+	return &upgrade{proxy: p, dir: dir, name: name, share: handover.FullShare}
 }
 
-// join takes over what the running process knows, and says whether there is one.
-func (u *upgrade) join() bool {
+// restoreState takes over the state of the running process, and reports whether there is one.
+func (u *upgrade) restoreState() bool {
 	p := u.proxy
-	peer, k, err := handover.Connect(u.dir, u.name)
+	peer, state, err := handover.Connect(u.dir, u.name)
 	if err != nil {
 		p.log.Warn("upgrade: nothing taken over, starting plainly", "error", err)
 	}
 	if peer == nil {
 		return false
 	}
-	p.host.Adopt(k.Balancer, k.Addresses, k.Clock)
-	p.adoptLists(k)
-	if k.BannedByOperator == nil {
-		k.BannedByOperator = k.Balancer.Banned
-	}
-	p.host.RecordBans(k.BannedByOperator)
-	p.discovery.Resume(k.Seq)
-	p.front.SetOpenElsewhere(k.OpenIDs)
-	p.restart.Restore(k.LongestDeadline, k.LatencyP95)
-	p.log.Info("upgrade: going on where the running process is", "servers", len(k.Balancer.Servers),
-		"out_by_hand", len(k.Balancer.Banned), "open", len(k.OpenIDs))
-	u.older = peer
-	u.setPart(handover.NewProcessShare(k.CallerConns, p.limits.soft))
+	p.host.Adopt(state.Balancer, state.Addresses, state.Clock)
+	p.importLists(state)
+	if state.BannedByOperator == nil {
+		state.BannedByOperator = state.Balancer.Banned
+	}
+	p.host.RecordBans(state.BannedByOperator)
+	p.discovery.Resume(state.Seq)
+	p.front.SetOpenElsewhere(state.OpenIDs)
+	p.restart.Restore(state.LongestDeadline, state.LatencyP95)
+	p.log.Info("upgrade: going on where the running process is", "servers", len(state.Balancer.Servers),
+		"out_by_hand", len(state.Balancer.Banned), "open", len(state.OpenIDs))
+	u.predecessor = peer
+	u.setShare(handover.NewProcessShare(state.CallerConns, p.limits.softCallers))
 	return true
 }
 
-// setPart must be called with mu held, or before begin.
-func (u *upgrade) setPart(part handover.Share) {
-	u.part = part
-	u.proxy.setPart(part)
+// setShare must be called with mu held, or before start.
+func (u *upgrade) setShare(share handover.Share) {
+	u.share = share
+	u.proxy.setShare(share)
 }
 
-// begin waits for the next process, and tells the one before that this one takes clients.
-func (u *upgrade) begin() {
+// start begins to wait for a successor, and notifies the predecessor that this process serves clients.
+func (u *upgrade) start() {
 	u.mu.Lock()
 	l, err := handover.Listen(u.dir, u.name)
 	if err != nil {
 		u.proxy.log.Warn("upgrade: a new process will start plainly beside this one", "error", err)
 	} else {
 		u.listener = l
-		u.running.Go(func() { u.accept(l) })
+		u.running.Go(func() { u.acceptSuccessors(l) })
 	}
-	older := u.older
+	predecessor := u.predecessor
 	u.mu.Unlock()
-	if older == nil {
+	if predecessor == nil {
 		return
 	}
-	u.running.Go(func() { u.follow(older) })
-	if _, err := older.Request(context.Background(), handover.Message{Kind: handover.Ready}); err != nil {
-		u.proxy.log.Warn("upgrade: the process before does not know that this one takes clients", "error", err)
+	u.running.Go(func() { u.servePredecessor(predecessor) })
+	if _, err := predecessor.Request(context.Background(), handover.Message{Kind: handover.Ready}); err != nil {
+		u.proxy.log.Warn("upgrade: could not notify the previous process that this one serves clients", "error", err)
 	}
 }
 
-// follow hears the process before until it has gone.
-func (u *upgrade) follow(older *handover.Peer) {
-	err := older.Serve(func(m handover.Message) {
+// servePredecessor handles the predecessor's messages until it has ended.
+func (u *upgrade) servePredecessor(predecessor *handover.Peer) {
+	err := predecessor.Serve(func(m handover.Message) {
 		switch m.Kind {
 		case handover.Ban:
-			u.ban(older, m)
+			u.applyBan(predecessor, m)
 		case handover.ShuttingDown:
 			u.mu.Lock()
-			u.setPart(handover.ShareAfterShutdown(u.part))
+			u.setShare(handover.ShareAfterShutdown(u.share))
 			u.mu.Unlock()
 		}
 	})
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.older = nil
-	if u.over {
+	u.predecessor = nil
+	if u.closed {
 		return
 	}
 	u.proxy.front.SetOpenElsewhere(nil)
-	u.setPart(handover.FullShare)
+	u.setShare(handover.FullShare)
 	u.proxy.log.Info("upgrade: the process before has gone", "last", err)
 }
 
-func (u *upgrade) ban(from *handover.Peer, m handover.Message) {
+func (u *upgrade) applyBan(from *handover.Peer, m handover.Message) {
 	known := u.proxy.host.SetBanned(m.Server, m.Banned)
 	if known {
-		if err := u.proxy.kept(context.Background(), m.Server, m.Banned, true); err != nil {
+		if err := u.proxy.persistBan(context.Background(), m.Server, m.Banned, true); err != nil {
 			u.proxy.log.Error("by hand, at the other process: not on disk", "backend", m.Server, "error", err)
 		}
 	}
@@ -119,119 +119,121 @@
 	from.Send(handover.Message{Kind: handover.Done, Number: m.Number, Known: known})
 }
 
-// accept serves the processes that come after this one, one at a time.
-func (u *upgrade) accept(l *net.UnixListener) {
+// acceptSuccessors serves the processes that connect to take over from this one, one at a time.
+func (u *upgrade) acceptSuccessors(l *net.UnixListener) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
 			return
 		}
-		u.succeed(conn)
+		u.serveSuccessor(conn)
 	}
 }
 
-func (u *upgrade) succeed(conn net.Conn) {
+func (u *upgrade) serveSuccessor(conn net.Conn) {
 	defer conn.Close()
-	conn.SetDeadline(time.Now().Add(helloTime))
+	conn.SetDeadline(time.Now().Add(helloTimeout))
 	m, err := handover.Read(conn)
 	if err != nil || m.Kind != handover.Hello {
-		u.proxy.log.Warn("upgrade: a caller that is no process of this proxy", "error", err)
+		u.proxy.log.Warn("upgrade: rejected a connection without a valid hello", "error", err)
 		return
 	}
 	peer := handover.NewPeer(conn)
-	if !u.give(conn, peer) {
+	if !u.sendState(conn, peer) {
 		return
 	}
 	err = peer.Serve(func(m handover.Message) {
 		switch m.Kind {
 		case handover.Ban:
-			u.ban(peer, m)
+			u.applyBan(peer, m)
 		case handover.Ready:
 			u.mu.Lock()
-			u.elder.SuccessorReady()
+			u.outgoing.SuccessorReady()
 			u.mu.Unlock()
-			u.proxy.log.Info("upgrade: the new process takes clients")
+			u.proxy.log.Info("upgrade: the new process serves clients")
 			peer.Send(handover.Message{Kind: handover.Done, Number: m.Number})
 		}
 	})
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.younger = nil
-	part := u.elder.SuccessorGone()
-	if u.over {
+	u.successor = nil
+	share := u.outgoing.SuccessorGone()
+	if u.closed {
 		return
 	}
-	u.setPart(part)
+	u.setShare(share)
 	u.proxy.log.Warn("upgrade: the new process has gone", "last", err)
 }
 
-// give tells a new process all that this one knows. It holds mu meanwhile, so that what is decided by hand stands in
-// it or is told behind it.
-func (u *upgrade) give(conn net.Conn, peer *handover.Peer) bool {
+// sendState sends this process's state to a new process. It holds mu throughout, so that every operator override is either
+// in the state or is sent after it.
+func (u *upgrade) sendState(conn net.Conn, peer *handover.Peer) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.over {
+	if u.closed {
 		return false
 	}
 	p := u.proxy
-	k := &handover.State{
+	state := &handover.State{
 		Seq: p.discovery.Seq(), OpenIDs: p.front.OpenIDs(), CallerConns: p.callers.Len(),
 		LongestDeadline: p.restart.LongestDeadline(), LatencyP95: p.restart.LatencyP95(),
 	}
-	p.carryLists(k)
-	k.Clock = p.host.Clock()
-	k.BannedByOperator = append([]string{}, p.host.Banned()...)
-	if err := peer.Send(handover.Message{Kind: handover.StateReply, State: k}); err != nil {
-		p.log.Warn("upgrade: the new process did not get what this one knows", "error", err)
+	p.exportLists(state)
+	state.Clock = p.host.Clock()
+	state.BannedByOperator = append([]string{}, p.host.Banned()...)
+	if err := peer.Send(handover.Message{Kind: handover.StateReply, State: state}); err != nil {
+		p.log.Warn("upgrade: could not send the state to the new process", "error", err)
 		return false
 	}
 	conn.SetDeadline(time.Time{})
-	u.younger = peer
-	u.setPart(u.elder.StateRequested(k.CallerConns, p.limits.soft))
+	u.successor = peer
+	u.setShare(u.outgoing.StateRequested(state.CallerConns, p.limits.softCallers))
 	return true
 }
 
-// leave says whether another process takes the callers, now that this one has been told to go.
-func (u *upgrade) leave() bool {
+// handOff reports whether the successor serves the callers now that this process is to shut down. If so, it keeps only
+// its share of the callers' connections and notifies the successor.
+func (u *upgrade) handOff() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !u.elder.Shutdown() {
+	if !u.outgoing.Shutdown() {
 		return false
 	}
-	u.setPart(handover.Share{Callers: u.part.Callers})
-	if err := u.younger.Send(handover.Message{Kind: handover.ShuttingDown}); err != nil {
-		u.proxy.log.Warn("upgrade: the new process does not know that this one leaves", "error", err)
+	u.setShare(handover.Share{Callers: u.share.Callers})
+	if err := u.successor.Send(handover.Message{Kind: handover.ShuttingDown}); err != nil {
+		u.proxy.log.Warn("upgrade: could not notify the new process of the shutdown", "error", err)
 	}
 	return true
 }
 
-// tell tells the other processes what was decided by hand here, and says whether one of them knows the server.
-func (u *upgrade) tell(ctx context.Context, server string, out bool) (known bool) {
+// sendBan sends an operator's ban, or its lifting, to the other processes, and reports whether one of them knows the
+// server.
+func (u *upgrade) sendBan(ctx context.Context, server string, banned bool) (known bool) {
 	u.mu.Lock()
-	peers := []*handover.Peer{u.older, u.younger}
+	peers := []*handover.Peer{u.predecessor, u.successor}
 	u.mu.Unlock()
 	for _, peer := range peers {
 		if peer == nil {
 			continue
 		}
-		done, err := peer.Request(ctx, handover.Message{Kind: handover.Ban, Server: server, Banned: out})
+		done, err := peer.Request(ctx, handover.Message{Kind: handover.Ban, Server: server, Banned: banned})
 		if err != nil {
-			u.proxy.log.Warn("by hand: the other process has not answered", "backend", server, "error", err)
+			u.proxy.log.Warn("operator override: the other process has not answered", "backend", server, "error", err)
 		}
 		known = known || done.Known
 	}
 	return known
 }
 
-// end ends all talk with other processes.
-func (u *upgrade) end() {
-	u.ended.Do(func() {
+// close closes the connections to other processes and waits until they are no longer served.
+func (u *upgrade) close() {
+	u.closeOnce.Do(func() {
 		u.mu.Lock()
-		u.over = true
+		u.closed = true
 		if u.listener != nil {
 			u.listener.Close()
 		}
-		for _, peer := range []*handover.Peer{u.older, u.younger} {
+		for _, peer := range []*handover.Peer{u.predecessor, u.successor} {
 			if peer != nil {
 				peer.Close()
 			}
