--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -33,7 +33,7 @@
 		},
 		Addresses: map[string]string{"s1": "127.0.0.1:7070"}, Seq: 41, OpenIDs: []string{"a", "b"}, CallerConns: 12,
 		LongestDeadline: 2 * time.Second, LatencyP95: 80 * time.Millisecond,
-		Lists: lists.Carried{Held: []string{"s1"}, LetGo: []time.Duration{time.Second}},
+		Lists: lists.Snapshot{Held: []string{"s1"}, LetGo: []time.Duration{time.Second}},
 	}
 }
 
@@ -124,7 +124,7 @@
 			Write(&b, Message{Kind: kind, State: testState()})
 			if version != 1 {
 				// The version is the first field, encoded as key 1 and a small integer.
-				payload := b.Bytes()[sealed.HeadBytes:]
+				payload := b.Bytes()[sealed.HeaderBytes:]
 				at := bytes.Index(payload, []byte{1, 1})
 				payload[at+1] = byte(version)
 				b2 := frame(payload)
@@ -172,7 +172,7 @@
 }
 
 func frame(payload []byte) []byte {
-	b := make([]byte, sealed.HeadBytes, sealed.HeadBytes+len(payload))
+	b := make([]byte, sealed.HeaderBytes, sealed.HeaderBytes+len(payload))
 	binary.BigEndian.PutUint32(b, uint32(len(payload)))
 	binary.BigEndian.PutUint32(b[4:], crc(payload))
 	return append(b, payload...)
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -64,7 +64,7 @@
 	// Clock is a reading of the clock that all times refer to. Earlier versions omit it.
 	Clock clock.Reading `cbor:"9,keyasint"`
 	// Lists are the servers of Balancer that the newest list omits and that are still kept. Earlier versions omit it.
-	Lists lists.Carried `cbor:"10,keyasint"`
+	Lists lists.Snapshot `cbor:"10,keyasint"`
 }
 
 // Errors of reading a message.
--- a/internal/proxy/begin_test.go
+++ b/internal/proxy/begin_test.go
@@ -20,7 +20,7 @@
 			t.Fatal("the update is never applied")
 		}
 	}
-	recoverySide{g.Proxy}.Begin(stored, 0)
+	recoverySide{g.Proxy}.RestoreState(stored, 0)
 	if !g.discovery.Fresh() {
 		return // the list from disk is not used as confirmed
 	}
--- a/internal/proxy/desk.go
+++ b/internal/proxy/desk.go
@@ -47,7 +47,7 @@
 // Fleet returns the other known members of the fleet as JSON.
 func (d consoleHandler) Fleet(ctx context.Context) ([]byte, error) {
 	if d.fleet == nil {
-		return nil, console.ErrNone
+		return nil, console.ErrDisabled
 	}
 	ctx, cancel := context.WithTimeout(ctx, fleetTimeout)
 	defer cancel()
@@ -75,7 +75,7 @@
 		return checkKnown(id, known)
 	}
 	if err := p.persistBan(ctx, id, banned, joined); err != nil {
-		return fmt.Errorf("%w: %w", console.ErrNotKept, err)
+		return fmt.Errorf("%w: %w", console.ErrNotPersisted, err)
 	}
 	return nil
 }
--- a/internal/proxy/following_test.go
+++ b/internal/proxy/following_test.go
@@ -21,7 +21,7 @@
 
 func (unreachableFleet) Carry(string, []byte)         {}
 func (unreachableFleet) OnParcel(func([]byte))        {}
-func (unreachableFleet) Follow(func(s view.Standing)) {}
+func (unreachableFleet) Follow(func(s view.Snapshot)) {}
 
 // stateFolder creates a folder for the state of processes. A process that ends does not wait for a slow disk, and may still
 // write when the test is over, so the removal is retried.
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -37,7 +37,7 @@
 	held atomic.Pointer[map[string]bool] // IDs of the held servers; nil for none
 
 	mu      sync.Mutex
-	checker *lists.Judge
+	checker *lists.Filter
 	doc     *rules.Document // the rules agreed last; nil for none
 	polling bool
 }
@@ -45,7 +45,7 @@
 func newListGuard(ctx context.Context, running *sync.WaitGroup, share float64, h *host.Instance, reportHeld func([]string), log *slog.Logger) *listGuard {
 	k := &listGuard{host: h, reportHeld: reportHeld, log: log, ctx: ctx, running: running, start: time.Now()}
 	settings := lists.DefaultSettings()
-	settings.Share = share
+	settings.MaxDropShare = share
 	k.checker = lists.New(settings, k.mayDrop)
 	return k
 }
@@ -66,7 +66,7 @@
 func (k *listGuard) update(kind balance.ListKind, entries []balance.Entry, addresses map[string]string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	u := k.checker.Take(k.now(), lists.Update{Kind: kind, Entries: entries, Addresses: addresses})
+	u := k.checker.Apply(k.now(), lists.Update{Kind: kind, Entries: entries, Addresses: addresses})
 	k.host.Update(u.Kind, u.Entries, u.Addresses)
 	k.updateHeld()
 }
@@ -79,7 +79,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.doc = doc
-	k.forward(k.checker.Agreed(k.now()))
+	k.forward(k.checker.Reevaluate(k.now()))
 }
 
 // forward passes released servers on to the host; mu must be held.
@@ -132,7 +132,7 @@
 		case <-time.After(ejectedPollInterval):
 		}
 		k.mu.Lock()
-		k.forward(k.checker.Gone(k.now(), k.host.Ejected(k.checker.Held())))
+		k.forward(k.checker.SetUnreachable(k.now(), k.host.Ejected(k.checker.Held())))
 		if k.polling = len(k.checker.Held()) > 0; !k.polling {
 			k.mu.Unlock()
 			return
@@ -146,14 +146,14 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	state.Balancer, state.Addresses = k.host.Snapshot()
-	state.Lists = k.checker.Carry(k.now())
+	state.Lists = k.checker.Snapshot(k.now())
 }
 
 // importFrom restores the servers that the previous process holds. It must be called before the first list arrives.
 func (k *listGuard) importFrom(state *handover.State) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.checker.Adopt(k.now(), state.Lists, inServiceServers(state))
+	k.checker.Restore(k.now(), state.Lists, inServiceServers(state))
 	k.updateHeld()
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -218,7 +218,7 @@
 }
 
 // SetFleet sets the count of the fleet's members, from which this proxy's share of the fleet-wide limits is derived.
-func (p *Proxy) SetFleet(c parts.Count) {
+func (p *Proxy) SetFleet(c parts.MemberCounts) {
 	p.host.SetFleetShares(parts.Decide(p.settings.Balancer.Instances, c))
 }
 
--- a/internal/proxy/recovery.go
+++ b/internal/proxy/recovery.go
@@ -14,11 +14,11 @@
 // recoverySide implements the proxy's part of recovery.
 type recoverySide struct{ *Proxy }
 
-var _ recovery.Side = recoverySide{}
+var _ recovery.Proxy = recoverySide{}
 
 // Begin restores the recovered state and begins to follow discovery. If discovery is followed already, its list is newer,
 // and only the bans are restored.
-func (s recoverySide) Begin(state handover.State, lost time.Duration) {
+func (s recoverySide) RestoreState(state handover.State, lost time.Duration) {
 	if s.followState.hasBegun() {
 		s.log.Error("recovery: discovery is followed already; only operator bans are restored from the state before this start")
 		s.host.BanAll(state.Balancer.Banned)
@@ -38,7 +38,7 @@
 
 func (s recoverySide) Now() time.Duration { return s.host.Now() }
 
-func (s recoverySide) Known() handover.State {
+func (s recoverySide) State() handover.State {
 	state := handover.State{Seq: s.discovery.Seq(), LongestDeadline: s.restart.LongestDeadline(), LatencyP95: s.restart.LatencyP95()}
 	state.Balancer, state.Addresses = s.host.SnapshotInBatches()
 	return state
@@ -54,17 +54,17 @@
 	return asked, lost
 }
 
-func (s recoverySide) Births() []time.Duration { return s.host.StartTimes() }
-func (s recoverySide) Leased() bool            { return s.rules != nil && s.rules.Mode() == accord.Leased }
-func (s recoverySide) Banned() []string        { return s.host.Banned() }
-func (s recoverySide) Ban(ids []string)        { s.host.BanAll(ids) }
+func (s recoverySide) StartTimes() []time.Duration { return s.host.StartTimes() }
+func (s recoverySide) Leased() bool                { return s.rules != nil && s.rules.Mode() == accord.Leased }
+func (s recoverySide) Banned() []string            { return s.host.Banned() }
+func (s recoverySide) Ban(ids []string)            { s.host.BanAll(ids) }
 
 // notifyRecovery wraps update to notify recovery of each list that has been applied.
 func (p *Proxy) notifyRecovery(update func(balance.ListKind, []balance.Entry, map[string]string)) func(balance.ListKind, []balance.Entry, map[string]string) {
 	return func(kind balance.ListKind, entries []balance.Entry, addresses map[string]string) {
 		update(kind, entries, addresses)
 		if kind != balance.ListFailed && (kind != balance.Delta || len(entries) > 0) {
-			p.recovery.Listed(kind != balance.Cached)
+			p.recovery.ListUpdated(kind != balance.Cached)
 		}
 	}
 }
@@ -79,13 +79,13 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, persistTimeout)
 	defer cancel()
-	return p.recovery.Keep(ctx, id, banned, joined)
+	return p.recovery.PersistBan(ctx, id, banned, joined)
 }
 
 // Recovery returns the status of this process's recovery as JSON.
 func (d consoleHandler) Recovery(ctx context.Context) ([]byte, error) {
 	if d.recovery == nil {
-		return nil, console.ErrNone
+		return nil, console.ErrDisabled
 	}
 	ctx, cancel := context.WithTimeout(ctx, fleetTimeout)
 	defer cancel()
--- a/internal/proxy/rules.go
+++ b/internal/proxy/rules.go
@@ -55,7 +55,7 @@
 // Rules returns this process's position in the agreement as JSON.
 func (d consoleHandler) Rules(ctx context.Context) ([]byte, error) {
 	if d.rules == nil {
-		return nil, console.ErrNone
+		return nil, console.ErrDisabled
 	}
 	ctx, cancel := context.WithTimeout(ctx, rulesTimeout)
 	defer cancel()
@@ -65,17 +65,17 @@
 // Propose submits a change for agreement: text is a rules.Change in JSON, and the answer is a rules.Answer.
 func (d consoleHandler) Propose(ctx context.Context, text []byte) ([]byte, error) {
 	if d.rules == nil {
-		return nil, console.ErrNone
+		return nil, console.ErrDisabled
 	}
 	var c rules.Change
 	if err := json.Unmarshal(text, &c); err != nil {
-		return nil, fmt.Errorf("%w: %w", console.ErrBad, err)
+		return nil, fmt.Errorf("%w: %w", console.ErrInvalid, err)
 	}
 	if c.ID == "" {
-		return nil, fmt.Errorf("%w: a change needs a unique id, so that a repeated request is not applied as a second change", console.ErrBad)
+		return nil, fmt.Errorf("%w: a change needs a unique id, so that a repeated request is not applied as a second change", console.ErrInvalid)
 	}
 	if err := c.Validate(); err != nil {
-		return nil, fmt.Errorf("%w: %w", console.ErrBad, err)
+		return nil, fmt.Errorf("%w: %w", console.ErrInvalid, err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, rulesTimeout)
 	defer cancel()
@@ -92,7 +92,7 @@
 // Refound makes this voter continue alone, to replace a majority that is permanently lost.
 func (d consoleHandler) Refound(ctx context.Context) error {
 	if d.rules == nil {
-		return console.ErrNone
+		return console.ErrDisabled
 	}
 	ctx, cancel := context.WithTimeout(ctx, rulesTimeout)
 	defer cancel()
