--- a/internal/cluster/accord/core.go
+++ b/internal/cluster/accord/core.go
@@ -10,40 +10,40 @@
 	"brasswell/internal/cluster/rules"
 )
 
-// Host carries out what a core decides. Its methods are called from within the core's own and must not call back.
+// Host carries out the actions of a Core. The Core calls its methods from within its own, so they must not call the Core.
 type Host interface {
-	// Send sends a message to a proxy by its name; it may be lost. The message is the host's from then on.
+	// Send sends a message to the named proxy; it may be lost. The host owns the message from then on.
 	Send(to string, m *Message)
-	// Save makes a record last. Nothing that rests on it has been said before; after an error nothing will be.
+	// Save writes a record to durable storage. Nothing that depends on it has been sent before; after an error nothing will be.
 	Save(r *Record) error
-	// Keep makes what this proxy knows last: it is about to say that it has it, and a start that reaches no voter must know it too.
-	// Where it fails that is the host's to tell; the proxy goes on.
+	// SaveRules writes the rules that this proxy knows to durable storage: it is about to acknowledge them, and a start that
+	// reaches no voter must know them too. The host reports a failure; the proxy continues.
 	Keep(s *rules.Standing)
-	// Acts replaces what this proxy's acts rest on.
+	// SetBasis replaces the basis of this proxy's decisions.
 	Acts(b *Basis)
-	// Answered brings what became of a proposal of this proxy's own.
+	// ProposalDone reports the result of one of this proxy's own proposals.
 	Answered(a rules.Answer)
-	// Told tells what has happened, for people.
+	// Notify reports an event, for the operators.
 	Told(what Event, of Note)
 }
 
-// Event is what has happened, for people.
+// Event is an event for the operators. Its value is the text that is logged.
 type Event string
 
 // The events.
 const (
-	Learned   Event = "rules" // another standing is acted on
-	Elected   Event = "leads" // this keeper leads
+	Learned   Event = "rules" // other rules are applied
+	Elected   Event = "leads" // this voter has become the leader
 	Deposed   Event = "leads no more"
 	Founded   Event = "founded the keepers' log"
 	Joined    Event = "joins the keepers' log"
-	Forgetful Event = "its log is older than what it has said; it begins anew"
-	Disk      Event = "keeps no longer: the folder cannot be written"
+	Forgetful Event = "its log is older than the messages that it has sent; it starts with an empty log"
+	Disk      Event = "no longer votes: its log cannot be stored or applied"
 	Changed   Event = "keepers changed"
-	Refounded Event = "goes on alone, in place of the other keepers"
-	Later     Event = "the agreed rules are of a later version of the program; this one acts carefully and holds no lease until it is upgraded"
-	Differs   Event = "what is acted on here is not what the voters have under the same number; the whole is asked for"
-	GivenUp   Event = "was given up for good while it was away; begins anew"
+	Refounded Event = "refounded the log alone, in place of the other keepers"
+	Later     Event = "the agreed rules need a newer version of the program; this one is restricted and gets no lease until it is upgraded"
+	Differs   Event = "the rules here differ from the voters' rules under the same number; all of them are requested"
+	GivenUp   Event = "another keeper refounded the log while this one was unreachable; it starts with an empty log"
 )
 
 // Note goes with an event.
@@ -54,65 +54,65 @@
 }
 
 const (
-	// mostProposals of this proxy's own wait at one time.
-	mostProposals = 64
-	// proposalTime is how long a proposal is tried.
-	proposalTime = 30 * time.Second
-	// mostSent renewals are remembered.
-	mostSent = 32
+	// maxProposals bounds this proxy's own proposals that wait for a result.
+	maxProposals = 64
+	// proposalTimeout is the time after which a proposal is no longer retried.
+	proposalTimeout = 30 * time.Second
+	// maxRenewals bounds the unanswered renewals that are remembered.
+	maxRenewals = 32
 )
 
-// asked is a renewal that has not been answered.
-type asked struct {
+// sentRenewal is a renewal that has not been answered.
+type sentRenewal struct {
 	seq uint64
 	at  time.Duration
 	to  string
 }
 
-// proposal is one of this proxy's own.
+// proposal is one of this proxy's own proposals.
 type proposal struct {
 	change rules.Change
 	next   time.Duration
 	until  time.Duration
 }
 
-// Core is one proxy's part in the agreement.
+// Core is one proxy's participant in the consensus: a holder of leases, and a voter if the settings name it one.
 type Core struct {
-	set  Settings
-	host Host
-	rng  *rand.Rand
-	now  time.Duration
-
-	// As a holder of a lease:
-	standing rules.Standing // version 0 while nothing is known
-	digest   rules.Digest   // of the standing
-	verified bool           // the standing has come from voters since the start, whole or proven by its digest
-	// needsWhole: what is known here was found to differ from what others know by the same number.
-	needsWhole bool
-	until      time.Duration
-	tested     time.Duration
-	renew      time.Duration // when it is next asked for
-	sent       []asked       // the oldest first
-	later      bool          // a standing was of a form that is not understood, and that has been told
-	seq        uint64
-	route      string // to whom a renewal went that was answered; "" for none
-	missed     int    // renewals in a row that were not
-	peers      []string
-	waiting    []*proposal
-	basis      Basis
-
-	voter *voter // nil where it is none
-}
-
-// New returns the core of a proxy that starts now. Stored is what its disk holds of a voter's log.
+	settings Settings
+	host     Host
+	rng      *rand.Rand
+	now      time.Duration
+
+	// State as a holder of a lease:
+	standing rules.Standing // version 0 if no rules are known
+	digest   rules.Digest   // digest of the status
+	verified bool           // the status has come from voters since the start, either whole or confirmed by its digest
+	// needsWhole: the rules known here were found to differ from those that others know under the same numbers.
+	needsWhole     bool
+	leaseUntil     time.Duration
+	lastUnanswered time.Duration
+	nextRenewal    time.Duration // when the next renewal is due
+	renewals       []sentRenewal // unanswered, oldest first
+	newerFormSeen  bool          // a status had a form that this program does not understand, and the event was reported
+	seq            uint64
+	nextHop        string // the proxy through which the last renewal was answered; "" for none
+	missedRenewals int    // number of unanswered renewals in a row
+	peers          []string
+	proposals      []*proposal
+	basis          Basis
+
+	voter *voter // nil if this proxy is not a voter
+}
+
+// New returns the core of a proxy that starts now. disk is the content of its disk.
 func New(now time.Duration, s Settings, seed uint64, disk Stored, host Host) (*Core, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
-	c := &Core{set: s, host: host, rng: rand.New(rand.NewPCG(seed, 0xacc0)), now: now, until: now - 1, tested: -1, renew: now}
+	c := &Core{settings: s, host: host, rng: rand.New(rand.NewPCG(seed, 0xacc0)), now: now, leaseUntil: now - 1, lastUnanswered: -1, nextRenewal: now}
 	c.seq = c.rng.Uint64() >> 1
 	if disk.Acts != nil {
-		c.standing = *disk.Acts.Share() // as what is known without a lease
+		c.standing = *disk.Acts.Share() // known rules, without a lease
 		c.standing.Compact()
 		c.digest = c.standing.Digest()
 	}
@@ -125,194 +125,194 @@
 	return c, nil
 }
 
-// Keep makes a proxy that the settings name a voter one, where its disk could not be had at the start.
+// StartVoter starts the voter of a proxy that the settings name a voter, if its disk was not available at the start.
 func (c *Core) Keep(now time.Duration, disk Stored) error {
 	c.now = now
-	if c.voter != nil || !slices.Contains(c.set.Keepers, c.set.Name) {
+	if c.voter != nil || !slices.Contains(c.settings.Keepers, c.settings.Name) {
 		return nil
 	}
 	return c.startVoter(now, disk)
 }
 
-// Keeps says whether this proxy holds the log now.
+// IsVoter reports whether this proxy holds the log now.
 func (c *Core) Keeps() bool { return c.voter != nil && !c.voter.halted }
 
-// Leads says whether this proxy leads the voters, and has since its log says so.
+// IsLeader reports whether this proxy leads the voters and has applied an entry of its own term.
 func (c *Core) Leads() bool { return c.Keeps() && c.voter.ownTermApplied }
 
-// Next is when Wake is to be called at the latest.
+// NextTick returns the time at which Tick must be called at the latest.
 func (c *Core) Next() time.Duration {
-	next := c.renew
-	if len(c.sent) > 0 {
-		next = min(next, c.sent[0].at+c.set.Times.Patience)
+	next := c.nextRenewal
+	if len(c.renewals) > 0 {
+		next = min(next, c.renewals[0].at+c.settings.Times.Patience)
 	}
-	for _, p := range c.waiting {
+	for _, p := range c.proposals {
 		next = min(next, p.next)
 	}
 	if c.voter != nil {
-		next = min(next, c.voter.nextWake())
+		next = min(next, c.voter.nextTick())
 	}
 	return next
 }
 
-// Wake does what is due.
+// Tick does the work that is due.
 func (c *Core) Wake(now time.Duration) {
 	c.now = now
-	defer c.guard()
-	c.unanswered()
-	if now >= c.renew {
-		c.askLease()
+	defer c.recoverVoter()
+	c.expireRenewals()
+	if now >= c.nextRenewal {
+		c.requestLease()
 	}
-	c.waiting = slices.DeleteFunc(c.waiting, func(p *proposal) bool { return now >= p.until })
-	for _, p := range slices.Clone(c.waiting) { // an answer may come at once, where this proxy leads
+	c.proposals = slices.DeleteFunc(c.proposals, func(p *proposal) bool { return now >= p.until })
+	for _, p := range slices.Clone(c.proposals) { // the result may arrive synchronously if this proxy leads
 		if now >= p.next {
-			p.next = now + c.set.Times.Renew
-			c.toLeader(&Message{Kind: Propose, From: c.set.Name, Change: &p.change})
+			p.next = now + c.settings.Times.Renew
+			c.sendToLeader(&Message{Kind: Propose, From: c.settings.Name, Change: &p.change})
 		}
 	}
 	if c.voter != nil {
-		c.voter.wake()
+		c.voter.tick()
 	}
 }
 
-// guard ends this proxy's part as a voter where the log's library finds what it holds to be impossible, and panics.
+// recoverVoter stops this proxy's voter if the Raft library panics because it finds a state that it considers impossible.
 //
-// It guards serving against a folder that is older than what it has said, and against whoever sends what no voter would. It costs
-// a voter, until that is restarted, where the fault was the network's; and it must not hide faults of this package, so what was
-// found is told.
-func (c *Core) guard() {
+// This keeps the proxy serving if its folder is older than the messages that it has sent, and if a peer sends messages that no
+// correct voter sends. If the fault was in the network, it costs one voter until that is restarted. The panic's text is reported
+// as an event, so that this does not hide faults of this package.
+func (c *Core) recoverVoter() {
 	if r := recover(); r != nil {
 		if c.voter == nil || c.voter.halted {
-			panic(r) // not the log's
+			panic(r) // not a panic of the Raft log
 		}
 		c.voter.halt(fmt.Errorf("accord: the log: %v", r))
 	}
 }
 
-// unanswered notes renewals whose answer has not come in time.
-func (c *Core) unanswered() {
+// expireRenewals removes renewals that were not answered in time and counts them as missed.
+func (c *Core) expireRenewals() {
 	n := 0
-	for n < len(c.sent) && c.now-c.sent[n].at >= c.set.Times.Patience {
+	for n < len(c.renewals) && c.now-c.renewals[n].at >= c.settings.Times.Patience {
 		n++
 	}
 	if n == 0 {
 		return
 	}
-	// Only the moment at which it was asked counts: between that and now the process may have been paused.
-	c.tested = c.sent[n-1].at
-	c.missed += n
-	c.route = ""
-	c.sent = slices.Delete(c.sent, 0, n)
+	// Only the time at which it was sent counts: the process may have been paused between then and now.
+	c.lastUnanswered = c.renewals[n-1].at
+	c.missedRenewals += n
+	c.nextHop = ""
+	c.renewals = slices.Delete(c.renewals, 0, n)
 	c.publish()
 }
 
-// askLease asks for the next lease.
-func (c *Core) askLease() {
-	t := &c.set.Times
-	c.renew = c.now + t.Renew - time.Duration(c.rng.Float64()*float64(t.Renew)/8)
+// requestLease requests the next lease.
+func (c *Core) requestLease() {
+	t := &c.settings.Times
+	c.nextRenewal = c.now + t.Renew - time.Duration(c.rng.Float64()*float64(t.Renew)/8)
 	c.seq++
-	to := c.first()
+	to := c.firstHop()
 	if to == "" {
 		return
 	}
-	if c.sent = append(c.sent, asked{c.seq, c.now, to}); len(c.sent) > mostSent {
-		c.sent = c.sent[1:]
+	if c.renewals = append(c.renewals, sentRenewal{c.seq, c.now, to}); len(c.renewals) > maxRenewals {
+		c.renewals = c.renewals[1:]
 	}
-	m := &Message{Kind: Renew, From: c.set.Name, Boot: c.set.Boot, Seq: c.seq, Holds: c.holds(), Form: c.set.form()}
-	if !c.set.NoDeltas {
+	m := &Message{Kind: Renew, From: c.settings.Name, Boot: c.settings.Boot, Seq: c.seq, Holds: c.held(), Form: c.settings.form()}
+	if !c.settings.NoDeltas {
 		m.Deltas, m.Whole, m.Digest = true, c.needsWhole, c.digest
 	}
 	c.send(to, m)
 }
 
-// understands says whether a standing is of a form that this program knows. What it does not know forbids something, so it must not
-// act on the rest as if that were all.
+// understands reports whether this program understands a form of rules. The parts of a newer form forbid something, so the program
+// must not apply the other parts as if they were all.
 func (c *Core) understands(form uint8, at rules.Position) bool {
-	if form <= c.set.form() {
-		c.later = false
+	if form <= c.settings.form() {
+		c.newerFormSeen = false
 		return true
 	}
-	if !c.later {
-		c.later = true
+	if !c.newerFormSeen {
+		c.newerFormSeen = true
 		c.host.Told(Later, Note{InForce: at.InForce, Last: at.Last})
 	}
 	return false
 }
 
-// first is to whom something for the leader goes first: where that worked, or the leader that this voter knows, or any
-// voter; and after some misses through another proxy, which may reach them.
-func (c *Core) first() string {
-	if c.route != "" {
-		return c.route
+// firstHop returns the proxy to which a message for the leader is sent first: the one that worked last, the leader that this voter
+// knows, or any voter. After some missed renewals it is another proxy, which may reach the voters.
+func (c *Core) firstHop() string {
+	if c.nextHop != "" {
+		return c.nextHop
 	}
 	if v := c.voter; v != nil {
-		// Who leads asks itself: others would pass its request back to it, and drop it for that.
-		if name := v.leader(); name == c.set.Name || name != "" && c.missed%2 == 0 {
+		// A leader sends its requests to itself: others would forward them back to it, and drop them because of the loop.
+		if name := v.leaderName(); name == c.settings.Name || name != "" && c.missedRenewals%2 == 0 {
 			return name
 		}
 	}
-	if c.missed%3 == 2 && len(c.peers) > 0 {
+	if c.missedRenewals%3 == 2 && len(c.peers) > 0 {
 		return c.peers[c.rng.IntN(len(c.peers))]
 	}
-	return c.set.Keepers[c.rng.IntN(len(c.set.Keepers))]
+	return c.settings.Keepers[c.rng.IntN(len(c.settings.Keepers))]
 }
 
-// toLeader sends something that the leader is to have.
-func (c *Core) toLeader(m *Message) {
-	if to := c.first(); to != "" {
+// sendToLeader sends a message towards the leader.
+func (c *Core) sendToLeader(m *Message) {
+	if to := c.firstHop(); to != "" {
 		c.send(to, m)
 	}
 }
 
-// send sends to a proxy by name, which may be this one.
+// send sends a message to the named proxy, which may be this one.
 func (c *Core) send(to string, m *Message) {
-	if to == c.set.Name {
+	if to == c.settings.Name {
 		c.handle(m)
 		return
 	}
 	c.host.Send(to, m)
 }
 
-func (c *Core) holds() Holds { return holdsOf(&c.standing) }
+func (c *Core) held() Holds { return versionsOf(&c.standing) }
 
-func holdsOf(s *rules.Standing) Holds {
+func versionsOf(s *rules.Standing) Holds {
 	return Holds{Log: s.Log, InForce: s.InForce.Number, Last: s.Last()}
 }
 
-// SetPeers says who else is there, by name.
+// SetPeers sets the names of the other proxies of the fleet.
 func (c *Core) SetPeers(names []string) {
-	c.peers = slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == c.set.Name })
+	c.peers = slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == c.settings.Name })
 }
 
-// Propose has a change proposed. Its answer comes by Answered, or none within proposalTime.
+// Propose proposes a change. The result is reported through ProposalDone, or never if there is none within proposalTimeout.
 func (c *Core) Propose(now time.Duration, change rules.Change) error {
 	c.now = now
-	defer c.guard()
+	defer c.recoverVoter()
 	if err := change.Check(); err != nil {
 		return err
 	}
-	if len(c.waiting) >= mostProposals {
-		return fmt.Errorf("accord: %d proposals wait for their answers", len(c.waiting))
+	if len(c.proposals) >= maxProposals {
+		return fmt.Errorf("accord: %d proposals are already waiting for their results", len(c.proposals))
 	}
 	if needs := change.Needs(); needs > 1 {
 		change.Form = needs
 	}
-	p := &proposal{change: change, next: now + c.set.Times.Renew, until: now + proposalTime}
-	c.waiting = append(c.waiting, p)
-	c.toLeader(&Message{Kind: Propose, From: c.set.Name, Change: &p.change})
+	p := &proposal{change: change, next: now + c.settings.Times.Renew, until: now + proposalTimeout}
+	c.proposals = append(c.proposals, p)
+	c.sendToLeader(&Message{Kind: Propose, From: c.settings.Name, Change: &p.change})
 	if c.voter != nil {
 		c.voter.processReady()
 	}
 	return nil
 }
 
-// Refound has this voter go on alone with what it holds, in place of a majority that is lost for good. What the others had
-// agreed on without it is lost, and what it had heard of and they had not agreed on stands. Keepers of before that come back begin
-// anew once they hear of it; until then they could grant leases on the old rules.
+// Refound makes this voter the only one, with the log that it has, after a majority was lost permanently. Changes that the others
+// committed without it are lost, and entries of its log that were not committed become part of the rules. Former voters that
+// return start with an empty log once they hear from it; until then they could grant leases on the old rules.
 func (c *Core) Refound(now time.Duration) error {
 	c.now = now
 	if c.voter == nil || c.voter.halted || c.voter.empty {
-		return errors.New("accord: this proxy is no keeper, or holds nothing that could be gone on from")
+		return errors.New("accord: this proxy is not a keeper, or its log is empty")
 	}
 	err := c.voter.refound()
 	if err == nil {
@@ -321,11 +321,11 @@
 	return err
 }
 
-// Receive takes in messages, which must be Sound, in their order. What a voter has to write to its disk for all of them it writes at
-// once, so whoever has several at hand hands them over together. None of them may have come after now.
+// Receive handles messages in order. The messages must be valid and must not have arrived after now. A voter writes to its disk once
+// for all of them, so a caller that has several messages should pass them together.
 func (c *Core) Receive(now time.Duration, messages ...*Message) {
 	c.now = now
-	defer c.guard()
+	defer c.recoverVoter()
 	for _, m := range messages {
 		c.handle(m)
 	}
@@ -340,19 +340,19 @@
 		if c.voter != nil && c.voter.handleRequest(m) {
 			return
 		}
-		c.passOn(m)
+		c.forward(m)
 	case Grant, Tell, Result:
-		if m.To != c.set.Name {
-			c.passBack(m)
+		if m.To != c.settings.Name {
+			c.forwardBack(m)
 			return
 		}
 		switch m.Kind {
 		case Grant:
-			c.granted(m)
+			c.handleGrant(m)
 		case Tell:
-			c.told(m)
+			c.handleUpdate(m)
 		case Result:
-			c.result(m.Answer)
+			c.handleResult(m.Answer)
 		}
 	case Raft, Hello:
 		if c.voter != nil {
@@ -361,39 +361,39 @@
 	}
 }
 
-// passOn passes a request on towards the leader.
-func (c *Core) passOn(m *Message) {
-	if len(m.Path) >= mostHops || m.From == c.set.Name && len(m.Path) > 0 || slices.Contains(m.Path, c.set.Name) {
+// forward forwards a request towards the leader.
+func (c *Core) forward(m *Message) {
+	if len(m.Path) >= maxHops || m.From == c.settings.Name && len(m.Path) > 0 || slices.Contains(m.Path, c.settings.Name) {
 		return
 	}
-	to := c.route
+	to := c.nextHop
 	if c.voter != nil {
-		to = c.voter.leader()
+		to = c.voter.leaderName()
 	} else if to == "" {
-		to = c.set.Keepers[c.rng.IntN(len(c.set.Keepers))]
+		to = c.settings.Keepers[c.rng.IntN(len(c.settings.Keepers))]
 	}
-	if to == "" || to == c.set.Name || to == m.From || slices.Contains(m.Path, to) {
+	if to == "" || to == c.settings.Name || to == m.From || slices.Contains(m.Path, to) {
 		return
 	}
 	next := *m
-	if m.From != c.set.Name {
-		next.Path = append(slices.Clone(m.Path), c.set.Name)
+	if m.From != c.settings.Name {
+		next.Path = append(slices.Clone(m.Path), c.settings.Name)
 	}
 	c.host.Send(to, &next)
 }
 
-// answer sends an answer back along the way of its request.
-func (c *Core) answer(request *Message, m *Message) {
-	m.From, m.To, m.Path = c.set.Name, request.From, slices.Clone(request.Path)
-	c.passBack(m)
+// reply sends a reply back along the path of its request.
+func (c *Core) reply(request *Message, m *Message) {
+	m.From, m.To, m.Path = c.settings.Name, request.From, slices.Clone(request.Path)
+	c.forwardBack(m)
 }
 
-func (c *Core) passBack(m *Message) {
+func (c *Core) forwardBack(m *Message) {
 	next := *m
 	to := m.To
-	// Whoever comes last on the path is next; this one may be that.
+	// The next hop is the last proxy of the path, after this proxy itself is removed.
 	path := slices.Clone(m.Path)
-	if n := len(path); n > 0 && path[n-1] == c.set.Name {
+	if n := len(path); n > 0 && path[n-1] == c.settings.Name {
 		path = path[:n-1]
 	}
 	if n := len(path); n > 0 {
@@ -403,63 +403,63 @@
 	c.send(to, &next)
 }
 
-// granted takes a lease. It counts from when it was asked for, on this proxy's own clock, so that no way of the answer can make
-// it longer.
-func (c *Core) granted(m *Message) {
-	i := slices.IndexFunc(c.sent, func(a asked) bool { return a.seq == m.Seq })
+// handleGrant accepts a lease. Its duration counts from the time of the request on this proxy's own clock, so that a delayed reply
+// cannot extend it.
+func (c *Core) handleGrant(m *Message) {
+	i := slices.IndexFunc(c.renewals, func(a sentRenewal) bool { return a.seq == m.Seq })
 	if i < 0 {
-		c.told(m) // too late for a lease, or never asked; what it brings is as good as if it came by itself
+		c.handleUpdate(m) // too late for a lease, or never requested; its rules are as valid as those of an Update
 		return
 	}
-	a := c.sent[i]
-	if m.Digest != 0 && m.Holds == c.holds() && m.Digest != c.digest && !c.set.NoDigest {
-		c.differs()
+	a := c.renewals[i]
+	if m.Digest != 0 && m.Holds == c.held() && m.Digest != c.digest && !c.settings.NoDigest {
+		c.noteMismatch()
 	}
 	switch {
 	case m.Standing != nil:
 		if m.Standing.Reign < c.standing.Reign {
-			return // from voters that do not know yet that they were given up for good
+			return // from former voters that do not know yet that another voter has refounded the log
 		}
 		if !c.understands(m.Standing.Form, m.Standing.Position()) {
 			return
 		}
 		if m.Standing.Log != c.standing.Log {
-			c.take(m.Standing) // a majority vouches for it, and what is here is of another log
+			c.setStanding(m.Standing) // a majority has confirmed it, and the rules here are of another log
 		}
 		c.adopt(m.Standing)
 	case m.Delta != nil:
 		c.applyDelta(m.Delta)
 	}
-	if h := c.holds(); h.Log != m.Holds.Log || h.Last < m.Holds.Last || h.InForce < m.Holds.InForce && h.Last == m.Holds.Last {
-		return // it vouches for what this proxy does not have
+	if h := c.held(); h.Log != m.Holds.Log || h.Last < m.Holds.Last || h.InForce < m.Holds.InForce && h.Last == m.Holds.Last {
+		return // the grant covers versions that this proxy does not have
 	}
-	if !c.vouchedFor(m) {
+	if !c.confirmsContent(m) {
 		return
 	}
-	c.sent = slices.Delete(c.sent, 0, i+1)
-	c.route, c.missed = a.to, 0
-	if until := a.at + c.set.Times.Lease; until > c.until {
-		c.until = until
+	c.renewals = slices.Delete(c.renewals, 0, i+1)
+	c.nextHop, c.missedRenewals = a.to, 0
+	if until := a.at + c.settings.Times.Lease; until > c.leaseUntil {
+		c.leaseUntil = until
 		c.publish()
 	}
 }
 
-// vouchedFor says whether a grant vouches for the content of what this proxy has, and not by its number alone: a disk may hold
-// another document under that.
-func (c *Core) vouchedFor(m *Message) bool {
+// confirmsContent reports whether a grant covers the content of the rules that this proxy has. Their numbers alone are not enough,
+// because a corrupted disk may hold another document under the same number.
+func (c *Core) confirmsContent(m *Message) bool {
 	switch {
-	case m.Digest == 0 || c.set.NoDigest || c.set.NoDeltas:
-		return true // the leader knows of no digests
-	case m.Holds != c.holds():
-		return c.verified // more has come since, by others' word
+	case m.Digest == 0 || c.settings.NoDigest || c.settings.NoDeltas:
+		return true // the leader does not support digests
+	case m.Holds != c.held():
+		return c.verified // newer rules have arrived since from elsewhere
 	case m.Standing != nil && m.Standing.Position() == c.standing.Position():
-		return true // what is here is what the grant has brought
+		return true // the rules here are those of the grant
 	}
 	return m.Digest == c.digest
 }
 
-// told takes in what a leader has brought, without a lease.
-func (c *Core) told(m *Message) {
+// handleUpdate applies the rules in a leader's message that carries no lease.
+func (c *Core) handleUpdate(m *Message) {
 	switch {
 	case m.Standing != nil:
 		c.adopt(m.Standing)
@@ -468,66 +468,66 @@
 	}
 }
 
-// adopt acts on a standing that is newer, or that mends what is here, and says so.
+// adopt applies and acknowledges a status that is newer, or that replaces a wrong one with the same numbers.
 func (c *Core) adopt(s *rules.Standing) {
 	mends := c.needsWhole && s.Position() == c.standing.Position()
 	if !mends && !s.NewerThan(&c.standing) || !c.understands(s.Form, s.Position()) {
 		return
 	}
-	c.take(s)
+	c.setStanding(s)
 }
 
-// applyDelta acts on what a delta leads to, if that is newer. Where its base is not here nothing is taken: the next renewal says what
-// is here. Where what results is not what the leader has, the next renewal asks for the whole.
+// applyDelta applies a delta if it leads to a newer status. If its base is not present, nothing changes, and the next renewal names
+// the versions that are present. If the result differs from the leader's rules, the next renewal requests the whole status.
 func (c *Core) applyDelta(d *rules.Delta) {
-	if c.set.NoDeltas || d.Log != c.standing.Log || !d.NewerThan(&c.standing) || !c.understands(d.Form, d.Position()) {
+	if c.settings.NoDeltas || d.Log != c.standing.Log || !d.NewerThan(&c.standing) || !c.understands(d.Form, d.Position()) {
 		return
 	}
 	next, err := rules.Apply(&c.standing, d)
-	if errors.Is(err, rules.ErrDigest) && c.set.NoDigest {
+	if errors.Is(err, rules.ErrDigest) && c.settings.NoDigest {
 		err = nil
 	}
 	switch {
 	case err == nil:
-		c.take(next)
+		c.setStanding(next)
 	case !errors.Is(err, rules.ErrBase):
-		c.differs()
+		c.noteMismatch()
 	}
 }
 
-// differs notes that what is here is not what the leader has by the same numbers.
-func (c *Core) differs() {
+// noteMismatch records that the rules here differ from the leader's under the same numbers.
+func (c *Core) noteMismatch() {
 	if !c.needsWhole {
 		c.needsWhole = true
 		c.host.Told(Differs, Note{InForce: c.standing.InForce.Number, Last: c.standing.Last()})
 	}
 }
 
-func (c *Core) take(s *rules.Standing) {
+func (c *Core) setStanding(s *rules.Standing) {
 	c.standing, c.digest = *s, s.Digest()
 	c.verified, c.needsWhole = true, false
-	c.basis.Doc = nil // also where the numbers are the same, the content may be another
+	c.basis.Doc = nil // the content may differ even if the numbers are the same
 	c.publish()
 	c.host.Keep(s)
 	c.host.Told(Learned, Note{InForce: s.InForce.Number, Last: s.Last()})
-	c.toLeader(&Message{Kind: Have, From: c.set.Name, Boot: c.set.Boot, Holds: c.holds(), Deltas: !c.set.NoDeltas})
+	c.sendToLeader(&Message{Kind: Have, From: c.settings.Name, Boot: c.settings.Boot, Holds: c.held(), Deltas: !c.settings.NoDeltas})
 }
 
-// result takes in what became of a proposal.
-func (c *Core) result(a *rules.Answer) {
-	i := slices.IndexFunc(c.waiting, func(p *proposal) bool { return p.change.ID == a.ID })
+// handleResult handles the result of a proposal.
+func (c *Core) handleResult(a *rules.Answer) {
+	i := slices.IndexFunc(c.proposals, func(p *proposal) bool { return p.change.ID == a.ID })
 	if i < 0 {
 		return
 	}
-	c.waiting = slices.Delete(c.waiting, i, i+1)
+	c.proposals = slices.Delete(c.proposals, i, i+1)
 	c.host.Answered(*a)
 }
 
-// publish hands on what acts rest on.
+// publish passes a new Basis to the host.
 func (c *Core) publish() {
 	b := Basis{
-		Log: c.standing.Log, Version: c.standing.InForce.Number, Last: c.standing.Last(), Until: c.until, Tested: c.tested,
-		Awake: c.set.Times.Awake(), Refuse: c.set.Refuse, Trust: c.set.NoLeaseCheck && c.standing.Last() > 0,
+		Log: c.standing.Log, Version: c.standing.InForce.Number, Last: c.standing.Last(), Until: c.leaseUntil, Tested: c.lastUnanswered,
+		Awake: c.settings.Times.Awake(), Refuse: c.settings.Refuse, Trust: c.settings.NoLeaseCheck && c.standing.Last() > 0,
 	}
 	if c.basis.Doc != nil && b.Log == c.basis.Log && b.Version == c.basis.Version && b.Last == c.basis.Last {
 		b.Doc, b.Vague, b.Settled = c.basis.Doc, c.basis.Vague, c.basis.Settled
@@ -542,28 +542,28 @@
 	c.host.Acts(&b)
 }
 
-// Report is how a proxy stands in the agreement, for people.
+// Report describes the state of a proxy's consensus for operators.
 type Report struct {
 	Standing rules.Standing
 	Basis    Basis
-	Leader   string // as this proxy knows; "" for none
+	Leader   string // as far as this proxy knows; "" for none
 	Leads    bool
-	Keepers  map[string]bool // those that the log names, and whether each votes; nil at a proxy that holds no log
+	Keepers  map[string]bool // the voters that the log names, and whether each votes; nil at a proxy without a log
 	Halted   bool
-	Holders  []Holder        // at the leader, by name
-	History  []rules.Version // at a voter
+	Holders  []Holder        // at the leader, sorted by name
+	History  []rules.Version // at a voter only
 }
 
 // Holder is a proxy as the leader sees it.
 type Holder struct {
 	Name  string
 	Holds Holds
-	Left  time.Duration // of its lease, as the leader counts it
+	Left  time.Duration // time until its lease expires on the leader's clock
 }
 
-// Report says how this proxy stands.
+// Report returns a report on this proxy.
 func (c *Core) Report(now time.Duration) Report {
-	r := Report{Standing: c.standing, Basis: c.basis, Leader: c.route}
+	r := Report{Standing: c.standing, Basis: c.basis, Leader: c.nextHop}
 	if c.voter != nil {
 		c.voter.report(now, &r)
 	}
--- a/internal/cluster/accord/cost_test.go
+++ b/internal/cluster/accord/cost_test.go
@@ -9,14 +9,14 @@
 	"brasswell/internal/cluster/rules"
 )
 
-// The fleet that the costs are for.
+// Size of the fleet whose costs are measured.
 const (
 	costHolders  = 1400
 	costBans     = 200
 	costServices = 35
 )
 
-// costDocument is a state with a document of the target's size in force.
+// costDocument returns a state whose document in force has the size that such a fleet needs.
 func costDocument(tb testing.TB) *rules.State {
 	tb.Helper()
 	state := rules.NewState()
@@ -47,7 +47,7 @@
 	}
 }
 
-// costChange is a ban, or other numbers: of "one" proxy that is gone, of which another takes the number, or of a "third".
+// costChange returns a ban, or new numbers: "one" replaces one proxy, whose number another takes, and "third" replaces a third of them.
 func costChange(kind string, of *rules.State, id string) *rules.Change {
 	if kind == "ban" {
 		return &rules.Change{ID: id, Kind: rules.Suspend, Server: "node-" + id, Who: "ops", Why: "its disk fails, see ticket 4711", Form: 2}
@@ -62,7 +62,7 @@
 	free := 0
 	for i := range costHolders {
 		if i%3 == 0 {
-			continue // gone, and its number is free
+			continue // this proxy is gone, and its number is free
 		}
 		n := i
 		if n >= costHolders*2/3 {
@@ -73,7 +73,7 @@
 	return &rules.Change{ID: id, Kind: rules.Number, Numbers: numbers, Form: 2}
 }
 
-// countingHost counts what a leader sends to holders and writes it, as the host of a process does.
+// countingHost counts a leader's messages to holders. It encodes them, as the host of a process does.
 type countingHost struct {
 	nobody
 	tb              testing.TB
@@ -95,7 +95,7 @@
 	h.last = m
 }
 
-// leaderOfMany is a leader, the only voter, that has granted leases to many holders, which have what is in force.
+// leaderOfMany returns a leader, the only voter, that has granted leases to many holders, which have the version in force.
 func leaderOfMany(tb testing.TB, host Host, state *rules.State, deltas bool) (*Core, time.Duration) {
 	tb.Helper()
 	c, err := New(0, Settings{Name: costName(0), Boot: 1, Keepers: []string{costName(0)}, Times: DefaultTimes()}, 1, Stored{}, host)
@@ -113,16 +113,16 @@
 		c.Wake(now)
 	}
 	if !c.Leads() {
-		tb.Fatal("it does not lead")
+		tb.Fatal("the only voter does not lead")
 	}
-	holdAll(c, now, deltas)
+	renewAll(c, now, deltas)
 	return c, now
 }
 
-// holdAll has all holders renew with what is newest, and take it.
-func holdAll(c *Core, now time.Duration, deltas bool) {
+// renewAll makes all holders renew their leases with the newest versions.
+func renewAll(c *Core, now time.Duration, deltas bool) {
 	v := c.voter
-	holds := holdsOf(&v.state.Rules.Standing)
+	holds := versionsOf(&v.state.Rules.Standing)
 	for i := 1; i < costHolders; i++ {
 		m := &Message{Kind: Renew, From: costName(i), Boot: 1, Seq: 1, Holds: holds, Form: 2, Deltas: deltas}
 		if deltas {
@@ -131,18 +131,18 @@
 		c.Receive(now, m)
 	}
 	c.Wake(now + 100*time.Millisecond)
-	forgetLong(c)
+	resetLongSends(c)
 }
 
-// forgetLong has what is long sent again at once, as before there were differences.
-func forgetLong(c *Core) {
+// resetLongSends lets the leader send long messages again at once, as before there were deltas.
+func resetLongSends(c *Core) {
 	for _, l := range c.voter.leases {
-		l.longSent = 0
+		l.longSentAt = 0
 	}
 }
 
-// BenchmarkOneChange is what one change costs a leader with 1,400 holders: it is agreed, told to all, acknowledged by each, in force,
-// and that is told to all.
+// BenchmarkOneChange measures what one change costs a leader with 1,400 holders: it is committed, sent to all, acknowledged by each,
+// brought into force, and that is sent to all.
 func BenchmarkOneChange(b *testing.B) {
 	for _, by := range []string{"differences", "whole"} {
 		for _, kind := range []string{"ban", "one", "third"} {
@@ -160,12 +160,12 @@
 						b.Fatal(err)
 					}
 					if !deltas {
-						forgetLong(c)
+						resetLongSends(c)
 					}
 					acknowledge(c, now, deltas)
 					acknowledge(c, now, deltas)
 					if s := &c.voter.state.Rules.Standing; len(s.Pending) > 0 {
-						b.Fatalf("%d versions are on their way", len(s.Pending))
+						b.Fatalf("%d versions are still pending", len(s.Pending))
 					}
 				}
 				b.ReportMetric(float64(host.messages), "messages")
@@ -176,34 +176,34 @@
 	}
 }
 
-// acknowledge has each holder say that it has what is newest.
+// acknowledge makes each holder acknowledge the newest version.
 func acknowledge(c *Core, now time.Duration, deltas bool) {
-	holds := holdsOf(&c.voter.state.Rules.Standing)
+	holds := versionsOf(&c.voter.state.Rules.Standing)
 	for i := 1; i < costHolders; i++ {
 		c.Receive(now, &Message{Kind: Have, From: costName(i), Boot: 1, Holds: holds, Deltas: deltas})
 	}
 }
 
-// BenchmarkAcknowledgements is one round of them at a leader that has to wait for the last.
+// BenchmarkAcknowledgements measures a round of acknowledgements at a leader that is still waiting for the last one.
 func BenchmarkAcknowledgements(b *testing.B) {
 	c, now := leaderOfMany(b, &countingHost{tb: b}, costDocument(b), true)
 	if err := c.Propose(now, *costChange("ban", c.voter.state.Rules, "one")); err != nil {
 		b.Fatal(err)
 	}
-	holds := holdsOf(&c.voter.state.Rules.Standing)
+	holds := versionsOf(&c.voter.state.Rules.Standing)
 	for b.Loop() {
-		for i := 2; i < costHolders; i++ { // the first never does
+		for i := 2; i < costHolders; i++ { // the first holder never acknowledges
 			c.Receive(now, &Message{Kind: Have, From: costName(i), Boot: 1, Holds: holds, Deltas: true})
 		}
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/(costHolders-2), "ns/acknowledgement")
 }
 
-// BenchmarkRenewal is one renewal at a leader where nothing has changed: it is read, granted, and the grant is written.
+// BenchmarkRenewal measures one renewal at a leader without changes: it is decoded and granted, and the grant is encoded.
 func BenchmarkRenewal(b *testing.B) {
 	host := &countingHost{tb: b}
 	c, _ := leaderOfMany(b, host, costDocument(b), true)
-	m := &Message{Kind: Renew, From: costName(1), Boot: 1, Seq: 1, Holds: holdsOf(&c.voter.state.Rules.Standing), Form: 2, Deltas: true, Digest: c.voter.state.Rules.Standing.Digest()}
+	m := &Message{Kind: Renew, From: costName(1), Boot: 1, Seq: 1, Holds: versionsOf(&c.voter.state.Rules.Standing), Form: 2, Deltas: true, Digest: c.voter.state.Rules.Standing.Digest()}
 	text, err := m.Encode()
 	if err != nil {
 		b.Fatal(err)
@@ -217,13 +217,13 @@
 	}
 }
 
-// BenchmarkHolder is what a message with one change costs its receiver: it is read, applied, and acted on.
+// BenchmarkHolder measures what a message with one change costs its receiver, which decodes and applies it.
 func BenchmarkHolder(b *testing.B) {
 	for _, by := range []string{"differences", "whole"} {
 		for _, kind := range []string{"ban", "one", "third"} {
 			for _, pending := range []int{1, rules.MostPending} {
 				if kind == "one" && pending > 1 {
-					continue // it cannot be made twice
+					continue // it cannot be proposed twice
 				}
 				b.Run(fmt.Sprintf("%s/%s/%d-pending", kind, by, pending), func(b *testing.B) {
 					state := costDocument(b)
@@ -257,7 +257,7 @@
 						}
 						c.Receive(time.Millisecond, read)
 						if c.standing.Last() != state.Last() {
-							b.Fatal("not taken")
+							b.Fatal("the change was not applied")
 						}
 					}
 					b.ReportMetric(float64(len(text)), "bytes")
@@ -267,12 +267,13 @@
 	}
 }
 
-// TestCostsOfAChange: the numbers of a third are free and dealt out, none is held twice, and the document is as long as was meant.
-func TestCostsOfAChange(t *testing.T) {
+// TestCostDocuments checks the data of the benchmarks: the document has the intended size, and the change of a third assigns the free
+// numbers without giving one to two proxies, which Propose would refuse.
+func TestCostDocuments(t *testing.T) {
 	state := costDocument(t)
 	text, err := (&Message{Kind: Tell, From: "a", Standing: state.Share()}).Encode()
 	if err != nil || len(text) < 30_000 || len(text) > 45_000 {
-		t.Errorf("a document of %d bytes, %v", len(text), err)
+		t.Errorf("the document has %d bytes, error %v", len(text), err)
 	}
 	before := maps.Clone(state.InForce.Doc.Numbers)
 	propose(t, state, costChange("third", state, "one"))
@@ -283,6 +284,6 @@
 		}
 	}
 	if moved < 250 {
-		t.Errorf("%d numbers change", moved)
+		t.Errorf("only %d numbers change", moved)
 	}
 }
--- a/internal/cluster/accord/differences.go
+++ b/internal/cluster/accord/differences.go
@@ -8,38 +8,39 @@
 )
 
 const (
-	// longEvery is the share of a lease's time within which what is too long for a datagram goes to one holder once: it may take long,
-	// and a renewal comes meanwhile. It delays who has not got it, and grants nobody more.
-	longEvery = 1. / 3
-	// mostShort is the bytes of a difference that goes with a grant in one datagram, of 1,200 bytes.
-	mostShort = 900
+	// longSendShare is the minimum interval between two messages to one holder that do not fit into a datagram, as a fraction of a
+	// lease. Such a message may take long to arrive, and a renewal may arrive in between. The limit delays a holder that lost the
+	// message; it does not extend any lease.
+	longSendShare = 1. / 3
+	// maxInlineDelta is the maximum size in bytes of a delta that fits with its grant into one datagram of 1,200 bytes.
+	maxInlineDelta = 900
 )
 
-// differences are what a leader has worked out for its newest standing: many holders lack the same.
-type differences struct {
-	of     Holds
-	byBase map[Holds]*rules.Delta // nil for one that only the whole helps
+// deltaCache holds the deltas that a leader has computed for its newest status, because many holders need the same one.
+type deltaCache struct {
+	versions Holds
+	byBase   map[Holds]*rules.Delta // nil if only the whole status helps
 }
 
-// delta is what somebody lacks of the newest standing; nil where only the whole helps.
-func (v *voter) delta(has Holds) *rules.Delta {
-	newest := holdsOf(&v.state.Rules.Standing)
-	if v.worked == nil || v.worked.of != newest || len(v.worked.byBase) > mostHolders {
-		v.worked = &differences{of: newest, byBase: map[Holds]*rules.Delta{}}
+// deltaFrom returns the delta from the versions that a holder has to the newest status; nil if only the whole status helps.
+func (v *voter) deltaFrom(has Holds) *rules.Delta {
+	newest := versionsOf(&v.state.Rules.Standing)
+	if v.deltas == nil || v.deltas.versions != newest || len(v.deltas.byBase) > maxHolders {
+		v.deltas = &deltaCache{versions: newest, byBase: map[Holds]*rules.Delta{}}
 	}
-	d, known := v.worked.byBase[has]
+	d, known := v.deltas.byBase[has]
 	if !known {
 		var ok bool
 		if d, ok = rules.Between(v.state.Rules, rules.Position(has)); !ok || d.Freeze() != nil {
-			d = nil // which cannot be written goes out as a whole
+			d = nil // if the delta cannot be encoded, the whole status is sent
 		}
-		v.worked.byBase[has] = d
+		v.deltas.byBase[has] = d
 	}
 	return d
 }
 
-// noteDigest remembers the digest of the standing as it is now, and lets go of those on which no lease is granted any more.
-func (v *voter) noteDigest() {
+// recordDigest records the digest of the current status, and drops those for which no lease is granted anymore.
+func (v *voter) recordDigest() {
 	s := &v.state.Rules.Standing
 	for of := range v.digests {
 		if of.Log != s.Log || of.Last < s.InForce.Number {
@@ -49,92 +50,93 @@
 	if v.digests == nil {
 		v.digests = map[Holds]rules.Digest{}
 	}
-	v.digests[holdsOf(s)] = s.Digest()
+	v.digests[versionsOf(s)] = s.Digest()
 }
 
-// differs says whether who asks has something else than was here under the same numbers.
-func (v *voter) differs(m *Message) bool {
+// digestDiffers reports whether the sender has other rules than this voter had under the same numbers.
+func (v *voter) digestDiffers(m *Message) bool {
 	digest, known := v.digests[m.Holds]
-	return known && m.Digest != 0 && m.Digest != digest && !v.c.set.NoDigest
+	return known && m.Digest != 0 && m.Digest != digest && !v.c.settings.NoDigest
 }
 
-// bring puts into a message what a holder lacks, and says whether it has: the difference where the holder understands it and its base
-// is known here, and the whole otherwise. What is long is left out where something long has just been sent.
-func (v *voter) bring(m *Message, l *lease, has Holds) bool {
+// addMissing adds the rules that a holder lacks to a message, and reports whether it did: a delta if the holder understands deltas and
+// its base is known here, and the whole status otherwise. It adds nothing that exceeds a datagram shortly after another such message.
+func (v *voter) addMissing(m *Message, l *lease, has Holds) bool {
 	var d *rules.Delta
-	if l.deltas && !l.needsWhole {
-		d = v.delta(has)
+	if l.acceptsDeltas && !l.needsWhole {
+		d = v.deltaFrom(has)
 	}
-	if d != nil && v.isShort(d) {
+	if d != nil && v.fitsInline(d) {
 		m.Delta = d
 		return true
 	}
 	now := v.c.now
-	if l.longSent != 0 && now < l.longSent+time.Duration(longEvery*float64(v.c.set.Times.Lease)) {
+	if l.longSentAt != 0 && now < l.longSentAt+time.Duration(longSendShare*float64(v.c.settings.Times.Lease)) {
 		return false
 	}
-	l.longSent = now
+	l.longSentAt = now
 	if m.Delta = d; d == nil {
 		m.Standing = v.state.Rules.Share()
 	}
 	return true
 }
 
-// isShort says whether a difference goes with a grant in one datagram.
-func (v *voter) isShort(d *rules.Delta) bool {
-	most := mostShort
-	if v.c.set.MostShort > 0 {
-		most = v.c.set.MostShort
+// fitsInline reports whether a delta fits into one datagram with its grant.
+func (v *voter) fitsInline(d *rules.Delta) bool {
+	most := maxInlineDelta
+	if v.c.settings.MostShort > 0 {
+		most = v.c.settings.MostShort
 	}
 	return d.Size() <= most
 }
 
-// bringsLong says whether what a holder lacks is too long for a datagram.
-func (v *voter) bringsLong(l *lease, has Holds) bool {
-	if !l.deltas || l.needsWhole {
+// needsLongSend reports whether the rules that a holder lacks are too long for a datagram.
+func (v *voter) needsLongSend(l *lease, has Holds) bool {
+	if !l.acceptsDeltas || l.needsWhole {
 		return true
 	}
-	d := v.delta(has)
-	return d == nil || !v.isShort(d)
+	d := v.deltaFrom(has)
+	return d == nil || !v.fitsInline(d)
 }
 
-// mayRest says whether a lease may rest on what a holder has said it has, though there is more: as long as nothing is in force, or may
-// come to be by what this leader has written into the log, that the holder does not know. A version that it does not know is kept from
-// being in force by the lease itself: see enforce.
-func (v *voter) mayRest(l *lease) bool {
+// mayLeaseHeld reports whether a lease may cover the versions that a holder has acknowledged although there are newer ones. It may if
+// the holder knows every version that is in force or that this leader has proposed to enforce. The lease itself keeps a version that
+// the holder does not know from being in force: see enforce.
+func (v *voter) mayLeaseHeld(l *lease) bool {
 	s := &v.state.Rules.Standing
-	if l.holds.Log != s.Log || l.needsWhole || l.holds.InForce > s.InForce.Number || l.holds.Last < s.InForce.Number {
+	if l.held.Log != s.Log || l.needsWhole || l.held.InForce > s.InForce.Number || l.held.Last < s.InForce.Number {
 		return false
 	}
-	if l.holds.Last < v.enforcing && !v.c.set.NoEnforcing {
+	if l.held.Last < v.enforcing && !v.c.settings.NoEnforcing {
 		return false
 	}
-	_, known := v.digests[l.holds]
-	return known && v.restsInTime(l.holds.Last+1)
+	_, known := v.digests[l.held]
+	return known && v.leaseEndsInTime(l.held.Last+1)
 }
 
-// restsInTime says whether a lease that is granted now, to who does not know a version, is over by the stated time after that was
-// agreed, whatever becomes of this leader. Of a version that came from a leader before it is not known when that was.
-func (v *voter) restsInTime(unknown uint64) bool {
+// leaseEndsInTime reports whether a lease that is granted now to a holder that does not know a version expires within
+// Times.ConvergenceBound after the commit of that version, even if this leader fails. The time of the commit is not known for a
+// version that was committed under an earlier leader.
+func (v *voter) leaseEndsInTime(unknown uint64) bool {
 	if unknown > v.state.Rules.Last() {
-		return true // it knows all that there is
+		return true // the holder knows all versions
 	}
-	t := &v.c.set.Times
+	t := &v.c.settings.Times
 	at, known := v.agreedAt[unknown]
-	return known && v.c.now <= at+t.Election+t.Renew+t.Patience // see Times.Bound, which has a lease's time beside these
+	return known && v.c.now <= at+t.Election+t.Renew+t.Patience // Times.ConvergenceBound adds the duration of a lease to these
 }
 
-// noteAgreed remembers when the newest version was agreed, where that was under this leader, and lets go of those in force.
-func (v *voter) noteAgreed() {
+// recordAgreed records when the newest version was committed, if this leader committed it, and drops the times of versions in force.
+func (v *voter) recordAgreed() {
 	s := &v.state.Rules.Standing
 	maps.DeleteFunc(v.agreedAt, func(n uint64, _ time.Duration) bool { return n <= s.InForce.Number })
-	if v.leads && v.ownTermApplied {
+	if v.isLeader && v.ownTermApplied {
 		v.agreedAt[s.Last()] = v.c.now
 	}
 }
 
-// outline is a standing without its documents, for who does not understand them: it takes none of them, and is to know that they
-// are there.
+// outline returns a status without its documents, for a proxy that does not understand them: it applies none of them, but must know
+// that they exist.
 func outline(s *rules.Standing) *rules.Standing {
 	o := &rules.Standing{Log: s.Log, Reign: s.Reign, Form: s.Form, InForce: rules.Version{Number: s.InForce.Number}}
 	for i := range s.Pending {
--- a/internal/cluster/accord/differences_test.go
+++ b/internal/cluster/accord/differences_test.go
@@ -11,17 +11,17 @@
 	"brasswell/internal/cluster/rules"
 )
 
-// pair is a leader, the only voter, and a holder of a lease; what they send is written and read as on the wire.
+// pair is a leader, the only voter, and a holder of a lease. Their messages are encoded and decoded as on the wire.
 type pair struct {
 	t              *testing.T
 	now            time.Duration
 	leader, holder *Core
-	sent           []*Message // to the holder, of kinds Grant and Tell, as read
-	asked          []*Message // by the holder
-	lose           func(m *Message) bool
+	sent           []*Message // to the holder, of kinds Grant and Update, as decoded
+	requests       []*Message // by the holder
+	drop           func(m *Message) bool
 	queue          []addressed
-	kept           *rules.Standing // by the holder
-	told           map[Event]int   // to the holder
+	savedRules     *rules.Standing // by the holder
+	notices        map[Event]int   // to the holder
 	basis          *Basis          // the holder's
 }
 
@@ -30,7 +30,7 @@
 	m  *Message
 }
 
-// side is a core's host in a pair.
+// side is the host of one core of a pair.
 type side struct {
 	*pair
 	name string
@@ -53,7 +53,7 @@
 
 func (s side) Keep(standing *rules.Standing) {
 	if s.name == "holder" {
-		s.kept = standing.Share()
+		s.savedRules = standing.Share()
 	}
 }
 
@@ -65,13 +65,13 @@
 
 func (s side) Told(what Event, _ Note) {
 	if s.name == "holder" {
-		s.told[what]++
+		s.notices[what]++
 	}
 }
 
 func newPair(t *testing.T) *pair {
 	t.Helper()
-	p := &pair{t: t, told: map[Event]int{}}
+	p := &pair{t: t, notices: map[Event]int{}}
 	p.leader = p.start("leader", Stored{}, nil)
 	return p
 }
@@ -89,7 +89,7 @@
 	return c
 }
 
-// run runs for a time.
+// run runs the pair for a time.
 func (p *pair) run(d time.Duration) {
 	const step = 10 * time.Millisecond
 	for end := p.now + d; p.now < end; p.now += step {
@@ -108,14 +108,14 @@
 
 func (p *pair) deliver(a addressed) {
 	if a.to == "leader" {
-		p.asked = append(p.asked, a.m)
+		p.requests = append(p.requests, a.m)
 		p.leader.Receive(p.now, a.m)
 		return
 	}
 	if a.m.Kind == Grant || a.m.Kind == Tell {
 		p.sent = append(p.sent, a.m)
 	}
-	if p.holder != nil && (p.lose == nil || !p.lose(a.m)) {
+	if p.holder != nil && (p.drop == nil || !p.drop(a.m)) {
 		p.holder.Receive(p.now, a.m)
 	}
 }
@@ -139,8 +139,8 @@
 func whole(m *Message) bool { return m.Standing != nil }
 func delta(m *Message) bool { return m.Delta != nil }
 
-// TestDifferencesAreSent to who says that it understands them, and whole standings to who does not.
-func TestDifferencesAreSent(t *testing.T) {
+// TestDeltasAreSent checks that deltas are sent to holders that understand them, and whole statuses to others.
+func TestDeltasAreSent(t *testing.T) {
 	for _, older := range []string{"none", "holder", "leader"} {
 		p := newPair(t)
 		p.leader = p.start("leader", Stored{}, func(s *Settings) { s.NoDeltas = older == "leader" })
@@ -154,7 +154,7 @@
 		}
 		deltas, wholes := p.count(delta), p.count(whole)
 		if older == "none" && (deltas < 10 || wholes > 0) || older != "none" && (deltas > 0 || wholes < 5) {
-			t.Errorf("older: %s: %d differences, %d whole", older, deltas, wholes)
+			t.Errorf("older: %s: %d deltas, %d whole statuses", older, deltas, wholes)
 		}
 		if len(p.basis.Doc.Bans) != 5 || p.basis.Version != 6 || p.basis.Mode(p.now) != Leased {
 			t.Errorf("older: %s: version %d with %d bans, %v", older, p.basis.Version, len(p.basis.Doc.Bans), p.basis.Mode(p.now))
@@ -162,7 +162,7 @@
 	}
 }
 
-// corrupted is a standing with another document under the same numbers, as a disk may hold it.
+// corrupted returns a status with another document under the same numbers, as a corrupted disk may hold it.
 func corrupted(s *rules.Standing) *rules.Standing {
 	c := s.Share()
 	c.InForce = rules.Version{Number: s.InForce.Number, Change: s.InForce.Change, Doc: s.InForce.Doc}
@@ -171,17 +171,17 @@
 	return c
 }
 
-// TestAnotherDocumentUnderTheSameNumber: who starts with one gets no lease on it. Where nothing has changed it gets the whole with its
-// first grant; where something has, the difference does not fit, and it asks for the whole.
-func TestAnotherDocumentUnderTheSameNumber(t *testing.T) {
+// TestCorruptDocumentUnderTheSameNumber checks that a proxy that starts with a corrupted document gets no lease on it. Without a change
+// it gets the whole status with its first grant. After a change the delta does not fit its document, and it requests the whole status.
+func TestCorruptDocumentUnderTheSameNumber(t *testing.T) {
 	for _, changed := range []bool{false, true} {
 		p := newPair(t)
 		p.run(3 * time.Second)
 		p.holder = p.start("holder", Stored{}, nil)
 		p.ban("node-0")
 		p.run(time.Second)
-		disk := Stored{Acts: corrupted(p.kept)}
-		p.holder, p.sent, p.asked = nil, nil, nil
+		disk := Stored{Acts: corrupted(p.savedRules)}
+		p.holder, p.sent, p.requests = nil, nil, nil
 		p.run(2 * time.Second)
 		if changed {
 			p.ban("node-1")
@@ -196,63 +196,64 @@
 			}
 		}
 		if leasedOnOther {
-			t.Errorf("changed %v: it held a lease on what it does not have", changed)
+			t.Errorf("changed %v: a lease covered a document that the holder does not have", changed)
 		}
-		if p.basis.Mode(p.now) != Leased || p.told[Differs] != 1 {
-			t.Errorf("changed %v: %v, told %d times", changed, p.basis.Mode(p.now), p.told[Differs])
+		if p.basis.Mode(p.now) != Leased || p.notices[Differs] != 1 {
+			t.Errorf("changed %v: mode %v, %d mismatch events", changed, p.basis.Mode(p.now), p.notices[Differs])
 		}
 		asked := 0
-		for _, m := range p.asked {
+		for _, m := range p.requests {
 			if m.Whole {
 				asked++
 			}
 		}
 		if wholes := p.count(whole); wholes != 1 || changed && asked != 1 || !changed && asked != 0 {
-			t.Errorf("changed %v: %d whole standings were sent, %d asked for", changed, wholes, asked)
+			t.Errorf("changed %v: %d whole statuses were sent, %d requested", changed, wholes, asked)
 		}
 	}
 }
 
-// TestTheWholeIsNotSentAgainAndAgain while the last one is still on its way: once in a third of a lease, and it holds no lease.
-func TestTheWholeIsNotSentAgainAndAgain(t *testing.T) {
+// TestWholeStatusIsRateLimited checks that the whole status is sent once per third of a lease while none arrives, and that the holder
+// gets no lease meanwhile.
+func TestWholeStatusIsRateLimited(t *testing.T) {
 	p := newPair(t)
 	p.run(3 * time.Second)
 	p.ban("node-0")
 	p.run(time.Second)
-	p.lose = whole
+	p.drop = whole
 	p.holder = p.start("holder", Stored{}, nil)
 	const seconds = 10
 	p.run(seconds * time.Second)
 	if wholes := p.count(whole); wholes > 3*seconds+1 || wholes < seconds {
-		t.Errorf("%d whole standings in %d s", wholes, seconds)
+		t.Errorf("%d whole statuses in %d s", wholes, seconds)
 	}
 	if p.basis.Mode(p.now) == Leased {
-		t.Error("it holds a lease on what has never come")
+		t.Error("the lease covers rules that never arrived")
 	}
-	p.lose = nil
+	p.drop = nil
 	p.run(time.Second)
 	if p.basis.Mode(p.now) != Leased || len(p.basis.Doc.Bans) != 1 {
 		t.Errorf("%v with %d bans", p.basis.Mode(p.now), len(p.basis.Doc.Bans))
 	}
 }
 
-// newPairOfLongDifferences is a leader that takes every difference for too long to go with a grant, and a holder with a lease; from now on
-// no standing and no difference reaches the holder.
-func newPairOfLongDifferences(t *testing.T) *pair {
+// newPairWithLongDeltas returns a pair whose leader treats every delta as too long for a grant, and whose holder has a lease. From
+// then on no status and no delta reaches the holder.
+func newPairWithLongDeltas(t *testing.T) *pair {
 	t.Helper()
 	p := newPair(t)
 	p.leader = p.start("leader", Stored{}, func(s *Settings) { s.MostShort = 1 })
 	p.run(3 * time.Second)
 	p.holder = p.start("holder", Stored{}, nil)
 	p.run(time.Second)
-	p.lose = func(m *Message) bool { return delta(m) || whole(m) }
+	p.drop = func(m *Message) bool { return delta(m) || whole(m) }
 	return p
 }
 
-// TestALeaseRestsOnWhatIsThere while what is new takes its time: nothing that the holder does not know is in force meanwhile. Where it
-// never comes the lease ends, and the change is in force without the holder.
-func TestALeaseRestsOnWhatIsThere(t *testing.T) {
-	p := newPairOfLongDifferences(t)
+// TestLeaseOnHeldVersions checks that a holder keeps its lease while a change takes long to arrive, and that the change is not in force
+// meanwhile. If the change never arrives, the lease expires, and the change comes into force without the holder.
+func TestLeaseOnHeldVersions(t *testing.T) {
+	p := newPairWithLongDeltas(t)
 	p.ban("node-0")
 	p.sent = nil
 	p.run(400 * time.Millisecond)
@@ -261,60 +262,60 @@
 		t.Errorf("%v until %v at %v on version %d; %d in force", p.basis.Mode(p.now), p.basis.Until, p.now, p.basis.Last, inForce())
 	}
 	if n := p.count(func(m *Message) bool { return m.Kind == Grant && delta(m) }); n > 0 {
-		t.Errorf("%d grants with what is too long for them", n)
+		t.Errorf("%d grants with a delta that is too long for them", n)
 	}
 	p.run(2 * time.Second)
 	if p.basis.Mode(p.now) == Leased || inForce() != 2 {
 		t.Errorf("%v on version %d; %d in force", p.basis.Mode(p.now), p.basis.Last, inForce())
 	}
-	// What it has is less than what is in force: no lease rests on that.
+	// The holder lacks the version in force, so it gets no lease.
 	p.sent = nil
 	p.run(2 * time.Second)
 	if n := p.count(func(m *Message) bool { return m.Kind == Grant && m.Holds.Last < 2 }); n > 0 || p.basis.Mode(p.now) == Leased {
-		t.Errorf("%d grants on what is no longer in force, %v", n, p.basis.Mode(p.now))
+		t.Errorf("%d grants for versions that are no longer in force, mode %v", n, p.basis.Mode(p.now))
 	}
-	p.lose = nil
+	p.drop = nil
 	p.run(time.Second)
 	if p.basis.Mode(p.now) != Leased || p.basis.Version != 2 {
 		t.Errorf("%v on version %d", p.basis.Mode(p.now), p.basis.Version)
 	}
 }
 
-// TestLeasesRestWithinTheStatedTime: no lease is granted on less than is agreed once one would last beyond the stated time, and none for
-// a version of a leader before.
-func TestLeasesRestWithinTheStatedTime(t *testing.T) {
-	p := newPairOfLongDifferences(t)
+// TestLeasesEndWithinConvergenceBound checks that a lease that lacks a committed version is not granted if it would last beyond
+// ConvergenceBound after the commit, nor if the version was committed under an earlier leader.
+func TestLeasesEndWithinConvergenceBound(t *testing.T) {
+	p := newPairWithLongDeltas(t)
 	p.ban("node-0")
 	agreed := p.now
 	v := p.leader.voter
-	if !v.restsInTime(2) || v.restsInTime(1) || !v.restsInTime(3) {
-		t.Errorf("after it was agreed: %v", v.agreedAt)
+	if !v.leaseEndsInTime(2) || v.leaseEndsInTime(1) || !v.leaseEndsInTime(3) {
+		t.Errorf("after the commit: %v", v.agreedAt)
 	}
 	p.run(3 * time.Second)
 	if bound := DefaultTimes().Bound(); p.basis.Last != 1 || p.basis.Until > agreed+bound {
-		t.Errorf("a lease on version %d until %v; agreed at %v, and %v is stated", p.basis.Last, p.basis.Until, agreed, bound)
+		t.Errorf("a lease on version %d until %v; committed at %v, and the bound is %v", p.basis.Last, p.basis.Until, agreed, bound)
 	}
 	p.now = agreed + DefaultTimes().Bound()
 	v.c.now = p.now
-	if v.agreedAt[2] = agreed; v.restsInTime(2) {
-		t.Error("a lease may rest on less than is agreed for longer than is stated")
+	if v.agreedAt[2] = agreed; v.leaseEndsInTime(2) {
+		t.Error("a lease that lacks a committed version may outlast the bound")
 	}
 	v.setRole(false)
 	v.setRole(true)
-	if v.restsInTime(2) {
-		t.Error("a lease rests on less than a leader before has agreed on")
+	if v.leaseEndsInTime(2) {
+		t.Error("a lease may lack a version that an earlier leader committed")
 	}
 }
 
-// TestALateGrantBringsItsStanding: what comes after its renewal was given up gives no lease, but what it brings is known then, so that
-// the next grant needs not bring it again.
-func TestALateGrantBringsItsStanding(t *testing.T) {
+// TestLateGrantUpdatesStatus checks that a grant that arrives after the renewal's timeout gives no lease, but that its rules are
+// applied, so that the next grant need not repeat them.
+func TestLateGrantUpdatesStatus(t *testing.T) {
 	p := newPair(t)
 	p.run(3 * time.Second)
 	p.ban("node-0")
 	p.run(time.Second)
 	var late []*Message
-	p.lose = func(m *Message) bool {
+	p.drop = func(m *Message) bool {
 		if whole(m) {
 			late = append(late, m)
 		}
@@ -323,7 +324,7 @@
 	p.holder = p.start("holder", Stored{}, nil)
 	p.run(240 * time.Millisecond)
 	if len(late) == 0 || late[0].Kind != Grant {
-		t.Fatalf("%d whole standings", len(late))
+		t.Fatalf("%d whole statuses, or the first one is not in a grant", len(late))
 	}
 	p.holder.Receive(p.now, late[0])
 	if len(p.basis.Doc.Bans) != 1 || p.basis.Mode(p.now) == Leased {
@@ -331,7 +332,7 @@
 	}
 }
 
-// olderMessage is a message as programs from before there were differences write and read it.
+// olderMessage is a message as programs that predate deltas encode and decode it.
 type olderMessage struct {
 	Kind     MessageKind     `cbor:"1,keyasint"`
 	From     string          `cbor:"2,keyasint"`
@@ -352,9 +353,9 @@
 	Form     uint8           `cbor:"17,keyasint,omitempty"`
 }
 
-// TestMessagesBesideOlderPrograms: an older program reads what this one says and passes over what it does not know, and one that
-// passes a renewal on leaves that out, so that the leader sends the whole.
-func TestMessagesBesideOlderPrograms(t *testing.T) {
+// TestMessagesOfOlderPrograms checks that an older program decodes new messages and ignores unknown fields. If it forwards a renewal, it
+// drops these fields, so that the leader sends the whole status.
+func TestMessagesOfOlderPrograms(t *testing.T) {
 	state := rules.NewState()
 	has := rules.Position{InForce: 1, Last: 1}
 	state.Propose(&rules.Change{ID: "1", Kind: rules.Suspend, Server: "a"})
@@ -372,14 +373,14 @@
 			t.Fatal(err)
 		}
 		older := &olderMessage{}
-		if err := reading.Unmarshal(text, older); err != nil {
-			t.Fatalf("an older program cannot read %+v: %v", m, err)
+		if err := decMode.Unmarshal(text, older); err != nil {
+			t.Fatalf("an older program cannot decode %+v: %v", m, err)
 		}
 		if older.Kind != m.Kind || older.From != m.From || older.Seq != m.Seq || older.Holds != m.Holds || older.Boot != m.Boot || older.Form != m.Form {
-			t.Errorf("an older program reads %+v from %+v", older, m)
+			t.Errorf("an older program decodes %+v from %+v", older, m)
 		}
 		if (older.Standing == nil) != (m.Standing == nil) {
-			t.Errorf("the standing of %+v is lost", m)
+			t.Errorf("the status of %+v is lost", m)
 		}
 		if text, err = cbor.Marshal(older); err != nil {
 			t.Fatal(err)
@@ -389,15 +390,15 @@
 			t.Fatal(err)
 		}
 		if back.Deltas || back.Whole || back.Digest != 0 || back.Delta != nil || back.Seq != m.Seq {
-			t.Errorf("passed on by an older program: %+v", back)
+			t.Errorf("forwarded by an older program: %+v", back)
 		}
 	}
-	// A grant whose difference was left out on its way gives no lease.
+	// A grant whose delta was dropped by a forwarding proxy gives no lease.
 	p := newPair(t)
 	p.run(3 * time.Second)
 	p.holder = p.start("holder", Stored{}, nil)
 	p.run(time.Second)
-	p.lose = func(m *Message) bool { m.Delta = nil; return m.Kind == Tell }
+	p.drop = func(m *Message) bool { m.Delta = nil; return m.Kind == Tell }
 	p.ban("node-0")
 	p.run(1500 * time.Millisecond)
 	if p.basis.Mode(p.now) == Leased || p.basis.Last != 1 {
@@ -405,8 +406,8 @@
 	}
 }
 
-// TestTheGreatestMessages: a standing of the greatest documents is read, and is within the bound of a message.
-func TestTheGreatestMessages(t *testing.T) {
+// TestLargestMessages checks that a status with documents of maximum size can be decoded and is within MaxMessageBytes.
+func TestLargestMessages(t *testing.T) {
 	state := rules.NewState()
 	for i := range rules.MostPending {
 		numbers := map[string]int{}
@@ -427,12 +428,12 @@
 		t.Errorf("%d bytes: %v", len(text), err)
 	}
 	t.Logf("%d bytes of %d", len(text), MostMessage)
-	snapshot, err := cbor.Marshal(&replicatedState{Rules: state, Keepers: map[string]uint64{}})
+	snapshot, err := cbor.Marshal(&replicatedState{Rules: state, Voters: map[string]uint64{}})
 	if err != nil || len(snapshot) > MostMessage {
 		t.Errorf("a snapshot of %d bytes, %v", len(snapshot), err)
 	}
 	back := &replicatedState{}
-	if err := reading.Unmarshal(snapshot, back); err != nil {
+	if err := decMode.Unmarshal(snapshot, back); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/cluster/accord/election.go
+++ b/internal/cluster/accord/election.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	// silentRest is for how many elections' times a leader without a majority keeps silent before it tries again.
-	silentRest = 4
-	// mostRounds wait for a majority's confirmation at one time.
-	mostRounds = 64
+	// silentElections is the time for which a leader without a majority sends nothing before it tries again, in election timeouts.
+	silentElections = 4
+	// maxRounds bounds the rounds that wait for confirmation by a majority.
+	maxRounds = 64
 )
 
 func (v *voter) resetTimeout() {
-	e := v.c.set.Times.Election
+	e := v.c.settings.Times.Election
 	v.electionTimeout = e + time.Duration(v.c.rng.Float64()*float64(e))
 }
 
-// heartbeat says that this voter leads, and has a majority confirm it.
+// heartbeat announces that this voter leads, and starts a round in which a majority confirms it.
 func (v *voter) heartbeat() {
-	now, t := v.c.now, &v.c.set.Times
+	now, t := v.c.now, &v.c.settings.Times
 	v.nextHeartbeat = now + t.Heartbeat
 	if now-v.majorityHeard > 2*t.Election {
-		// No majority answers. A leader whose messages arrive and who hears nobody would keep the others from an election, so
-		// it is silent for longer than those wait.
+		// No majority answers. A leader whose messages arrive but which receives none would keep the others from an election, so
+		// it sends nothing for longer than their election timeout.
 		if now < v.silentUntil {
 			return
 		}
 		if v.silentUntil == 0 || now >= v.silentUntil+t.Election/2 {
-			v.silentUntil = now + silentRest*t.Election
+			v.silentUntil = now + silentElections*t.Election
 			v.unconfirmed = nil
 			return
 		}
@@ -41,16 +41,16 @@
 		v.raft.ReportSnapshot(id, raft.SnapshotFinish)
 	}
 	v.sentSnapshots = nil
-	// A round is a heartbeat too, but for a log of one voter: that is confirmed by nobody else, and learners hear nothing of it.
-	if !v.confirm() || !v.ownTermApplied || len(v.conf.GetVoters()) == 1 {
+	// A round is a heartbeat too, except in a log with one voter: no other voter confirms it, and learners get no message for it.
+	if !v.confirm() || !v.ownTermApplied || len(v.confState.GetVoters()) == 1 {
 		v.raft.Tick()
 	}
 	v.maintain()
 }
 
-// confirm begins a round that a majority confirms, for all renewals that have come until now, and says whether it has.
+// confirm starts a round in which a majority confirms the leader, for all renewals received so far, and reports whether it did.
 func (v *voter) confirm() bool {
-	if len(v.rounds) >= mostRounds {
+	if len(v.rounds) >= maxRounds {
 		return false
 	}
 	v.round++
@@ -59,10 +59,10 @@
 	return true
 }
 
-// confirmedRound grants what a majority has confirmed: this voter led after these were asked for.
-func (v *voter) confirmedRound(s raft.ReadState) {
-	if len(s.RequestCtx) != 8 || !v.leads || s.Index > v.applied {
-		return // what is granted must be applied here; they ask again
+// roundConfirmed grants the renewals of a confirmed round: a majority confirmed that this voter led after they were requested.
+func (v *voter) roundConfirmed(s raft.ReadState) {
+	if len(s.RequestCtx) != 8 || !v.isLeader || s.Index > v.applied {
+		return // the granted entries must be applied here first; the holders renew again
 	}
 	round := binary.BigEndian.Uint64(s.RequestCtx)
 	requests := v.rounds[round]
@@ -80,20 +80,20 @@
 	}
 }
 
-// leader is the name of who leads, as far as this voter knows; "" for none.
-func (v *voter) leader() string {
-	if v.halted || v.lead == 0 {
+// leaderName returns the name of the leader, as far as this voter knows; "" for none.
+func (v *voter) leaderName() string {
+	if v.halted || v.leaderID == 0 {
 		return ""
 	}
-	return v.name(v.lead)
+	return v.nameOf(v.leaderID)
 }
 
-// name is that of the voter with a log.
-func (v *voter) name(id uint64) string {
+// nameOf returns the name of the voter with the given log.
+func (v *voter) nameOf(id uint64) string {
 	if id == v.id {
-		return v.c.set.Name
+		return v.c.settings.Name
 	}
-	for name, log := range v.state.Keepers {
+	for name, log := range v.state.Voters {
 		if log == id {
 			return name
 		}
@@ -101,22 +101,22 @@
 	return v.byLog[id]
 }
 
-// setRole takes in whether this voter leads.
+// setRole switches between leader and follower.
 func (v *voter) setRole(leads bool) {
-	if leads == v.leads {
+	if leads == v.isLeader {
 		return
 	}
 	now := v.c.now
-	v.leads, v.ownTermApplied, v.silentUntil = leads, false, 0
+	v.isLeader, v.ownTermApplied, v.silentUntil = leads, false, 0
 	v.leases, v.unconfirmed, v.rounds, v.proposers, v.sentSnapshots = nil, nil, nil, nil, nil
-	v.worked, v.slowest, v.enforcing, v.agreedAt = nil, nil, 0, map[uint64]time.Duration{}
+	v.deltas, v.slowest, v.enforcing, v.agreedAt = nil, nil, 0, map[uint64]time.Duration{}
 	if !leads {
 		v.leaderHeard = now
 		v.resetTimeout()
-		v.c.host.Told(Deposed, Note{Name: v.c.set.Name})
+		v.c.host.Told(Deposed, Note{Name: v.c.settings.Name})
 		return
 	}
 	v.electedAt, v.majorityHeard, v.nextHeartbeat, v.lastEnforce = now, now, now, 0
 	v.leases, v.rounds, v.proposers = map[holder]*lease{}, map[uint64][]*Message{}, map[string]*Message{}
-	v.c.host.Told(Elected, Note{Name: v.c.set.Name})
+	v.c.host.Told(Elected, Note{Name: v.c.settings.Name})
 }
--- a/internal/cluster/accord/leases.go
+++ b/internal/cluster/accord/leases.go
@@ -8,140 +8,141 @@
 )
 
 const (
-	// mostAsking requests wait for a majority at one time.
-	mostAsking = 4096
-	// mostHolders are remembered by a leader.
-	mostHolders = 4096
+	// maxUnconfirmed bounds the renewals that wait for a round.
+	maxUnconfirmed = 4096
+	// maxHolders bounds the holders whose leases a leader records.
+	maxHolders = 4096
 )
 
-// holder is a process that may hold a lease: a proxy has two during an upgrade, and what one of them has said the other has not.
+// holder is a process that may hold a lease. A proxy has two processes during an upgrade, each with its own acknowledgements.
 type holder struct {
-	name string
-	boot uint64
+	name     string
+	instance uint64
 }
 
 func compareHolders(a, b holder) int {
-	return cmp.Or(cmp.Compare(a.name, b.name), cmp.Compare(a.boot, b.boot))
+	return cmp.Or(cmp.Compare(a.name, b.name), cmp.Compare(a.instance, b.instance))
 }
 
-// lease is what a leader knows of a holder.
+// lease is what a leader knows about a holder.
 type lease struct {
-	until        time.Duration // on this clock, it may hold as long
-	holds        Holds
-	form         uint8
-	stalledSince time.Duration // since when it has had the same, and been told of more; 0 if it has all
-	deltas       bool          // it understands differences
-	needsWhole   bool          // it has asked for the whole, or what it has differs from what is here
-	longSent     time.Duration // when something too long for a datagram last went to it; 0 for never
+	until         time.Duration // the latest time, on this clock, at which the lease may be valid
+	held          Holds
+	form          uint8
+	stalledSince  time.Duration // since when it has acknowledged nothing new although newer rules were sent to it; 0 if it has all
+	acceptsDeltas bool          // it understands deltas
+	needsWhole    bool          // it requested the whole status, or its rules differ from the rules here
+	longSentAt    time.Duration // when rules too long for a datagram were last sent to it; 0 for never
 }
 
-// leaseOf is what is known of who asks; nil where no more can be remembered.
+// leaseOf returns the lease of the sender, a new one if it has none; nil if maxHolders is reached.
 func (v *voter) leaseOf(m *Message) *lease {
 	who := holder{m.From, m.Boot}
 	l := v.leases[who]
-	if l == nil && len(v.leases) < mostHolders {
+	if l == nil && len(v.leases) < maxHolders {
 		l = &lease{}
 		v.leases[who] = l
 	}
 	return l
 }
 
-// noteHolds takes in what a holder has said it has. A renewal that waited for a majority may come behind an acknowledgement that was
-// sent after it: within one log a holder only ever comes to have more.
-func (v *voter) noteHolds(l *lease, has Holds) {
-	if has.Log == l.holds.Log && (has.Last < l.holds.Last || has.InForce < l.holds.InForce) {
+// recordHeld records the versions that a holder has acknowledged. A renewal that waited for a majority may be handled after an
+// acknowledgement that was sent later, so older versions of the same log are ignored: a holder's versions only increase.
+func (v *voter) recordHeld(l *lease, has Holds) {
+	if has.Log == l.held.Log && (has.Last < l.held.Last || has.InForce < l.held.InForce) {
 		return
 	}
-	progressed := has != l.holds
-	l.holds = has
+	progressed := has != l.held
+	l.held = has
 	switch {
-	case has == holdsOf(&v.state.Rules.Standing):
+	case has == versionsOf(&v.state.Rules.Standing):
 		l.stalledSince = 0
 	case progressed || l.stalledSince == 0:
 		l.stalledSince = v.c.now
 	}
 }
 
-// stalled says whether a holder has come to have no more for long, though it was told of more.
+// stalled reports whether a holder has acknowledged nothing new for half a lease although newer rules were sent to it.
 func (v *voter) stalled(l *lease) bool {
-	return l.stalledSince != 0 && v.c.now-l.stalledSince > v.c.set.Times.Lease/2
+	return l.stalledSince != 0 && v.c.now-l.stalledSince > v.c.settings.Times.Lease/2
 }
 
-// grant gives a proxy a lease on what is applied here, and with it what it lacks.
+// grant grants a proxy a lease on the rules applied here, and sends it those that it lacks.
 func (v *voter) grant(m *Message) {
 	l := v.leaseOf(m)
 	if l == nil {
-		return // it goes on without one
+		return // the proxy continues without a lease
 	}
 	s, now := &v.state.Rules.Standing, v.c.now
-	current := holdsOf(s)
-	l.form, l.deltas = m.Form, m.Deltas && !v.c.set.NoDeltas
-	l.needsWhole = m.Whole || l.deltas && v.differs(m)
+	current := versionsOf(s)
+	l.form, l.acceptsDeltas = m.Form, m.Deltas && !v.c.settings.NoDeltas
+	l.needsWhole = m.Whole || l.acceptsDeltas && v.digestDiffers(m)
 	if s.Form > max(m.Form, 1) {
-		v.c.answer(m, &Message{Kind: Tell, Standing: outline(s)}) // it says so to its operators
+		v.c.reply(m, &Message{Kind: Tell, Standing: outline(s)}) // the proxy reports that to its operators
 		return
 	}
-	v.noteHolds(l, m.Holds)
+	v.recordHeld(l, m.Holds)
 	if v.stalled(l) {
-		// It is heard and hears nothing. With a lease that it does not know of it would keep every change from being in force.
-		v.answerTell(m, l)
+		// Its messages arrive here, but it receives none. A lease that it does not know about would keep every change from being
+		// in force.
+		v.replyUpdate(m, l)
 		return
 	}
-	l.until = now + v.c.set.Times.Guard()
-	if l.holds == current && !l.needsWhole {
-		v.answerGrant(m, l, &Message{Holds: current})
+	l.until = now + v.c.settings.Times.Guard()
+	if l.held == current && !l.needsWhole {
+		v.replyGrant(m, l, &Message{Holds: current})
 		return
 	}
-	if v.bringsLong(l, l.holds) && v.mayRest(l) {
-		// What it lacks takes its time. The lease does not wait for that, and rests on what the holder has.
-		v.answerGrant(m, l, &Message{Holds: l.holds})
-		v.answerTell(m, l)
+	if v.needsLongSend(l, l.held) && v.mayLeaseHeld(l) {
+		// The missing rules take long to arrive. The lease does not wait for them and covers the versions that the holder has.
+		v.replyGrant(m, l, &Message{Holds: l.held})
+		v.replyUpdate(m, l)
 		return
 	}
 	g := &Message{Holds: current}
-	v.bring(g, l, l.holds) // without it the grant is of use where what was sent before has arrived meanwhile
-	v.answerGrant(m, l, g)
+	v.addMissing(g, l, l.held) // even without the rules the grant is useful if an earlier message with them has arrived meanwhile
+	v.replyGrant(m, l, g)
 }
 
-// answerGrant answers a renewal by a grant on what it names.
-func (v *voter) answerGrant(m *Message, l *lease, g *Message) {
+// replyGrant replies to a renewal with a grant for the versions that the grant names.
+func (v *voter) replyGrant(m *Message, l *lease, g *Message) {
 	g.Kind, g.Seq = Grant, m.Seq
-	if l.deltas {
+	if l.acceptsDeltas {
 		g.Digest = v.digests[g.Holds]
 	}
-	v.c.answer(m, g)
+	v.c.reply(m, g)
 }
 
-// answerTell answers a renewal by what its sender lacks, unless something long has just been sent.
-func (v *voter) answerTell(m *Message, l *lease) {
-	if tell := (&Message{Kind: Tell}); v.bring(tell, l, l.holds) {
-		v.c.answer(m, tell)
+// replyUpdate replies to a renewal with the rules that its sender lacks, unless a long message was just sent.
+func (v *voter) replyUpdate(m *Message, l *lease) {
+	if tell := (&Message{Kind: Tell}); v.addMissing(tell, l, l.held) {
+		v.c.reply(m, tell)
 	}
 }
 
-// maintain does what a leader has to do now and then.
+// maintain does the periodic work of a leader.
 func (v *voter) maintain() {
 	now := v.c.now
 	for h, l := range v.leases {
-		if now > l.until+replaceAfter*v.c.set.Times.Election {
+		if now > l.until+replaceAfter*v.c.settings.Times.Election {
 			delete(v.leases, h)
 		}
 	}
 	v.enforce()
-	v.membership()
+	v.updateMembership()
 }
 
-// enforce brings versions into force that no lease stands against.
+// enforce brings the versions into force that no lease blocks.
 func (v *voter) enforce() {
-	s, t, now := &v.state.Rules.Standing, &v.c.set.Times, v.c.now
+	s, t, now := &v.state.Rules.Standing, &v.c.settings.Times, v.c.now
 	if len(s.Pending) == 0 || !v.ownTermApplied || now-v.lastEnforce < t.Heartbeat && v.lastEnforce > 0 {
 		return
 	}
-	if now < v.electedAt+t.Guard() && !v.c.set.NoWait {
-		return // a leader before this one may have granted leases that this one knows nothing of
+	if now < v.electedAt+t.Guard() && !v.c.settings.NoWait {
+		return // an earlier leader may have granted leases that this one does not know
 	}
 	upTo := v.heldByAll()
-	if v.c.set.NoPrepared {
+	if v.c.settings.NoPrepared {
 		upTo = s.Last()
 	}
 	if upTo > s.InForce.Number && v.appendCommand(&command{Enforce: upTo}) {
@@ -149,11 +150,12 @@
 	}
 }
 
-// heldByAll is the newest version that all with a lease have said they have; 0 where some have none that is not in force.
+// heldByAll returns the newest version that all holders of a lease have acknowledged; 0 if a holder has no version newer than the one
+// in force.
 func (v *voter) heldByAll() uint64 {
 	s := &v.state.Rules.Standing
 	if v.blocks(v.slowest) {
-		return 0 // each of many acknowledgements asks, and the one that is waited for has not come
+		return 0 // called for each of many acknowledgements: the missing one has not arrived yet
 	}
 	upTo := s.Last()
 	for _, l := range v.leases {
@@ -162,27 +164,27 @@
 			return 0
 		}
 		if l.until >= v.c.now {
-			upTo = min(upTo, l.holds.Last)
+			upTo = min(upTo, l.held.Last)
 		}
 	}
 	return upTo
 }
 
-// blocks says whether a holder, which may be nil, stands against every version that is on its way.
+// blocks reports whether a lease, which may be nil, blocks every pending version.
 func (v *voter) blocks(l *lease) bool {
 	s := &v.state.Rules.Standing
-	return l != nil && l.until >= v.c.now && (l.holds.Log != s.Log || l.holds.Last <= s.InForce.Number)
+	return l != nil && l.until >= v.c.now && (l.held.Log != s.Log || l.held.Last <= s.InForce.Number)
 }
 
-// notifyHolders brings the newest standing to all that hold a lease.
+// notifyHolders sends the newest rules to all holders of a lease that lack them.
 func (v *voter) notifyHolders() {
-	current := holdsOf(&v.state.Rules.Standing)
+	current := versionsOf(&v.state.Rules.Standing)
 	for _, h := range slices.SortedFunc(maps.Keys(v.leases), compareHolders) {
 		l := v.leases[h]
-		if l.until < v.c.now || l.holds == current {
+		if l.until < v.c.now || l.held == current {
 			continue
 		}
-		if m := (&Message{Kind: Tell, From: v.c.set.Name, To: h.name}); v.bring(m, l, l.holds) {
+		if m := (&Message{Kind: Tell, From: v.c.settings.Name, To: h.name}); v.addMissing(m, l, l.held) {
 			v.c.send(h.name, m)
 		}
 	}
--- a/internal/cluster/accord/leases_test.go
+++ b/internal/cluster/accord/leases_test.go
@@ -8,7 +8,7 @@
 	"brasswell/internal/cluster/rules"
 )
 
-// tallyHost counts what a leader writes to its disk and sends.
+// tallyHost counts a leader's disk writes and messages.
 type tallyHost struct {
 	nobody
 	saves, keeps int
@@ -35,7 +35,8 @@
 	h.last[m.Kind] = m
 }
 
-// leaderWithHolders is a leader, the only voter, with leases of holders that have what is in force. Its next heartbeat is not due yet.
+// leaderWithHolders returns a leader, the only voter, and the time. The named holders have leases on the version in force. The leader's next
+// heartbeat is not due yet.
 func leaderWithHolders(t *testing.T, host Host, holders ...string) (*Core, time.Duration) {
 	t.Helper()
 	c, err := New(0, Settings{Name: "leader", Boot: 1, Keepers: []string{"leader"}, Times: DefaultTimes()}, 1, Stored{}, host)
@@ -47,17 +48,17 @@
 		c.Wake(now)
 	}
 	if !c.Leads() {
-		t.Fatal("it does not lead")
+		t.Fatal("the only voter does not lead")
 	}
 	for _, name := range holders {
-		c.Receive(now, renewal(c, name, holdsOf(&c.voter.state.Rules.Standing)))
+		c.Receive(now, renewal(c, name, versionsOf(&c.voter.state.Rules.Standing)))
 	}
 	now = c.voter.nextHeartbeat
 	c.Wake(now)
 	return c, now
 }
 
-// renewal is one of a holder that has something which was once at the leader.
+// renewal returns a renewal of a holder that has versions which the leader once had.
 func renewal(c *Core, name string, has Holds) *Message {
 	return &Message{Kind: Renew, From: name, Boot: 1, Seq: 1, Holds: has, Form: rules.Form, Deltas: true, Digest: c.voter.digests[has]}
 }
@@ -71,8 +72,9 @@
 	return &Message{Kind: Propose, From: "operator", Change: &rules.Change{ID: id, Kind: rules.Suspend, Server: id}}
 }
 
-// TestProposalsThatComeTogether cost the leader the writes of the disk of one, and its holders one message each.
-func TestProposalsThatComeTogether(t *testing.T) {
+// TestProposalsAreBatched checks that proposals that arrive together cost the leader as many disk writes as one, and one message per
+// holder.
+func TestProposalsAreBatched(t *testing.T) {
 	const proposals = rules.MostPending
 	holders := []string{"p1", "p2", "p3", "p4"}
 	host := newTallyHost()
@@ -84,22 +86,22 @@
 	host.reset()
 	c.Receive(now, together...)
 	if n := len(c.voter.state.Rules.Pending); n != proposals {
-		t.Errorf("%d versions are on their way", n)
+		t.Errorf("%d versions are pending", n)
 	}
 	if host.sent[Result] != proposals || host.sent[Tell] != len(holders) {
-		t.Errorf("%d answers, %d holders told", host.sent[Result], host.sent[Tell])
+		t.Errorf("%d results, %d updates", host.sent[Result], host.sent[Tell])
 	}
-	// One write holds the entries and one, as the only voter agrees with itself at once, that they are agreed.
+	// One write contains the entries. The only voter commits them at once, and a second write contains the commit index.
 	if host.saves != 2 || host.keeps != 1 {
-		t.Errorf("the log is written %d times, what is acted on %d times", host.saves, host.keeps)
+		t.Errorf("the log is written %d times, the rules %d times", host.saves, host.keeps)
 	}
 	if bans := len(c.basis.Doc.Bans); bans != proposals {
-		t.Errorf("the leader acts on %d bans", bans)
+		t.Errorf("the leader applies %d bans", bans)
 	}
 }
 
-// TestEntriesBehindOneThatCannotBeTakenIn are not taken in either, and those before it are.
-func TestEntriesBehindOneThatCannotBeTakenIn(t *testing.T) {
+// TestEntriesAfterAnInvalidOne checks that entries after one that cannot be applied are not applied, and that those before it are.
+func TestEntriesAfterAnInvalidOne(t *testing.T) {
 	c, now := leaderWithHolders(t, newTallyHost())
 	v := c.voter
 	v.propose(proposalOfBan(0))
@@ -109,19 +111,19 @@
 	v.propose(proposalOfBan(1))
 	c.Receive(now)
 	if c.Keeps() || v.state.Rules.Last() != 2 || c.basis.Last != 2 {
-		t.Errorf("keeps %v; version %d at the voter, %d at its proxy", c.Keeps(), v.state.Rules.Last(), c.basis.Last)
+		t.Errorf("voter %v; version %d at the voter, %d at its proxy", c.Keeps(), v.state.Rules.Last(), c.basis.Last)
 	}
 }
 
-// TestARenewalTakesNoAcknowledgementBack: one that waits for a majority while its sender acknowledges a change does not keep that from
-// being in force, and its grant names what was acknowledged.
-func TestARenewalTakesNoAcknowledgementBack(t *testing.T) {
+// TestRenewalDoesNotUndoAcknowledgement guards against a renewal that waits for a majority while its sender acknowledges a change: it
+// must not keep the change from being in force, and its grant must name the acknowledged versions.
+func TestRenewalDoesNotUndoAcknowledgement(t *testing.T) {
 	host := newTallyHost()
 	c, now := leaderWithHolders(t, host, "quick", "slow")
-	before := holdsOf(&c.voter.state.Rules.Standing)
+	before := versionsOf(&c.voter.state.Rules.Standing)
 	c.Receive(now, renewal(c, "quick", before))
 	c.Receive(now, proposalOfBan(0))
-	has := holdsOf(&c.voter.state.Rules.Standing)
+	has := versionsOf(&c.voter.state.Rules.Standing)
 	c.Receive(now, acknowledgement("quick", has))
 	host.reset()
 	now = c.voter.nextHeartbeat
@@ -131,20 +133,20 @@
 	}
 	c.Receive(now, acknowledgement("slow", has))
 	if s := &c.voter.state.Rules.Standing; s.InForce.Number != has.Last {
-		t.Errorf("version %d is in force, and all have %d", s.InForce.Number, has.Last)
+		t.Errorf("version %d is in force, but all holders have %d", s.InForce.Number, has.Last)
 	}
 }
 
-// TestWhoAcknowledgesHears: a proxy that is behind with each renewal, as change follows on change, and acknowledges each meanwhile gets
-// its leases; one that acknowledges nothing gets none after half a lease.
-func TestWhoAcknowledgesHears(t *testing.T) {
+// TestAcknowledgingHolderKeepsLease checks a proxy whose renewals each lack the newest of a series of changes. It gets its leases if it
+// acknowledges each change before the next renewal, and none after half a lease if it acknowledges nothing.
+func TestAcknowledgingHolderKeepsLease(t *testing.T) {
 	const renewals = 16
 	times := DefaultTimes()
 	for _, acknowledges := range []bool{true, false} {
 		host := newTallyHost()
 		c, now := leaderWithHolders(t, host, "p1")
 		standing := &c.voter.state.Rules.Standing
-		granted, has := 0, holdsOf(standing)
+		granted, has := 0, versionsOf(standing)
 		for i := range renewals {
 			c.Receive(now, proposalOfBan(i))
 			host.reset()
@@ -154,7 +156,7 @@
 			}
 			granted += host.sent[Grant]
 			if acknowledges {
-				has = holdsOf(&c.voter.state.Rules.Standing)
+				has = versionsOf(&c.voter.state.Rules.Standing)
 				c.Receive(now, acknowledgement("p1", has))
 			}
 		}
--- a/internal/cluster/accord/log.go
+++ b/internal/cluster/accord/log.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	// electionTicks is of no meaning to us but has to be over 1: elections are begun by this package, as the library draws its
-	// times from a generator that cannot be seeded, and keeps its own count of ticks that a paused process has not had.
+	// electionTicks is not used, but the library requires more than 1. This package starts the elections itself, because the library
+	// draws its timeouts from a generator that cannot be seeded, and counts ticks, which a paused process does not get.
 	electionTicks = 10
-	// mostAppend is the bytes of entries in one message, mostInflight how many of those are out to one voter.
-	mostAppend, mostInflight = 256 << 10, 64
-	// mostUncommitted is the bytes of entries that wait for a majority.
-	mostUncommitted = 8 << 20
-	// snapshotEvery entries the log is compacted; keepEntries stay for voters that are a little behind.
-	snapshotEvery, keepEntries = 512, 64
+	// maxAppendBytes is the size of the entries in one message, and maxInflight the number of such messages in flight to one voter.
+	maxAppendBytes, maxInflight = 256 << 10, 64
+	// maxUncommittedBytes is the size of the entries that wait for a majority.
+	maxUncommittedBytes = 8 << 20
+	// snapshotInterval is the number of entries after which the log is compacted. keptEntries of them remain for voters that lag
+	// slightly.
+	snapshotInterval, keptEntries = 512, 64
 )
 
-// replicatedState is what the voters' log comes to.
+// replicatedState is the state that results from the voters' log.
 type replicatedState struct {
-	Rules   *rules.State      `cbor:"1,keyasint"`
-	Keepers map[string]uint64 `cbor:"2,keyasint"` // the log of each, by name
+	Rules  *rules.State      `cbor:"1,keyasint"`
+	Voters map[string]uint64 `cbor:"2,keyasint"` // log IDs of the voters, by name
 }
 
 // command is an entry of the log.
@@ -37,10 +38,10 @@
 	Enforce uint64        `cbor:"2,keyasint,omitempty"`
 }
 
-// load goes on with what a disk holds.
+// load restores the voter from a disk.
 func (v *voter) load(disk Stored) error {
-	v.id, v.log, v.conf = disk.Store, raft.NewMemoryStorage(), &raftpb.ConfState{}
-	v.state = &replicatedState{Rules: rules.NewState(), Keepers: map[string]uint64{}}
+	v.id, v.log, v.confState = disk.Store, raft.NewMemoryStorage(), &raftpb.ConfState{}
+	v.state = &replicatedState{Rules: rules.NewState(), Voters: map[string]uint64{}}
 	v.empty = disk.Snapshot == nil
 	if disk.Snapshot != nil {
 		if err := v.log.ApplySnapshot(disk.Snapshot); err != nil {
@@ -59,7 +60,7 @@
 			return fmt.Errorf("accord: the stored state: %w", err)
 		}
 		if last, _ := v.log.LastIndex(); disk.Hard.GetCommit() > last {
-			return fmt.Errorf("accord: the stored log ends at %d before %d, which it says is agreed", last, disk.Hard.GetCommit())
+			return fmt.Errorf("accord: the stored log ends at entry %d, but the stored commit index is %d", last, disk.Hard.GetCommit())
 		}
 	}
 	return v.open()
@@ -68,8 +69,8 @@
 func (v *voter) open() error {
 	var err error
 	v.raft, err = raft.NewRawNode(&raft.Config{
-		ID: v.id, ElectionTick: electionTicks, HeartbeatTick: 1, Storage: v.log, Applied: v.applied, MaxSizePerMsg: mostAppend,
-		MaxInflightMsgs: mostInflight, MaxUncommittedEntriesSize: mostUncommitted, PreVote: true, Logger: silentLogger{},
+		ID: v.id, ElectionTick: electionTicks, HeartbeatTick: 1, Storage: v.log, Applied: v.applied, MaxSizePerMsg: maxAppendBytes,
+		MaxInflightMsgs: maxInflight, MaxUncommittedEntriesSize: maxUncommittedBytes, PreVote: true, Logger: silentLogger{},
 		DisableProposalForwarding: true,
 	})
 	if err != nil {
@@ -78,10 +79,10 @@
 	return nil
 }
 
-// restore takes a snapshot's state.
+// restore replaces the state by that of a snapshot.
 func (v *voter) restore(s *raftpb.Snapshot) error {
 	state := &replicatedState{}
-	if err := reading.Unmarshal(s.Data, state); err != nil {
+	if err := decMode.Unmarshal(s.Data, state); err != nil {
 		return fmt.Errorf("accord: a snapshot: %w", err)
 	}
 	if state.Rules == nil {
@@ -91,23 +92,23 @@
 	if err := state.Rules.Sound(); err != nil {
 		return fmt.Errorf("accord: a snapshot: %w", err)
 	}
-	if state.Rules.Form > v.c.set.form() {
-		return fmt.Errorf("accord: a snapshot of form %d, and this program understands %d: upgrade it", state.Rules.Form, v.c.set.form())
+	if state.Rules.Form > v.c.settings.form() {
+		return fmt.Errorf("accord: the snapshot has form %d, but this program understands %d: upgrade it", state.Rules.Form, v.c.settings.form())
 	}
-	if state.Keepers == nil {
-		state.Keepers = map[string]uint64{}
+	if state.Voters == nil {
+		state.Voters = map[string]uint64{}
 	}
-	v.state, v.conf, v.applied, v.snapshotIndex = state, s.Metadata.GetConfState(), s.Metadata.GetIndex(), s.Metadata.GetIndex()
-	v.noteDigest()
+	v.state, v.confState, v.applied, v.snapshotIndex = state, s.Metadata.GetConfState(), s.Metadata.GetIndex(), s.Metadata.GetIndex()
+	v.recordDigest()
 	return nil
 }
 
-// processReady carries out what the log has for us, until it has nothing.
+// processReady handles the library's Ready states until there is none.
 func (v *voter) processReady() {
 	for !v.halted && v.raft.HasReady() {
 		r := v.raft.Ready()
 		if r.SoftState != nil {
-			v.lead = r.SoftState.Lead
+			v.leaderID = r.SoftState.Lead
 			v.setRole(r.SoftState.RaftState == raft.StateLeader)
 		}
 		if !v.persist(&r) {
@@ -118,7 +119,7 @@
 		}
 		v.applyAll(r.CommittedEntries)
 		for _, s := range r.ReadStates {
-			v.confirmedRound(s)
+			v.roundConfirmed(s)
 		}
 		if v.halted {
 			return
@@ -128,7 +129,7 @@
 	}
 }
 
-// persist makes last what the log is to remember, and then takes it over.
+// persist writes a Ready state to disk and then to the log in memory, and reports whether both succeeded.
 func (v *voter) persist(r *raft.Ready) bool {
 	record := &Record{Store: v.id, Hard: r.HardState, Entries: r.Entries}
 	if !raft.IsEmptySnap(r.Snapshot) {
@@ -151,7 +152,7 @@
 		}
 		if v.empty {
 			v.empty = false
-			v.c.host.Told(Joined, Note{Name: v.c.set.Name})
+			v.c.host.Told(Joined, Note{Name: v.c.settings.Name})
 		}
 		v.c.adopt(v.state.Rules.Standing.Share())
 	}
@@ -170,30 +171,30 @@
 }
 
 func (v *voter) sendRaft(m *raftpb.Message) {
-	name := v.name(m.GetTo())
-	if name == "" || name == v.c.set.Name {
+	name := v.nameOf(m.GetTo())
+	if name == "" || name == v.c.settings.Name {
 		return
 	}
 	if m.GetType() == raftpb.MsgSnap {
-		// It may be lost as any other, and is then sent anew, at the next beat and not at the pace of the network.
+		// Like any message it may be lost. It is then sent again after the next heartbeat, and not as fast as the network allows.
 		v.sentSnapshots = append(v.sentSnapshots, m.GetTo())
 	}
 	text, err := proto.Marshal(m)
 	if err == nil {
-		v.c.host.Send(name, &Message{Kind: Raft, From: v.c.set.Name, To: name, Raft: text})
+		v.c.host.Send(name, &Message{Kind: Raft, From: v.c.settings.Name, To: name, Raft: text})
 	}
 }
 
-// applyAll takes agreed entries in, and tells of what they come to together: what many changes cost in messages and writes of the disk
-// is then that of one.
+// applyAll applies committed entries and then announces their combined result, so that many changes cost as many messages and disk
+// writes as one.
 func (v *voter) applyAll(entries []*raftpb.Entry) {
-	before := holdsOf(&v.state.Rules.Standing)
+	before := versionsOf(&v.state.Rules.Standing)
 	var answers []*rules.Answer
 	executed := false
 	for _, e := range entries {
 		cmd := v.apply(e)
 		if v.halted {
-			break // what follows rests on what could not be taken in
+			break // later entries depend on the one that could not be applied
 		}
 		if cmd == nil {
 			continue
@@ -206,16 +207,16 @@
 	if !executed {
 		return
 	}
-	v.adoptSince(before)
-	if v.leads {
+	v.adoptIfChanged(before)
+	if v.isLeader {
 		v.announce(answers)
 	}
 }
 
-// apply takes an agreed entry in, and returns the command that it holds; nil for none.
+// apply applies a committed entry, and returns the command in it; nil for none.
 func (v *voter) apply(e *raftpb.Entry) *command {
 	v.applied = e.GetIndex()
-	if e.GetTerm() == v.term && v.leads {
+	if e.GetTerm() == v.term && v.isLeader {
 		v.ownTermApplied = true
 	}
 	switch e.GetType() {
@@ -228,16 +229,16 @@
 		v.changeConf(cc)
 	case raftpb.EntryNormal:
 		if len(e.Data) == 0 {
-			return nil // a new leader's first
+			return nil // the first entry of a new leader
 		}
 		cmd := &command{}
-		if err := reading.Unmarshal(e.Data, cmd); err != nil || cmd.Propose == nil && cmd.Enforce == 0 {
-			// To pass over what this version does not understand would make its state another than the others'.
-			v.halt(fmt.Errorf("accord: entry %d is of a newer version of the program", v.applied))
+		if err := decMode.Unmarshal(e.Data, cmd); err != nil || cmd.Propose == nil && cmd.Enforce == 0 {
+			// Skipping an entry that this version does not understand would make its state diverge from that of the others.
+			v.halt(fmt.Errorf("accord: entry %d was written by a newer version of the program", v.applied))
 			return nil
 		}
-		if cmd.Propose != nil && cmd.Propose.Needs() > v.c.set.form() {
-			v.halt(fmt.Errorf("accord: entry %d needs form %d of documents, and this program understands %d: upgrade it", v.applied, cmd.Propose.Needs(), v.c.set.form()))
+		if cmd.Propose != nil && cmd.Propose.Needs() > v.c.settings.form() {
+			v.halt(fmt.Errorf("accord: entry %d needs form %d of documents, but this program understands %d: upgrade it", v.applied, cmd.Propose.Needs(), v.c.settings.form()))
 			return nil
 		}
 		return cmd
@@ -245,44 +246,44 @@
 	return nil
 }
 
-// execute carries an agreed command out, and returns what became of the proposal in it; nil where there is none.
+// execute executes a committed command, and returns the result of the proposal in it; nil if it contains none.
 func (v *voter) execute(cmd *command) *rules.Answer {
 	state := v.state.Rules.Clone()
-	before := holdsOf(&state.Standing)
+	before := versionsOf(&state.Standing)
 	var answer *rules.Answer
 	last := state.Last()
 	if cmd.Propose != nil {
 		a := state.Propose(cmd.Propose)
 		answer = &a
-		if v.c.set.NoPrepared {
+		if v.c.settings.NoPrepared {
 			state.Enforce(a.Version)
 		}
 	} else {
 		state.Enforce(cmd.Enforce)
 	}
 	v.state.Rules = state
-	if holdsOf(&state.Standing) != before {
-		v.noteDigest()
+	if versionsOf(&state.Standing) != before {
+		v.recordDigest()
 		if state.Last() > last {
-			v.noteAgreed()
+			v.recordAgreed()
 		}
 	}
 	return answer
 }
 
-// adoptSince has this voter's own proxy act on the standing, where that is another one than before.
-func (v *voter) adoptSince(before Holds) {
-	if s := &v.state.Rules.Standing; holdsOf(s) != before {
+// adoptIfChanged makes this voter's own proxy apply the status if its versions changed.
+func (v *voter) adoptIfChanged(before Holds) {
+	if s := &v.state.Rules.Standing; versionsOf(s) != before {
 		v.c.adopt(s.Share())
 	}
 }
 
-// announce has a leader tell proposers and holders of leases what has just been agreed.
+// announce sends the committed changes and results to the proposers and the holders of leases.
 func (v *voter) announce(answers []*rules.Answer) {
 	for _, answer := range answers {
 		if m := v.proposers[answer.ID]; m != nil {
 			delete(v.proposers, answer.ID)
-			v.c.answer(m, &Message{Kind: Result, Answer: answer})
+			v.c.reply(m, &Message{Kind: Result, Answer: answer})
 		}
 	}
 	v.notifyHolders()
@@ -290,9 +291,9 @@
 	v.enforce()
 }
 
-// snapshotIfDue cuts the log now and then.
+// snapshotIfDue takes a snapshot and compacts the log after every snapshotInterval entries.
 func (v *voter) snapshotIfDue() {
-	if v.halted || v.applied < v.snapshotIndex+snapshotEvery {
+	if v.halted || v.applied < v.snapshotIndex+snapshotInterval {
 		return
 	}
 	if err := v.takeSnapshot(); err != nil {
@@ -305,11 +306,11 @@
 	if err != nil {
 		return fmt.Errorf("accord: a snapshot: %w", err)
 	}
-	s, err := v.log.CreateSnapshot(v.applied, v.conf, text)
+	s, err := v.log.CreateSnapshot(v.applied, v.confState, text)
 	if err != nil {
 		return fmt.Errorf("accord: a snapshot: %w", err)
 	}
-	upTo := max(v.applied, keepEntries) - keepEntries
+	upTo := max(v.applied, keptEntries) - keptEntries
 	if err := v.c.host.Save(&Record{Store: v.id, Snapshot: s, Compact: upTo}); err != nil {
 		return err
 	}
--- a/internal/cluster/accord/membership.go
+++ b/internal/cluster/accord/membership.go
@@ -12,39 +12,39 @@
 	"brasswell/internal/cluster/rules"
 )
 
-// This file is about who the voters are: how the log is founded, and how one that has lost its folder gets a new place in it.
+// This file contains the membership of the voters: how the log is founded, and how a voter that has lost its folder rejoins it.
 //
-// A log has an id of its own, drawn when it is begun, and the log of the voters names ids, not names. So a voter that comes back
-// with an empty folder is another one, which votes for nothing until the others have taken it in; it never votes a second time
-// in an election in which the lost folder has voted.
+// Each voter's log has an ID, drawn at random when the log is started, and the Raft configuration contains these IDs, not names. A
+// voter that comes back with an empty folder is therefore a new member, which does not vote until the others have added it. It
+// never votes a second time in an election in which the lost folder voted.
 
-// sendHellos tells the other voters who this one is, as long as one of them is not known to hold the log.
+// sendHellos sends this voter's Hello to the other voters.
 func (v *voter) sendHellos() {
-	for _, name := range v.c.set.Keepers {
-		if name != v.c.set.Name {
+	for _, name := range v.c.settings.Keepers {
+		if name != v.c.settings.Name {
 			v.c.host.Send(name, v.helloTo(name, false))
 		}
 	}
 }
 
 func (v *voter) helloTo(name string, reply bool) *Message {
-	m := &Message{Kind: Hello, From: v.c.set.Name, To: name, Store: v.id, Empty: v.empty, Reply: reply, Reign: v.state.Rules.Reign, Form: v.c.set.form()}
-	if p := v.peers[name]; p != nil && v.leads {
-		if progress, there := v.raft.Status().Progress[p.store]; there {
+	m := &Message{Kind: Hello, From: v.c.settings.Name, To: name, Store: v.id, Empty: v.empty, Reply: reply, Reign: v.state.Rules.Reign, Form: v.c.settings.form()}
+	if p := v.peers[name]; p != nil && v.isLeader {
+		if progress, there := v.raft.Status().Progress[p.logID]; there {
 			m.Match = progress.Match
 		}
 	}
 	return m
 }
 
-// handleHello takes in who another voter is.
+// handleHello records another voter's log.
 func (v *voter) handleHello(m *Message) {
-	if !slices.Contains(v.c.set.Keepers, m.From) || m.Store == 0 || m.From == v.c.set.Name {
+	if !slices.Contains(v.c.settings.Keepers, m.From) || m.Store == 0 || m.From == v.c.settings.Name {
 		return
 	}
 	if m.Reign > v.state.Rules.Reign && !m.Empty && !v.empty {
 		v.c.host.Told(GivenUp, Note{Name: m.From})
-		v.startOver()
+		v.resetLog()
 		return
 	}
 	p := v.peers[m.From]
@@ -52,15 +52,15 @@
 		p = &peer{}
 		v.peers[m.From] = p
 	}
-	delete(v.byLog, p.store)
+	delete(v.byLog, p.logID)
 	v.byLog[m.Store] = m.From
-	// A log that speaks under a name whose other log was just heard waits: two processes may go by one name.
-	if agreed := v.state.Keepers[m.From]; agreed != 0 && p.store == agreed && m.Store != agreed && v.c.now-p.heard < replaceAfter*v.c.set.Times.Election {
+	// A new log is ignored while messages of the same name's agreed log are recent: two processes may use one name.
+	if agreed := v.state.Voters[m.From]; agreed != 0 && p.logID == agreed && m.Store != agreed && v.c.now-p.lastHeard < replaceAfter*v.c.settings.Times.Election {
 		return
 	}
-	*p = peer{store: m.Store, empty: m.Empty, form: m.Form, heard: v.c.now}
+	*p = peer{logID: m.Store, empty: m.Empty, form: m.Form, lastHeard: v.c.now}
 	if last, _ := v.log.LastIndex(); m.Match > last {
-		v.startOver()
+		v.resetLog()
 		return
 	}
 	if !m.Reply {
@@ -68,15 +68,15 @@
 	}
 }
 
-// foundIfDue begins the voters' log, at the first of them, once all others have said that they hold none. It is a log of one that
-// takes the others in, as it does with those that come later: there is no second way for a log to begin.
+// foundIfDue founds the voters' log at the first voter, once all others have announced that their logs are empty. It is a log with one
+// voter, which adds the others in the same way as those that come later, so that a log starts in only one way.
 func (v *voter) foundIfDue() {
-	s := &v.c.set
+	s := &v.c.settings
 	if !v.empty || s.Keepers[0] != s.Name {
 		return
 	}
 	for _, name := range s.Keepers[1:] {
-		if p := v.peers[name]; p == nil || !p.empty || v.c.now-p.heard > replaceAfter*s.Times.Election {
+		if p := v.peers[name]; p == nil || !p.empty || v.c.now-p.lastHeard > replaceAfter*s.Times.Election {
 			return
 		}
 	}
@@ -87,7 +87,8 @@
 	v.c.host.Told(Founded, Note{Name: s.Name})
 }
 
-// refound goes on alone under the next reign. All that is in the log counts, agreed or not: it may have been acknowledged.
+// refound starts a log with this voter alone, under the next term of the rules. It includes all entries of the old log, committed or
+// not, because they may have been acknowledged.
 func (v *voter) refound() error {
 	last, err := v.log.LastIndex()
 	if err != nil {
@@ -98,15 +99,15 @@
 		if err != nil {
 			return fmt.Errorf("accord: %w", err)
 		}
-		v.leads = false
-		before := holdsOf(&v.state.Rules.Standing)
+		v.isLeader = false
+		before := versionsOf(&v.state.Rules.Standing)
 		for _, e := range rest {
 			cmd := &command{}
-			if e.GetType() == raftpb.EntryNormal && len(e.Data) > 0 && reading.Unmarshal(e.Data, cmd) == nil {
+			if e.GetType() == raftpb.EntryNormal && len(e.Data) > 0 && decMode.Unmarshal(e.Data, cmd) == nil {
 				v.execute(cmd)
 			}
 		}
-		v.adoptSince(before)
+		v.adoptIfChanged(before)
 	}
 	state := v.state.Rules.Clone()
 	state.Reign++
@@ -115,14 +116,14 @@
 		v.halt(err)
 		return err
 	}
-	v.c.host.Told(Refounded, Note{Name: v.c.set.Name})
+	v.c.host.Told(Refounded, Note{Name: v.c.settings.Name})
 	return nil
 }
 
-// install begins a log of one with a state, under this voter's present id.
+// install starts a log with this voter alone, with the given state and this voter's current ID.
 func (v *voter) install(state *rules.State) error {
 	state.Log = v.id
-	text, err := cbor.Marshal(&replicatedState{Rules: state, Keepers: map[string]uint64{v.c.set.Name: v.id}})
+	text, err := cbor.Marshal(&replicatedState{Rules: state, Voters: map[string]uint64{v.c.settings.Name: v.id}})
 	if err != nil {
 		return err
 	}
@@ -135,72 +136,72 @@
 		return err
 	}
 	v.setRole(false)
-	v.lead = 0
+	v.leaderID = 0
 	if err := v.load(Stored{Store: v.id, Hard: hard, Snapshot: snapshot}); err != nil {
 		return err
 	}
 	return v.raft.Campaign()
 }
 
-// membership takes in voters that the settings name, one at a time and first as learners, which vote for nothing until they
-// have the log; and takes out the logs that they come in place of.
-func (v *voter) membership() {
+// updateMembership adds the voters that the settings name, one at a time and first as learners, which do not vote until they have the
+// log. It also removes the logs that they replace.
+func (v *voter) updateMembership() {
 	if !v.ownTermApplied {
 		return
 	}
 	status := v.raft.Status()
-	voters, learners := v.conf.GetVoters(), v.conf.GetLearners()
+	voters, learners := v.confState.GetVoters(), v.confState.GetLearners()
 	for _, id := range learners {
 		if p, there := status.Progress[id]; there && p.Match > 0 && p.Match+8 >= v.applied {
-			v.proposeConfChange(raftpb.ConfChangeAddNode, id, v.name(id))
+			v.proposeConfChange(raftpb.ConfChangeAddNode, id, v.nameOf(id))
 			return
 		}
 	}
 	if len(learners) > 0 {
-		// One at a time; but one that is gone before it had the log must not keep its name from the next.
+		// Only one learner at a time; but a learner that was lost before it had the log must not block the next log of its name.
 		id := learners[0]
-		if p := v.peers[v.name(id)]; p != nil && p.store != id {
-			v.proposeConfChange(raftpb.ConfChangeRemoveNode, id, v.name(id))
+		if p := v.peers[v.nameOf(id)]; p != nil && p.logID != id {
+			v.proposeConfChange(raftpb.ConfChangeRemoveNode, id, v.nameOf(id))
 		}
 		return
 	}
-	for _, name := range v.c.set.Keepers {
-		p, agreed := v.peers[name], v.state.Keepers[name]
-		if name == v.c.set.Name || p == nil || p.store == agreed || v.c.now-p.heard > replaceAfter*v.c.set.Times.Election {
+	for _, name := range v.c.settings.Keepers {
+		p, agreed := v.peers[name], v.state.Voters[name]
+		if name == v.c.settings.Name || p == nil || p.logID == agreed || v.c.now-p.lastHeard > replaceAfter*v.c.settings.Times.Election {
 			continue
 		}
 		switch {
 		case slices.Contains(voters, agreed) && len(voters) > 1:
 			v.proposeConfChange(raftpb.ConfChangeRemoveNode, agreed, name)
 		case p.empty:
-			v.proposeConfChange(raftpb.ConfChangeAddLearnerNode, p.store, name)
+			v.proposeConfChange(raftpb.ConfChangeAddLearnerNode, p.logID, name)
 		}
 		return
 	}
 }
 
 func (v *voter) proposeConfChange(kind raftpb.ConfChangeType, id uint64, name string) {
-	v.raft.ProposeConfChange(&raftpb.ConfChange{Type: &kind, NodeId: &id, Context: []byte(name)}) // one that fails is tried again
+	v.raft.ProposeConfChange(&raftpb.ConfChange{Type: &kind, NodeId: &id, Context: []byte(name)}) // a failed change is proposed again
 }
 
-// changeConf takes in an agreed change of the voters.
+// changeConf applies a committed change of the voters.
 func (v *voter) changeConf(cc *raftpb.ConfChange) {
-	v.conf = v.raft.ApplyConfChange(cc)
+	v.confState = v.raft.ApplyConfChange(cc)
 	name, id := string(cc.Context), cc.GetNodeId()
 	if cc.GetNodeId() == 0 || name == "" {
-		return // another was under way, and this one came to nothing
+		return // another change was in progress, and this one had no effect
 	}
-	state := &replicatedState{Rules: v.state.Rules, Keepers: maps.Clone(v.state.Keepers)}
+	state := &replicatedState{Rules: v.state.Rules, Voters: maps.Clone(v.state.Voters)}
 	if cc.GetType() == raftpb.ConfChangeRemoveNode {
-		if state.Keepers[name] == id {
-			delete(state.Keepers, name)
+		if state.Voters[name] == id {
+			delete(state.Voters, name)
 		}
 	} else {
-		state.Keepers[name] = id
+		state.Voters[name] = id
 	}
 	v.state = state
 	if cc.GetType() == raftpb.ConfChangeAddLearnerNode {
-		// A log takes no snapshot that does not name it, so there has to be one that does.
+		// A log accepts no snapshot that does not name it, so there must be one that does.
 		if err := v.takeSnapshot(); err != nil {
 			v.halt(err)
 			return
--- a/internal/cluster/accord/model/model.go
+++ b/internal/cluster/accord/model/model.go
@@ -71,42 +71,42 @@
 }
 
 type process struct {
-	name        string
-	index       int
-	up, paused  bool
-	starts      int
-	boot        uint64
-	rate        float64
-	offset      time.Duration
-	core        *accord.Core
-	basis       *accord.Basis
-	disk        accord.Stored
-	full, crash bool
-	inbox       []event
-	wake        time.Duration
-	writing     time.Duration            // what it has to write takes so long
-	busy        time.Duration            // until when it writes
-	arrived     []*accord.Message        // while it writes
-	leased      bool                     // as last looked
-	breach      map[string]time.Duration // since when it acts against what others hold
-	standing    rules.Standing
-	digest      rules.Digest // of the standing
+	name              string
+	index             int
+	up, paused        bool
+	starts            int
+	boot              uint64
+	rate              float64
+	offset            time.Duration
+	core              *accord.Core
+	basis             *accord.Basis
+	disk              accord.Stored
+	diskFull, crashed bool
+	inbox             []event
+	nextTick          time.Duration
+	writeTime         time.Duration            // what it has to write takes so long
+	busyUntil         time.Duration            // until when it writes
+	arrived           []*accord.Message        // while it writes
+	leased            bool                     // as last looked
+	breaches          map[string]time.Duration // since when it acts against what others hold
+	standing          rules.Standing
+	digest            rules.Digest // of the standing
 }
 
 // knows notes what a process acts on.
-func (p *process) knows(s *rules.Standing) {
+func (p *process) setStanding(s *rules.Standing) {
 	p.standing, p.digest = *s, s.Digest()
 }
 
 type kind uint8
 
 const (
-	wake kind = iota
-	message
-	written
-	act
-	propose
-	look
+	tickEvent kind = iota
+	messageEvent
+	writtenEvent
+	faultEvent
+	proposeEvent
+	checkEvent
 )
 
 type event struct {
@@ -119,7 +119,7 @@
 }
 
 // acked is a change that its proposer was told of.
-type acked struct {
+type acknowledgedChange struct {
 	id      string
 	version uint64
 	at      time.Duration // when it was proposed
@@ -131,26 +131,26 @@
 	now     time.Duration
 	queue   schedule.Queue[event]
 	network *faults.Network
-	dice    *rand.Rand
+	rng     *rand.Rand
 	// numbers and disks draw from dice of their own, so that the faults of a story are the same with and without them.
-	numbers, disks *rand.Rand
-	layers         map[int]*faults.Layer
+	numbersRNG, disksRNG *rand.Rand
+	layers               map[int]*faults.Layer
 	// leaderless is since when nobody leads; 0 while one does.
-	leaderless time.Duration
-	everLed    bool
-	procs      []*process
-	byName     map[string]*process
+	leaderlessSince time.Duration
+	everLed         bool
+	procs           []*process
+	byName          map[string]*process
 
-	proposed map[string]time.Duration
-	acked    []acked
-	waiting  []acked           // agreed, and not in force everywhere yet
-	known    map[uint64]string // by number, the id of the change that made the version
-	servers  int
-	Figures  Figures
+	proposed        map[string]time.Duration
+	acknowledged    []acknowledgedChange
+	awaitingForce   []acknowledgedChange // agreed, and not in force everywhere yet
+	changeByVersion map[uint64]string    // by number, the id of the change that made the version
+	servers         int
+	Figures         Figures
 }
 
 // tick is between two looks of the checker, beside those after each event.
-const tick = 5 * time.Millisecond
+const checkInterval = 5 * time.Millisecond
 
 // New returns a fleet whose members all start at once.
 func New(c Config) (*Fleet, error) {
@@ -158,12 +158,12 @@
 		return nil, err
 	}
 	f := &Fleet{
-		config: c, network: faults.NewNetwork(c.Story.Seed), dice: rand.New(rand.NewPCG(c.Story.Seed, 31)),
-		numbers: rand.New(rand.NewPCG(c.Story.Seed, 32)), disks: rand.New(rand.NewPCG(c.Story.Seed, 33)), layers: map[int]*faults.Layer{},
-		byName: map[string]*process{}, proposed: map[string]time.Duration{}, known: map[uint64]string{}, servers: 20,
+		config: c, network: faults.NewNetwork(c.Story.Seed), rng: rand.New(rand.NewPCG(c.Story.Seed, 31)),
+		numbersRNG: rand.New(rand.NewPCG(c.Story.Seed, 32)), disksRNG: rand.New(rand.NewPCG(c.Story.Seed, 33)), layers: map[int]*faults.Layer{},
+		byName: map[string]*process{}, proposed: map[string]time.Duration{}, changeByVersion: map[uint64]string{}, servers: 20,
 	}
 	for i, name := range c.Story.Names() {
-		p := &process{name: name, index: i, rate: 1 + c.Drift*(2*f.dice.Float64()-1), offset: time.Duration(f.dice.Int64N(int64(time.Hour))), breach: map[string]time.Duration{}}
+		p := &process{name: name, index: i, rate: 1 + c.Drift*(2*f.rng.Float64()-1), offset: time.Duration(f.rng.Int64N(int64(time.Hour))), breaches: map[string]time.Duration{}}
 		f.procs = append(f.procs, p)
 		f.byName[name] = p
 	}
@@ -171,12 +171,12 @@
 		f.start(p)
 	}
 	for _, a := range c.Story.Acts() {
-		f.push(event{at: a.At, kind: act, act: a})
+		f.push(event{at: a.At, kind: faultEvent, act: a})
 	}
 	if c.Story.Changes > 0 {
-		f.push(event{at: time.Second, kind: propose})
+		f.push(event{at: time.Second, kind: proposeEvent})
 	}
-	f.push(event{at: tick, kind: look})
+	f.push(event{at: checkInterval, kind: checkEvent})
 	return f, nil
 }
 
@@ -191,8 +191,8 @@
 
 func (f *Fleet) start(p *process) {
 	p.starts++
-	p.up, p.paused, p.crash, p.boot, p.inbox, p.wake = true, false, false, f.dice.Uint64(), nil, -1
-	p.writing, p.busy, p.arrived, p.leased = 0, 0, nil, false
+	p.up, p.paused, p.crashed, p.boot, p.inbox, p.nextTick = true, false, false, f.rng.Uint64(), nil, -1
+	p.writeTime, p.busyUntil, p.arrived, p.leased = 0, 0, nil, false
 	s := accord.Settings{Name: p.name, Boot: p.boot, Times: accord.DefaultTimes()}
 	for i := range f.config.Story.Keepers {
 		s.Keepers = append(s.Keepers, f.procs[i].name)
@@ -201,15 +201,15 @@
 		f.config.Set(&s)
 	}
 	f.corrupt(p, &s)
-	p.knows(&rules.Standing{})
+	p.setStanding(&rules.Standing{})
 	if p.disk.Acts != nil {
 		stored := p.disk.Acts.Share() // which it acts on, and has no cause to store again
 		stored.Compact()
-		p.knows(stored)
+		p.setStanding(stored)
 	}
-	core, err := accord.New(f.local(p), s, f.dice.Uint64(), p.disk, host{f, p})
+	core, err := accord.New(f.local(p), s, f.rng.Uint64(), p.disk, host{f, p})
 	if err != nil {
-		f.wrong("%s does not start: %v", p.name, err)
+		f.recordViolation("%s does not start: %v", p.name, err)
 		p.up = false
 		return
 	}
@@ -219,12 +219,12 @@
 	}
 	core.SetPeers(others)
 	p.core = core
-	f.after(p)
+	f.afterEvent(p)
 }
 
 // corrupt may have a process find another document on its disk than it has stored.
 func (f *Fleet) corrupt(p *process, s *accord.Settings) {
-	if f.config.Corrupt == 0 || s.NoDeltas || p.disk.Acts == nil || f.disks.Float64() >= f.config.Corrupt {
+	if f.config.Corrupt == 0 || s.NoDeltas || p.disk.Acts == nil || f.disksRNG.Float64() >= f.config.Corrupt {
 		return
 	}
 	acts := p.disk.Acts.Share()
@@ -235,7 +235,7 @@
 	changed := false
 	for _, v := range versions {
 		other := rules.Version{Number: v.Number, Doc: v.Doc, Change: v.Change} // its digests are not remembered
-		if f.bend(&other.Doc) {
+		if f.alterDocument(&other.Doc) {
 			changed = true
 		}
 		*v = other
@@ -247,15 +247,15 @@
 }
 
 // bend makes another document, which allows what the first forbids, and says whether it has.
-func (f *Fleet) bend(doc *rules.Document) bool {
+func (f *Fleet) alterDocument(doc *rules.Document) bool {
 	bans, names := slices.Sorted(maps.Keys(doc.Bans)), slices.Sorted(maps.Keys(doc.Numbers))
 	if len(bans) > 0 {
 		doc.Bans = maps.Clone(doc.Bans)
-		delete(doc.Bans, bans[f.disks.IntN(len(bans))])
+		delete(doc.Bans, bans[f.disksRNG.IntN(len(bans))])
 	}
 	if len(names) > 1 {
 		doc.Numbers = maps.Clone(doc.Numbers)
-		i := f.disks.IntN(len(names) - 1)
+		i := f.disksRNG.IntN(len(names) - 1)
 		a, b := names[i], names[i+1]
 		doc.Numbers[a], doc.Numbers[b] = doc.Numbers[b], doc.Numbers[a]
 	}
@@ -264,27 +264,27 @@
 
 func (f *Fleet) stop(p *process) {
 	p.up, p.core, p.inbox, p.basis = false, nil, nil, nil
-	clear(p.breach)
+	clear(p.breaches)
 }
 
 // after is after each event of a process: what it has died of, and when it is next due.
-func (f *Fleet) after(p *process) {
-	if p.crash && p.up {
+func (f *Fleet) afterEvent(p *process) {
+	if p.crashed && p.up {
 		f.stop(p)
-		f.push(event{at: f.now + time.Second, kind: wake, to: p.index, boot: p.boot}) // which starts it again
+		f.push(event{at: f.now + time.Second, kind: tickEvent, to: p.index, boot: p.boot}) // which starts it again
 		return
 	}
 	if !p.up || p.core == nil {
 		return
 	}
-	if p.writing > 0 {
-		p.busy, p.writing = max(p.busy, f.now)+p.writing, 0
-		f.push(event{at: p.busy, kind: written, to: p.index, boot: p.boot})
+	if p.writeTime > 0 {
+		p.busyUntil, p.writeTime = max(p.busyUntil, f.now)+p.writeTime, 0
+		f.push(event{at: p.busyUntil, kind: writtenEvent, to: p.index, boot: p.boot})
 	}
 	at := f.now + max(time.Duration(float64(p.core.Next()-f.local(p))/p.rate), 0) + 1
-	if p.wake <= f.now || at < p.wake {
-		p.wake = at
-		f.push(event{at: at, kind: wake, to: p.index, boot: p.boot})
+	if p.nextTick <= f.now || at < p.nextTick {
+		p.nextTick = at
+		f.push(event{at: at, kind: tickEvent, to: p.index, boot: p.boot})
 	}
 }
 
@@ -297,12 +297,12 @@
 func (h host) Send(to string, m *accord.Message) {
 	f := h.Fleet
 	q := f.byName[to]
-	if h.p.crash || q == nil {
+	if h.p.crashed || q == nil {
 		return
 	}
 	text, err := m.Encode()
 	if err != nil {
-		f.wrong("%s cannot write a message: %v", h.p.name, err)
+		f.recordViolation("%s cannot write a message: %v", h.p.name, err)
 		return
 	}
 	f.Figures.Messages++
@@ -316,13 +316,13 @@
 	// What is sent is read as it would be from the wire, so that nothing is shared.
 	read, err := accord.Decode(text)
 	if err != nil {
-		f.wrong("%s sends what cannot be read: %v", h.p.name, err)
+		f.recordViolation("%s sends what cannot be read: %v", h.p.name, err)
 		return
 	}
 	for _, d := range f.network.Datagram(f.now, faults.Path{From: h.p.name, To: to}, len(text)) {
 		if d.Bit < 0 {
-			delay := 200*time.Microsecond + time.Duration(f.dice.Float64()*float64(800*time.Microsecond))
-			f.push(event{at: f.now + h.p.writing + delay + d.After, kind: message, to: q.index, text: read})
+			delay := 200*time.Microsecond + time.Duration(f.rng.Float64()*float64(800*time.Microsecond))
+			f.push(event{at: f.now + h.p.writeTime + delay + d.After, kind: messageEvent, to: q.index, text: read})
 		}
 	}
 }
@@ -332,18 +332,18 @@
 func (h host) Save(r *accord.Record) error {
 	f, p := h.Fleet, h.p
 	f.Figures.Saves++
-	p.writing += f.config.Write
-	if p.full {
+	p.writeTime += f.config.Write
+	if p.diskFull {
 		return errDisk
 	}
-	if f.dice.Float64() < f.config.Crash {
-		p.crash = true
-		if f.dice.IntN(2) == 0 {
+	if f.rng.Float64() < f.config.Crash {
+		p.crashed = true
+		if f.rng.IntN(2) == 0 {
 			return errDisk // it died before the write held
 		}
 	}
 	p.disk.Take(clone(r))
-	if p.crash {
+	if p.crashed {
 		return errDisk // it held, and nothing more was said
 	}
 	return nil
@@ -366,8 +366,8 @@
 }
 
 func (h host) Keep(s *rules.Standing) {
-	h.p.writing += h.config.Write
-	if !h.p.full {
+	h.p.writeTime += h.config.Write
+	if !h.p.diskFull {
 		h.p.disk.Acts = s.Share()
 	}
 }
@@ -381,10 +381,10 @@
 		return
 	}
 	f.Figures.Agreed++
-	one := acked{a.ID, a.Version, f.proposed[a.ID]}
-	f.acked, f.waiting = append(f.acked, one), append(f.waiting, one)
+	one := acknowledgedChange{a.ID, a.Version, f.proposed[a.ID]}
+	f.acknowledged, f.awaitingForce = append(f.acknowledged, one), append(f.awaitingForce, one)
 	f.Figures.Answers = append(f.Figures.Answers, Answer{f.proposed[a.ID], f.now, a.Version})
-	f.number(a.Version, a.ID)
+	f.recordVersion(a.Version, a.ID)
 }
 
 func (h host) Told(what accord.Event, n accord.Note) {
@@ -399,24 +399,24 @@
 			return // while it starts
 		}
 		standing := r.Report(0).Standing
-		h.p.knows(&standing)
+		h.p.setStanding(&standing)
 		for _, v := range append([]rules.Version{h.p.standing.InForce}, h.p.standing.Pending...) {
 			if v.Number > 1 {
-				h.number(v.Number, v.Change.ID)
+				h.recordVersion(v.Number, v.Change.ID)
 			}
 		}
 	}
 }
 
 // number notes which change made a version; two that did are wrong.
-func (f *Fleet) number(version uint64, id string) {
-	if was, known := f.known[version]; known && was != id {
-		f.wrong("version %d is of change %s and of change %s", version, was, id)
+func (f *Fleet) recordVersion(version uint64, id string) {
+	if was, known := f.changeByVersion[version]; known && was != id {
+		f.recordViolation("version %d is of change %s and of change %s", version, was, id)
 	}
-	f.known[version] = id
+	f.changeByVersion[version] = id
 }
 
-func (f *Fleet) wrong(format string, a ...any) {
+func (f *Fleet) recordViolation(format string, a ...any) {
 	const most = 20
 	if len(f.Figures.Wrong) < most {
 		f.Figures.Wrong = append(f.Figures.Wrong, fmt.Sprintf("%v: ", f.now)+fmt.Sprintf(format, a...))
@@ -433,12 +433,12 @@
 		f.now = at
 		f.Figures.Events++
 		switch e.kind {
-		case look:
-			f.look()
-			f.push(event{at: f.now + tick, kind: look})
-		case act:
-			f.act(e.act)
-		case propose:
+		case checkEvent:
+			f.checkContradictions()
+			f.push(event{at: f.now + checkInterval, kind: checkEvent})
+		case faultEvent:
+			f.applyFault(e.act)
+		case proposeEvent:
 			f.propose()
 		default:
 			f.deliver(e)
@@ -449,11 +449,11 @@
 
 func (f *Fleet) deliver(e event) {
 	p := f.procs[e.to]
-	if e.kind == wake || e.kind == written {
+	if e.kind == tickEvent || e.kind == writtenEvent {
 		if e.boot != p.boot {
 			return
 		}
-		if e.kind == wake && p.crash && !p.up {
+		if e.kind == tickEvent && p.crashed && !p.up {
 			f.start(p)
 			return
 		}
@@ -464,36 +464,36 @@
 		if p.inbox = append(p.inbox, e); len(p.inbox) > 256 {
 			p.inbox = p.inbox[1:]
 		}
-	case e.kind == message:
+	case e.kind == messageEvent:
 		p.arrived = append(p.arrived, e.text)
-		f.takeIn(p)
-	case f.now < p.busy:
+		f.receiveArrived(p)
+	case f.now < p.busyUntil:
 	default:
-		f.takeIn(p)
-		f.wake(p)
+		f.receiveArrived(p)
+		f.tickProcess(p)
 	}
 }
 
 // wake has a process do what is due, unless it has died or writes.
-func (f *Fleet) wake(p *process) {
-	if !p.up || f.now < p.busy {
+func (f *Fleet) tickProcess(p *process) {
+	if !p.up || f.now < p.busyUntil {
 		return
 	}
 	if f.local(p) >= p.core.Next() {
 		p.core.Wake(f.local(p))
 	}
-	f.after(p)
+	f.afterEvent(p)
 }
 
 // takeIn has a process that does not write take in what has arrived.
-func (f *Fleet) takeIn(p *process) {
-	if len(p.arrived) == 0 || f.now < p.busy {
+func (f *Fleet) receiveArrived(p *process) {
+	if len(p.arrived) == 0 || f.now < p.busyUntil {
 		return
 	}
 	arrived := p.arrived
 	p.arrived = nil
 	p.core.Receive(f.local(p), arrived...)
-	f.after(p)
+	f.afterEvent(p)
 }
 
 // propose has a change proposed at some member: a ban or its lifting, mostly; now and then numbers for all members.
@@ -501,20 +501,20 @@
 	if f.now > time.Duration(f.config.Story.Length) {
 		return
 	}
-	f.push(event{at: f.now + time.Duration(float64(time.Second)*(0.5+f.dice.Float64())/f.config.Story.Changes), kind: propose})
-	p := f.procs[f.dice.IntN(len(f.procs))]
+	f.push(event{at: f.now + time.Duration(float64(time.Second)*(0.5+f.rng.Float64())/f.config.Story.Changes), kind: proposeEvent})
+	p := f.procs[f.rng.IntN(len(f.procs))]
 	if !p.up || p.paused {
 		return
 	}
-	c := rules.Change{ID: fmt.Sprintf("%016x", f.dice.Uint64()), Who: p.name, Why: "drawn"}
-	server := fmt.Sprintf("node-%02d", f.dice.IntN(f.servers))
+	c := rules.Change{ID: fmt.Sprintf("%016x", f.rng.Uint64()), Who: p.name, Why: "drawn"}
+	server := fmt.Sprintf("node-%02d", f.rng.IntN(f.servers))
 	_, out := p.standing.Meet().Bans[server]
-	switch d := f.dice.IntN(10); {
+	switch d := f.rng.IntN(10); {
 	case d == 0:
-		c.Kind, c.Settings = rules.Configure, &rules.Settings{Quota: 0.5 + f.dice.Float64()/2, Classes: map[string]rules.Class{"hold": {NoRepeat: f.dice.IntN(2) == 0}}}
+		c.Kind, c.Settings = rules.Configure, &rules.Settings{Quota: 0.5 + f.rng.Float64()/2, Classes: map[string]rules.Class{"hold": {NoRepeat: f.rng.IntN(2) == 0}}}
 	case d == 2:
 		c.Kind, c.Numbers = rules.Number, map[string]int{}
-		for i, n := range f.numbers.Perm(len(f.procs)) {
+		for i, n := range f.numbersRNG.Perm(len(f.procs)) {
 			c.Numbers[f.procs[i].name] = n
 		}
 	case d == 1 && p.standing.InForce.Number > 1:
@@ -529,18 +529,18 @@
 	if err := p.core.Propose(f.local(p), c); err != nil {
 		f.Figures.Refused++
 	}
-	f.after(p)
+	f.afterEvent(p)
 }
 
 // led notes for how long nobody leads.
-func (f *Fleet) led() {
+func (f *Fleet) checkLeader() {
 	if slices.ContainsFunc(f.procs, func(p *process) bool { return p.up && !p.paused && p.core.Leads() }) {
-		if f.leaderless > 0 {
-			f.Figures.Leaderless = append(f.Figures.Leaderless, f.now-f.leaderless)
+		if f.leaderlessSince > 0 {
+			f.Figures.Leaderless = append(f.Figures.Leaderless, f.now-f.leaderlessSince)
 		}
-		f.leaderless, f.everLed = 0, true
-	} else if f.everLed && f.leaderless == 0 {
-		f.leaderless = f.now
+		f.leaderlessSince, f.everLed = 0, true
+	} else if f.everLed && f.leaderlessSince == 0 {
+		f.leaderlessSince = f.now
 	}
 }
 
@@ -557,7 +557,7 @@
 
 // read takes what each proxy with a lease acts on for an answer to a read: one that began once a version was in force anywhere has
 // to know that version (a regular register, Lamport 1986). That two who read at one time see the same is neither promised nor so.
-func (f *Fleet) read() {
+func (f *Fleet) checkReads() {
 	newest := map[uint64]uint64{} // in force, by log
 	var readers []*process
 	for _, p := range f.procs {
@@ -574,10 +574,10 @@
 }
 
 // look is the checker: it compares what each proxy acts on with what every other holds to be in force.
-func (f *Fleet) look() {
-	f.led()
+func (f *Fleet) checkContradictions() {
+	f.checkLeader()
 	f.countLost()
-	f.read()
+	f.checkReads()
 	type known struct {
 		inForce, last uint64
 		digest        rules.Digest
@@ -594,7 +594,7 @@
 		}
 		mode := p.basis.Mode(f.local(p))
 		if _, same := forbidding[known{p.basis.Version, p.basis.Last, p.digest}]; same && len(forbidding) == 1 {
-			clear(p.breach)
+			clear(p.breaches)
 			continue // what all hold cannot contradict itself
 		}
 		doc := p.basis.Doc
@@ -604,13 +604,13 @@
 		now := map[string]time.Duration{}
 		if mode != accord.Away {
 			for _, q := range forbidding {
-				for _, b := range against(doc, q) {
-					since, before := p.breach[b]
+				for _, b := range contradictions(doc, q) {
+					since, before := p.breaches[b]
 					if !before {
 						since = f.now
 					}
 					now[b] = since
-					if lasted := f.now - since + tick; mode == accord.Leased {
+					if lasted := f.now - since + checkInterval; mode == accord.Leased {
 						f.Figures.Leased = max(f.Figures.Leased, lasted)
 					} else {
 						f.Figures.Alone = max(f.Figures.Alone, lasted)
@@ -618,9 +618,9 @@
 				}
 			}
 		}
-		p.breach = now
+		p.breaches = now
 	}
-	f.waiting = slices.DeleteFunc(f.waiting, func(a acked) bool {
+	f.awaitingForce = slices.DeleteFunc(f.awaitingForce, func(a acknowledgedChange) bool {
 		for _, p := range f.procs {
 			if p.up && !p.paused && p.basis.Mode(f.local(p)) == accord.Leased && p.basis.Version < a.version {
 				return false
@@ -632,7 +632,7 @@
 }
 
 // against is what a document allows and a standing forbids, under the version in force there and all that are on their way.
-func against(doc *rules.Document, q *rules.Standing) []string {
+func contradictions(doc *rules.Document, q *rules.Standing) []string {
 	found := rules.Breaches(doc, &q.InForce.Doc)
 	for i := range q.Pending {
 		also := rules.Breaches(doc, &q.Pending[i].Doc)
@@ -641,7 +641,7 @@
 	return found
 }
 
-func (f *Fleet) act(a story.Act) {
+func (f *Fleet) applyFault(a story.Act) {
 	e := f.config.Story.Events[a.Event]
 	if e.Network() {
 		if a.End {
@@ -675,13 +675,13 @@
 			p.paused = p.up
 		case e.Do == story.Pause && p.paused:
 			p.paused = false
-			f.look() // it may act before it has seen to anything
+			f.checkContradictions() // it may act before it has seen to anything
 			inbox := p.inbox
 			p.inbox = nil
 			for _, e := range inbox {
 				f.deliver(e)
 			}
-			f.after(p)
+			f.afterEvent(p)
 		}
 	}
 }
@@ -692,18 +692,18 @@
 	if !p.up || p.paused {
 		return errors.New("model: it is not there")
 	}
-	defer f.after(p)
+	defer f.afterEvent(p)
 	return p.core.Refound(f.local(p))
 }
 
 // Fill makes a member's disk full, for good.
-func (f *Fleet) Fill(name string) { f.byName[name].full = true }
+func (f *Fleet) Fill(name string) { f.byName[name].diskFull = true }
 
 // Propose has a change proposed at a member.
 func (f *Fleet) Propose(name string, c rules.Change) error {
 	p := f.byName[name]
 	f.proposed[c.ID] = f.now
-	defer f.after(p)
+	defer f.afterEvent(p)
 	return p.core.Propose(f.local(p), c)
 }
 
@@ -731,7 +731,7 @@
 		}
 		r := p.core.Report(f.local(p))
 		if mode := p.basis.Mode(f.local(p)); mode != accord.Leased {
-			f.wrong("%s is %v at the end (leader %q)", p.name, mode, r.Leader)
+			f.recordViolation("%s is %v at the end (leader %q)", p.name, mode, r.Leader)
 		}
 		if newest == nil || r.Standing.NewerThan(newest) {
 			s := r.Standing
@@ -739,20 +739,20 @@
 		}
 	}
 	if newest == nil {
-		f.wrong("nobody is left")
+		f.recordViolation("nobody is left")
 		return
 	}
 	for _, p := range f.procs {
 		if p.up && !p.paused && p.standing.InForce.Number != newest.InForce.Number {
-			f.wrong("%s has version %d in force at the end; the newest is %d", p.name, p.standing.InForce.Number, newest.InForce.Number)
+			f.recordViolation("%s has version %d in force at the end; the newest is %d", p.name, p.standing.InForce.Number, newest.InForce.Number)
 		}
 	}
-	for _, a := range f.acked {
+	for _, a := range f.acknowledged {
 		if a.version > newest.Last() {
-			f.wrong("version %d was acknowledged, and the newest is %d", a.version, newest.Last())
+			f.recordViolation("version %d was acknowledged, and the newest is %d", a.version, newest.Last())
 		}
-		if f.known[a.version] != a.id {
-			f.wrong("change %s was acknowledged as version %d, which is %s", a.id, a.version, f.known[a.version])
+		if f.changeByVersion[a.version] != a.id {
+			f.recordViolation("change %s was acknowledged as version %d, which is %s", a.id, a.version, f.changeByVersion[a.version])
 		}
 	}
 }
--- a/internal/cluster/accord/model/model_test.go
+++ b/internal/cluster/accord/model/model_test.go
@@ -15,32 +15,32 @@
 	"brasswell/internal/rig/story"
 )
 
-var stories = flag.Int("stories", 24, "how many drawn stories are played")
+var scenarios = flag.Int("stories", 24, "how many drawn stories are played")
 
 // settle is how long after the last fault all must be well.
-const settle = 5 * time.Second
+const settleTime = 5 * time.Second
 
 func seconds(s float64) story.Duration { return story.Duration(s * float64(time.Second)) }
 
 // drawn is a story of 40 s.
-func drawn(seed uint64, members, keepers int) *story.Story {
+func randomScenario(seed uint64, members, keepers int) *story.Story {
 	return story.Unruly(seed, members, keepers, 40*time.Second)
 }
 
-func play(t *testing.T, c Config) *Fleet {
+func run(t *testing.T, c Config) *Fleet {
 	t.Helper()
 	f, err := New(c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Play(time.Duration(c.Story.Length) + settle)
+	f.Play(time.Duration(c.Story.Length) + settleTime)
 	f.Judge()
 	return f
 }
 
-func TestCalm(t *testing.T) {
+func TestNoFaults(t *testing.T) {
 	s := &story.Story{Name: "calm", Members: 5, Seed: 1, Period: seconds(0.3), Length: seconds(10), Keepers: 3, Changes: 5}
-	f := play(t, Config{Story: s})
+	f := run(t, Config{Story: s})
 	if g := &f.Figures; len(g.Wrong) > 0 || g.Leased > 0 || g.Agreed < 20 || g.Agreed != g.Proposed {
 		t.Errorf("%d of %d agreed; contradictions for %v; %v", g.Agreed, g.Proposed, g.Leased, g.Wrong)
 	}
@@ -48,7 +48,7 @@
 
 // TestDrawnStories: whatever happens, nobody who holds a lease contradicts another, nothing acknowledged is lost, and all agree
 // at the end.
-func TestDrawnStories(t *testing.T) {
+func TestRandomScenarios(t *testing.T) {
 	var sum struct {
 		sync.Mutex
 		agreed, proposed, leaders, reads      int
@@ -56,13 +56,13 @@
 		alone                                 time.Duration
 	}
 	t.Run("all", func(t *testing.T) {
-		for seed := range uint64(*stories) {
+		for seed := range uint64(*scenarios) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
 				keepers := 3 + 2*int(seed%2)
-				c := Config{Story: drawn(seed, 5+int(seed%4), keepers), Drift: 0.02, Crash: 0.001}
-				mix(&c, seed)
-				f := play(t, c)
+				c := Config{Story: randomScenario(seed, 5+int(seed%4), keepers), Drift: 0.02, Crash: 0.001}
+				varyConfig(&c, seed)
+				f := run(t, c)
 				g := &f.Figures
 				if g.Leased > 0 || len(g.Wrong) > 0 {
 					t.Errorf("contradictions for %v; %q", g.Leased, g.Wrong)
@@ -96,7 +96,7 @@
 // disks, one has them beside voters that are none and corrupted disks, and one has them among voters too. Those know of no digests, so
 // that no disk is corrupted where one of them may lead. In every other pair of stories no difference goes with a grant. In every fourth
 // writes of the disk take time, and what arrives meanwhile is taken in together.
-func mix(c *Config, seed uint64) {
+func varyConfig(c *Config, seed uint64) {
 	keepers := c.Story.Keepers
 	names := c.Story.Names()
 	older := map[string]bool{}
@@ -136,7 +136,7 @@
 }
 
 // TestTheCheckerOfOrderChecks: an answer that came before another was asked for and has the higher version is found.
-func TestTheCheckerOfOrderChecks(t *testing.T) {
+func TestLinearizabilityChecker(t *testing.T) {
 	if !linearizable([]Answer{{1, 5, 3}, {2, 4, 2}, {6, 7, 9}}) || linearizable([]Answer{{1, 2, 3}, {4, 5, 2}}) {
 		t.Error("it takes what cannot be, or does not take what can")
 	}
@@ -186,7 +186,7 @@
 				{At: seconds(3), For: seconds(3), Do: story.Kill, Who: []string{"n1"}}, {At: seconds(8), For: seconds(3), Do: story.Kill, Who: []string{"n2"}},
 			},
 		}
-		g := &play(t, Config{Story: s, Drift: 0.02}).Figures
+		g := &run(t, Config{Story: s, Drift: 0.02}).Figures
 		if len(g.Wrong) > 0 || g.Leased > 0 || g.Stale > 0 {
 			t.Errorf("seed %d: %q, contradictions for %v, %d stale", seed, g.Wrong, g.Leased, g.Stale)
 		}
@@ -204,9 +204,9 @@
 
 // TestKeepersComeTogether: the first message to a keeper that is taken in is lost, or the founder dies at the write before it. The log
 // is not left with one voter for good.
-func TestKeepersComeTogether(t *testing.T) {
+func TestVotersFormLog(t *testing.T) {
 	for _, seed := range []uint64{151, 4969, 5096, 5180, 5295, 5662, 6107, 6258, 6366, 6964, 8489, 8510, 9128} {
-		f := play(t, Config{Story: drawn(seed, 5+int(seed%4), 3+2*int(seed%2)), Drift: 0.02, Crash: 0.001})
+		f := run(t, Config{Story: randomScenario(seed, 5+int(seed%4), 3+2*int(seed%2)), Drift: 0.02, Crash: 0.001})
 		if g := &f.Figures; g.Agreed < g.Proposed/2 || len(g.Wrong) > 0 || g.Leased > 0 {
 			t.Errorf("seed %d: %d of %d agreed, contradictions for %v; %q", seed, g.Agreed, g.Proposed, g.Leased, g.Wrong)
 		}
@@ -214,7 +214,7 @@
 }
 
 // TestEachDefenceCounts: with each defence taken out the checker finds what it guards against.
-func TestEachDefenceCounts(t *testing.T) {
+func TestEachSafeguardIsNeeded(t *testing.T) {
 	for name, defence := range map[string]struct {
 		set     func(*accord.Settings)
 		corrupt float64
@@ -229,7 +229,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := defence.first; seed < defence.first+400; seed++ {
-				f := play(t, Config{Story: drawn(seed, 6, 3), Drift: 0.02, Set: defence.set, Corrupt: defence.corrupt})
+				f := run(t, Config{Story: randomScenario(seed, 6, 3), Drift: 0.02, Set: defence.set, Corrupt: defence.corrupt})
 				if f.Figures.Leased > 0 {
 					t.Logf("found with seed %d, for %v", seed, f.Figures.Leased)
 					return
@@ -242,7 +242,7 @@
 
 // TestMajorityLostForGood: one keeper goes on alone with what was agreed, and the others, when they come back after all, do not
 // undo it.
-func TestMajorityLostForGood(t *testing.T) {
+func TestMajorityLostPermanently(t *testing.T) {
 	second := time.Second
 	for seed := range uint64(20) {
 		s := &story.Story{Name: "for good", Members: 5, Seed: seed, Period: seconds(0.3), Length: seconds(30), Keepers: 3, Events: []story.Event{
@@ -330,7 +330,7 @@
 }
 
 // TestOneWay: a leader whose messages arrive and who hears nobody gives way, and one who hears and is not heard does too.
-func TestOneWay(t *testing.T) {
+func TestOneWayPartition(t *testing.T) {
 	for seed := range uint64(10) {
 		for _, to := range []bool{true, false} {
 			s := &story.Story{Name: "one way", Members: 5, Seed: seed, Period: seconds(0.3), Length: seconds(20), Keepers: 3, Changes: 2}
@@ -355,7 +355,7 @@
 }
 
 // TestAtRest: nothing is written while nothing changes, and messages are few.
-func TestAtRest(t *testing.T) {
+func TestIdleFleet(t *testing.T) {
 	s := &story.Story{Name: "rest", Members: 9, Seed: 1, Period: seconds(0.3), Length: seconds(70), Keepers: 3}
 	f, err := New(Config{Story: s, Drift: 0.02})
 	if err != nil {
@@ -376,7 +376,7 @@
 }
 
 // TestAllDieAtOnce: three seconds after all processes were started again each holds a lease, also the one that leads.
-func TestAllDieAtOnce(t *testing.T) {
+func TestRestartOfAllProcesses(t *testing.T) {
 	for seed := range uint64(30) {
 		s := &story.Story{Name: "power", Members: 7, Seed: seed, Period: seconds(0.3), Length: seconds(9), Keepers: 5, Changes: 4,
 			Events: []story.Event{{At: seconds(5), For: seconds(1), Do: story.Kill}}}
@@ -400,7 +400,7 @@
 
 // TestVersionsOfTheProgramDiffer: a change that one proxy does not understand is turned away while that is there, keeper or not. Once it
 // is gone the change is agreed; back with its old program it acts on nothing that it half understands: it holds no lease.
-func TestVersionsOfTheProgramDiffer(t *testing.T) {
+func TestMixedProgramVersions(t *testing.T) {
 	for _, old := range []string{"n2", "n5"} {
 		s := &story.Story{Name: "upgrade", Members: 5, Seed: 3, Period: seconds(0.3), Length: seconds(60), Keepers: 3}
 		f, err := New(Config{Story: s, Set: func(set *accord.Settings) {
--- a/internal/cluster/accord/proposals.go
+++ b/internal/cluster/accord/proposals.go
@@ -13,58 +13,58 @@
 func (v *voter) propose(m *Message) {
 	for _, a := range v.state.Rules.Answers {
 		if a.ID == m.Change.ID {
-			v.c.answer(m, &Message{Kind: Result, Answer: &a})
+			v.c.reply(m, &Message{Kind: Result, Answer: &a})
 			return
 		}
 	}
 	if _, waits := v.proposers[m.Change.ID]; waits {
-		return // in the log already, and its answer goes to who asked first
+		return // already in the log; the first request gets the result
 	}
 	if !v.hasQuorum() {
-		v.c.answer(m, &Message{Kind: Result, Answer: &rules.Answer{ID: m.Change.ID, No: "the keepers are still coming together; nothing can be agreed yet"}})
+		v.c.reply(m, &Message{Kind: Result, Answer: &rules.Answer{ID: m.Change.ID, No: "a majority of the keepers has not joined the log yet; nothing can be agreed"}})
 		return
 	}
-	if who := v.memberBelow(m.Change.Needs()); who != "" {
+	if who := v.memberWithoutForm(m.Change.Needs()); who != "" {
 		no := fmt.Sprintf("%s runs a version of the program that does not understand this change; end its upgrade, or its process, and propose again", who)
-		v.c.answer(m, &Message{Kind: Result, Answer: &rules.Answer{ID: m.Change.ID, No: no}})
+		v.c.reply(m, &Message{Kind: Result, Answer: &rules.Answer{ID: m.Change.ID, No: no}})
 		return
 	}
-	if len(v.proposers) >= mostProposals {
-		return // it is tried again
+	if len(v.proposers) >= maxProposals {
+		return // the proposer retries it
 	}
 	if v.appendCommand(&command{Propose: m.Change}) {
 		v.proposers[m.Change.ID] = m
 	}
 }
 
-// memberBelow is the name of a proxy that is there and does not understand a form of documents; "" for none. Who is not there, and comes
-// back with an older program, acts carefully and gets no lease: see Core.understands.
-func (v *voter) memberBelow(form uint8) string {
-	if v.c.set.form() < form {
-		return v.c.set.Name
+// memberWithoutForm returns the name of a reachable proxy that does not understand a form of documents; "" for none. A proxy that is
+// unreachable and comes back with an older program gets no lease and is restricted: see Core.understands.
+func (v *voter) memberWithoutForm(form uint8) string {
+	if v.c.settings.form() < form {
+		return v.c.settings.Name
 	}
 	for _, h := range slices.SortedFunc(maps.Keys(v.leases), compareHolders) {
 		if l := v.leases[h]; l.until >= v.c.now && max(l.form, 1) < form {
 			return h.name
 		}
 	}
-	for _, name := range v.c.set.Keepers {
-		if p := v.peers[name]; p != nil && max(p.form, 1) < form && v.c.now-p.heard < replaceAfter*v.c.set.Times.Election {
+	for _, name := range v.c.settings.Keepers {
+		if p := v.peers[name]; p != nil && max(p.form, 1) < form && v.c.now-p.lastHeard < replaceAfter*v.c.settings.Times.Election {
 			return name
 		}
 	}
 	return ""
 }
 
-// hasQuorum says whether a majority of the voters that the settings name hold the log: before that, one lost folder would lose
-// what was agreed.
+// hasQuorum reports whether a majority of the voters that the settings name hold the log. Before that, one lost folder could lose
+// committed changes.
 //
-// Where operators had one go on alone they know that.
+// After a Refound the check does not apply: the operators accepted that risk.
 func (v *voter) hasQuorum() bool {
-	return 2*len(v.conf.GetVoters()) > len(v.c.set.Keepers) || v.state.Rules.Reign > 0
+	return 2*len(v.confState.GetVoters()) > len(v.c.settings.Keepers) || v.state.Rules.Reign > 0
 }
 
-// appendCommand puts a command into the log.
+// appendCommand proposes a command as an entry of the log, and reports whether the log accepted it.
 func (v *voter) appendCommand(cmd *command) bool {
 	text, err := cbor.Marshal(cmd)
 	return err == nil && v.raft.Propose(text) == nil
--- a/internal/cluster/accord/raftlogger.go
+++ b/internal/cluster/accord/raftlogger.go
@@ -4,7 +4,8 @@
 	"fmt"
 )
 
-// silentLogger keeps the library quiet; what counts is told as events. What it holds to be impossible it must not survive.
+// silentLogger discards the library's log; important changes are reported as events. On a state that the library considers
+// impossible it panics, so that the voter does not continue.
 type silentLogger struct{}
 
 func (silentLogger) Debug(...any)            {}
--- a/internal/cluster/accord/store/store.go
+++ b/internal/cluster/accord/store/store.go
@@ -26,25 +26,25 @@
 )
 
 const (
-	file = "rules.db"
+	fileName = "rules.db"
 	// form is that of the file; another one is not read.
-	form = 1
+	fileForm = 1
 	// lockTime is how long another process of this proxy, which is about to end, is waited for.
-	lockTime = 200 * time.Millisecond
+	lockTimeout = 200 * time.Millisecond
 	// mostEntry bounds what is read of one entry.
-	mostEntry = 8 << 20
+	maxEntryBytes = 8 << 20
 )
 
 var (
-	about   = []byte("about")
-	entries = []byte("entries")
-	log     = []byte("log")
+	aboutBucket   = []byte("about")
+	entriesBucket = []byte("entries")
+	logBucket     = []byte("log")
 
 	keyOwner    = []byte("owner")
-	keyStore    = []byte("store")
+	keyLogID    = []byte("store")
 	keyHard     = []byte("hard")
 	keySnapshot = []byte("snapshot")
-	keyActs     = []byte("acts")
+	keyRules    = []byte("acts")
 )
 
 // owner says whose file it is.
@@ -67,8 +67,8 @@
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, "", nil, fmt.Errorf("store: %w", err)
 	}
-	path := filepath.Join(folder, file)
-	own := owner{form, fleet, name}
+	path := filepath.Join(folder, fileName)
+	own := owner{fileForm, fleet, name}
 	db, why := open(path, own)
 	if errors.Is(why, bolterrors.ErrTimeout) || errors.Is(why, os.ErrPermission) {
 		return nil, "", nil, fmt.Errorf("store: %s: %w", path, why)
@@ -86,15 +86,15 @@
 
 // open opens a file and looks whether it is sound and its owner's.
 func open(path string, own owner) (db *bbolt.DB, err error) {
-	err = guarded(func() error {
+	err = recoverPanics(func() error {
 		var err error
-		if db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTime}); err != nil {
+		if db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout}); err != nil {
 			return err
 		}
-		return take(db, own)
+		return checkOwner(db, own)
 	})
 	if err != nil && db != nil {
-		guarded(db.Close) // of no use any more, whatever it says
+		recoverPanics(db.Close) // of no use any more, whatever it says
 		db = nil
 	}
 	return db, err
@@ -104,7 +104,7 @@
 // mapping: beyond the end of a file that is torn there is nothing, which is a fault and not an error.
 //
 // It guards against a disk that ends the process. It may harm where a write has been begun: the file is not used after it.
-func guarded(f func() error) (err error) {
+func recoverPanics(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
@@ -115,17 +115,17 @@
 }
 
 // take looks whether an open file is its owner's, and makes it so if it is new. All that is there is read, in this goroutine.
-func take(db *bbolt.DB, own owner) error {
+func checkOwner(db *bbolt.DB, own owner) error {
 	return db.Update(func(tx *bbolt.Tx) error {
 		err := tx.ForEach(func(_ []byte, b *bbolt.Bucket) error { return b.ForEach(func(_, _ []byte) error { return nil }) })
 		if err != nil {
 			return fmt.Errorf("broken: %w", err)
 		}
-		b, err := tx.CreateBucketIfNotExists(about)
+		b, err := tx.CreateBucketIfNotExists(aboutBucket)
 		if err != nil {
 			return err
 		}
-		for _, name := range [][]byte{entries, log} {
+		for _, name := range [][]byte{entriesBucket, logBucket} {
 			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 				return err
 			}
@@ -154,9 +154,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var stored accord.Stored
-	err := s.work(s.db.View, func(tx *bbolt.Tx) error {
-		l := tx.Bucket(log)
-		if b := l.Get(keyStore); len(b) == 8 {
+	err := s.transact(s.db.View, func(tx *bbolt.Tx) error {
+		l := tx.Bucket(logBucket)
+		if b := l.Get(keyLogID); len(b) == 8 {
 			stored.Store = binary.BigEndian.Uint64(b)
 		}
 		if b := l.Get(keyHard); b != nil {
@@ -171,7 +171,7 @@
 				return fmt.Errorf("snapshot: %w", err)
 			}
 		}
-		if b := tx.Bucket(about).Get(keyActs); b != nil {
+		if b := tx.Bucket(aboutBucket).Get(keyRules); b != nil {
 			stored.Acts = &rules.Standing{}
 			if err := cbor.Unmarshal(b, stored.Acts); err != nil {
 				return fmt.Errorf("rules: %w", err)
@@ -180,9 +180,9 @@
 				return err
 			}
 		}
-		return tx.Bucket(entries).ForEach(func(key, b []byte) error {
+		return tx.Bucket(entriesBucket).ForEach(func(key, b []byte) error {
 			e := &raftpb.Entry{}
-			if len(key) != 8 || len(b) > mostEntry {
+			if len(key) != 8 || len(b) > maxEntryBytes {
 				return fmt.Errorf("entry %x: %d bytes", key, len(b))
 			}
 			if err := proto.Unmarshal(b, e); err != nil {
@@ -205,10 +205,10 @@
 func (s *Store) Save(r *accord.Record) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	err := s.work(s.db.Update, func(tx *bbolt.Tx) error {
-		l := tx.Bucket(log)
+	err := s.transact(s.db.Update, func(tx *bbolt.Tx) error {
+		l := tx.Bucket(logBucket)
 		id := binary.BigEndian.AppendUint64(nil, r.Store)
-		if string(l.Get(keyStore)) != string(id) { // a log begun anew
+		if string(l.Get(keyLogID)) != string(id) { // a log begun anew
 			for _, key := range [][]byte{keyHard, keySnapshot} {
 				if err := l.Delete(key); err != nil {
 					return err
@@ -217,7 +217,7 @@
 			if err := clearEntries(tx); err != nil {
 				return err
 			}
-			if err := l.Put(keyStore, id); err != nil {
+			if err := l.Put(keyLogID, id); err != nil {
 				return err
 			}
 		}
@@ -236,7 +236,7 @@
 				}
 			}
 		}
-		return saveEntries(tx.Bucket(entries), r)
+		return saveEntries(tx.Bucket(entriesBucket), r)
 	})
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
@@ -245,17 +245,17 @@
 }
 
 func clearEntries(tx *bbolt.Tx) error {
-	if err := tx.DeleteBucket(entries); err != nil {
+	if err := tx.DeleteBucket(entriesBucket); err != nil {
 		return err
 	}
-	_, err := tx.CreateBucket(entries)
+	_, err := tx.CreateBucket(entriesBucket)
 	return err
 }
 
 func saveEntries(b *bbolt.Bucket, r *accord.Record) error {
 	if len(r.Entries) > 0 {
 		// What is there from the first one's index on is replaced.
-		first := index(r.Entries[0].GetIndex())
+		first := entryKey(r.Entries[0].GetIndex())
 		c := b.Cursor()
 		for key, _ := c.Seek(first); key != nil; key, _ = c.Seek(first) { // after a Delete, Next may pass one over
 			if err := c.Delete(); err != nil {
@@ -263,7 +263,7 @@
 			}
 		}
 		for _, e := range r.Entries {
-			if err := put(b, index(e.GetIndex()), e); err != nil {
+			if err := put(b, entryKey(e.GetIndex()), e); err != nil {
 				return err
 			}
 		}
@@ -280,7 +280,7 @@
 	return nil
 }
 
-func index(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
+func entryKey(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
 
 func put(b *bbolt.Bucket, key []byte, m proto.Message) error {
 	text, err := proto.Marshal(m)
@@ -298,19 +298,19 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.work(s.db.Update, func(tx *bbolt.Tx) error { return tx.Bucket(about).Put(keyActs, text) }); err != nil {
+	if err := s.transact(s.db.Update, func(tx *bbolt.Tx) error { return tx.Bucket(aboutBucket).Put(keyRules, text) }); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
 	return nil
 }
 
 // work reads or writes, unless a panic has shown the file to be broken before: the library is then in no state to be asked.
-func (s *Store) work(in func(func(*bbolt.Tx) error) error, f func(*bbolt.Tx) error) error {
+func (s *Store) transact(in func(func(*bbolt.Tx) error) error, f func(*bbolt.Tx) error) error {
 	if s.broken {
 		return errBroken
 	}
 	s.broken = true
-	err := guarded(func() error {
+	err := recoverPanics(func() error {
 		err := in(f)
 		s.broken = false
 		return err
@@ -332,7 +332,7 @@
 
 // SetAside puts a folder's file, which is not to be used, under another name, and returns that.
 func SetAside(folder string) (aside string, err error) {
-	path := filepath.Join(folder, file)
+	path := filepath.Join(folder, fileName)
 	aside = fmt.Sprintf("%s.aside-%d", path, int64(clock.Wall()/time.Second))
 	if err := os.Rename(path, aside); err != nil {
 		return "", fmt.Errorf("store: %w", err)
--- a/internal/cluster/accord/store/store_test.go
+++ b/internal/cluster/accord/store/store_test.go
@@ -17,7 +17,7 @@
 	"brasswell/internal/cluster/rules"
 )
 
-func open1(t *testing.T, folder string) *Store {
+func openStore(t *testing.T, folder string) *Store {
 	t.Helper()
 	s, aside, why, err := Open(folder, "shelf", "n1")
 	if err != nil || aside != "" {
@@ -34,11 +34,11 @@
 }
 
 // TestSameAsInMemory: whatever is recorded, what is loaded after a start is what the pure form comes to.
-func TestSameAsInMemory(t *testing.T) {
+func TestMatchesInMemoryStore(t *testing.T) {
 	for seed := range uint64(10) {
 		dice := rand.New(rand.NewPCG(seed, 1))
 		folder := t.TempDir()
-		s := open1(t, folder)
+		s := openStore(t, folder)
 		var want accord.Stored
 		id, last, compacted := uint64(7), uint64(0), uint64(0)
 		for step := range 40 {
@@ -74,7 +74,7 @@
 			want.Take(r)
 			if step%10 == 9 {
 				s.Close()
-				s = open1(t, folder)
+				s = openStore(t, folder)
 			}
 			got, err := s.Load()
 			if err != nil {
@@ -92,9 +92,9 @@
 }
 
 // TestNoFileKeepsFromStarting: torn at any place, bent, foreign or no file of ours at all, it is set aside, and a new one is begun.
-func TestNoFileKeepsFromStarting(t *testing.T) {
+func TestDamagedFilesDoNotPreventStart(t *testing.T) {
 	folder := t.TempDir()
-	s := open1(t, folder)
+	s := openStore(t, folder)
 	for i := range uint64(50) {
 		if err := s.Save(&accord.Record{Store: 7, Entries: []*raftpb.Entry{entry(i+1, 1)}}); err != nil {
 			t.Fatal(err)
@@ -104,7 +104,7 @@
 		t.Fatal(err)
 	}
 	s.Close()
-	path := filepath.Join(folder, file)
+	path := filepath.Join(folder, fileName)
 	whole, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -155,7 +155,7 @@
 			t.Fatal(err)
 		}
 	}
-	s = open1(t, folder)
+	s = openStore(t, folder)
 	got, err := s.Load()
 	if err != nil || len(got.Entries) != 50 || got.Acts == nil || got.Acts.InForce.Number != 3 {
 		t.Errorf("after all that: %v, %d entries, %+v", err, len(got.Entries), got.Acts)
--- a/internal/cluster/accord/types.go
+++ b/internal/cluster/accord/types.go
@@ -1,12 +1,12 @@
-// Package accord decides how the proxies of a fleet come to act on the same rules, and when one may no longer act on what it
-// has. It has no I/O and no clock: events with their time go in, actions come out, and equal settings, seed and events give
-// equal actions. It is not safe for concurrent use, but for Basis, which does not change.
+// Package accord implements consensus on the rules of a fleet: it decides which rules each proxy applies, and when a proxy may
+// no longer apply the rules that it has. It has no I/O and no clock: it takes events with their time and returns actions, and
+// equal settings, seeds and events give equal actions. It is not safe for concurrent use, except for Basis, which is immutable.
 //
-// A few proxies, the voters, hold the rules in a log that a majority of them agrees on (Raft, Ongaro and Ousterhout 2014; the
-// library go.etcd.io/raft/v3, whose core is as pure as this one). Every proxy holds a lease (Gray and Cheriton 1989) from the
-// voters' leader, which names the versions that it was granted with. A change takes two steps: it is on its way, when every proxy
-// acts on the meet of old and new, and it is in force, once each proxy with a lease has said that it has the change, or its
-// lease has run out. docs/design/accord.md says why, and what follows for clocks.
+// A few proxies, the voters, replicate the rules in a log that a majority of them agrees on (Raft, Ongaro and Ousterhout 2014;
+// the library go.etcd.io/raft/v3, whose core does no I/O either). Every proxy holds a lease (Gray and Cheriton 1989) granted by
+// the voters' leader, which names the versions that it was granted for. A change takes two steps: while it is pending, every
+// proxy applies the meet of the old and the new document; it is in force once each proxy with a lease has acknowledged the
+// change or its lease has expired. docs/design/accord.md gives the reasons, and the requirements on clocks.
 package accord
 
 import (
@@ -23,17 +23,17 @@
 	"brasswell/internal/strict"
 )
 
-// Times are those that a fleet's proxies agree on by having them alike.
+// Times are the timeouts and intervals of the protocol. They must be the same at all proxies of a fleet.
 type Times struct {
-	Lease     time.Duration // how long a lease lasts from the moment that it was asked for
-	Renew     time.Duration // between two renewals
-	Heartbeat time.Duration // between two messages of a leader
-	Election  time.Duration // without a leader's message, up to twice that, before another tries
-	Patience  time.Duration // for an answer
-	Drift     float64       // the most by which the rate of a clock is off, as a share
+	Lease     time.Duration // duration of a lease, from the moment of the request
+	Renew     time.Duration // interval between two renewals
+	Heartbeat time.Duration // interval between two messages of a leader
+	Election  time.Duration // a voter starts an election after this to twice this time without a message from a leader
+	Patience  time.Duration // timeout of a renewal
+	Drift     float64       // maximum deviation of a clock's rate, as a fraction
 }
 
-// DefaultTimes fit one site.
+// DefaultTimes returns the times for a fleet in one site.
 func DefaultTimes() Times {
 	return Times{
 		Lease: time.Second, Renew: 250 * time.Millisecond, Heartbeat: 100 * time.Millisecond, Election: 500 * time.Millisecond,
@@ -41,65 +41,66 @@
 	}
 }
 
-// Guard is how long, on the clock of who granted it, a lease may still hold on another's clock.
+// LeaseGuard is the time after which a lease has expired on its holder's clock, measured on the clock of the leader that granted it.
 func (t Times) Guard() time.Duration { return time.Duration(float64(t.Lease) * (1 + 2*t.Drift)) }
 
-// Awake is how long after a renewal that went unanswered a proxy knows that it has been running.
+// AliveWindow is the time after an unanswered renewal during which a proxy may assume that it has not been paused.
 func (t Times) Awake() time.Duration { return 4 * t.Renew }
 
-// Bound is the stated time: once a change is agreed, no proxy that hears the voters or holds a lease acts against it after so
-// long, with the leader lost meanwhile.
+// ConvergenceBound is the maximum time from the commit of a change until no proxy that reaches the voters or holds a lease acts
+// against it, even if the leader is lost in between.
 func (t Times) Bound() time.Duration {
-	// A leader is lost at once after the change was agreed; the next is elected within two tries' time, waits for the leases
-	// of the one before, and tells within a renewal. The whole on the slowest clock.
+	// Worst case: the leader is lost right after the commit. The next one is elected within the time of two attempts, waits
+	// for the leases of its predecessor to expire and reaches the proxies within one renewal, all on the slowest clock.
 	d := t.Election + t.Guard() + t.Renew + t.Patience
 	return time.Duration(float64(d) * (1 + t.Drift))
 }
 
-// Validate says what is wrong with the times.
+// Validate returns an error if the times contradict each other.
 func (t Times) Validate() error {
 	switch {
 	case t.Renew <= 0 || t.Lease < 3*t.Renew:
-		return fmt.Errorf("accord: a lease of %v with renewals each %v would run out when one is lost; let it be three times as long", t.Lease, t.Renew)
+		return fmt.Errorf("accord: a lease of %v with renewals every %v expires when one renewal is lost; it must be at least three times as long", t.Lease, t.Renew)
 	case t.Heartbeat <= 0 || t.Election < 3*t.Heartbeat:
-		return fmt.Errorf("accord: an election after %v with messages each %v; let it be three times as long", t.Election, t.Heartbeat)
+		return fmt.Errorf("accord: election timeout %v with heartbeats every %v; it must be at least three times as long", t.Election, t.Heartbeat)
 	case t.Patience <= 0 || t.Patience > t.Renew:
-		return fmt.Errorf("accord: a patience of %v; above 0 and up to %v is allowed", t.Patience, t.Renew)
+		return fmt.Errorf("accord: request timeout %v; it must be above 0 and at most %v", t.Patience, t.Renew)
 	case !(t.Drift > 0 && t.Drift <= 0.2):
-		return fmt.Errorf("accord: a drift of %v; above 0 and up to 0.2 is allowed", t.Drift)
+		return fmt.Errorf("accord: clock drift %v; it must be above 0 and at most 0.2", t.Drift)
 	}
 	return nil
 }
 
-// Settings are what a core is told. The zero values of the switches at the end leave every defence on.
+// Settings configure a Core. The zero values of the switches at the end leave every safeguard on.
 type Settings struct {
-	Name    string   // of this proxy
-	Boot    uint64   // drawn at each start: two processes of one proxy hold a lease each
-	Keepers []string // by name, the same at all; the first founds
+	Name    string   // name of this proxy
+	Boot    uint64   // drawn at random at each start: two processes of one proxy hold one lease each
+	Keepers []string // names of the voters, the same at all proxies; the first one founds the log
 	Times   Times
-	// Later: where this proxy is a voter, Keep is called once its disk can be had.
+	// DeferVoter: if this proxy is a voter, StartVoter is called once its disk is available.
 	Later bool
-	// Refuse: without a lease nothing is served. Otherwise it goes on with what is known, and repeats nothing.
+	// RefuseWithoutLease: without a lease nothing is served. Otherwise the proxy applies the rules that it knows, and sends no
+	// request twice.
 	Refuse bool
 
-	// Form is the form of documents that this program understands; 0 stands for rules.Form.
+	// Form is the newest form of documents that this program understands; 0 means rules.CurrentForm.
 	Form uint8
 
-	// Each takes one defence out, so that a checker can be seen to find what it guards against.
-	NoLeaseCheck bool // acts rest on what was last heard, however long ago
-	NoPrepared   bool // a change is in force at once
-	NoWait       bool // a new leader does not wait for the leases of the one before
-	NoConfirm    bool // leases are granted without hearing from a majority
-	NoDigest     bool // what a proxy has is not compared with what is vouched for, but by its number
-	NoEnforcing  bool // a lease may rest on what a proxy has though the leader has written into the log that more is in force
+	// Each switch disables one safeguard, so that a test can show that the checker finds the failure that it prevents.
+	NoLeaseCheck bool // rules are applied without a lease, however old they are
+	NoPrepared   bool // a change is in force at once, without being pending first
+	NoWait       bool // a new leader does not wait for the leases of its predecessor to expire
+	NoConfirm    bool // leases are granted without confirmation by a majority
+	NoDigest     bool // the rules of a proxy are compared with the granted ones by number alone
+	NoEnforcing  bool // a lease may cover the versions that a proxy has although the leader has proposed to enforce later ones
 
-	// NoDeltas: whole standings alone are sent and taken, as by programs from before there were differences.
+	// NoDeltas: only whole statuses are sent and accepted, as by programs that predate deltas.
 	NoDeltas bool
-	// MostShort is the bytes of a difference that goes with a grant; 0 stands for what fits a datagram.
+	// MaxInlineDelta is the maximum size in bytes of a delta that is sent in a grant; 0 means what fits into a datagram.
 	MostShort int
 }
 
-// form is that of documents which this program understands.
+// form is the newest form of documents that this program understands.
 func (s *Settings) form() uint8 {
 	if s.Form == 0 {
 		return rules.Form
@@ -107,10 +108,10 @@
 	return s.Form
 }
 
-// Validate says what is wrong with the settings.
+// Validate returns an error if the settings are invalid.
 func (s *Settings) Validate() error {
 	if n := len(s.Keepers); n != 1 && n != 3 && n != 5 && n != 7 {
-		return fmt.Errorf("accord: %d keepers; 3, 5 or 7 are right, and 1 for a try", n)
+		return fmt.Errorf("accord: %d keepers; 3, 5 or 7 are allowed, and 1 for trials", n)
 	}
 	seen := map[string]bool{}
 	for _, k := range s.Keepers {
@@ -125,73 +126,73 @@
 	return s.Times.Validate()
 }
 
-// MessageKind is what a message is for.
+// MessageKind is the kind of a message.
 type MessageKind uint8
 
 // The kinds of messages.
 const (
-	Renew   MessageKind = iota + 1 // asks the leader for a lease
-	Grant                          // grants it
-	Tell                           // brings a standing, and no lease
-	Have                           // says what the sender acts on
-	Propose                        // asks the leader for a change
-	Result                         // says what became of it
-	Raft                           // is a message between voters' logs
-	Hello                          // says who a voter is
-	lastMessage
+	Renew   MessageKind = iota + 1 // requests a lease from the leader
+	Grant                          // grants a lease
+	Tell                           // carries rules, without a lease
+	Have                           // acknowledges the versions that the sender applies
+	Propose                        // proposes a change to the leader
+	Result                         // reports the result of a proposal
+	Raft                           // carries a Raft message between two voters
+	Hello                          // announces a voter and its log
+	endOfKinds
 )
 
-// Holds is what a proxy acts on, by number.
+// HeldVersions are the numbers of the versions that a proxy applies.
 type Holds struct {
-	Log     uint64 `cbor:"3,keyasint,omitempty"` // see rules.Standing
+	Log     uint64 `cbor:"3,keyasint,omitempty"` // see rules.Status
 	InForce uint64 `cbor:"1,keyasint"`
 	Last    uint64 `cbor:"2,keyasint"`
 }
 
-// Message is what proxies say to each other about rules.
+// Message is a message between proxies about rules.
 type Message struct {
 	Kind MessageKind `cbor:"1,keyasint"`
-	From string      `cbor:"2,keyasint"`           // who asks; of an answer, who answers
-	To   string      `cbor:"3,keyasint,omitempty"` // who gets it at the end; "" for the leader
+	From string      `cbor:"2,keyasint"`           // sender of the request or of the reply
+	To   string      `cbor:"3,keyasint,omitempty"` // final recipient; "" for the leader
 	Seq  uint64      `cbor:"4,keyasint,omitempty"`
-	// Path are those who passed it on, the first one first; an answer goes back along it.
+	// Path lists the proxies that forwarded the request, in order; the reply takes the same path back.
 	Path     []string        `cbor:"5,keyasint,omitempty"`
 	Holds    Holds           `cbor:"6,keyasint,omitempty"`
 	Standing *rules.Standing `cbor:"7,keyasint,omitempty"`
 	Change   *rules.Change   `cbor:"8,keyasint,omitempty"`
 	Answer   *rules.Answer   `cbor:"9,keyasint,omitempty"`
 	Raft     []byte          `cbor:"10,keyasint,omitempty"`
-	Store    uint64          `cbor:"11,keyasint,omitempty"` // of a Hello: the id of the sender's log
-	Empty    bool            `cbor:"12,keyasint,omitempty"` // of a Hello: the log holds nothing yet
-	Reply    bool            `cbor:"13,keyasint,omitempty"` // of a Hello: it answers one
-	Match    uint64          `cbor:"14,keyasint,omitempty"` // of a Hello: how much of the receiver's log the sender has seen
-	Boot     uint64          `cbor:"15,keyasint,omitempty"` // of who asks
-	Reign    uint64          `cbor:"16,keyasint,omitempty"` // of a Hello: that of the sender's log
-	Form     uint8           `cbor:"17,keyasint,omitempty"` // of a Renew or Hello: which form of documents the sender understands; 0 stands for 1
-
-	// Delta stands in a Grant or Tell in place of Standing, for those who have said that they understand it.
+	Store    uint64          `cbor:"11,keyasint,omitempty"` // in a Hello: the ID of the sender's log
+	Empty    bool            `cbor:"12,keyasint,omitempty"` // in a Hello: the log is still empty
+	Reply    bool            `cbor:"13,keyasint,omitempty"` // in a Hello: it replies to another Hello
+	Match    uint64          `cbor:"14,keyasint,omitempty"` // in a Hello: the index up to which the sender knows that the receiver has the log
+	Boot     uint64          `cbor:"15,keyasint,omitempty"` // the requesting process
+	Reign    uint64          `cbor:"16,keyasint,omitempty"` // in a Hello: the term of the sender's rules, which counts refoundations
+	Form     uint8           `cbor:"17,keyasint,omitempty"` // in a Renew or Hello: the newest form of documents that the sender understands; 0 means 1
+
+	// Delta replaces Status in a Grant or Update for receivers that have announced that they understand it.
 	Delta  *rules.Delta `cbor:"18,keyasint,omitempty"`
-	Deltas bool         `cbor:"19,keyasint,omitempty"` // of a Renew or Have: the sender understands differences and digests
-	Whole  bool         `cbor:"20,keyasint,omitempty"` // of a Renew: the sender has found that it has something else than others, and needs the whole
-	// Digest is of a Renew that of what the sender has, and of a Grant that of what is vouched for; 0 for none.
+	Deltas bool         `cbor:"19,keyasint,omitempty"` // in a Renew or Acknowledge: the sender understands deltas and digests
+	Whole  bool         `cbor:"20,keyasint,omitempty"` // in a Renew: the sender's rules differ from those of others, and it needs the whole status
+	// Digest is the digest of the sender's rules in a Renew, and of the granted rules in a Grant; 0 for none.
 	Digest rules.Digest `cbor:"21,keyasint,omitempty"`
 }
 
-// mostHops bounds how often a message is passed on.
-const mostHops = 3
+// maxHops bounds how often a message is forwarded.
+const maxHops = 3
 
-// Sound says what is wrong with a message that has come from outside.
+// Validate returns an error if a message from the network is malformed.
 func (m *Message) Sound() error {
-	if m.Kind == 0 || m.Kind >= lastMessage {
-		return fmt.Errorf("accord: no kind of message %d", m.Kind)
+	if m.Kind == 0 || m.Kind >= endOfKinds {
+		return fmt.Errorf("accord: unknown message kind %d", m.Kind)
 	}
 	for _, name := range append([]string{m.From}, m.Path...) {
 		if name == "" || len(name) > rules.MostID {
-			return fmt.Errorf("accord: a name of %d bytes", len(name))
+			return fmt.Errorf("accord: a proxy name has %d bytes", len(name))
 		}
 	}
-	if len(m.To) > rules.MostID || len(m.Path) > mostHops {
-		return fmt.Errorf("accord: passed on %d times to a name of %d bytes", len(m.Path), len(m.To))
+	if len(m.To) > rules.MostID || len(m.Path) > maxHops {
+		return fmt.Errorf("accord: message was forwarded %d times, to a name of %d bytes", len(m.Path), len(m.To))
 	}
 	if m.Standing != nil {
 		if err := m.Standing.Sound(); err != nil {
@@ -206,7 +207,7 @@
 	switch {
 	case m.Kind == Propose && m.Change == nil, m.Kind == Result && m.Answer == nil, m.Kind == Tell && m.Standing == nil && m.Delta == nil,
 		m.Kind == Raft && len(m.Raft) == 0:
-		return fmt.Errorf("accord: a message of kind %d with nothing in it", m.Kind)
+		return fmt.Errorf("accord: a message of kind %d has no content", m.Kind)
 	}
 	if m.Change != nil {
 		if err := m.Change.Check(); err != nil {
@@ -216,24 +217,24 @@
 	return nil
 }
 
-// MostMessage is the longest message, in bytes; what a standing of the greatest documents takes is far less.
+// MaxMessageBytes is the maximum size of a message, in bytes; a status with documents of maximum size takes far less.
 const MostMessage = 4 << 20
 
-var reading = strict.CBOR(cbor.DecOptions{
+var decMode = strict.CBOR(cbor.DecOptions{
 	TagsMd:          cbor.TagsForbidden,
 	MaxNestedLevels: 16, MaxArrayElements: 1 << 13, MaxMapPairs: 1 << 12,
 })
 
-// Encode writes a message.
+// Encode returns the encoding of a message.
 func (m *Message) Encode() ([]byte, error) { return cbor.Marshal(m) }
 
-// Decode reads a message; what it returns is Sound.
+// Decode decodes a message and validates it.
 func Decode(b []byte) (*Message, error) {
 	if len(b) > MostMessage {
-		return nil, fmt.Errorf("accord: a message of %d bytes; %d at most", len(b), MostMessage)
+		return nil, fmt.Errorf("accord: a message has %d bytes; at most %d are allowed", len(b), MostMessage)
 	}
 	m := &Message{}
-	if err := reading.Unmarshal(b, m); err != nil {
+	if err := decMode.Unmarshal(b, m); err != nil {
 		return nil, fmt.Errorf("accord: %w", err)
 	}
 	if m.Standing != nil {
@@ -242,26 +243,26 @@
 	return m, m.Sound()
 }
 
-// Record is what a voter has to have on disk before anything that rests on it is said. A nil or empty part stays as it is.
+// Record is what a voter has to write to disk before it sends anything that depends on it. A nil or empty part is left unchanged on disk.
 type Record struct {
-	Store    uint64 // the id of the log; a record with another one begins a log anew
+	Store    uint64 // the ID of the log; a record with another ID starts a new log
 	Hard     *raftpb.HardState
-	Entries  []*raftpb.Entry // replace all from the first one's index on
+	Entries  []*raftpb.Entry // replace all stored entries from the index of the first one on
 	Snapshot *raftpb.Snapshot
-	Install  bool   // the snapshot comes from another voter, in place of all entries
+	Install  bool   // the snapshot comes from another voter and replaces all entries
 	Compact  uint64 // entries up to this index are no longer needed; 0 for none
 }
 
-// Stored is what a disk holds of a voter. The zero value is that of an empty one.
+// Stored is the content of a voter's disk. The zero value is an empty disk.
 type Stored struct {
 	Store    uint64
 	Hard     *raftpb.HardState
 	Entries  []*raftpb.Entry
 	Snapshot *raftpb.Snapshot
-	Acts     *rules.Standing // what the proxy last acted on; also at one that is no voter
+	Acts     *rules.Standing // the rules that the proxy last applied; also at proxies that are not voters
 }
 
-// Take makes a record part of what is stored, as a disk does.
+// Apply applies a record to the stored content, as a disk does.
 func (s *Stored) Take(r *Record) {
 	if r.Store != s.Store {
 		*s = Stored{Store: r.Store, Acts: s.Acts}
@@ -288,35 +289,35 @@
 	}
 }
 
-// Basis is what a proxy may rest its acts on. It does not change; a new one takes its place.
+// Basis is the basis on which a proxy decides whether an act is allowed. It is immutable; a new Basis replaces it.
 type Basis struct {
 	Log     uint64
-	Version uint64 // in force, as far as this proxy knows
-	Last    uint64 // the newest that it knows
+	Version uint64 // version in force, as far as this proxy knows
+	Last    uint64 // newest version that it knows
 	Doc     *rules.Document
-	Vague   *rules.Document // what it acts on without a lease
-	// Settled is Doc where nothing is on its way, and nil otherwise: for what is not to be done twice, such as taking a number.
+	Vague   *rules.Document // the document that applies without a lease
+	// Settled is Doc if no change is pending, and nil otherwise. It serves decisions that must not be made twice, such as taking a number.
 	Settled *rules.Document
-	Until   time.Duration // when the lease runs out
-	Tested  time.Duration // when a renewal was asked for that went unanswered; below 0 for never
-	Awake   time.Duration // so long after Tested it is known to run
+	Until   time.Duration // when the lease expires
+	Tested  time.Duration // when the last unanswered renewal was sent; below 0 for never
+	Awake   time.Duration // for this long after LastUnanswered the proxy assumes that it was not paused
 	Refuse  bool
-	Trust   bool // the lease is not looked at: a defence taken out
+	Trust   bool // the lease is ignored: a safeguard disabled for tests
 }
 
-// Mode is on what a proxy acts.
+// Mode says which rules a proxy applies.
 type Mode uint8
 
 // The modes.
 const (
-	Leased Mode = iota // on rules that the voters vouch for
-	Alone              // on what it knows, carefully: no voter has been heard for as long as a lease lasts
-	Away               // on nothing: it was paused, has just started, or is to refuse
+	Leased Mode = iota // the rules that the lease covers
+	Alone              // the known rules, restricted: no voter has renewed the lease in time
+	Away               // none, all is refused: the proxy was paused, has just started, or is set to refuse without a lease
 )
 
 func (m Mode) String() string { return [...]string{"leased", "alone", "away"}[m] }
 
-// Mode is on what a proxy acts at a moment.
+// Mode returns the mode at the given time.
 func (b *Basis) Mode(now time.Duration) Mode {
 	switch {
 	case now <= b.Until || b.Trust:
@@ -327,8 +328,8 @@
 	return Away
 }
 
-// Rule says whether an act is allowed now. It is to be asked right before the act, whatever was decided before: a process that
-// was paused in between has no lease any more.
+// Decide decides whether a request may be sent now. It must be called immediately before the send, whatever was decided earlier: a
+// process that was paused in between may have no lease anymore.
 func (b *Basis) Rule(now time.Duration, s rules.Send) rules.Ruling {
 	switch b.Mode(now) {
 	case Leased:
@@ -339,7 +340,7 @@
 	return rules.NoLease
 }
 
-// raftMessage reads a message between logs.
+// raftMessage decodes a Raft message.
 func raftMessage(b []byte) (*raftpb.Message, error) {
 	m := &raftpb.Message{}
 	if err := proto.Unmarshal(b, m); err != nil {
--- a/internal/cluster/accord/types_test.go
+++ b/internal/cluster/accord/types_test.go
@@ -27,7 +27,7 @@
 		if err != nil {
 			return
 		}
-		// Whatever is sound is taken in by a keeper and by one that is none.
+		// A voter and a proxy that is not a voter accept every valid message without a panic.
 		for _, name := range []string{"n1", "n4"} {
 			c, err := New(0, Settings{Name: name, Keepers: []string{"n1", "n2", "n3"}, Times: DefaultTimes()}, 1, Stored{}, nobody{})
 			if err != nil {
@@ -39,7 +39,7 @@
 	})
 }
 
-// nobody carries nothing out.
+// nobody is a Host that does nothing.
 type nobody struct{}
 
 func (nobody) Send(string, *Message) {}
@@ -49,7 +49,7 @@
 func (nobody) Answered(rules.Answer) {}
 func (nobody) Told(Event, Note)      {}
 
-// TestBasis: what a proxy may do follows from its lease, and after a pause from nothing.
+// TestBasis checks the decisions of a proxy with a lease, without a lease, and after a pause.
 func TestBasis(t *testing.T) {
 	ban := &rules.Document{Bans: map[string]rules.Ban{"out": {}}}
 	b := Basis{Doc: ban, Vague: rules.Unknowing(ban), Until: 10, Tested: 100, Awake: 50}
@@ -66,21 +66,21 @@
 		{151, send("in", false), rules.NoLease},
 	} {
 		if got := b.Rule(c.at, c.send); got != c.want {
-			t.Errorf("at %d, %+v: %v, wanted %v", c.at, c.send, got, c.want)
+			t.Errorf("at %d, %+v: %v, want %v", c.at, c.send, got, c.want)
 		}
 	}
 	if b.Refuse = true; b.Rule(120, send("in", false)) != rules.NoLease {
-		t.Error("one that is to refuse serves without a lease")
+		t.Error("a proxy that must refuse without a lease serves without one")
 	}
 }
 
-func TestSettingsThatCannotBe(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	good := Settings{Name: "a", Keepers: []string{"a", "b", "c"}, Times: DefaultTimes()}
 	if err := good.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	if bound := good.Times.Bound(); bound > 2*time.Second {
-		t.Errorf("the stated time is %v", bound)
+		t.Errorf("the convergence bound is %v", bound)
 	}
 	for name, change := range map[string]func(*Settings){
 		"two keepers": func(s *Settings) { s.Keepers = s.Keepers[:2] }, "one named twice": func(s *Settings) { s.Keepers = []string{"a", "b", "a"} },
@@ -91,7 +91,7 @@
 		s := good
 		change(&s)
 		if s.Validate() == nil {
-			t.Errorf("%s: it passes", name)
+			t.Errorf("%s: the settings are accepted", name)
 		}
 	}
 }
--- a/internal/cluster/accord/voter.go
+++ b/internal/cluster/accord/voter.go
@@ -12,65 +12,66 @@
 )
 
 const (
-	// helloEvery is between two hellos to all voters, in elections' times, and helloAgain while one of them does not vote.
-	helloEvery, helloAgain = 4, 1
-	// replaceAfter elections' times without a word from a log, its voter is replaced by one that has begun anew.
+	// helloInterval is the time between two Hellos to all voters, in election timeouts, and helloRetryInterval the time while one
+	// of them is not a voter in the log.
+	helloInterval, helloRetryInterval = 4, 1
+	// replaceAfter is the time without a message from a log after which a new log of the same voter replaces it, in election timeouts.
 	replaceAfter = 10
 )
 
-// peer is another voter as it has said it is.
+// peer is another voter, as it described itself in its last Hello.
 type peer struct {
-	store uint64
-	empty bool
-	form  uint8
-	heard time.Duration
+	logID     uint64
+	empty     bool
+	form      uint8
+	lastHeard time.Duration
 }
 
-// voter is a replica of the log that votes: one of the proxies that the settings name. Its methods run on the core's owner.
+// voter is a replica of the log, at one of the proxies that the settings name. Its methods run in the goroutine that owns the Core.
 type voter struct {
-	c     *Core
-	id    uint64 // of the log
-	log   *raft.MemoryStorage
-	raft  *raft.RawNode
-	state *replicatedState
-	conf  *raftpb.ConfState
-	// digests are those of the standings that there were, as far as leases may still rest on them.
+	c         *Core
+	id        uint64 // ID of the log
+	log       *raft.MemoryStorage
+	raft      *raft.RawNode
+	state     *replicatedState
+	confState *raftpb.ConfState
+	// digests are the digests of earlier statuses that leases may still cover.
 	digests map[Holds]rules.Digest
-	empty   bool // the log holds nothing yet
+	empty   bool // the log is still empty
 	halted  bool
 	term    uint64
 
 	applied, snapshotIndex uint64
-	nextHello              time.Duration // when the next round of hellos is due
+	nextHello              time.Duration // when the next round of Hellos is due
 	peers                  map[string]*peer
 	byLog                  map[uint64]string
 
-	lead            uint64
-	leaderHeard     time.Duration // when a leader was last heard
-	electionTimeout time.Duration // after that, another election
+	leaderID        uint64
+	leaderHeard     time.Duration // when a message of a leader last arrived
+	electionTimeout time.Duration // time without a leader before this voter starts an election
 
 	leadership
 }
 
-// leadership is what a voter keeps while it leads.
+// leadership is the state of a voter while it leads.
 type leadership struct {
-	leads          bool
+	isLeader       bool
 	nextHeartbeat  time.Duration
 	electedAt      time.Duration
 	majorityHeard  time.Duration // when a majority last confirmed that this voter leads
-	silentUntil    time.Duration // until when nothing is said; 0 for speaking
-	ownTermApplied bool          // an entry of this leader's own term is applied
+	silentUntil    time.Duration // no messages are sent until then; 0 if they are sent
+	ownTermApplied bool          // an entry of this leader's own term has been applied
 	leases         map[holder]*lease
-	unconfirmed    []*Message            // renewals that no round has yet
-	rounds         map[uint64][]*Message // renewals by the round that is to confirm them
+	unconfirmed    []*Message            // renewals that are not yet part of a round
+	rounds         map[uint64][]*Message // renewals, by the round that confirms them
 	round          uint64
-	proposers      map[string]*Message      // who proposed, by the change's id
-	sentSnapshots  []uint64                 // the logs that one was sent to since the last heartbeat
-	worked         *differences             // for the newest standing; nil for not yet
-	slowest        *lease                   // of a holder that kept all versions from being in force when last looked; nil for none
-	enforcing      uint64                   // the newest version that an entry of this leader's brings into force, agreed or not
-	agreedAt       map[uint64]time.Duration // when versions on their way were agreed, of those that were under this leader
-	lastEnforce    time.Duration            // when an entry that enforces was last written
+	proposers      map[string]*Message      // proposals, by the change's ID
+	sentSnapshots  []uint64                 // logs that a snapshot was sent to since the last heartbeat
+	deltas         *deltaCache              // for the newest status; nil if none was computed yet
+	slowest        *lease                   // a lease that kept all pending versions from being in force at the last check; nil for none
+	enforcing      uint64                   // the newest version that an entry of this leader enforces, committed or not
+	agreedAt       map[uint64]time.Duration // when pending versions were committed, for those committed under this leader
+	lastEnforce    time.Duration            // when an Enforce entry was last appended
 }
 
 // startVoter makes this proxy a voter.
@@ -78,24 +79,24 @@
 	v := &voter{c: c, leaderHeard: now, nextHello: now, peers: map[string]*peer{}, byLog: map[uint64]string{}}
 	c.voter = v
 	if disk.Store == 0 {
-		return v.begin()
+		return v.beginEmptyLog()
 	}
 	if err := v.load(disk); err != nil {
-		v.halt(err) // it is a proxy like others then; nothing on a disk keeps one from starting
+		v.halt(err) // continues as a proxy that does not vote; a damaged disk must not prevent a start
 		return nil
 	}
 	v.resetTimeout()
 	return nil
 }
 
-// begin begins an empty log under a new id. One that has lost its folder is another log than before: what the old one had voted
-// for and stored is not remembered, so it must not speak in its name.
-func (v *voter) begin() error {
+// beginEmptyLog starts an empty log under a new ID. A voter that has lost its folder no longer knows what it voted for and stored,
+// so it must not send messages under the ID of the lost log.
+func (v *voter) beginEmptyLog() error {
 	v.id = v.c.rng.Uint64() | 1
-	v.state = &replicatedState{Rules: rules.NewState(), Keepers: map[string]uint64{}}
-	v.conf = &raftpb.ConfState{}
+	v.state = &replicatedState{Rules: rules.NewState(), Voters: map[string]uint64{}}
+	v.confState = &raftpb.ConfState{}
 	v.log = raft.NewMemoryStorage()
-	v.empty, v.applied, v.snapshotIndex, v.lead, v.term = true, 0, 0, 0, 0
+	v.empty, v.applied, v.snapshotIndex, v.leaderID, v.term = true, 0, 0, 0, 0
 	if err := v.c.host.Save(&Record{Store: v.id}); err != nil {
 		v.halt(err)
 		return nil
@@ -104,21 +105,21 @@
 	return v.open()
 }
 
-// halt ends this proxy's part as a voter: what cannot be stored must not be said.
+// halt stops this voter: it must not send anything that depends on state that it could not store.
 func (v *voter) halt(err error) {
 	if v.halted {
 		return
 	}
-	v.halted, v.leads = true, false
+	v.halted, v.isLeader = true, false
 	v.c.host.Told(Disk, Note{Err: err})
 }
 
-func (v *voter) nextWake() time.Duration {
+func (v *voter) nextTick() time.Duration {
 	if v.halted {
 		return 1<<63 - 1
 	}
 	next := v.nextHello
-	if v.leads {
+	if v.isLeader {
 		next = min(next, v.nextHeartbeat)
 	} else if !v.empty {
 		next = min(next, v.leaderHeard+v.electionTimeout)
@@ -126,48 +127,48 @@
 	return next
 }
 
-func (v *voter) wake() {
+func (v *voter) tick() {
 	if v.halted {
 		return
 	}
-	now, t := v.c.now, &v.c.set.Times
+	now, t := v.c.now, &v.c.settings.Times
 	if now >= v.nextHello {
-		v.nextHello = now + helloAgain*t.Election
-		if len(v.conf.GetVoters()) == len(v.c.set.Keepers) {
-			v.nextHello = now + helloEvery*t.Election
+		v.nextHello = now + helloRetryInterval*t.Election
+		if len(v.confState.GetVoters()) == len(v.c.settings.Keepers) {
+			v.nextHello = now + helloInterval*t.Election
 		}
 		v.sendHellos()
 		v.foundIfDue()
 	}
 	switch {
-	case v.leads && now >= v.nextHeartbeat:
+	case v.isLeader && now >= v.nextHeartbeat:
 		v.heartbeat()
-	case !v.leads && !v.empty && now >= v.leaderHeard+v.electionTimeout:
+	case !v.isLeader && !v.empty && now >= v.leaderHeard+v.electionTimeout:
 		v.leaderHeard = now
 		v.resetTimeout()
-		v.raft.Campaign() // no error but for one that is no voter, which is no news
+		v.raft.Campaign() // fails only if this log is not a voter, which needs no report
 	}
 	v.processReady()
 }
 
-// handleRequest takes a request if this voter leads and speaks, and says whether it has.
+// handleRequest handles a request if this voter leads, and reports whether it did.
 func (v *voter) handleRequest(m *Message) bool {
-	if v.halted || !v.leads {
+	if v.halted || !v.isLeader {
 		return false
 	}
 	switch m.Kind {
 	case Have:
 		if l := v.leases[holder{m.From, m.Boot}]; l != nil {
-			l.deltas = m.Deltas && !v.c.set.NoDeltas
-			v.noteHolds(l, m.Holds)
+			l.acceptsDeltas = m.Deltas && !v.c.settings.NoDeltas
+			v.recordHeld(l, m.Holds)
 			v.enforce()
 		}
 	case Renew:
-		if v.c.set.NoConfirm {
+		if v.c.settings.NoConfirm {
 			v.grant(m)
 			break
 		}
-		if len(v.unconfirmed) < mostAsking {
+		if len(v.unconfirmed) < maxUnconfirmed {
 			v.unconfirmed = append(v.unconfirmed, m)
 		}
 	case Propose:
@@ -176,7 +177,7 @@
 	return true
 }
 
-// receive takes in what another voter says.
+// receive handles a message of another voter.
 func (v *voter) receive(m *Message) {
 	if v.halted {
 		return
@@ -189,17 +190,18 @@
 	if err != nil || r.GetTo() != v.id || raft.IsLocalMsg(r.GetType()) {
 		return
 	}
-	t := &v.c.set.Times
+	t := &v.c.settings.Times
 	last, _ := v.log.LastIndex()
 	switch r.GetType() {
 	case raftpb.MsgPreVote, raftpb.MsgVote:
-		// Who hears its leader keeps it: one that is cut off from the leader alone would otherwise depose it for ever anew.
-		if v.leads && v.c.now-v.majorityHeard < t.Election || !v.leads && v.lead != 0 && v.c.now-v.leaderHeard < t.Election {
+		// A voter that hears its leader ignores candidates: a voter that is cut off from the leader only would otherwise depose it
+		// again and again.
+		if v.isLeader && v.c.now-v.majorityHeard < t.Election || !v.isLeader && v.leaderID != 0 && v.c.now-v.leaderHeard < t.Election {
 			return
 		}
 	case raftpb.MsgHeartbeat:
 		if r.GetTerm() >= v.term && r.GetCommit() > last {
-			v.startOver() // it knows of more than is here: this folder is older than what it has said
+			v.resetLog() // the leader knows that this log had more entries: the folder is older than the messages sent from it
 			return
 		}
 		fallthrough
@@ -210,36 +212,36 @@
 	case raftpb.MsgProp, raftpb.MsgReadIndex, raftpb.MsgReadIndexResp:
 		return
 	}
-	v.raft.Step(r) // an error is of a voter that the log does not name, or of a state that has passed
+	v.raft.Step(r) // fails only for a voter that the log does not name, or for an outdated state
 	if name := m.From; name != "" {
-		if p := v.peers[name]; p != nil && p.store == r.GetFrom() {
-			p.heard = v.c.now
+		if p := v.peers[name]; p != nil && p.logID == r.GetFrom() {
+			p.lastHeard = v.c.now
 		}
 	}
 }
 
-// startOver begins the log anew, as one that has lost its folder does.
-func (v *voter) startOver() {
+// resetLog replaces the log by an empty one, as a voter that has lost its folder does.
+func (v *voter) resetLog() {
 	v.c.host.Told(Forgetful, Note{})
-	v.leads, v.leases, v.worked, v.slowest = false, nil, nil, nil
-	if err := v.begin(); err != nil {
+	v.isLeader, v.leases, v.deltas, v.slowest = false, nil, nil, nil
+	if err := v.beginEmptyLog(); err != nil {
 		v.halt(err)
 	}
 }
 
-// report adds what a voter knows to a report.
+// report adds the voter's part to a report.
 func (v *voter) report(now time.Duration, r *Report) {
-	r.Halted, r.Leads = v.halted, v.leads && !v.halted
-	if name := v.leader(); name != "" {
+	r.Halted, r.Leads = v.halted, v.isLeader && !v.halted
+	if name := v.leaderName(); name != "" {
 		r.Leader = name
 	}
 	r.Keepers = map[string]bool{}
-	for name, id := range v.state.Keepers {
-		r.Keepers[name] = slices.Contains(v.conf.GetVoters(), id)
+	for name, id := range v.state.Voters {
+		r.Keepers[name] = slices.Contains(v.confState.GetVoters(), id)
 	}
 	r.History = append(slices.Clone(v.state.Rules.History), v.state.Rules.Pending...)
 	for _, h := range slices.SortedFunc(maps.Keys(v.leases), compareHolders) {
 		l := v.leases[h]
-		r.Holders = append(r.Holders, Holder{Name: h.name, Holds: l.holds, Left: max(l.until-now, 0)})
+		r.Holders = append(r.Holders, Holder{Name: h.name, Holds: l.held, Left: max(l.until-now, 0)})
 	}
 }
