--- a/internal/cluster/accord/core.go
+++ b/internal/cluster/accord/core.go
@@ -18,13 +18,13 @@
 	Save(r *Record) error
 	// SaveRules writes the rules that this proxy knows to durable storage: it is about to acknowledge them, and a start that
 	// reaches no voter must know them too. The host reports a failure; the proxy continues.
-	Keep(s *rules.Standing)
+	SaveRules(s *rules.Status)
 	// SetBasis replaces the basis of this proxy's decisions.
-	Acts(b *Basis)
+	SetBasis(b *Basis)
 	// ProposalDone reports the result of one of this proxy's own proposals.
-	Answered(a rules.Answer)
+	ProposalDone(a rules.Answer)
 	// Notify reports an event, for the operators.
-	Told(what Event, of Note)
+	Notify(what Event, of Note)
 }
 
 // Event is an event for the operators. Its value is the text that is logged.
@@ -32,18 +32,18 @@
 
 // The events.
 const (
-	Learned   Event = "rules" // other rules are applied
-	Elected   Event = "leads" // this voter has become the leader
-	Deposed   Event = "leads no more"
-	Founded   Event = "founded the keepers' log"
-	Joined    Event = "joins the keepers' log"
-	Forgetful Event = "its log is older than the messages that it has sent; it starts with an empty log"
-	Disk      Event = "no longer votes: its log cannot be stored or applied"
-	Changed   Event = "keepers changed"
-	Refounded Event = "refounded the log alone, in place of the other keepers"
-	Later     Event = "the agreed rules need a newer version of the program; this one is restricted and gets no lease until it is upgraded"
-	Differs   Event = "the rules here differ from the voters' rules under the same number; all of them are requested"
-	GivenUp   Event = "another keeper refounded the log while this one was unreachable; it starts with an empty log"
+	RulesChanged   Event = "rules" // other rules are applied
+	Elected        Event = "leads" // this voter has become the leader
+	Deposed        Event = "leads no more"
+	Founded        Event = "founded the keepers' log"
+	Joined         Event = "joins the keepers' log"
+	LogOutdated    Event = "its log is older than the messages that it has sent; it starts with an empty log"
+	DiskFailed     Event = "no longer votes: its log cannot be stored or applied"
+	VotersChanged  Event = "keepers changed"
+	Refounded      Event = "refounded the log alone, in place of the other keepers"
+	NewerForm      Event = "the agreed rules need a newer version of the program; this one is restricted and gets no lease until it is upgraded"
+	DigestMismatch Event = "the rules here differ from the voters' rules under the same number; all of them are requested"
+	Superseded     Event = "another keeper refounded the log while this one was unreachable; it starts with an empty log"
 )
 
 // Note goes with an event.
@@ -84,9 +84,9 @@
 	now      time.Duration
 
 	// State as a holder of a lease:
-	standing rules.Standing // version 0 if no rules are known
-	digest   rules.Digest   // digest of the status
-	verified bool           // the status has come from voters since the start, either whole or confirmed by its digest
+	standing rules.Status // version 0 if no rules are known
+	digest   rules.Digest // digest of the status
+	verified bool         // the status has come from voters since the start, either whole or confirmed by its digest
 	// needsWhole: the rules known here were found to differ from those that others know under the same numbers.
 	needsWhole     bool
 	leaseUntil     time.Duration
@@ -111,12 +111,12 @@
 	}
 	c := &Core{settings: s, host: host, rng: rand.New(rand.NewPCG(seed, 0xacc0)), now: now, leaseUntil: now - 1, lastUnanswered: -1, nextRenewal: now}
 	c.seq = c.rng.Uint64() >> 1
-	if disk.Acts != nil {
-		c.standing = *disk.Acts.Share() // known rules, without a lease
+	if disk.Rules != nil {
+		c.standing = *disk.Rules.Copy() // known rules, without a lease
 		c.standing.Compact()
 		c.digest = c.standing.Digest()
 	}
-	if slices.Contains(s.Keepers, s.Name) && !s.Later {
+	if slices.Contains(s.Voters, s.Name) && !s.DeferVoter {
 		if err := c.startVoter(now, disk); err != nil {
 			return nil, err
 		}
@@ -126,25 +126,25 @@
 }
 
 // StartVoter starts the voter of a proxy that the settings name a voter, if its disk was not available at the start.
-func (c *Core) Keep(now time.Duration, disk Stored) error {
+func (c *Core) StartVoter(now time.Duration, disk Stored) error {
 	c.now = now
-	if c.voter != nil || !slices.Contains(c.settings.Keepers, c.settings.Name) {
+	if c.voter != nil || !slices.Contains(c.settings.Voters, c.settings.Name) {
 		return nil
 	}
 	return c.startVoter(now, disk)
 }
 
 // IsVoter reports whether this proxy holds the log now.
-func (c *Core) Keeps() bool { return c.voter != nil && !c.voter.halted }
+func (c *Core) IsVoter() bool { return c.voter != nil && !c.voter.halted }
 
 // IsLeader reports whether this proxy leads the voters and has applied an entry of its own term.
-func (c *Core) Leads() bool { return c.Keeps() && c.voter.ownTermApplied }
+func (c *Core) IsLeader() bool { return c.IsVoter() && c.voter.ownTermApplied }
 
 // NextTick returns the time at which Tick must be called at the latest.
-func (c *Core) Next() time.Duration {
+func (c *Core) NextTick() time.Duration {
 	next := c.nextRenewal
 	if len(c.renewals) > 0 {
-		next = min(next, c.renewals[0].at+c.settings.Times.Patience)
+		next = min(next, c.renewals[0].at+c.settings.Times.RequestTimeout)
 	}
 	for _, p := range c.proposals {
 		next = min(next, p.next)
@@ -156,7 +156,7 @@
 }
 
 // Tick does the work that is due.
-func (c *Core) Wake(now time.Duration) {
+func (c *Core) Tick(now time.Duration) {
 	c.now = now
 	defer c.recoverVoter()
 	c.expireRenewals()
@@ -192,7 +192,7 @@
 // expireRenewals removes renewals that were not answered in time and counts them as missed.
 func (c *Core) expireRenewals() {
 	n := 0
-	for n < len(c.renewals) && c.now-c.renewals[n].at >= c.settings.Times.Patience {
+	for n < len(c.renewals) && c.now-c.renewals[n].at >= c.settings.Times.RequestTimeout {
 		n++
 	}
 	if n == 0 {
@@ -218,9 +218,9 @@
 	if c.renewals = append(c.renewals, sentRenewal{c.seq, c.now, to}); len(c.renewals) > maxRenewals {
 		c.renewals = c.renewals[1:]
 	}
-	m := &Message{Kind: Renew, From: c.settings.Name, Boot: c.settings.Boot, Seq: c.seq, Holds: c.held(), Form: c.settings.form()}
+	m := &Message{Kind: Renew, From: c.settings.Name, InstanceID: c.settings.InstanceID, Seq: c.seq, Held: c.held(), Form: c.settings.form()}
 	if !c.settings.NoDeltas {
-		m.Deltas, m.Whole, m.Digest = true, c.needsWhole, c.digest
+		m.AcceptsDeltas, m.NeedsWhole, m.Digest = true, c.needsWhole, c.digest
 	}
 	c.send(to, m)
 }
@@ -234,7 +234,7 @@
 	}
 	if !c.newerFormSeen {
 		c.newerFormSeen = true
-		c.host.Told(Later, Note{InForce: at.InForce, Last: at.Last})
+		c.host.Notify(NewerForm, Note{InForce: at.InForce, Last: at.Last})
 	}
 	return false
 }
@@ -254,7 +254,7 @@
 	if c.missedRenewals%3 == 2 && len(c.peers) > 0 {
 		return c.peers[c.rng.IntN(len(c.peers))]
 	}
-	return c.settings.Keepers[c.rng.IntN(len(c.settings.Keepers))]
+	return c.settings.Voters[c.rng.IntN(len(c.settings.Voters))]
 }
 
 // sendToLeader sends a message towards the leader.
@@ -273,10 +273,10 @@
 	c.host.Send(to, m)
 }
 
-func (c *Core) held() Holds { return versionsOf(&c.standing) }
+func (c *Core) held() HeldVersions { return versionsOf(&c.standing) }
 
-func versionsOf(s *rules.Standing) Holds {
-	return Holds{Log: s.Log, InForce: s.InForce.Number, Last: s.Last()}
+func versionsOf(s *rules.Status) HeldVersions {
+	return HeldVersions{Log: s.Log, InForce: s.InForce.Number, Last: s.Last()}
 }
 
 // SetPeers sets the names of the other proxies of the fleet.
@@ -288,13 +288,13 @@
 func (c *Core) Propose(now time.Duration, change rules.Change) error {
 	c.now = now
 	defer c.recoverVoter()
-	if err := change.Check(); err != nil {
+	if err := change.Validate(); err != nil {
 		return err
 	}
 	if len(c.proposals) >= maxProposals {
 		return fmt.Errorf("accord: %d proposals are already waiting for their results", len(c.proposals))
 	}
-	if needs := change.Needs(); needs > 1 {
+	if needs := change.RequiredForm(); needs > 1 {
 		change.Form = needs
 	}
 	p := &proposal{change: change, next: now + c.settings.Times.Renew, until: now + proposalTimeout}
@@ -336,12 +336,12 @@
 
 func (c *Core) handle(m *Message) {
 	switch m.Kind {
-	case Renew, Propose, Have:
+	case Renew, Propose, Acknowledge:
 		if c.voter != nil && c.voter.handleRequest(m) {
 			return
 		}
 		c.forward(m)
-	case Grant, Tell, Result:
+	case Grant, Update, Result:
 		if m.To != c.settings.Name {
 			c.forwardBack(m)
 			return
@@ -349,7 +349,7 @@
 		switch m.Kind {
 		case Grant:
 			c.handleGrant(m)
-		case Tell:
+		case Update:
 			c.handleUpdate(m)
 		case Result:
 			c.handleResult(m.Answer)
@@ -370,7 +370,7 @@
 	if c.voter != nil {
 		to = c.voter.leaderName()
 	} else if to == "" {
-		to = c.settings.Keepers[c.rng.IntN(len(c.settings.Keepers))]
+		to = c.settings.Voters[c.rng.IntN(len(c.settings.Voters))]
 	}
 	if to == "" || to == c.settings.Name || to == m.From || slices.Contains(m.Path, to) {
 		return
@@ -412,25 +412,25 @@
 		return
 	}
 	a := c.renewals[i]
-	if m.Digest != 0 && m.Holds == c.held() && m.Digest != c.digest && !c.settings.NoDigest {
+	if m.Digest != 0 && m.Held == c.held() && m.Digest != c.digest && !c.settings.NoDigestCheck {
 		c.noteMismatch()
 	}
 	switch {
-	case m.Standing != nil:
-		if m.Standing.Reign < c.standing.Reign {
+	case m.Status != nil:
+		if m.Status.Term < c.standing.Term {
 			return // from former voters that do not know yet that another voter has refounded the log
 		}
-		if !c.understands(m.Standing.Form, m.Standing.Position()) {
+		if !c.understands(m.Status.Form, m.Status.Position()) {
 			return
 		}
-		if m.Standing.Log != c.standing.Log {
-			c.setStanding(m.Standing) // a majority has confirmed it, and the rules here are of another log
+		if m.Status.Log != c.standing.Log {
+			c.setStanding(m.Status) // a majority has confirmed it, and the rules here are of another log
 		}
-		c.adopt(m.Standing)
+		c.adopt(m.Status)
 	case m.Delta != nil:
 		c.applyDelta(m.Delta)
 	}
-	if h := c.held(); h.Log != m.Holds.Log || h.Last < m.Holds.Last || h.InForce < m.Holds.InForce && h.Last == m.Holds.Last {
+	if h := c.held(); h.Log != m.Held.Log || h.Last < m.Held.Last || h.InForce < m.Held.InForce && h.Last == m.Held.Last {
 		return // the grant covers versions that this proxy does not have
 	}
 	if !c.confirmsContent(m) {
@@ -448,11 +448,11 @@
 // because a corrupted disk may hold another document under the same number.
 func (c *Core) confirmsContent(m *Message) bool {
 	switch {
-	case m.Digest == 0 || c.settings.NoDigest || c.settings.NoDeltas:
+	case m.Digest == 0 || c.settings.NoDigestCheck || c.settings.NoDeltas:
 		return true // the leader does not support digests
-	case m.Holds != c.held():
+	case m.Held != c.held():
 		return c.verified // newer rules have arrived since from elsewhere
-	case m.Standing != nil && m.Standing.Position() == c.standing.Position():
+	case m.Status != nil && m.Status.Position() == c.standing.Position():
 		return true // the rules here are those of the grant
 	}
 	return m.Digest == c.digest
@@ -461,15 +461,15 @@
 // handleUpdate applies the rules in a leader's message that carries no lease.
 func (c *Core) handleUpdate(m *Message) {
 	switch {
-	case m.Standing != nil:
-		c.adopt(m.Standing)
+	case m.Status != nil:
+		c.adopt(m.Status)
 	case m.Delta != nil:
 		c.applyDelta(m.Delta)
 	}
 }
 
 // adopt applies and acknowledges a status that is newer, or that replaces a wrong one with the same numbers.
-func (c *Core) adopt(s *rules.Standing) {
+func (c *Core) adopt(s *rules.Status) {
 	mends := c.needsWhole && s.Position() == c.standing.Position()
 	if !mends && !s.NewerThan(&c.standing) || !c.understands(s.Form, s.Position()) {
 		return
@@ -484,13 +484,13 @@
 		return
 	}
 	next, err := rules.Apply(&c.standing, d)
-	if errors.Is(err, rules.ErrDigest) && c.settings.NoDigest {
+	if errors.Is(err, rules.ErrDigestMismatch) && c.settings.NoDigestCheck {
 		err = nil
 	}
 	switch {
 	case err == nil:
 		c.setStanding(next)
-	case !errors.Is(err, rules.ErrBase):
+	case !errors.Is(err, rules.ErrUnknownBase):
 		c.noteMismatch()
 	}
 }
@@ -499,18 +499,18 @@
 func (c *Core) noteMismatch() {
 	if !c.needsWhole {
 		c.needsWhole = true
-		c.host.Told(Differs, Note{InForce: c.standing.InForce.Number, Last: c.standing.Last()})
+		c.host.Notify(DigestMismatch, Note{InForce: c.standing.InForce.Number, Last: c.standing.Last()})
 	}
 }
 
-func (c *Core) setStanding(s *rules.Standing) {
+func (c *Core) setStanding(s *rules.Status) {
 	c.standing, c.digest = *s, s.Digest()
 	c.verified, c.needsWhole = true, false
 	c.basis.Doc = nil // the content may differ even if the numbers are the same
 	c.publish()
-	c.host.Keep(s)
-	c.host.Told(Learned, Note{InForce: s.InForce.Number, Last: s.Last()})
-	c.sendToLeader(&Message{Kind: Have, From: c.settings.Name, Boot: c.settings.Boot, Holds: c.held(), Deltas: !c.settings.NoDeltas})
+	c.host.SaveRules(s)
+	c.host.Notify(RulesChanged, Note{InForce: s.InForce.Number, Last: s.Last()})
+	c.sendToLeader(&Message{Kind: Acknowledge, From: c.settings.Name, InstanceID: c.settings.InstanceID, Held: c.held(), AcceptsDeltas: !c.settings.NoDeltas})
 }
 
 // handleResult handles the result of a proposal.
@@ -520,35 +520,35 @@
 		return
 	}
 	c.proposals = slices.Delete(c.proposals, i, i+1)
-	c.host.Answered(*a)
+	c.host.ProposalDone(*a)
 }
 
 // publish passes a new Basis to the host.
 func (c *Core) publish() {
 	b := Basis{
-		Log: c.standing.Log, Version: c.standing.InForce.Number, Last: c.standing.Last(), Until: c.leaseUntil, Tested: c.lastUnanswered,
-		Awake: c.settings.Times.Awake(), Refuse: c.settings.Refuse, Trust: c.settings.NoLeaseCheck && c.standing.Last() > 0,
+		Log: c.standing.Log, Version: c.standing.InForce.Number, Last: c.standing.Last(), Until: c.leaseUntil, LastUnanswered: c.lastUnanswered,
+		AliveWindow: c.settings.Times.AliveWindow(), RefuseWithoutLease: c.settings.RefuseWithoutLease, NoLeaseCheck: c.settings.NoLeaseCheck && c.standing.Last() > 0,
 	}
 	if c.basis.Doc != nil && b.Log == c.basis.Log && b.Version == c.basis.Version && b.Last == c.basis.Last {
-		b.Doc, b.Vague, b.Settled = c.basis.Doc, c.basis.Vague, c.basis.Settled
+		b.Doc, b.Unleased, b.Settled = c.basis.Doc, c.basis.Unleased, c.basis.Settled
 	} else {
 		b.Doc = c.standing.Meet()
-		b.Vague = rules.Unknowing(b.Doc)
+		b.Unleased = rules.Unleased(b.Doc)
 		if len(c.standing.Pending) == 0 {
 			b.Settled = b.Doc
 		}
 	}
 	c.basis = b
-	c.host.Acts(&b)
+	c.host.SetBasis(&b)
 }
 
 // Report describes the state of a proxy's consensus for operators.
 type Report struct {
-	Standing rules.Standing
+	Status   rules.Status
 	Basis    Basis
 	Leader   string // as far as this proxy knows; "" for none
-	Leads    bool
-	Keepers  map[string]bool // the voters that the log names, and whether each votes; nil at a proxy without a log
+	IsLeader bool
+	Voters   map[string]bool // the voters that the log names, and whether each votes; nil at a proxy without a log
 	Halted   bool
 	Holders  []Holder        // at the leader, sorted by name
 	History  []rules.Version // at a voter only
@@ -556,14 +556,14 @@
 
 // Holder is a proxy as the leader sees it.
 type Holder struct {
-	Name  string
-	Holds Holds
-	Left  time.Duration // time until its lease expires on the leader's clock
+	Name      string
+	Held      HeldVersions
+	LeaseLeft time.Duration // time until its lease expires on the leader's clock
 }
 
 // Report returns a report on this proxy.
 func (c *Core) Report(now time.Duration) Report {
-	r := Report{Standing: c.standing, Basis: c.basis, Leader: c.nextHop}
+	r := Report{Status: c.standing, Basis: c.basis, Leader: c.nextHop}
 	if c.voter != nil {
 		c.voter.report(now, &r)
 	}
--- a/internal/cluster/accord/differences_test.go
+++ b/internal/cluster/accord/differences_test.go
@@ -20,9 +20,9 @@
 	requests       []*Message // by the holder
 	drop           func(m *Message) bool
 	queue          []addressed
-	savedRules     *rules.Standing // by the holder
-	notices        map[Event]int   // to the holder
-	basis          *Basis          // the holder's
+	savedRules     *rules.Status // by the holder
+	notices        map[Event]int // to the holder
+	basis          *Basis        // the holder's
 }
 
 type addressed struct {
@@ -48,22 +48,22 @@
 	s.queue = append(s.queue, addressed{to, read})
 }
 
-func (side) Save(*Record) error    { return nil }
-func (side) Answered(rules.Answer) {}
+func (side) Save(*Record) error        { return nil }
+func (side) ProposalDone(rules.Answer) {}
 
-func (s side) Keep(standing *rules.Standing) {
+func (s side) SaveRules(standing *rules.Status) {
 	if s.name == "holder" {
-		s.savedRules = standing.Share()
+		s.savedRules = standing.Copy()
 	}
 }
 
-func (s side) Acts(b *Basis) {
+func (s side) SetBasis(b *Basis) {
 	if s.name == "holder" {
 		s.basis = b
 	}
 }
 
-func (s side) Told(what Event, _ Note) {
+func (s side) Notify(what Event, _ Note) {
 	if s.name == "holder" {
 		s.notices[what]++
 	}
@@ -78,7 +78,7 @@
 
 func (p *pair) start(name string, disk Stored, change func(*Settings)) *Core {
 	p.t.Helper()
-	s := Settings{Name: name, Boot: 1, Keepers: []string{"leader"}, Times: DefaultTimes()}
+	s := Settings{Name: name, InstanceID: 1, Voters: []string{"leader"}, Times: DefaultTimes()}
 	if change != nil {
 		change(&s)
 	}
@@ -94,8 +94,8 @@
 	const step = 10 * time.Millisecond
 	for end := p.now + d; p.now < end; p.now += step {
 		for _, c := range []*Core{p.leader, p.holder} {
-			if c != nil && p.now >= c.Next() {
-				c.Wake(p.now)
+			if c != nil && p.now >= c.NextTick() {
+				c.Tick(p.now)
 			}
 		}
 		for len(p.queue) > 0 {
@@ -112,7 +112,7 @@
 		p.leader.Receive(p.now, a.m)
 		return
 	}
-	if a.m.Kind == Grant || a.m.Kind == Tell {
+	if a.m.Kind == Grant || a.m.Kind == Update {
 		p.sent = append(p.sent, a.m)
 	}
 	if p.holder != nil && (p.drop == nil || !p.drop(a.m)) {
@@ -136,7 +136,7 @@
 	return n
 }
 
-func whole(m *Message) bool { return m.Standing != nil }
+func whole(m *Message) bool { return m.Status != nil }
 func delta(m *Message) bool { return m.Delta != nil }
 
 // TestDeltasAreSent checks that deltas are sent to holders that understand them, and whole statuses to others.
@@ -163,8 +163,8 @@
 }
 
 // corrupted returns a status with another document under the same numbers, as a corrupted disk may hold it.
-func corrupted(s *rules.Standing) *rules.Standing {
-	c := s.Share()
+func corrupted(s *rules.Status) *rules.Status {
+	c := s.Copy()
 	c.InForce = rules.Version{Number: s.InForce.Number, Change: s.InForce.Change, Doc: s.InForce.Doc}
 	c.InForce.Doc.Bans = maps.Clone(s.InForce.Doc.Bans)
 	delete(c.InForce.Doc.Bans, "node-0")
@@ -180,7 +180,7 @@
 		p.holder = p.start("holder", Stored{}, nil)
 		p.ban("node-0")
 		p.run(time.Second)
-		disk := Stored{Acts: corrupted(p.savedRules)}
+		disk := Stored{Rules: corrupted(p.savedRules)}
 		p.holder, p.sent, p.requests = nil, nil, nil
 		p.run(2 * time.Second)
 		if changed {
@@ -191,19 +191,19 @@
 		leasedOnOther := false
 		for range 300 {
 			p.run(10 * time.Millisecond)
-			if p.basis.Mode(p.now) == Leased && p.basis.Doc.Rule(rules.Send{Server: "node-0"}) != rules.Banned {
+			if p.basis.Mode(p.now) == Leased && p.basis.Doc.Decide(rules.Send{Server: "node-0"}) != rules.Banned {
 				leasedOnOther = true
 			}
 		}
 		if leasedOnOther {
 			t.Errorf("changed %v: a lease covered a document that the holder does not have", changed)
 		}
-		if p.basis.Mode(p.now) != Leased || p.notices[Differs] != 1 {
-			t.Errorf("changed %v: mode %v, %d mismatch events", changed, p.basis.Mode(p.now), p.notices[Differs])
+		if p.basis.Mode(p.now) != Leased || p.notices[DigestMismatch] != 1 {
+			t.Errorf("changed %v: mode %v, %d mismatch events", changed, p.basis.Mode(p.now), p.notices[DigestMismatch])
 		}
 		asked := 0
 		for _, m := range p.requests {
-			if m.Whole {
+			if m.NeedsWhole {
 				asked++
 			}
 		}
@@ -242,7 +242,7 @@
 func newPairWithLongDeltas(t *testing.T) *pair {
 	t.Helper()
 	p := newPair(t)
-	p.leader = p.start("leader", Stored{}, func(s *Settings) { s.MostShort = 1 })
+	p.leader = p.start("leader", Stored{}, func(s *Settings) { s.MaxInlineDelta = 1 })
 	p.run(3 * time.Second)
 	p.holder = p.start("holder", Stored{}, nil)
 	p.run(time.Second)
@@ -271,7 +271,7 @@
 	// The holder lacks the version in force, so it gets no lease.
 	p.sent = nil
 	p.run(2 * time.Second)
-	if n := p.count(func(m *Message) bool { return m.Kind == Grant && m.Holds.Last < 2 }); n > 0 || p.basis.Mode(p.now) == Leased {
+	if n := p.count(func(m *Message) bool { return m.Kind == Grant && m.Held.Last < 2 }); n > 0 || p.basis.Mode(p.now) == Leased {
 		t.Errorf("%d grants for versions that are no longer in force, mode %v", n, p.basis.Mode(p.now))
 	}
 	p.drop = nil
@@ -292,10 +292,10 @@
 		t.Errorf("after the commit: %v", v.agreedAt)
 	}
 	p.run(3 * time.Second)
-	if bound := DefaultTimes().Bound(); p.basis.Last != 1 || p.basis.Until > agreed+bound {
+	if bound := DefaultTimes().ConvergenceBound(); p.basis.Last != 1 || p.basis.Until > agreed+bound {
 		t.Errorf("a lease on version %d until %v; committed at %v, and the bound is %v", p.basis.Last, p.basis.Until, agreed, bound)
 	}
-	p.now = agreed + DefaultTimes().Bound()
+	p.now = agreed + DefaultTimes().ConvergenceBound()
 	v.c.now = p.now
 	if v.agreedAt[2] = agreed; v.leaseEndsInTime(2) {
 		t.Error("a lease that lacks a committed version may outlast the bound")
@@ -334,23 +334,23 @@
 
 // olderMessage is a message as programs that predate deltas encode and decode it.
 type olderMessage struct {
-	Kind     MessageKind     `cbor:"1,keyasint"`
-	From     string          `cbor:"2,keyasint"`
-	To       string          `cbor:"3,keyasint,omitempty"`
-	Seq      uint64          `cbor:"4,keyasint,omitempty"`
-	Path     []string        `cbor:"5,keyasint,omitempty"`
-	Holds    Holds           `cbor:"6,keyasint,omitempty"`
-	Standing *rules.Standing `cbor:"7,keyasint,omitempty"`
-	Change   *rules.Change   `cbor:"8,keyasint,omitempty"`
-	Answer   *rules.Answer   `cbor:"9,keyasint,omitempty"`
-	Raft     []byte          `cbor:"10,keyasint,omitempty"`
-	Store    uint64          `cbor:"11,keyasint,omitempty"`
-	Empty    bool            `cbor:"12,keyasint,omitempty"`
-	Reply    bool            `cbor:"13,keyasint,omitempty"`
-	Match    uint64          `cbor:"14,keyasint,omitempty"`
-	Boot     uint64          `cbor:"15,keyasint,omitempty"`
-	Reign    uint64          `cbor:"16,keyasint,omitempty"`
-	Form     uint8           `cbor:"17,keyasint,omitempty"`
+	Kind     MessageKind   `cbor:"1,keyasint"`
+	From     string        `cbor:"2,keyasint"`
+	To       string        `cbor:"3,keyasint,omitempty"`
+	Seq      uint64        `cbor:"4,keyasint,omitempty"`
+	Path     []string      `cbor:"5,keyasint,omitempty"`
+	Holds    HeldVersions  `cbor:"6,keyasint,omitempty"`
+	Standing *rules.Status `cbor:"7,keyasint,omitempty"`
+	Change   *rules.Change `cbor:"8,keyasint,omitempty"`
+	Answer   *rules.Answer `cbor:"9,keyasint,omitempty"`
+	Raft     []byte        `cbor:"10,keyasint,omitempty"`
+	Store    uint64        `cbor:"11,keyasint,omitempty"`
+	Empty    bool          `cbor:"12,keyasint,omitempty"`
+	Reply    bool          `cbor:"13,keyasint,omitempty"`
+	Match    uint64        `cbor:"14,keyasint,omitempty"`
+	Boot     uint64        `cbor:"15,keyasint,omitempty"`
+	Reign    uint64        `cbor:"16,keyasint,omitempty"`
+	Form     uint8         `cbor:"17,keyasint,omitempty"`
 }
 
 // TestMessagesOfOlderPrograms checks that an older program decodes new messages and ignores unknown fields. If it forwards a renewal, it
@@ -359,14 +359,14 @@
 	state := rules.NewState()
 	has := rules.Position{InForce: 1, Last: 1}
 	state.Propose(&rules.Change{ID: "1", Kind: rules.Suspend, Server: "a"})
-	d, ok := rules.Between(state, has)
+	d, ok := rules.DeltaFrom(state, has)
 	if !ok {
 		t.Fatal("no delta")
 	}
 	for _, m := range []*Message{
-		{Kind: Renew, From: "n4", Seq: 7, Boot: 9, Holds: Holds{Log: 1, InForce: 2, Last: 3}, Form: 2, Deltas: true, Whole: true, Digest: 1 << 63},
-		{Kind: Grant, From: "n1", To: "n4", Seq: 7, Holds: Holds{Log: 1, InForce: 2, Last: 3}, Digest: 5, Standing: state.Share()},
-		{Kind: Grant, From: "n1", To: "n4", Seq: 7, Holds: Holds{InForce: 1, Last: 2}, Digest: 5, Delta: d},
+		{Kind: Renew, From: "n4", Seq: 7, InstanceID: 9, Held: HeldVersions{Log: 1, InForce: 2, Last: 3}, Form: 2, AcceptsDeltas: true, NeedsWhole: true, Digest: 1 << 63},
+		{Kind: Grant, From: "n1", To: "n4", Seq: 7, Held: HeldVersions{Log: 1, InForce: 2, Last: 3}, Digest: 5, Status: state.Copy()},
+		{Kind: Grant, From: "n1", To: "n4", Seq: 7, Held: HeldVersions{InForce: 1, Last: 2}, Digest: 5, Delta: d},
 	} {
 		text, err := m.Encode()
 		if err != nil {
@@ -376,10 +376,10 @@
 		if err := decMode.Unmarshal(text, older); err != nil {
 			t.Fatalf("an older program cannot decode %+v: %v", m, err)
 		}
-		if older.Kind != m.Kind || older.From != m.From || older.Seq != m.Seq || older.Holds != m.Holds || older.Boot != m.Boot || older.Form != m.Form {
+		if older.Kind != m.Kind || older.From != m.From || older.Seq != m.Seq || older.Holds != m.Held || older.Boot != m.InstanceID || older.Form != m.Form {
 			t.Errorf("an older program decodes %+v from %+v", older, m)
 		}
-		if (older.Standing == nil) != (m.Standing == nil) {
+		if (older.Standing == nil) != (m.Status == nil) {
 			t.Errorf("the status of %+v is lost", m)
 		}
 		if text, err = cbor.Marshal(older); err != nil {
@@ -389,7 +389,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if back.Deltas || back.Whole || back.Digest != 0 || back.Delta != nil || back.Seq != m.Seq {
+		if back.AcceptsDeltas || back.NeedsWhole || back.Digest != 0 || back.Delta != nil || back.Seq != m.Seq {
 			t.Errorf("forwarded by an older program: %+v", back)
 		}
 	}
@@ -398,7 +398,7 @@
 	p.run(3 * time.Second)
 	p.holder = p.start("holder", Stored{}, nil)
 	p.run(time.Second)
-	p.drop = func(m *Message) bool { m.Delta = nil; return m.Kind == Tell }
+	p.drop = func(m *Message) bool { m.Delta = nil; return m.Kind == Update }
 	p.ban("node-0")
 	p.run(1500 * time.Millisecond)
 	if p.basis.Mode(p.now) == Leased || p.basis.Last != 1 {
@@ -409,17 +409,17 @@
 // TestLargestMessages checks that a status with documents of maximum size can be decoded and is within MaxMessageBytes.
 func TestLargestMessages(t *testing.T) {
 	state := rules.NewState()
-	for i := range rules.MostPending {
+	for i := range rules.MaxPending {
 		numbers := map[string]int{}
-		for n := range rules.MostMembers {
+		for n := range rules.MaxMembers {
 			numbers[fmt.Sprintf("proxy-%04d-of-a-region-%d", n, i%10)] = n
 		}
-		if a := state.Propose(&rules.Change{ID: fmt.Sprint(i), Kind: rules.Number, Numbers: numbers, Form: 2}); a.Version == 0 {
-			t.Fatal(a.No)
+		if a := state.Propose(&rules.Change{ID: fmt.Sprint(i), Kind: rules.Renumber, Numbers: numbers, Form: 2}); a.Version == 0 {
+			t.Fatal(a.Rejection)
 		}
 	}
 	state.Enforce(2)
-	m := &Message{Kind: Tell, From: "n1", To: "n2", Standing: state.Share()}
+	m := &Message{Kind: Update, From: "n1", To: "n2", Status: state.Copy()}
 	text, err := m.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -427,9 +427,9 @@
 	if _, err := Decode(text); err != nil {
 		t.Errorf("%d bytes: %v", len(text), err)
 	}
-	t.Logf("%d bytes of %d", len(text), MostMessage)
+	t.Logf("%d bytes of %d", len(text), MaxMessageBytes)
 	snapshot, err := cbor.Marshal(&replicatedState{Rules: state, Voters: map[string]uint64{}})
-	if err != nil || len(snapshot) > MostMessage {
+	if err != nil || len(snapshot) > MaxMessageBytes {
 		t.Errorf("a snapshot of %d bytes, %v", len(snapshot), err)
 	}
 	back := &replicatedState{}
--- a/internal/cluster/accord/log.go
+++ b/internal/cluster/accord/log.go
@@ -40,7 +40,7 @@
 
 // load restores the voter from a disk.
 func (v *voter) load(disk Stored) error {
-	v.id, v.log, v.confState = disk.Store, raft.NewMemoryStorage(), &raftpb.ConfState{}
+	v.id, v.log, v.confState = disk.LogID, raft.NewMemoryStorage(), &raftpb.ConfState{}
 	v.state = &replicatedState{Rules: rules.NewState(), Voters: map[string]uint64{}}
 	v.empty = disk.Snapshot == nil
 	if disk.Snapshot != nil {
@@ -89,7 +89,7 @@
 		return errors.New("accord: a snapshot with no rules")
 	}
 	state.Rules.Compact()
-	if err := state.Rules.Sound(); err != nil {
+	if err := state.Rules.Validate(); err != nil {
 		return fmt.Errorf("accord: a snapshot: %w", err)
 	}
 	if state.Rules.Form > v.c.settings.form() {
@@ -131,7 +131,7 @@
 
 // persist writes a Ready state to disk and then to the log in memory, and reports whether both succeeded.
 func (v *voter) persist(r *raft.Ready) bool {
-	record := &Record{Store: v.id, Hard: r.HardState, Entries: r.Entries}
+	record := &Record{LogID: v.id, Hard: r.HardState, Entries: r.Entries}
 	if !raft.IsEmptySnap(r.Snapshot) {
 		record.Snapshot, record.Install = r.Snapshot, true
 	}
@@ -152,9 +152,9 @@
 		}
 		if v.empty {
 			v.empty = false
-			v.c.host.Told(Joined, Note{Name: v.c.settings.Name})
+			v.c.host.Notify(Joined, Note{Name: v.c.settings.Name})
 		}
-		v.c.adopt(v.state.Rules.Standing.Share())
+		v.c.adopt(v.state.Rules.Status.Copy())
 	}
 	if len(record.Entries) > 0 {
 		v.empty = false
@@ -188,7 +188,7 @@
 // applyAll applies committed entries and then announces their combined result, so that many changes cost as many messages and disk
 // writes as one.
 func (v *voter) applyAll(entries []*raftpb.Entry) {
-	before := versionsOf(&v.state.Rules.Standing)
+	before := versionsOf(&v.state.Rules.Status)
 	var answers []*rules.Answer
 	executed := false
 	for _, e := range entries {
@@ -237,8 +237,8 @@
 			v.halt(fmt.Errorf("accord: entry %d was written by a newer version of the program", v.applied))
 			return nil
 		}
-		if cmd.Propose != nil && cmd.Propose.Needs() > v.c.settings.form() {
-			v.halt(fmt.Errorf("accord: entry %d needs form %d of documents, but this program understands %d: upgrade it", v.applied, cmd.Propose.Needs(), v.c.settings.form()))
+		if cmd.Propose != nil && cmd.Propose.RequiredForm() > v.c.settings.form() {
+			v.halt(fmt.Errorf("accord: entry %d needs form %d of documents, but this program understands %d: upgrade it", v.applied, cmd.Propose.RequiredForm(), v.c.settings.form()))
 			return nil
 		}
 		return cmd
@@ -249,20 +249,20 @@
 // execute executes a committed command, and returns the result of the proposal in it; nil if it contains none.
 func (v *voter) execute(cmd *command) *rules.Answer {
 	state := v.state.Rules.Clone()
-	before := versionsOf(&state.Standing)
+	before := versionsOf(&state.Status)
 	var answer *rules.Answer
 	last := state.Last()
 	if cmd.Propose != nil {
 		a := state.Propose(cmd.Propose)
 		answer = &a
-		if v.c.settings.NoPrepared {
+		if v.c.settings.NoPreparePhase {
 			state.Enforce(a.Version)
 		}
 	} else {
 		state.Enforce(cmd.Enforce)
 	}
 	v.state.Rules = state
-	if versionsOf(&state.Standing) != before {
+	if versionsOf(&state.Status) != before {
 		v.recordDigest()
 		if state.Last() > last {
 			v.recordAgreed()
@@ -272,9 +272,9 @@
 }
 
 // adoptIfChanged makes this voter's own proxy apply the status if its versions changed.
-func (v *voter) adoptIfChanged(before Holds) {
-	if s := &v.state.Rules.Standing; versionsOf(s) != before {
-		v.c.adopt(s.Share())
+func (v *voter) adoptIfChanged(before HeldVersions) {
+	if s := &v.state.Rules.Status; versionsOf(s) != before {
+		v.c.adopt(s.Copy())
 	}
 }
 
@@ -311,7 +311,7 @@
 		return fmt.Errorf("accord: a snapshot: %w", err)
 	}
 	upTo := max(v.applied, keptEntries) - keptEntries
-	if err := v.c.host.Save(&Record{Store: v.id, Snapshot: s, Compact: upTo}); err != nil {
+	if err := v.c.host.Save(&Record{LogID: v.id, Snapshot: s, Compact: upTo}); err != nil {
 		return err
 	}
 	v.snapshotIndex = v.applied
--- a/internal/cluster/accord/membership.go
+++ b/internal/cluster/accord/membership.go
@@ -20,7 +20,7 @@
 
 // sendHellos sends this voter's Hello to the other voters.
 func (v *voter) sendHellos() {
-	for _, name := range v.c.settings.Keepers {
+	for _, name := range v.c.settings.Voters {
 		if name != v.c.settings.Name {
 			v.c.host.Send(name, v.helloTo(name, false))
 		}
@@ -28,7 +28,7 @@
 }
 
 func (v *voter) helloTo(name string, reply bool) *Message {
-	m := &Message{Kind: Hello, From: v.c.settings.Name, To: name, Store: v.id, Empty: v.empty, Reply: reply, Reign: v.state.Rules.Reign, Form: v.c.settings.form()}
+	m := &Message{Kind: Hello, From: v.c.settings.Name, To: name, LogID: v.id, Empty: v.empty, Reply: reply, Term: v.state.Rules.Term, Form: v.c.settings.form()}
 	if p := v.peers[name]; p != nil && v.isLeader {
 		if progress, there := v.raft.Status().Progress[p.logID]; there {
 			m.Match = progress.Match
@@ -39,11 +39,11 @@
 
 // handleHello records another voter's log.
 func (v *voter) handleHello(m *Message) {
-	if !slices.Contains(v.c.settings.Keepers, m.From) || m.Store == 0 || m.From == v.c.settings.Name {
+	if !slices.Contains(v.c.settings.Voters, m.From) || m.LogID == 0 || m.From == v.c.settings.Name {
 		return
 	}
-	if m.Reign > v.state.Rules.Reign && !m.Empty && !v.empty {
-		v.c.host.Told(GivenUp, Note{Name: m.From})
+	if m.Term > v.state.Rules.Term && !m.Empty && !v.empty {
+		v.c.host.Notify(Superseded, Note{Name: m.From})
 		v.resetLog()
 		return
 	}
@@ -53,12 +53,12 @@
 		v.peers[m.From] = p
 	}
 	delete(v.byLog, p.logID)
-	v.byLog[m.Store] = m.From
+	v.byLog[m.LogID] = m.From
 	// A new log is ignored while messages of the same name's agreed log are recent: two processes may use one name.
-	if agreed := v.state.Voters[m.From]; agreed != 0 && p.logID == agreed && m.Store != agreed && v.c.now-p.lastHeard < replaceAfter*v.c.settings.Times.Election {
+	if agreed := v.state.Voters[m.From]; agreed != 0 && p.logID == agreed && m.LogID != agreed && v.c.now-p.lastHeard < replaceAfter*v.c.settings.Times.Election {
 		return
 	}
-	*p = peer{logID: m.Store, empty: m.Empty, form: m.Form, lastHeard: v.c.now}
+	*p = peer{logID: m.LogID, empty: m.Empty, form: m.Form, lastHeard: v.c.now}
 	if last, _ := v.log.LastIndex(); m.Match > last {
 		v.resetLog()
 		return
@@ -72,10 +72,10 @@
 // voter, which adds the others in the same way as those that come later, so that a log starts in only one way.
 func (v *voter) foundIfDue() {
 	s := &v.c.settings
-	if !v.empty || s.Keepers[0] != s.Name {
+	if !v.empty || s.Voters[0] != s.Name {
 		return
 	}
-	for _, name := range s.Keepers[1:] {
+	for _, name := range s.Voters[1:] {
 		if p := v.peers[name]; p == nil || !p.empty || v.c.now-p.lastHeard > replaceAfter*s.Times.Election {
 			return
 		}
@@ -84,7 +84,7 @@
 		v.halt(err)
 		return
 	}
-	v.c.host.Told(Founded, Note{Name: s.Name})
+	v.c.host.Notify(Founded, Note{Name: s.Name})
 }
 
 // refound starts a log with this voter alone, under the next term of the rules. It includes all entries of the old log, committed or
@@ -100,7 +100,7 @@
 			return fmt.Errorf("accord: %w", err)
 		}
 		v.isLeader = false
-		before := versionsOf(&v.state.Rules.Standing)
+		before := versionsOf(&v.state.Rules.Status)
 		for _, e := range rest {
 			cmd := &command{}
 			if e.GetType() == raftpb.EntryNormal && len(e.Data) > 0 && decMode.Unmarshal(e.Data, cmd) == nil {
@@ -110,13 +110,13 @@
 		v.adoptIfChanged(before)
 	}
 	state := v.state.Rules.Clone()
-	state.Reign++
+	state.Term++
 	v.id = v.c.rng.Uint64() | 1
 	if err := v.install(state); err != nil {
 		v.halt(err)
 		return err
 	}
-	v.c.host.Told(Refounded, Note{Name: v.c.settings.Name})
+	v.c.host.Notify(Refounded, Note{Name: v.c.settings.Name})
 	return nil
 }
 
@@ -132,12 +132,12 @@
 		ConfState: &raftpb.ConfState{Voters: []uint64{v.id}}, Index: &index, Term: &term,
 	}}
 	hard := &raftpb.HardState{Term: &term, Commit: &index}
-	if err := v.c.host.Save(&Record{Store: v.id, Hard: hard, Snapshot: snapshot, Install: true}); err != nil {
+	if err := v.c.host.Save(&Record{LogID: v.id, Hard: hard, Snapshot: snapshot, Install: true}); err != nil {
 		return err
 	}
 	v.setRole(false)
 	v.leaderID = 0
-	if err := v.load(Stored{Store: v.id, Hard: hard, Snapshot: snapshot}); err != nil {
+	if err := v.load(Stored{LogID: v.id, Hard: hard, Snapshot: snapshot}); err != nil {
 		return err
 	}
 	return v.raft.Campaign()
@@ -165,7 +165,7 @@
 		}
 		return
 	}
-	for _, name := range v.c.settings.Keepers {
+	for _, name := range v.c.settings.Voters {
 		p, agreed := v.peers[name], v.state.Voters[name]
 		if name == v.c.settings.Name || p == nil || p.logID == agreed || v.c.now-p.lastHeard > replaceAfter*v.c.settings.Times.Election {
 			continue
@@ -207,5 +207,5 @@
 			return
 		}
 	}
-	v.c.host.Told(Changed, Note{Name: name})
+	v.c.host.Notify(VotersChanged, Note{Name: name})
 }
--- a/internal/cluster/accord/proposals.go
+++ b/internal/cluster/accord/proposals.go
@@ -21,12 +21,12 @@
 		return // already in the log; the first request gets the result
 	}
 	if !v.hasQuorum() {
-		v.c.reply(m, &Message{Kind: Result, Answer: &rules.Answer{ID: m.Change.ID, No: "a majority of the keepers has not joined the log yet; nothing can be agreed"}})
+		v.c.reply(m, &Message{Kind: Result, Answer: &rules.Answer{ID: m.Change.ID, Rejection: "a majority of the keepers has not joined the log yet; nothing can be agreed"}})
 		return
 	}
-	if who := v.memberWithoutForm(m.Change.Needs()); who != "" {
+	if who := v.memberWithoutForm(m.Change.RequiredForm()); who != "" {
 		no := fmt.Sprintf("%s runs a version of the program that does not understand this change; end its upgrade, or its process, and propose again", who)
-		v.c.reply(m, &Message{Kind: Result, Answer: &rules.Answer{ID: m.Change.ID, No: no}})
+		v.c.reply(m, &Message{Kind: Result, Answer: &rules.Answer{ID: m.Change.ID, Rejection: no}})
 		return
 	}
 	if len(v.proposers) >= maxProposals {
@@ -48,7 +48,7 @@
 			return h.name
 		}
 	}
-	for _, name := range v.c.settings.Keepers {
+	for _, name := range v.c.settings.Voters {
 		if p := v.peers[name]; p != nil && max(p.form, 1) < form && v.c.now-p.lastHeard < replaceAfter*v.c.settings.Times.Election {
 			return name
 		}
@@ -61,7 +61,7 @@
 //
 // After a Refound the check does not apply: the operators accepted that risk.
 func (v *voter) hasQuorum() bool {
-	return 2*len(v.confState.GetVoters()) > len(v.c.settings.Keepers) || v.state.Rules.Reign > 0
+	return 2*len(v.confState.GetVoters()) > len(v.c.settings.Voters) || v.state.Rules.Term > 0
 }
 
 // appendCommand proposes a command as an entry of the log, and reports whether the log accepted it.
--- a/internal/cluster/accord/types.go
+++ b/internal/cluster/accord/types.go
@@ -25,35 +25,37 @@
 
 // Times are the timeouts and intervals of the protocol. They must be the same at all proxies of a fleet.
 type Times struct {
-	Lease     time.Duration // duration of a lease, from the moment of the request
-	Renew     time.Duration // interval between two renewals
-	Heartbeat time.Duration // interval between two messages of a leader
-	Election  time.Duration // a voter starts an election after this to twice this time without a message from a leader
-	Patience  time.Duration // timeout of a renewal
-	Drift     float64       // maximum deviation of a clock's rate, as a fraction
+	Lease          time.Duration // duration of a lease, from the moment of the request
+	Renew          time.Duration // interval between two renewals
+	Heartbeat      time.Duration // interval between two messages of a leader
+	Election       time.Duration // a voter starts an election after this to twice this time without a message from a leader
+	RequestTimeout time.Duration // timeout of a renewal
+	MaxDrift       float64       // maximum deviation of a clock's rate, as a fraction
 }
 
 // DefaultTimes returns the times for a fleet in one site.
 func DefaultTimes() Times {
 	return Times{
 		Lease: time.Second, Renew: 250 * time.Millisecond, Heartbeat: 100 * time.Millisecond, Election: 500 * time.Millisecond,
-		Patience: 150 * time.Millisecond, Drift: 0.02,
+		RequestTimeout: 150 * time.Millisecond, MaxDrift: 0.02,
 	}
 }
 
 // LeaseGuard is the time after which a lease has expired on its holder's clock, measured on the clock of the leader that granted it.
-func (t Times) Guard() time.Duration { return time.Duration(float64(t.Lease) * (1 + 2*t.Drift)) }
+func (t Times) LeaseGuard() time.Duration {
+	return time.Duration(float64(t.Lease) * (1 + 2*t.MaxDrift))
+}
 
 // AliveWindow is the time after an unanswered renewal during which a proxy may assume that it has not been paused.
-func (t Times) Awake() time.Duration { return 4 * t.Renew }
+func (t Times) AliveWindow() time.Duration { return 4 * t.Renew }
 
 // ConvergenceBound is the maximum time from the commit of a change until no proxy that reaches the voters or holds a lease acts
 // against it, even if the leader is lost in between.
-func (t Times) Bound() time.Duration {
+func (t Times) ConvergenceBound() time.Duration {
 	// Worst case: the leader is lost right after the commit. The next one is elected within the time of two attempts, waits
 	// for the leases of its predecessor to expire and reaches the proxies within one renewal, all on the slowest clock.
-	d := t.Election + t.Guard() + t.Renew + t.Patience
-	return time.Duration(float64(d) * (1 + t.Drift))
+	d := t.Election + t.LeaseGuard() + t.Renew + t.RequestTimeout
+	return time.Duration(float64(d) * (1 + t.MaxDrift))
 }
 
 // Validate returns an error if the times contradict each other.
@@ -63,59 +65,59 @@
 		return fmt.Errorf("accord: a lease of %v with renewals every %v expires when one renewal is lost; it must be at least three times as long", t.Lease, t.Renew)
 	case t.Heartbeat <= 0 || t.Election < 3*t.Heartbeat:
 		return fmt.Errorf("accord: election timeout %v with heartbeats every %v; it must be at least three times as long", t.Election, t.Heartbeat)
-	case t.Patience <= 0 || t.Patience > t.Renew:
-		return fmt.Errorf("accord: request timeout %v; it must be above 0 and at most %v", t.Patience, t.Renew)
-	case !(t.Drift > 0 && t.Drift <= 0.2):
-		return fmt.Errorf("accord: clock drift %v; it must be above 0 and at most 0.2", t.Drift)
+	case t.RequestTimeout <= 0 || t.RequestTimeout > t.Renew:
+		return fmt.Errorf("accord: request timeout %v; it must be above 0 and at most %v", t.RequestTimeout, t.Renew)
+	case !(t.MaxDrift > 0 && t.MaxDrift <= 0.2):
+		return fmt.Errorf("accord: clock drift %v; it must be above 0 and at most 0.2", t.MaxDrift)
 	}
 	return nil
 }
 
 // Settings configure a Core. The zero values of the switches at the end leave every safeguard on.
 type Settings struct {
-	Name    string   // name of this proxy
-	Boot    uint64   // drawn at random at each start: two processes of one proxy hold one lease each
-	Keepers []string // names of the voters, the same at all proxies; the first one founds the log
-	Times   Times
+	Name       string   // name of this proxy
+	InstanceID uint64   // drawn at random at each start: two processes of one proxy hold one lease each
+	Voters     []string // names of the voters, the same at all proxies; the first one founds the log
+	Times      Times
 	// DeferVoter: if this proxy is a voter, StartVoter is called once its disk is available.
-	Later bool
+	DeferVoter bool
 	// RefuseWithoutLease: without a lease nothing is served. Otherwise the proxy applies the rules that it knows, and sends no
 	// request twice.
-	Refuse bool
+	RefuseWithoutLease bool
 
 	// Form is the newest form of documents that this program understands; 0 means rules.CurrentForm.
 	Form uint8
 
 	// Each switch disables one safeguard, so that a test can show that the checker finds the failure that it prevents.
-	NoLeaseCheck bool // rules are applied without a lease, however old they are
-	NoPrepared   bool // a change is in force at once, without being pending first
-	NoWait       bool // a new leader does not wait for the leases of its predecessor to expire
-	NoConfirm    bool // leases are granted without confirmation by a majority
-	NoDigest     bool // the rules of a proxy are compared with the granted ones by number alone
-	NoEnforcing  bool // a lease may cover the versions that a proxy has although the leader has proposed to enforce later ones
+	NoLeaseCheck     bool // rules are applied without a lease, however old they are
+	NoPreparePhase   bool // a change is in force at once, without being pending first
+	NoLeaderWait     bool // a new leader does not wait for the leases of its predecessor to expire
+	NoQuorumCheck    bool // leases are granted without confirmation by a majority
+	NoDigestCheck    bool // the rules of a proxy are compared with the granted ones by number alone
+	NoEnforcingCheck bool // a lease may cover the versions that a proxy has although the leader has proposed to enforce later ones
 
 	// NoDeltas: only whole statuses are sent and accepted, as by programs that predate deltas.
 	NoDeltas bool
 	// MaxInlineDelta is the maximum size in bytes of a delta that is sent in a grant; 0 means what fits into a datagram.
-	MostShort int
+	MaxInlineDelta int
 }
 
 // form is the newest form of documents that this program understands.
 func (s *Settings) form() uint8 {
 	if s.Form == 0 {
-		return rules.Form
+		return rules.CurrentForm
 	}
 	return s.Form
 }
 
 // Validate returns an error if the settings are invalid.
 func (s *Settings) Validate() error {
-	if n := len(s.Keepers); n != 1 && n != 3 && n != 5 && n != 7 {
+	if n := len(s.Voters); n != 1 && n != 3 && n != 5 && n != 7 {
 		return fmt.Errorf("accord: %d keepers; 3, 5 or 7 are allowed, and 1 for trials", n)
 	}
 	seen := map[string]bool{}
-	for _, k := range s.Keepers {
-		if k == "" || len(k) > rules.MostID || seen[k] {
+	for _, k := range s.Voters {
+		if k == "" || len(k) > rules.MaxIDBytes || seen[k] {
 			return fmt.Errorf("accord: keeper %.40q is empty, too long, or named twice", k)
 		}
 		seen[k] = true
@@ -131,19 +133,19 @@
 
 // The kinds of messages.
 const (
-	Renew   MessageKind = iota + 1 // requests a lease from the leader
-	Grant                          // grants a lease
-	Tell                           // carries rules, without a lease
-	Have                           // acknowledges the versions that the sender applies
-	Propose                        // proposes a change to the leader
-	Result                         // reports the result of a proposal
-	Raft                           // carries a Raft message between two voters
-	Hello                          // announces a voter and its log
+	Renew       MessageKind = iota + 1 // requests a lease from the leader
+	Grant                              // grants a lease
+	Update                             // carries rules, without a lease
+	Acknowledge                        // acknowledges the versions that the sender applies
+	Propose                            // proposes a change to the leader
+	Result                             // reports the result of a proposal
+	Raft                               // carries a Raft message between two voters
+	Hello                              // announces a voter and its log
 	endOfKinds
 )
 
 // HeldVersions are the numbers of the versions that a proxy applies.
-type Holds struct {
+type HeldVersions struct {
 	Log     uint64 `cbor:"3,keyasint,omitempty"` // see rules.Status
 	InForce uint64 `cbor:"1,keyasint"`
 	Last    uint64 `cbor:"2,keyasint"`
@@ -156,24 +158,24 @@
 	To   string      `cbor:"3,keyasint,omitempty"` // final recipient; "" for the leader
 	Seq  uint64      `cbor:"4,keyasint,omitempty"`
 	// Path lists the proxies that forwarded the request, in order; the reply takes the same path back.
-	Path     []string        `cbor:"5,keyasint,omitempty"`
-	Holds    Holds           `cbor:"6,keyasint,omitempty"`
-	Standing *rules.Standing `cbor:"7,keyasint,omitempty"`
-	Change   *rules.Change   `cbor:"8,keyasint,omitempty"`
-	Answer   *rules.Answer   `cbor:"9,keyasint,omitempty"`
-	Raft     []byte          `cbor:"10,keyasint,omitempty"`
-	Store    uint64          `cbor:"11,keyasint,omitempty"` // in a Hello: the ID of the sender's log
-	Empty    bool            `cbor:"12,keyasint,omitempty"` // in a Hello: the log is still empty
-	Reply    bool            `cbor:"13,keyasint,omitempty"` // in a Hello: it replies to another Hello
-	Match    uint64          `cbor:"14,keyasint,omitempty"` // in a Hello: the index up to which the sender knows that the receiver has the log
-	Boot     uint64          `cbor:"15,keyasint,omitempty"` // the requesting process
-	Reign    uint64          `cbor:"16,keyasint,omitempty"` // in a Hello: the term of the sender's rules, which counts refoundations
-	Form     uint8           `cbor:"17,keyasint,omitempty"` // in a Renew or Hello: the newest form of documents that the sender understands; 0 means 1
+	Path       []string      `cbor:"5,keyasint,omitempty"`
+	Held       HeldVersions  `cbor:"6,keyasint,omitempty"`
+	Status     *rules.Status `cbor:"7,keyasint,omitempty"`
+	Change     *rules.Change `cbor:"8,keyasint,omitempty"`
+	Answer     *rules.Answer `cbor:"9,keyasint,omitempty"`
+	Raft       []byte        `cbor:"10,keyasint,omitempty"`
+	LogID      uint64        `cbor:"11,keyasint,omitempty"` // in a Hello: the ID of the sender's log
+	Empty      bool          `cbor:"12,keyasint,omitempty"` // in a Hello: the log is still empty
+	Reply      bool          `cbor:"13,keyasint,omitempty"` // in a Hello: it replies to another Hello
+	Match      uint64        `cbor:"14,keyasint,omitempty"` // in a Hello: the index up to which the sender knows that the receiver has the log
+	InstanceID uint64        `cbor:"15,keyasint,omitempty"` // the requesting process
+	Term       uint64        `cbor:"16,keyasint,omitempty"` // in a Hello: the term of the sender's rules, which counts refoundations
+	Form       uint8         `cbor:"17,keyasint,omitempty"` // in a Renew or Hello: the newest form of documents that the sender understands; 0 means 1
 
 	// Delta replaces Status in a Grant or Update for receivers that have announced that they understand it.
-	Delta  *rules.Delta `cbor:"18,keyasint,omitempty"`
-	Deltas bool         `cbor:"19,keyasint,omitempty"` // in a Renew or Acknowledge: the sender understands deltas and digests
-	Whole  bool         `cbor:"20,keyasint,omitempty"` // in a Renew: the sender's rules differ from those of others, and it needs the whole status
+	Delta         *rules.Delta `cbor:"18,keyasint,omitempty"`
+	AcceptsDeltas bool         `cbor:"19,keyasint,omitempty"` // in a Renew or Acknowledge: the sender understands deltas and digests
+	NeedsWhole    bool         `cbor:"20,keyasint,omitempty"` // in a Renew: the sender's rules differ from those of others, and it needs the whole status
 	// Digest is the digest of the sender's rules in a Renew, and of the granted rules in a Grant; 0 for none.
 	Digest rules.Digest `cbor:"21,keyasint,omitempty"`
 }
@@ -182,35 +184,35 @@
 const maxHops = 3
 
 // Validate returns an error if a message from the network is malformed.
-func (m *Message) Sound() error {
+func (m *Message) Validate() error {
 	if m.Kind == 0 || m.Kind >= endOfKinds {
 		return fmt.Errorf("accord: unknown message kind %d", m.Kind)
 	}
 	for _, name := range append([]string{m.From}, m.Path...) {
-		if name == "" || len(name) > rules.MostID {
+		if name == "" || len(name) > rules.MaxIDBytes {
 			return fmt.Errorf("accord: a proxy name has %d bytes", len(name))
 		}
 	}
-	if len(m.To) > rules.MostID || len(m.Path) > maxHops {
+	if len(m.To) > rules.MaxIDBytes || len(m.Path) > maxHops {
 		return fmt.Errorf("accord: message was forwarded %d times, to a name of %d bytes", len(m.Path), len(m.To))
 	}
-	if m.Standing != nil {
-		if err := m.Standing.Sound(); err != nil {
+	if m.Status != nil {
+		if err := m.Status.Validate(); err != nil {
 			return fmt.Errorf("accord: %w", err)
 		}
 	}
 	if m.Delta != nil {
-		if err := m.Delta.Sound(); err != nil {
+		if err := m.Delta.Validate(); err != nil {
 			return fmt.Errorf("accord: %w", err)
 		}
 	}
 	switch {
-	case m.Kind == Propose && m.Change == nil, m.Kind == Result && m.Answer == nil, m.Kind == Tell && m.Standing == nil && m.Delta == nil,
+	case m.Kind == Propose && m.Change == nil, m.Kind == Result && m.Answer == nil, m.Kind == Update && m.Status == nil && m.Delta == nil,
 		m.Kind == Raft && len(m.Raft) == 0:
 		return fmt.Errorf("accord: a message of kind %d has no content", m.Kind)
 	}
 	if m.Change != nil {
-		if err := m.Change.Check(); err != nil {
+		if err := m.Change.Validate(); err != nil {
 			return fmt.Errorf("accord: %w", err)
 		}
 	}
@@ -218,7 +220,7 @@
 }
 
 // MaxMessageBytes is the maximum size of a message, in bytes; a status with documents of maximum size takes far less.
-const MostMessage = 4 << 20
+const MaxMessageBytes = 4 << 20
 
 var decMode = strict.CBOR(cbor.DecOptions{
 	TagsMd:          cbor.TagsForbidden,
@@ -230,22 +232,22 @@
 
 // Decode decodes a message and validates it.
 func Decode(b []byte) (*Message, error) {
-	if len(b) > MostMessage {
-		return nil, fmt.Errorf("accord: a message has %d bytes; at most %d are allowed", len(b), MostMessage)
+	if len(b) > MaxMessageBytes {
+		return nil, fmt.Errorf("accord: a message has %d bytes; at most %d are allowed", len(b), MaxMessageBytes)
 	}
 	m := &Message{}
 	if err := decMode.Unmarshal(b, m); err != nil {
 		return nil, fmt.Errorf("accord: %w", err)
 	}
-	if m.Standing != nil {
-		m.Standing.Compact()
+	if m.Status != nil {
+		m.Status.Compact()
 	}
-	return m, m.Sound()
+	return m, m.Validate()
 }
 
 // Record is what a voter has to write to disk before it sends anything that depends on it. A nil or empty part is left unchanged on disk.
 type Record struct {
-	Store    uint64 // the ID of the log; a record with another ID starts a new log
+	LogID    uint64 // the ID of the log; a record with another ID starts a new log
 	Hard     *raftpb.HardState
 	Entries  []*raftpb.Entry // replace all stored entries from the index of the first one on
 	Snapshot *raftpb.Snapshot
@@ -255,17 +257,17 @@
 
 // Stored is the content of a voter's disk. The zero value is an empty disk.
 type Stored struct {
-	Store    uint64
+	LogID    uint64
 	Hard     *raftpb.HardState
 	Entries  []*raftpb.Entry
 	Snapshot *raftpb.Snapshot
-	Acts     *rules.Standing // the rules that the proxy last applied; also at proxies that are not voters
+	Rules    *rules.Status // the rules that the proxy last applied; also at proxies that are not voters
 }
 
 // Apply applies a record to the stored content, as a disk does.
-func (s *Stored) Take(r *Record) {
-	if r.Store != s.Store {
-		*s = Stored{Store: r.Store, Acts: s.Acts}
+func (s *Stored) Apply(r *Record) {
+	if r.LogID != s.LogID {
+		*s = Stored{LogID: r.LogID, Rules: s.Rules}
 	}
 	if r.Hard != nil {
 		s.Hard = r.Hard
@@ -291,18 +293,18 @@
 
 // Basis is the basis on which a proxy decides whether an act is allowed. It is immutable; a new Basis replaces it.
 type Basis struct {
-	Log     uint64
-	Version uint64 // version in force, as far as this proxy knows
-	Last    uint64 // newest version that it knows
-	Doc     *rules.Document
-	Vague   *rules.Document // the document that applies without a lease
+	Log      uint64
+	Version  uint64 // version in force, as far as this proxy knows
+	Last     uint64 // newest version that it knows
+	Doc      *rules.Document
+	Unleased *rules.Document // the document that applies without a lease
 	// Settled is Doc if no change is pending, and nil otherwise. It serves decisions that must not be made twice, such as taking a number.
-	Settled *rules.Document
-	Until   time.Duration // when the lease expires
-	Tested  time.Duration // when the last unanswered renewal was sent; below 0 for never
-	Awake   time.Duration // for this long after LastUnanswered the proxy assumes that it was not paused
-	Refuse  bool
-	Trust   bool // the lease is ignored: a safeguard disabled for tests
+	Settled            *rules.Document
+	Until              time.Duration // when the lease expires
+	LastUnanswered     time.Duration // when the last unanswered renewal was sent; below 0 for never
+	AliveWindow        time.Duration // for this long after LastUnanswered the proxy assumes that it was not paused
+	RefuseWithoutLease bool
+	NoLeaseCheck       bool // the lease is ignored: a safeguard disabled for tests
 }
 
 // Mode says which rules a proxy applies.
@@ -310,9 +312,9 @@
 
 // The modes.
 const (
-	Leased Mode = iota // the rules that the lease covers
-	Alone              // the known rules, restricted: no voter has renewed the lease in time
-	Away               // none, all is refused: the proxy was paused, has just started, or is set to refuse without a lease
+	Leased   Mode = iota // the rules that the lease covers
+	Alone                // the known rules, restricted: no voter has renewed the lease in time
+	Inactive             // none, all is refused: the proxy was paused, has just started, or is set to refuse without a lease
 )
 
 func (m Mode) String() string { return [...]string{"leased", "alone", "away"}[m] }
@@ -320,22 +322,22 @@
 // Mode returns the mode at the given time.
 func (b *Basis) Mode(now time.Duration) Mode {
 	switch {
-	case now <= b.Until || b.Trust:
+	case now <= b.Until || b.NoLeaseCheck:
 		return Leased
-	case !b.Refuse && b.Tested >= 0 && now-b.Tested <= b.Awake:
+	case !b.RefuseWithoutLease && b.LastUnanswered >= 0 && now-b.LastUnanswered <= b.AliveWindow:
 		return Alone
 	}
-	return Away
+	return Inactive
 }
 
 // Decide decides whether a request may be sent now. It must be called immediately before the send, whatever was decided earlier: a
 // process that was paused in between may have no lease anymore.
-func (b *Basis) Rule(now time.Duration, s rules.Send) rules.Ruling {
+func (b *Basis) Decide(now time.Duration, s rules.Send) rules.Decision {
 	switch b.Mode(now) {
 	case Leased:
-		return b.Doc.Rule(s)
+		return b.Doc.Decide(s)
 	case Alone:
-		return b.Vague.Rule(s)
+		return b.Unleased.Decide(s)
 	}
 	return rules.NoLease
 }
--- a/internal/cluster/accord/voter.go
+++ b/internal/cluster/accord/voter.go
@@ -36,7 +36,7 @@
 	state     *replicatedState
 	confState *raftpb.ConfState
 	// digests are the digests of earlier statuses that leases may still cover.
-	digests map[Holds]rules.Digest
+	digests map[HeldVersions]rules.Digest
 	empty   bool // the log is still empty
 	halted  bool
 	term    uint64
@@ -78,7 +78,7 @@
 func (c *Core) startVoter(now time.Duration, disk Stored) error {
 	v := &voter{c: c, leaderHeard: now, nextHello: now, peers: map[string]*peer{}, byLog: map[uint64]string{}}
 	c.voter = v
-	if disk.Store == 0 {
+	if disk.LogID == 0 {
 		return v.beginEmptyLog()
 	}
 	if err := v.load(disk); err != nil {
@@ -97,7 +97,7 @@
 	v.confState = &raftpb.ConfState{}
 	v.log = raft.NewMemoryStorage()
 	v.empty, v.applied, v.snapshotIndex, v.leaderID, v.term = true, 0, 0, 0, 0
-	if err := v.c.host.Save(&Record{Store: v.id}); err != nil {
+	if err := v.c.host.Save(&Record{LogID: v.id}); err != nil {
 		v.halt(err)
 		return nil
 	}
@@ -111,7 +111,7 @@
 		return
 	}
 	v.halted, v.isLeader = true, false
-	v.c.host.Told(Disk, Note{Err: err})
+	v.c.host.Notify(DiskFailed, Note{Err: err})
 }
 
 func (v *voter) nextTick() time.Duration {
@@ -134,7 +134,7 @@
 	now, t := v.c.now, &v.c.settings.Times
 	if now >= v.nextHello {
 		v.nextHello = now + helloRetryInterval*t.Election
-		if len(v.confState.GetVoters()) == len(v.c.settings.Keepers) {
+		if len(v.confState.GetVoters()) == len(v.c.settings.Voters) {
 			v.nextHello = now + helloInterval*t.Election
 		}
 		v.sendHellos()
@@ -157,14 +157,14 @@
 		return false
 	}
 	switch m.Kind {
-	case Have:
-		if l := v.leases[holder{m.From, m.Boot}]; l != nil {
-			l.acceptsDeltas = m.Deltas && !v.c.settings.NoDeltas
-			v.recordHeld(l, m.Holds)
+	case Acknowledge:
+		if l := v.leases[holder{m.From, m.InstanceID}]; l != nil {
+			l.acceptsDeltas = m.AcceptsDeltas && !v.c.settings.NoDeltas
+			v.recordHeld(l, m.Held)
 			v.enforce()
 		}
 	case Renew:
-		if v.c.settings.NoConfirm {
+		if v.c.settings.NoQuorumCheck {
 			v.grant(m)
 			break
 		}
@@ -222,7 +222,7 @@
 
 // resetLog replaces the log by an empty one, as a voter that has lost its folder does.
 func (v *voter) resetLog() {
-	v.c.host.Told(Forgetful, Note{})
+	v.c.host.Notify(LogOutdated, Note{})
 	v.isLeader, v.leases, v.deltas, v.slowest = false, nil, nil, nil
 	if err := v.beginEmptyLog(); err != nil {
 		v.halt(err)
@@ -231,17 +231,17 @@
 
 // report adds the voter's part to a report.
 func (v *voter) report(now time.Duration, r *Report) {
-	r.Halted, r.Leads = v.halted, v.isLeader && !v.halted
+	r.Halted, r.IsLeader = v.halted, v.isLeader && !v.halted
 	if name := v.leaderName(); name != "" {
 		r.Leader = name
 	}
-	r.Keepers = map[string]bool{}
+	r.Voters = map[string]bool{}
 	for name, id := range v.state.Voters {
-		r.Keepers[name] = slices.Contains(v.confState.GetVoters(), id)
+		r.Voters[name] = slices.Contains(v.confState.GetVoters(), id)
 	}
 	r.History = append(slices.Clone(v.state.Rules.History), v.state.Rules.Pending...)
 	for _, h := range slices.SortedFunc(maps.Keys(v.leases), compareHolders) {
 		l := v.leases[h]
-		r.Holders = append(r.Holders, Holder{Name: h.name, Holds: l.held, Left: max(l.until-now, 0)})
+		r.Holders = append(r.Holders, Holder{Name: h.name, Held: l.held, LeaseLeft: max(l.until-now, 0)})
 	}
 }
--- a/internal/cluster/rules/delta.go
+++ b/internal/cluster/rules/delta.go
@@ -15,30 +15,30 @@
 }
 
 // Position is that of a standing.
-func (s *Standing) Position() Position {
+func (s *Status) Position() Position {
 	return Position{Log: s.Log, InForce: s.InForce.Number, Last: s.Last()}
 }
 
 // Difference makes one version from another: what is set, and what is removed. What it leaves out stays as it is.
 type Difference struct {
-	Number         uint64           `cbor:"1,keyasint"`
-	Change         Change           `cbor:"2,keyasint"`
-	Bans           map[string]Ban   `cbor:"3,keyasint,omitempty"`
-	RemovedBans    []string         `cbor:"4,keyasint,omitempty"`
-	Classes        map[string]Class `cbor:"5,keyasint,omitempty"`
-	RemovedClasses []string         `cbor:"6,keyasint,omitempty"`
-	Quota          *float64         `cbor:"7,keyasint,omitempty"`
-	Numbers        map[string]int   `cbor:"8,keyasint,omitempty"`
-	RemovedNumbers []string         `cbor:"9,keyasint,omitempty"`
-	Dropped        []string         `cbor:"10,keyasint,omitempty"`
-	RemovedDropped []string         `cbor:"11,keyasint,omitempty"`
+	Number           uint64           `cbor:"1,keyasint"`
+	Change           Change           `cbor:"2,keyasint"`
+	Bans             map[string]Ban   `cbor:"3,keyasint,omitempty"`
+	RemovedBans      []string         `cbor:"4,keyasint,omitempty"`
+	Classes          map[string]Class `cbor:"5,keyasint,omitempty"`
+	RemovedClasses   []string         `cbor:"6,keyasint,omitempty"`
+	Quota            *float64         `cbor:"7,keyasint,omitempty"`
+	Numbers          map[string]int   `cbor:"8,keyasint,omitempty"`
+	RemovedNumbers   []string         `cbor:"9,keyasint,omitempty"`
+	Droppable        []string         `cbor:"10,keyasint,omitempty"`
+	RemovedDroppable []string         `cbor:"11,keyasint,omitempty"`
 }
 
 // Delta makes a newer standing from one that its receiver has.
 type Delta struct {
-	Log   uint64 `cbor:"1,keyasint"`
-	Reign uint64 `cbor:"2,keyasint,omitempty"`
-	Form  uint8  `cbor:"3,keyasint,omitempty"`
+	Log  uint64 `cbor:"1,keyasint"`
+	Term uint64 `cbor:"2,keyasint,omitempty"`
+	Form uint8  `cbor:"3,keyasint,omitempty"`
 	// Base is the version from which the first difference goes on, each other one from the one before it.
 	Base        uint64       `cbor:"4,keyasint"`
 	InForce     uint64       `cbor:"5,keyasint"` // the version in force
@@ -61,7 +61,7 @@
 }
 
 // Freeze has a delta written once for all that it goes to. It must not change after that.
-func (d *Delta) Freeze() error {
+func (d *Delta) CacheEncoding() error {
 	text, err := cbor.Marshal((*plainDelta)(d))
 	d.encoded = text
 	return err
@@ -69,12 +69,12 @@
 
 // What can be wrong with a delta and what it is applied to. Who meets one of them asks for the whole standing.
 var (
-	ErrBase   = errors.New("delta: made from a version that is not here")
-	ErrDigest = errors.New("delta: what results has another digest")
+	ErrUnknownBase    = errors.New("delta: made from a version that is not here")
+	ErrDigestMismatch = errors.New("delta: what results has another digest")
 )
 
 // Size is the bytes of a delta that has been frozen.
-func (d *Delta) Size() int { return len(d.encoded) }
+func (d *Delta) EncodedSize() int { return len(d.encoded) }
 
 // Last is the number of the newest version that a delta leads to.
 func (d *Delta) Last() uint64 {
@@ -88,14 +88,14 @@
 func (d *Delta) Position() Position { return Position{Log: d.Log, InForce: d.InForce, Last: d.Last()} }
 
 // NewerThan says whether a delta leads to more than a standing of its log has: see Standing.NewerThan.
-func (d *Delta) NewerThan(s *Standing) bool {
+func (d *Delta) NewerThan(s *Status) bool {
 	return d.Last() > s.Last() || d.Last() == s.Last() && d.InForce > s.InForce.Number
 }
 
 // Sound says what is wrong with a delta that has come from outside, as far as it shows without its base.
-func (d *Delta) Sound() error {
-	if len(d.Differences) > MostPending+1 {
-		return fmt.Errorf("delta: %d versions; %d at most", len(d.Differences), MostPending+1)
+func (d *Delta) Validate() error {
+	if len(d.Differences) > MaxPending+1 {
+		return fmt.Errorf("delta: %d versions; %d at most", len(d.Differences), MaxPending+1)
 	}
 	before := d.Base
 	for i := range d.Differences {
@@ -113,7 +113,7 @@
 
 // Between is what somebody lacks who has a position. ok is false where that is of another log, is ahead, or is so far behind that
 // its newest version is not kept any more: only the whole standing helps then.
-func Between(s *State, has Position) (d *Delta, ok bool) {
+func DeltaFrom(s *State, has Position) (d *Delta, ok bool) {
 	if has.Log != s.Log || has.Last > s.Last() || has.InForce > s.InForce.Number {
 		return nil, false
 	}
@@ -121,7 +121,7 @@
 	if !found {
 		return nil, false
 	}
-	d = &Delta{Log: s.Log, Reign: s.Reign, Form: s.Form, Base: base.Number, InForce: s.InForce.Number, Digest: s.Standing.Digest()}
+	d = &Delta{Log: s.Log, Term: s.Term, Form: s.Form, Base: base.Number, InForce: s.InForce.Number, Digest: s.Status.Digest()}
 	for _, v := range s.versions() {
 		if v.Number > base.Number {
 			d.Differences = append(d.Differences, difference(&base, &v))
@@ -132,7 +132,7 @@
 }
 
 // versions are all of a standing, the one in force first.
-func (s *Standing) versions() []Version {
+func (s *Status) versions() []Version {
 	return append([]Version{s.InForce}, s.Pending...)
 }
 
@@ -142,7 +142,7 @@
 	d.Bans, d.RemovedBans = compareMaps(from.Doc.Bans, to.Doc.Bans)
 	d.Classes, d.RemovedClasses = compareMaps(from.Doc.Classes, to.Doc.Classes)
 	d.Numbers, d.RemovedNumbers = compareMaps(from.Doc.Numbers, to.Doc.Numbers)
-	d.Dropped, d.RemovedDropped = compareSorted(from.Doc.Dropped, to.Doc.Dropped)
+	d.Droppable, d.RemovedDroppable = compareSorted(from.Doc.Droppable, to.Doc.Droppable)
 	if quota := to.Doc.Quota; quota != from.Doc.Quota {
 		d.Quota = &quota
 	}
@@ -225,7 +225,7 @@
 	doc.Bans = changeMap(doc.Bans, d.Bans, d.RemovedBans)
 	doc.Classes = changeMap(doc.Classes, d.Classes, d.RemovedClasses)
 	doc.Numbers = changeMap(doc.Numbers, d.Numbers, d.RemovedNumbers)
-	doc.Dropped = changeSorted(doc.Dropped, d.Dropped, d.RemovedDropped)
+	doc.Droppable = changeSorted(doc.Droppable, d.Droppable, d.RemovedDroppable)
 	if d.Quota != nil {
 		doc.Quota = *d.Quota
 	}
@@ -236,7 +236,7 @@
 
 // start is from which versions of a standing a delta goes on, with which differences. The receiver may have moved on since the delta
 // was made, so that is the newest one that the delta knows, its base or a later one.
-func (d *Delta) start(s *Standing) (versions []Version, rest []Difference) {
+func (d *Delta) start(s *Status) (versions []Version, rest []Difference) {
 	versions = s.versions()
 	for n := len(versions); n > 0; n-- {
 		number := versions[n-1].Number
@@ -253,13 +253,13 @@
 // Apply makes a newer standing by a delta. It shares with the one before what has not changed, and is Sound where that was.
 //
 // With ErrDigest it returns what resulted, which must not be acted on: it is there for a checker that takes the defence out.
-func Apply(s *Standing, d *Delta) (*Standing, error) {
-	if err := d.Sound(); err != nil {
+func Apply(s *Status, d *Delta) (*Status, error) {
+	if err := d.Validate(); err != nil {
 		return nil, err
 	}
 	versions, rest := d.start(s)
 	if len(versions) == 0 || s.Log != d.Log {
-		return nil, ErrBase
+		return nil, ErrUnknownBase
 	}
 	for i := range rest {
 		base := versions[len(versions)-1]
@@ -271,14 +271,14 @@
 	}
 	at := slices.IndexFunc(versions, func(v Version) bool { return v.Number == d.InForce })
 	if at < 0 {
-		return nil, ErrBase
+		return nil, ErrUnknownBase
 	}
-	next := &Standing{Log: d.Log, Reign: d.Reign, Form: d.Form, InForce: versions[at], Pending: slices.Clone(versions[at+1:])}
+	next := &Status{Log: d.Log, Term: d.Term, Form: d.Form, InForce: versions[at], Pending: slices.Clone(versions[at+1:])}
 	if err := next.soundNumbers(); err != nil {
 		return nil, err
 	}
 	if next.Digest() != d.Digest {
-		return next, ErrDigest
+		return next, ErrDigestMismatch
 	}
 	return next, nil
 }
--- a/internal/cluster/rules/digest.go
+++ b/internal/cluster/rules/digest.go
@@ -80,11 +80,11 @@
 	c.text(change.ID)
 	c.number(uint64(change.Kind))
 	c.text(change.Server)
-	c.number(change.To)
+	c.number(change.ToVersion)
 	c.text(change.Who)
 	c.text(change.Why)
 	c.number(uint64(change.At))
-	c.number(change.On)
+	c.number(change.BaseVersion)
 	c.number(uint64(change.Form))
 }
 
@@ -107,7 +107,7 @@
 	if sameMap(v.Doc.Numbers, base.Doc.Numbers) {
 		is.numbers = was.numbers
 	}
-	if sameSlice(v.Doc.Dropped, base.Doc.Dropped) {
+	if sameSlice(v.Doc.Droppable, base.Doc.Droppable) {
 		is.dropped = was.dropped
 	}
 	if is.bans == 0 {
@@ -120,7 +120,7 @@
 		is.numbers = digestMap(v.Doc.Numbers, writeNumber)
 	}
 	if is.dropped == 0 {
-		is.dropped = digestDropped(v.Doc.Dropped)
+		is.dropped = digestDropped(v.Doc.Droppable)
 	}
 	var c canonical
 	c.number(v.Number)
@@ -144,10 +144,10 @@
 }
 
 // Digest is that of a standing: of which version is in force, and of every version in it.
-func (s *Standing) Digest() Digest {
+func (s *Status) Digest() Digest {
 	var c canonical
 	c.number(s.Log)
-	c.number(s.Reign)
+	c.number(s.Term)
 	c.number(uint64(max(s.Form, 1)))
 	c.number(uint64(s.InForce.Digest()))
 	for i := range s.Pending {
@@ -158,7 +158,7 @@
 
 // Compact has equal parts of successive versions shared and computes the digests, once, of a standing that has come from outside
 // and that nobody else reads yet.
-func (s *Standing) Compact() { compactVersions(&s.InForce, s.Pending) }
+func (s *Status) Compact() { compactVersions(&s.InForce, s.Pending) }
 
 // Compact does for a state what it does for a standing.
 func (s *State) Compact() {
@@ -168,7 +168,7 @@
 		shareParts(&s.InForce, newest)
 		s.InForce.computeDigests(newest)
 	}
-	s.Standing.Compact()
+	s.Status.Compact()
 }
 
 func compactVersions(first *Version, rest []Version) {
@@ -193,8 +193,8 @@
 	if maps.Equal(v.Doc.Numbers, other.Doc.Numbers) {
 		v.Doc.Numbers = other.Doc.Numbers
 	}
-	if slices.Equal(v.Doc.Dropped, other.Doc.Dropped) {
-		v.Doc.Dropped = other.Doc.Dropped
+	if slices.Equal(v.Doc.Droppable, other.Doc.Droppable) {
+		v.Doc.Droppable = other.Doc.Droppable
 	}
 }
 
--- a/internal/cluster/rules/rules.go
+++ b/internal/cluster/rules/rules.go
@@ -19,19 +19,19 @@
 
 // Bounds of what is agreed. What is over them is not proposed.
 const (
-	MostBans    = 1000
-	MostClasses = 512  // with Form 2
-	MostMembers = 4096 // with Form 2; as many as a view of the fleet keeps in mind by default
-	MostDropped = 1000 // servers that lists may leave out
-	MostID      = 256  // bytes of a backend's id, a class's or a member's name
-	MostWhy     = 200  // bytes of a reason
+	MaxBans        = 1000
+	MaxClasses     = 512  // with Form 2
+	MaxMembers     = 4096 // with Form 2; as many as a view of the fleet keeps in mind by default
+	MaxDroppable   = 1000 // servers that lists may leave out
+	MaxIDBytes     = 256  // bytes of a backend's id, a class's or a member's name
+	MaxReasonBytes = 200  // bytes of a reason
 	// MostDocument is the bytes of texts in a document, with Form 2: a standing of 17 of those and a history fit a message of 4 MiB,
 	// and 4,096 numbers for names of 24 bytes fit a document.
-	MostDocument = 160 << 10
-	MostPending  = 16      // changes on their way at one time
-	mostHistory  = 64      // versions that can be gone back to
-	mostKept     = 1 << 20 // bytes of texts in those
-	mostAnswers  = 256     // proposals whose answers are remembered
+	MaxDocumentBytes = 160 << 10
+	MaxPending       = 16      // changes on their way at one time
+	mostHistory      = 64      // versions that can be gone back to
+	mostKept         = 1 << 20 // bytes of texts in those
+	mostAnswers      = 256     // proposals whose answers are remembered
 )
 
 // The bounds of documents of Form 1.
@@ -56,7 +56,7 @@
 }
 
 // Every stands for all classes. What it forbids no class allows.
-const Every = "*"
+const AllClasses = "*"
 
 // Settings are the part of a document that is replaced as a whole.
 type Settings struct {
@@ -72,7 +72,7 @@
 	Bans     map[string]Ban `cbor:"1,keyasint,omitempty" json:"bans,omitempty"`
 	Settings `cbor:"2,keyasint"`
 	// Dropped are servers that lists may leave out, in order, by the word of an operator: who has held them back lets go of them.
-	Dropped []string `cbor:"3,keyasint,omitempty" json:"dropped,omitempty"`
+	Droppable []string `cbor:"3,keyasint,omitempty" json:"dropped,omitempty"`
 }
 
 // size is about the bytes that a document takes.
@@ -87,51 +87,51 @@
 	for name := range d.Numbers {
 		n += len(name) + each
 	}
-	for _, id := range d.Dropped {
+	for _, id := range d.Droppable {
 		n += len(id) + each
 	}
 	return n
 }
 
 // Ruling is what a document, or a proxy's lease, says of one send.
-type Ruling uint8
+type Decision uint8
 
 // The rulings.
 const (
-	Allowed  Ruling = iota
-	Banned          // the backend is out
-	NoRepeat        // the request may have run
-	Closed          // the class is closed
-	NoLease         // nobody has vouched for these rules since the process was away
+	Allowed  Decision = iota
+	Banned            // the backend is out
+	NoRepeat          // the request may have run
+	Closed            // the class is closed
+	NoLease           // nobody has vouched for these rules since the process was away
 )
 
-func (r Ruling) String() string {
+func (r Decision) String() string {
 	return [...]string{"allowed", "banned", "no repeat", "closed", "no lease"}[r]
 }
 
 // Send is an act about which there are rules: one request to one backend.
 type Send struct {
 	Server, Class string
-	Again         bool // an earlier try of it may have run
-	Held          bool // the newest list leaves the backend out, and that list is held back (package lists)
+	MayHaveRun    bool // an earlier try of it may have run
+	DropHeld      bool // the newest list leaves the backend out, and that list is held back (package lists)
 }
 
 // Ground is what a ruling rests on.
-type Ground struct {
+type DecisionBasis struct {
 	Version uint64 // the newest that was known
 	Leased  bool   // keepers vouch for it
 }
 
 // Rule says whether an act is allowed.
-func (d *Document) Rule(s Send) Ruling {
-	if _, out := d.Bans[s.Server]; out || s.Held && d.MayDrop(s.Server) {
+func (d *Document) Decide(s Send) Decision {
+	if _, out := d.Bans[s.Server]; out || s.DropHeld && d.MayDrop(s.Server) {
 		return Banned
 	}
-	of, all := d.Classes[s.Class], d.Classes[Every]
+	of, all := d.Classes[s.Class], d.Classes[AllClasses]
 	switch {
 	case of.Closed || all.Closed:
 		return Closed
-	case s.Again && (of.NoRepeat || all.NoRepeat):
+	case s.MayHaveRun && (of.NoRepeat || all.NoRepeat):
 		return NoRepeat
 	}
 	return Allowed
@@ -139,12 +139,12 @@
 
 // MayDrop says whether a list may leave a server out.
 func (d *Document) MayDrop(id string) bool {
-	_, found := slices.BinarySearch(d.Dropped, id)
+	_, found := slices.BinarySearch(d.Droppable, id)
 	return found
 }
 
 // Share is the share of their quotas that tenants have.
-func (s *Settings) Share() float64 {
+func (s *Settings) QuotaShare() float64 {
 	if s.Quota == 0 {
 		return 1
 	}
@@ -157,14 +157,14 @@
 	if a == b {
 		return a
 	}
-	m := &Document{Bans: meetBans(a.Bans, b.Bans), Dropped: meetDropped(a.Dropped, b.Dropped)}
+	m := &Document{Bans: meetBans(a.Bans, b.Bans), Droppable: meetDropped(a.Droppable, b.Droppable)}
 	m.Classes, m.Numbers, m.Quota = meetClasses(a.Classes, b.Classes), meetNumbers(a.Numbers, b.Numbers), meetQuota(a, b)
 	return m
 }
 
 // meetQuota is the smaller share, with 0 for 1.
 func meetQuota(a, b *Document) float64 {
-	if q := min(a.Share(), b.Share()); q < 1 {
+	if q := min(a.QuotaShare(), b.QuotaShare()); q < 1 {
 		return q
 	}
 	return 0
@@ -231,8 +231,8 @@
 
 // Unknowing is what a proxy acts on of which nobody vouches that it knows the latest: what it knows, and no repeat, since any
 // class may have been forbidden one.
-func Unknowing(d *Document) *Document {
-	return Meet(d, &Document{Settings: Settings{Classes: map[string]Class{Every: {NoRepeat: true}}}})
+func Unleased(d *Document) *Document {
+	return Meet(d, &Document{Settings: Settings{Classes: map[string]Class{AllClasses: {NoRepeat: true}}}})
 }
 
 // Breaches are the acts that one document allows and another forbids, in words; none if the first is as strict. A proxy that
@@ -244,12 +244,12 @@
 			found = append(found, "sends to "+id)
 		}
 	}
-	for _, id := range forbids.Dropped {
+	for _, id := range forbids.Droppable {
 		if _, out := acts.Bans[id]; !out && !acts.MayDrop(id) {
 			found = append(found, "holds "+id)
 		}
 	}
-	all, strict := acts.Classes[Every], forbids.Classes[Every]
+	all, strict := acts.Classes[AllClasses], forbids.Classes[AllClasses]
 	if all.Closed {
 		return found[:0] // it sends nothing
 	}
@@ -261,7 +261,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(forbids.Classes)) {
 		a, f := acts.Classes[name], forbids.Classes[name]
-		if name == Every || a.Closed {
+		if name == AllClasses || a.Closed {
 			continue
 		}
 		if f.NoRepeat && !a.NoRepeat && !all.NoRepeat {
@@ -271,8 +271,8 @@
 			found = append(found, "serves "+name)
 		}
 	}
-	if acts.Share() > forbids.Share() {
-		found = append(found, fmt.Sprintf("gives quotas of %v", acts.Share()))
+	if acts.QuotaShare() > forbids.QuotaShare() {
+		found = append(found, fmt.Sprintf("gives quotas of %v", acts.QuotaShare()))
 	}
 	holders := map[int]string{}
 	for name, n := range forbids.Numbers {
@@ -299,12 +299,12 @@
 			d = append(d, "- "+id+" is out")
 		}
 	}
-	for _, id := range b.Dropped {
+	for _, id := range b.Droppable {
 		if !a.MayDrop(id) {
 			d = append(d, "+ lists may drop "+id)
 		}
 	}
-	for _, id := range a.Dropped {
+	for _, id := range a.Droppable {
 		if !b.MayDrop(id) {
 			d = append(d, "- lists may drop "+id)
 		}
@@ -319,8 +319,8 @@
 			d = append(d, fmt.Sprintf("~ class %s: %s, was %s", name, is, was))
 		}
 	}
-	if a.Share() != b.Share() {
-		d = append(d, fmt.Sprintf("~ quota: %v, was %v", b.Share(), a.Share()))
+	if a.QuotaShare() != b.QuotaShare() {
+		d = append(d, fmt.Sprintf("~ quota: %v, was %v", b.QuotaShare(), a.QuotaShare()))
 	}
 	numbers := maps.Clone(a.Numbers)
 	if numbers == nil {
@@ -353,14 +353,14 @@
 }
 
 // Check says all that is wrong with settings; each finding names its place and what may stand there.
-func (s *Settings) Check() error {
+func (s *Settings) Validate() error {
 	var errs []error
 	bad := func(format string, a ...any) { errs = append(errs, fmt.Errorf(format, a...)) }
-	if len(s.Classes) > MostClasses {
-		bad("class: %d of them; %d at most", len(s.Classes), MostClasses)
+	if len(s.Classes) > MaxClasses {
+		bad("class: %d of them; %d at most", len(s.Classes), MaxClasses)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Classes)) {
-		if err := checkText(name, MostID, false); err != nil {
+		if err := checkText(name, MaxIDBytes, false); err != nil {
 			bad("class %.40q: %w", name, err)
 		}
 	}
@@ -377,8 +377,8 @@
 func checkNumbers(numbers map[string]int) error {
 	var errs []error
 	bad := func(format string, a ...any) { errs = append(errs, fmt.Errorf(format, a...)) }
-	if len(numbers) > MostMembers {
-		bad("number: %d of them; %d at most", len(numbers), MostMembers)
+	if len(numbers) > MaxMembers {
+		bad("number: %d of them; %d at most", len(numbers), MaxMembers)
 	}
 	holder := make(map[int]string, len(numbers)) // the first by name
 	for name, n := range numbers {
@@ -388,14 +388,14 @@
 	}
 	var faulty []string // most have none, and are not put in order for that
 	for name, n := range numbers {
-		if n < 0 || holder[n] != name || checkText(name, MostID, false) != nil {
+		if n < 0 || holder[n] != name || checkText(name, MaxIDBytes, false) != nil {
 			faulty = append(faulty, name)
 		}
 	}
 	slices.Sort(faulty)
 	for _, name := range faulty {
 		n := numbers[name]
-		if err := checkText(name, MostID, false); err != nil {
+		if err := checkText(name, MaxIDBytes, false); err != nil {
 			bad("number of %.40q: %w", name, err)
 		}
 		if n < 0 {
