--- a/internal/cluster/accord/model/model.go
+++ b/internal/cluster/accord/model/model.go
@@ -1,6 +1,6 @@
-// Package model plays the agreement of a fleet on a clock of its own: proxies with clocks of different rates, disks, and a network
-// with faults, all from a seed. A checker looks at every moment whether two proxies act on rules that contradict each other,
-// whether anything that was acknowledged is lost, and whether two versions ever went by one number.
+// Package model simulates the consensus of a fleet in virtual time: proxies with clocks of different rates, disks, and a network with
+// faults, all derived from a seed. A checker verifies throughout the run that no two proxies apply contradictory rules, that no
+// acknowledged change is lost, and that no two versions have the same number.
 package model
 
 import (
@@ -22,49 +22,50 @@
 	"brasswell/internal/rig/story"
 )
 
-// Config is a fleet to be played.
+// Config configures a simulated fleet.
 type Config struct {
 	Scenario *story.Story
-	// Set changes each member's settings, to take defences out; may be nil.
+	// AdjustSettings changes each member's settings, to disable safeguards; may be nil.
 	AdjustSettings func(*accord.Settings)
-	// Drift is the most by which clocks are off their rate.
+	// Drift is the maximum deviation of the clocks' rates, as a fraction.
 	Drift float64
-	// Crash is how likely a process dies at a write of its disk, before or after the write holds.
+	// CrashRate is the probability that a process crashes at a disk write, before or after the write is durable.
 	CrashRate float64
-	// Corrupt is how likely a process that starts finds another document on its disk under the number that it had, unless it is of
-	// the programs that know of no digests.
+	// CorruptRate is the probability that a process that starts finds another document on its disk under the same number. It does
+	// not apply to processes without digests.
 	CorruptRate float64
-	// Write is how long one write of a disk takes. Meanwhile its process takes nothing in, and what came is taken in together.
+	// WriteTime is the duration of a disk write. The process receives nothing meanwhile, and then all that arrived at once.
 	WriteTime time.Duration
 }
 
-// Figures are what a play has come to.
+// Results are the results of a run.
 type Results struct {
 	Messages, Bytes, Events, Writes int64
 	Proposed, Agreed, Refused       int
-	InForce                         []time.Duration // from a proposal until the last living proxy with a lease acts on it alone
+	InForce                         []time.Duration // from a proposal until the change is in force at all running proxies with a lease
 	Leaders                         int
 	Answers                         []Answer
-	// Leased is the longest time that a proxy with a lease acted against what another held to be in force; it must be 0.
+	// LeasedBreach is the longest time for which a proxy with a lease applied rules that contradicted those that another proxy held
+	// to be in force; it must be 0.
 	LeasedBreach time.Duration
-	// Alone is the same of proxies that had no lease and went on with what they knew.
+	// AloneBreach is the same for proxies without a lease that continued with the rules that they knew.
 	AloneBreach time.Duration
-	// Reads are what proxies with a lease acted on, looked at each tick; Stale of them did not know a version that was in force
-	// somewhere by then, which must not be.
+	// Reads counts the checks of the rules that a proxy with a lease applied. StaleReads of them found a proxy that did not know a
+	// version that was already in force somewhere; it must be 0.
 	Reads, StaleReads int
-	// Leaderless are the times for which no living keeper led, once one had.
+	// Leaderless are the durations without a running leader, after the first leader.
 	Leaderless []time.Duration
-	// Deltas and Wholes are the standings that were sent, as differences and whole.
+	// Deltas and Wholes count the messages with deltas and with whole statuses.
 	Deltas, Wholes int
-	// Lost is how often a process that ran had a lease run out.
+	// LeasesLost counts the leases of running processes that expired.
 	LeasesLost int
-	// Corrupted are the disks that held another document, Mismatches how often a process found that it had another one.
+	// CorruptDisks counts the disks that contained another document, Mismatches the times when a process detected one.
 	CorruptDisks, Mismatches int
-	// Wrong is what must not be.
+	// Violations describes all other failed checks.
 	Violations []string
 }
 
-// Answer is a change that its proposer was told of, with when.
+// Answer is a change whose result was reported to its proposer.
 type Answer struct {
 	ProposedAt, AnsweredAt time.Duration
 	Version                uint64
@@ -84,16 +85,16 @@
 	diskFull, crashed bool
 	inbox             []event
 	nextTick          time.Duration
-	writeTime         time.Duration            // what it has to write takes so long
-	busyUntil         time.Duration            // until when it writes
-	arrived           []*accord.Message        // while it writes
-	leased            bool                     // as last looked
-	breaches          map[string]time.Duration // since when it acts against what others hold
+	writeTime         time.Duration            // duration of the writes that it has to do
+	busyUntil         time.Duration            // the current writes end then
+	arrived           []*accord.Message        // messages that arrived during a write
+	leased            bool                     // at the last check
+	breaches          map[string]time.Duration // start of each contradiction to the rules of others
 	standing          rules.Status
-	digest            rules.Digest // of the standing
+	digest            rules.Digest // digest of the status
 }
 
-// knows notes what a process acts on.
+// setStatus records the rules that a process applies.
 func (p *process) setStanding(s *rules.Status) {
 	p.standing, p.digest = *s, s.Digest()
 }
@@ -118,24 +119,24 @@
 	act  story.Act
 }
 
-// acked is a change that its proposer was told of.
+// acknowledgedChange is a change that was acknowledged to its proposer.
 type acknowledgedChange struct {
 	id      string
 	version uint64
 	at      time.Duration // when it was proposed
 }
 
-// Fleet is a fleet in play.
+// Fleet is a simulated fleet.
 type Fleet struct {
 	config  Config
 	now     time.Duration
 	queue   schedule.Queue[event]
 	network *faults.Network
 	rng     *rand.Rand
-	// numbers and disks draw from dice of their own, so that the faults of a story are the same with and without them.
+	// numbersRNG and disksRNG are separate generators, so that the faults of a scenario do not depend on their use.
 	numbersRNG, disksRNG *rand.Rand
 	layers               map[int]*faults.Layer
-	// leaderless is since when nobody leads; 0 while one does.
+	// leaderlessSince is the time since which there is no leader; 0 while there is one.
 	leaderlessSince time.Duration
 	everLed         bool
 	procs           []*process
@@ -143,13 +144,13 @@
 
 	proposed        map[string]time.Duration
 	acknowledged    []acknowledgedChange
-	awaitingForce   []acknowledgedChange // agreed, and not in force everywhere yet
-	changeByVersion map[uint64]string    // by number, the id of the change that made the version
+	awaitingForce   []acknowledgedChange // committed, but not yet in force everywhere
+	changeByVersion map[uint64]string    // the ID of the change that made each version, by number
 	servers         int
 	Results         Results
 }
 
-// tick is between two looks of the checker, beside those after each event.
+// checkInterval is the time between two checks.
 const checkInterval = 5 * time.Millisecond
 
 // New returns a fleet whose members all start at once.
@@ -184,7 +185,7 @@
 	f.queue.Push(e.at, e)
 }
 
-// local is the time on a process's own clock.
+// local returns the time on a process's own clock.
 func (f *Fleet) local(p *process) time.Duration {
 	return p.offset + time.Duration(p.rate*float64(f.now))
 }
@@ -203,13 +204,13 @@
 	f.corrupt(p, &s)
 	p.setStanding(&rules.Status{})
 	if p.disk.Rules != nil {
-		stored := p.disk.Rules.Copy() // which it acts on, and has no cause to store again
+		stored := p.disk.Rules.Copy() // it applies these rules without storing them again
 		stored.Compact()
 		p.setStanding(stored)
 	}
 	core, err := accord.New(f.local(p), s, f.rng.Uint64(), p.disk, host{f, p})
 	if err != nil {
-		f.recordViolation("%s does not start: %v", p.name, err)
+		f.recordViolation("%s failed to start: %v", p.name, err)
 		p.up = false
 		return
 	}
@@ -222,7 +223,7 @@
 	f.afterEvent(p)
 }
 
-// corrupt may have a process find another document on its disk than it has stored.
+// corrupt replaces the documents on a process's disk by others, with the configured probability.
 func (f *Fleet) corrupt(p *process, s *accord.Settings) {
 	if f.config.CorruptRate == 0 || s.NoDeltas || p.disk.Rules == nil || f.disksRNG.Float64() >= f.config.CorruptRate {
 		return
@@ -234,7 +235,7 @@
 	}
 	changed := false
 	for _, v := range versions {
-		other := rules.Version{Number: v.Number, Doc: v.Doc, Change: v.Change} // its digests are not remembered
+		other := rules.Version{Number: v.Number, Doc: v.Doc, Change: v.Change} // a new value, so that no cached digest is reused
 		if f.alterDocument(&other.Doc) {
 			changed = true
 		}
@@ -246,7 +247,7 @@
 	}
 }
 
-// bend makes another document, which allows what the first forbids, and says whether it has.
+// alterDocument changes a document so that it allows something that it forbade, and reports whether it did.
 func (f *Fleet) alterDocument(doc *rules.Document) bool {
 	bans, names := slices.Sorted(maps.Keys(doc.Bans)), slices.Sorted(maps.Keys(doc.Numbers))
 	if len(bans) > 0 {
@@ -267,11 +268,11 @@
 	clear(p.breaches)
 }
 
-// after is after each event of a process: what it has died of, and when it is next due.
+// afterEvent runs after each event of a process: it handles a crash and schedules the next events.
 func (f *Fleet) afterEvent(p *process) {
 	if p.crashed && p.up {
 		f.stop(p)
-		f.push(event{at: f.now + time.Second, kind: tickEvent, to: p.index, boot: p.boot}) // which starts it again
+		f.push(event{at: f.now + time.Second, kind: tickEvent, to: p.index, boot: p.boot}) // restarts it
 		return
 	}
 	if !p.up || p.core == nil {
@@ -288,7 +289,7 @@
 	}
 }
 
-// host is a process's side of its core.
+// host is the host of a process's core.
 type host struct {
 	*Fleet
 	p *process
@@ -302,7 +303,7 @@
 	}
 	text, err := m.Encode()
 	if err != nil {
-		f.recordViolation("%s cannot write a message: %v", h.p.name, err)
+		f.recordViolation("%s cannot encode a message: %v", h.p.name, err)
 		return
 	}
 	f.Results.Messages++
@@ -313,10 +314,10 @@
 	case m.Status != nil:
 		f.Results.Wholes++
 	}
-	// What is sent is read as it would be from the wire, so that nothing is shared.
+	// The message is decoded as from the wire, so that sender and receiver share no memory.
 	read, err := accord.Decode(text)
 	if err != nil {
-		f.recordViolation("%s sends what cannot be read: %v", h.p.name, err)
+		f.recordViolation("%s sends a message that cannot be decoded: %v", h.p.name, err)
 		return
 	}
 	for _, d := range f.network.Datagram(f.now, faults.Path{From: h.p.name, To: to}, len(text)) {
@@ -339,17 +340,17 @@
 	if f.rng.Float64() < f.config.CrashRate {
 		p.crashed = true
 		if f.rng.IntN(2) == 0 {
-			return errDisk // it died before the write held
+			return errDisk // it crashed before the write was durable
 		}
 	}
 	p.disk.Apply(clone(r))
 	if p.crashed {
-		return errDisk // it held, and nothing more was said
+		return errDisk // the write was durable, but nothing was sent afterwards
 	}
 	return nil
 }
 
-// clone makes a record independent of the log that it comes from.
+// clone returns a copy of a record that shares no memory with the log.
 func clone(r *accord.Record) *accord.Record {
 	c := *r
 	c.Entries = slices.Clone(r.Entries)
@@ -396,7 +397,7 @@
 	case accord.RulesChanged:
 		r := h.p.core
 		if r == nil {
-			return // while it starts
+			return // the process is starting
 		}
 		standing := r.Report(0).Status
 		h.p.setStanding(&standing)
@@ -408,7 +409,7 @@
 	}
 }
 
-// number notes which change made a version; two that did are wrong.
+// recordVersion records which change made a version. Two changes with the same version are a violation.
 func (f *Fleet) recordVersion(version uint64, id string) {
 	if was, known := f.changeByVersion[version]; known && was != id {
 		f.recordViolation("version %d is of change %s and of change %s", version, was, id)
@@ -423,7 +424,7 @@
 	}
 }
 
-// Play plays until a moment.
+// Run runs the simulation until the given time.
 func (f *Fleet) Run(until time.Duration) {
 	for {
 		at, e, due := f.queue.Pop(until)
@@ -474,7 +475,7 @@
 	}
 }
 
-// wake has a process do what is due, unless it has died or writes.
+// tickProcess ticks a process's core if that is due, unless the process has crashed or is writing.
 func (f *Fleet) tickProcess(p *process) {
 	if !p.up || f.now < p.busyUntil {
 		return
@@ -485,7 +486,7 @@
 	f.afterEvent(p)
 }
 
-// takeIn has a process that does not write take in what has arrived.
+// receiveArrived passes the arrived messages to a process, unless it is writing.
 func (f *Fleet) receiveArrived(p *process) {
 	if len(p.arrived) == 0 || f.now < p.busyUntil {
 		return
@@ -496,7 +497,8 @@
 	f.afterEvent(p)
 }
 
-// propose has a change proposed at some member: a ban or its lifting, mostly; now and then numbers for all members.
+// propose proposes a random change at a random member: usually a ban or its end, and sometimes new settings, new numbers for all
+// members, or a rollback.
 func (f *Fleet) propose() {
 	if f.now > time.Duration(f.config.Scenario.Length) {
 		return
@@ -532,7 +534,7 @@
 	f.afterEvent(p)
 }
 
-// led notes for how long nobody leads.
+// checkLeader records the durations without a leader.
 func (f *Fleet) checkLeader() {
 	if slices.ContainsFunc(f.procs, func(p *process) bool { return p.up && !p.paused && p.core.IsLeader() }) {
 		if f.leaderlessSince > 0 {
@@ -544,7 +546,7 @@
 	}
 }
 
-// countLost notes the leases that have run out.
+// countLost counts the leases that have expired.
 func (f *Fleet) countLost() {
 	for _, p := range f.procs {
 		leased := p.up && !p.paused && p.basis != nil && p.basis.Mode(f.local(p)) == accord.Leased
@@ -555,8 +557,8 @@
 	}
 }
 
-// read takes what each proxy with a lease acts on for an answer to a read: one that began once a version was in force anywhere has
-// to know that version (a regular register, Lamport 1986). That two who read at one time see the same is neither promised nor so.
+// checkReads treats the rules that each proxy with a lease applies as the result of a read: a read that starts after a version is in
+// force anywhere must know that version (a regular register, Lamport 1986). Two simultaneous reads may see different versions.
 func (f *Fleet) checkReads() {
 	newest := map[uint64]uint64{} // in force, by log
 	var readers []*process
@@ -573,7 +575,8 @@
 	}
 }
 
-// look is the checker: it compares what each proxy acts on with what every other holds to be in force.
+// checkContradictions compares the rules that each proxy applies with those that every other proxy with a lease holds to be in force.
+// It also runs the other periodic checks.
 func (f *Fleet) checkContradictions() {
 	f.checkLeader()
 	f.countLost()
@@ -595,7 +598,7 @@
 		mode := p.basis.Mode(f.local(p))
 		if _, same := forbidding[known{p.basis.Version, p.basis.Last, p.digest}]; same && len(forbidding) == 1 {
 			clear(p.breaches)
-			continue // what all hold cannot contradict itself
+			continue // all proxies have the same rules, which cannot contradict themselves
 		}
 		doc := p.basis.Doc
 		if mode == accord.Alone {
@@ -631,7 +634,7 @@
 	})
 }
 
-// against is what a document allows and a standing forbids, under the version in force there and all that are on their way.
+// contradictions returns what a document allows although a status forbids it, under its version in force and under all pending ones.
 func contradictions(doc *rules.Document, q *rules.Status) []string {
 	found := rules.Breaches(doc, &q.InForce.Doc)
 	for i := range q.Pending {
@@ -675,7 +678,7 @@
 			p.paused = p.up
 		case e.Do == story.Pause && p.paused:
 			p.paused = false
-			f.checkContradictions() // it may act before it has seen to anything
+			f.checkContradictions() // it may send a request before it handles any event
 			inbox := p.inbox
 			p.inbox = nil
 			for _, e := range inbox {
@@ -686,20 +689,20 @@
 	}
 }
 
-// Refound has a member go on alone as a keeper, as an operator does.
+// Refound makes a member refound the log alone, as an operator does.
 func (f *Fleet) Refound(name string) error {
 	p := f.byName[name]
 	if !p.up || p.paused {
-		return errors.New("model: it is not there")
+		return errors.New("model: the member is not running")
 	}
 	defer f.afterEvent(p)
 	return p.core.Refound(f.local(p))
 }
 
-// Fill makes a member's disk full, for good.
+// FillDisk makes a member's disk full, permanently.
 func (f *Fleet) FillDisk(name string) { f.byName[name].diskFull = true }
 
-// Propose has a change proposed at a member.
+// Propose proposes a change at a member.
 func (f *Fleet) Propose(name string, c rules.Change) error {
 	p := f.byName[name]
 	f.proposed[c.ID] = f.now
@@ -707,22 +710,22 @@
 	return p.core.Propose(f.local(p), c)
 }
 
-// Down kills a member's process, and Up starts it.
+// Kill kills a member's process.
 func (f *Fleet) Kill(name string) { f.stop(f.byName[name]) }
 
-// Up starts a member's process.
+// Start starts a member's process.
 func (f *Fleet) Start(name string) { f.start(f.byName[name]) }
 
-// Mode is on what a member acts.
+// Mode returns the mode of a member.
 func (f *Fleet) Mode(name string) accord.Mode {
 	p := f.byName[name]
 	return p.basis.Mode(f.local(p))
 }
 
-// Standing is what a member acts on.
+// Status returns the rules that a member applies.
 func (f *Fleet) Status(name string) rules.Status { return f.byName[name].standing }
 
-// Judge says at the end of a play what must not be: whether all that was acknowledged is there, and everybody agrees.
+// Check verifies at the end of a run that no acknowledged change is lost and that all running members have a lease on the same version.
 func (f *Fleet) Check() {
 	var newest *rules.Status
 	for _, p := range f.procs {
@@ -739,7 +742,7 @@
 		}
 	}
 	if newest == nil {
-		f.recordViolation("nobody is left")
+		f.recordViolation("no member is running at the end")
 		return
 	}
 	for _, p := range f.procs {
@@ -749,10 +752,10 @@
 	}
 	for _, a := range f.acknowledged {
 		if a.version > newest.Last() {
-			f.recordViolation("version %d was acknowledged, and the newest is %d", a.version, newest.Last())
+			f.recordViolation("version %d was acknowledged, but the newest is %d", a.version, newest.Last())
 		}
 		if f.changeByVersion[a.version] != a.id {
-			f.recordViolation("change %s was acknowledged as version %d, which is %s", a.id, a.version, f.changeByVersion[a.version])
+			f.recordViolation("change %s was acknowledged as version %d, which is change %s", a.id, a.version, f.changeByVersion[a.version])
 		}
 	}
 }
--- a/internal/cluster/accord/model/model_test.go
+++ b/internal/cluster/accord/model/model_test.go
@@ -15,14 +15,14 @@
 	"brasswell/internal/rig/story"
 )
 
-var scenarios = flag.Int("stories", 24, "how many drawn stories are played")
+var scenarios = flag.Int("stories", 24, "number of random scenarios to run")
 
-// settle is how long after the last fault all must be well.
+// settleTime is the time after the last fault within which the fleet must recover.
 const settleTime = 5 * time.Second
 
 func seconds(s float64) story.Duration { return story.Duration(s * float64(time.Second)) }
 
-// drawn is a story of 40 s.
+// randomScenario returns a random scenario of 40 s.
 func randomScenario(seed uint64, members, keepers int) *story.Story {
 	return story.Unruly(seed, members, keepers, 40*time.Second)
 }
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestDrawnStories: whatever happens, nobody who holds a lease contradicts another, nothing acknowledged is lost, and all agree
-// at the end.
+// TestRandomScenarios checks under random faults that no proxies with leases contradict each other, that no acknowledged change is lost,
+// and that all agree at the end.
 func TestRandomScenarios(t *testing.T) {
 	var sum struct {
 		sync.Mutex
@@ -68,10 +68,10 @@
 					t.Errorf("contradictions for %v; %q", g.LeasedBreach, g.Violations)
 				}
 				if g.StaleReads > 0 || g.Reads == 0 {
-					t.Errorf("%d of %d reads did not know what was in force", g.StaleReads, g.Reads)
+					t.Errorf("%d of %d reads did not know a version that was in force", g.StaleReads, g.Reads)
 				}
 				if !linearizable(g.Answers) {
-					t.Error("the versions that proposers were told of are in no order that time allows")
+					t.Error("the acknowledged versions are not linearizable")
 				}
 				sum.Lock()
 				defer sum.Unlock()
@@ -82,20 +82,20 @@
 			})
 		}
 	})
-	t.Logf("%d of %d changes agreed, %d times a leader, %d reads; alone for %v at most", sum.agreed, sum.proposed, sum.leaders, sum.reads, sum.alone)
-	t.Logf("%d standings sent as differences and %d whole; %d disks held another document, %d found so", sum.deltas, sum.wholes, sum.corrupted, sum.mismatches)
+	t.Logf("%d of %d changes agreed, %d elections, %d reads; contradictions without a lease for at most %v", sum.agreed, sum.proposed, sum.leaders, sum.reads, sum.alone)
+	t.Logf("%d deltas and %d whole statuses sent; %d disks with another document, %d detected", sum.deltas, sum.wholes, sum.corrupted, sum.mismatches)
 	if sum.agreed < sum.proposed/2 {
 		t.Errorf("%d of %d changes agreed", sum.agreed, sum.proposed)
 	}
 	if sum.deltas == 0 || sum.wholes == 0 || sum.corrupted == 0 || sum.mismatches == 0 {
-		t.Error("differences, whole standings and corrupted disks are not all played")
+		t.Error("the scenarios do not cover all of deltas, whole statuses and corrupt disks")
 	}
 }
 
-// mix makes some of a story's members programs from before there were differences: of three stories one has none of them and corrupted
-// disks, one has them beside voters that are none and corrupted disks, and one has them among voters too. Those know of no digests, so
-// that no disk is corrupted where one of them may lead. In every other pair of stories no difference goes with a grant. In every fourth
-// writes of the disk take time, and what arrives meanwhile is taken in together.
+// varyConfig varies the configuration by the seed. Of three scenarios one has corrupt disks and no older programs, one has corrupt disks
+// and an older program that is not a voter, and one has older programs among the voters too. Older programs predate deltas and have no
+// digests, so disks are not corrupted where one of them may lead. In every other pair of scenarios grants contain no deltas. In every
+// fourth scenario disk writes take time, and messages that arrive meanwhile are received together.
 func varyConfig(c *Config, seed uint64) {
 	keepers := c.Scenario.Keepers
 	names := c.Scenario.Names()
@@ -114,7 +114,7 @@
 	c.AdjustSettings = func(s *accord.Settings) {
 		s.NoDeltas = older[s.Name]
 		if seed/2%2 == 1 {
-			s.MaxInlineDelta = 1 // all is long, and leases rest on what proxies have
+			s.MaxInlineDelta = 1 // every delta is too long for a grant, so that leases cover the versions that proxies have
 		}
 	}
 	if seed%4 == 3 {
@@ -122,8 +122,8 @@
 	}
 }
 
-// linearizable says whether there is one order of all answered changes in which each is made between its asking and its telling, and
-// versions grow. What was not answered may have come anywhere, and leaves gaps.
+// linearizable reports whether there is an order of all answered changes in which each takes effect between its proposal and its result
+// and the versions increase. Changes without a result may have taken effect at any time, and leave gaps.
 func linearizable(answers []Answer) bool {
 	var ops []porcupine.Operation
 	for i, a := range answers {
@@ -135,15 +135,16 @@
 	}, ops)
 }
 
-// TestTheCheckerOfOrderChecks: an answer that came before another was asked for and has the higher version is found.
+// TestLinearizabilityChecker checks that linearizable rejects a change that has a higher version than one that was proposed after its
+// result.
 func TestLinearizabilityChecker(t *testing.T) {
 	if !linearizable([]Answer{{1, 5, 3}, {2, 4, 2}, {6, 7, 9}}) || linearizable([]Answer{{1, 2, 3}, {4, 5, 2}}) {
-		t.Error("it takes what cannot be, or does not take what can")
+		t.Error("linearizable accepts an impossible order or rejects a possible one")
 	}
 }
 
-// TestManyChangesAtOnce: with disks that take a sixth of a renewal's patience for each write, a fleet agrees on as many changes as can be
-// on their way, proposed at one time, in few writes and messages, and nobody loses a lease meanwhile.
+// TestManyChangesAtOnce proposes the maximum number of pending changes at one time, with disks that take a sixth of a renewal's timeout
+// per write. The fleet must agree on all of them with few writes and messages, and no proxy may lose its lease.
 func TestManyChangesAtOnce(t *testing.T) {
 	const members, voters, changes = 40, 5, rules.MaxPending
 	s := &story.Story{Name: "at once", Members: members, Seed: 1, Period: seconds(0.3), Length: seconds(12), Keepers: voters}
@@ -163,20 +164,21 @@
 	f.Check()
 	g := &f.Results
 	saves, told := g.Writes-before.Writes, g.Deltas-before.Deltas
-	t.Logf("in force after %v; %d writes, %d differences sent, %d leases lost", slices.Max(g.InForce), saves, told, g.LeasesLost-before.LeasesLost)
+	t.Logf("in force after %v; %d writes, %d deltas sent, %d leases lost", slices.Max(g.InForce), saves, told, g.LeasesLost-before.LeasesLost)
 	if len(g.Violations) > 0 || g.LeasedBreach > 0 || g.Agreed != changes || len(g.InForce) != changes {
 		t.Errorf("%d of %d agreed, %d in force; contradictions for %v; %q", g.Agreed, changes, len(g.InForce), g.LeasedBreach, g.Violations)
 	}
 	if lost := g.LeasesLost - before.LeasesLost; lost > 0 {
 		t.Errorf("%d leases lost", lost)
 	}
-	// A few batches, each with its two steps; one by one each change would have cost that much.
+	// A few batches suffice, each with its two steps. The limits are the costs of the changes one by one.
 	if mostSaves, mostTold := int64(voters*changes), changes/2*members; saves > mostSaves || told > mostTold {
-		t.Errorf("%d writes, %d differences sent; %d and %d at most", saves, told, mostSaves, mostTold)
+		t.Errorf("%d writes, %d deltas sent; at most %d and %d are allowed", saves, told, mostSaves, mostTold)
 	}
 }
 
-// TestTimeWithoutLeader: after a leader is killed another leads within the stated time, less what it waits for leases.
+// TestTimeWithoutLeader checks that another voter leads within ConvergenceBound after the leader is killed. The time in which a new leader
+// waits for old leases to expire is not included.
 func TestTimeWithoutLeader(t *testing.T) {
 	var all []time.Duration
 	for seed := range uint64(60) {
@@ -194,16 +196,16 @@
 	}
 	slices.Sort(all)
 	if len(all) < 30 {
-		t.Fatalf("nobody led %d times; a leader was to be killed about 60 times", len(all))
+		t.Fatalf("there was no leader %d times; about 60 leaders should have been killed", len(all))
 	}
 	t.Logf("without a leader %d times: p50 %v, worst %v", len(all), all[len(all)/2], all[len(all)-1])
 	if bound := accord.DefaultTimes().ConvergenceBound(); all[len(all)-1] > bound {
-		t.Errorf("for %v, and %v is stated", all[len(all)-1], bound)
+		t.Errorf("no leader for %v; the bound is %v", all[len(all)-1], bound)
 	}
 }
 
-// TestKeepersComeTogether: the first message to a keeper that is taken in is lost, or the founder dies at the write before it. The log
-// is not left with one voter for good.
+// TestVotersFormLog guards against a log that stays with one voter permanently, after the first message to a voter that is being added is
+// lost, or the founder crashes at the write before it.
 func TestVotersFormLog(t *testing.T) {
 	for _, seed := range []uint64{151, 4969, 5096, 5180, 5295, 5662, 6107, 6258, 6366, 6964, 8489, 8510, 9128} {
 		f := run(t, Config{Scenario: randomScenario(seed, 5+int(seed%4), 3+2*int(seed%2)), Drift: 0.02, CrashRate: 0.001})
@@ -213,12 +215,12 @@
 	}
 }
 
-// TestEachDefenceCounts: with each defence taken out the checker finds what it guards against.
+// TestEachSafeguardIsNeeded checks that the checker finds a contradiction if any one of the safeguards is disabled.
 func TestEachSafeguardIsNeeded(t *testing.T) {
 	for name, defence := range map[string]struct {
 		set     func(*accord.Settings)
 		corrupt float64
-		first   uint64 // seed, where it takes many to find it
+		first   uint64 // first seed, if many are needed to find a contradiction
 	}{
 		"no lease check": {set: func(s *accord.Settings) { s.NoLeaseCheck = true }},
 		"no prepared":    {set: func(s *accord.Settings) { s.NoPreparePhase = true }},
@@ -235,13 +237,13 @@
 					return
 				}
 			}
-			t.Error("nothing is found without it")
+			t.Error("no contradiction was found without this safeguard")
 		})
 	}
 }
 
-// TestMajorityLostForGood: one keeper goes on alone with what was agreed, and the others, when they come back after all, do not
-// undo it.
+// TestMajorityLostPermanently checks that one voter refounds the log alone with the agreed rules, and that the others do not undo its
+// changes when they return.
 func TestMajorityLostPermanently(t *testing.T) {
 	second := time.Second
 	for seed := range uint64(20) {
@@ -259,7 +261,7 @@
 		}
 		f.Run(8 * second)
 		if err := f.Refound("n4"); err == nil {
-			t.Error("one that is no keeper goes on alone")
+			t.Error("a proxy that is not a voter refounded the log")
 		}
 		if err := f.Refound("n1"); err != nil {
 			t.Fatal(err)
@@ -271,14 +273,14 @@
 		f.Run(15 * second)
 		for _, m := range []string{"n1", "n4", "n5"} {
 			if s := f.Status(m); len(s.InForce.Doc.Bans) != 2 || s.Term != 1 {
-				t.Fatalf("seed %d: %s has %v in force, reign %d", seed, m, s.InForce.Doc.Bans, s.Term)
+				t.Fatalf("seed %d: %s has %v in force, term %d", seed, m, s.InForce.Doc.Bans, s.Term)
 			}
 		}
 		f.Run(35 * second)
 		f.Check()
 		for _, m := range s.Names() {
 			if s := f.Status(m); len(s.InForce.Doc.Bans) != 2 || s.Term != 1 {
-				t.Errorf("seed %d: once the others are back %s has %v in force, reign %d", seed, m, s.InForce.Doc.Bans, s.Term)
+				t.Errorf("seed %d: after the others returned %s has %v in force, term %d", seed, m, s.InForce.Doc.Bans, s.Term)
 			}
 		}
 		if g := &f.Results; len(g.Violations) > 0 || g.LeasedBreach > 0 {
@@ -287,8 +289,8 @@
 	}
 }
 
-// TestFullDisks: a keeper that cannot store says nothing that rests on it and keeps no longer; with one of three the others go on,
-// and it goes on as any proxy.
+// TestFullDisks checks that a voter with a full disk sends nothing that depends on the failed write and stops voting. With one of three
+// disks full, the other voters continue, and the proxy with the full disk continues without voting.
 func TestFullDisks(t *testing.T) {
 	for seed := range uint64(10) {
 		s := &story.Story{Name: "full", Members: 5, Seed: seed, Period: seconds(0.3), Length: seconds(15), Keepers: 3, Changes: 4}
@@ -307,8 +309,8 @@
 	}
 }
 
-// TestRing: five keepers of which each hears only its neighbours; whoever leads has a majority with them, and all others reach it
-// through others.
+// TestRing has five voters that reach only their neighbours. The leader has a majority with its two neighbours, and all others reach it
+// through other proxies.
 func TestRing(t *testing.T) {
 	for seed := range uint64(10) {
 		s := &story.Story{Name: "ring", Members: 7, Seed: seed, Period: seconds(0.3), Length: seconds(25), Keepers: 5, Changes: 2}
@@ -324,12 +326,12 @@
 		f.Run(30 * time.Second)
 		f.Check()
 		if g := &f.Results; len(g.Violations) > 0 || g.LeasedBreach > 0 || g.Agreed < before+20 || g.Leaders > 4 {
-			t.Errorf("seed %d: %d changes and %d and %d times a leader; contradictions for %v; %q", seed, before, g.Agreed-before, g.Leaders, g.LeasedBreach, g.Violations)
+			t.Errorf("seed %d: %d changes before and %d after, %d elections; contradictions for %v; %q", seed, before, g.Agreed-before, g.Leaders, g.LeasedBreach, g.Violations)
 		}
 	}
 }
 
-// TestOneWay: a leader whose messages arrive and who hears nobody gives way, and one who hears and is not heard does too.
+// TestOneWayPartition checks that another leader takes over if the leader's messages arrive but it receives none, or the reverse.
 func TestOneWayPartition(t *testing.T) {
 	for seed := range uint64(10) {
 		for _, to := range []bool{true, false} {
@@ -348,13 +350,13 @@
 			f.Run(25 * time.Second)
 			f.Check()
 			if g := &f.Results; len(g.Violations) > 0 || g.LeasedBreach > 0 || g.Agreed < before+8 {
-				t.Errorf("seed %d, heard %v: %d changes and %d, %d times a leader; contradictions for %v; %q", seed, to, before, g.Agreed-before, g.Leaders, g.LeasedBreach, g.Violations)
+				t.Errorf("seed %d, messages from n1 lost %v: %d changes before and %d after, %d elections; contradictions for %v; %q", seed, to, before, g.Agreed-before, g.Leaders, g.LeasedBreach, g.Violations)
 			}
 		}
 	}
 }
 
-// TestAtRest: nothing is written while nothing changes, and messages are few.
+// TestIdleFleet checks that without changes nothing is written and few messages are sent.
 func TestIdleFleet(t *testing.T) {
 	s := &story.Story{Name: "rest", Members: 9, Seed: 1, Period: seconds(0.3), Length: seconds(70), Keepers: 3}
 	f, err := New(Config{Scenario: s, Drift: 0.02})
@@ -366,16 +368,16 @@
 	f.Run(70 * time.Second)
 	after := &f.Results
 	if n := after.Writes - before.Writes; n != 0 {
-		t.Errorf("%d writes in a minute in which nothing changed", n)
+		t.Errorf("%d writes in a minute without changes", n)
 	}
 	each := func(n int64) float64 { return float64(n) / 60 / 9 }
-	t.Logf("for each of 9 proxies %.1f messages and %.0f bytes a second", each(after.Messages-before.Messages), each(after.Bytes-before.Bytes))
+	t.Logf("%.1f messages and %.0f bytes per second from each of 9 proxies", each(after.Messages-before.Messages), each(after.Bytes-before.Bytes))
 	if n := each(after.Messages - before.Messages); n > 20 {
-		t.Errorf("%.1f messages a second from each proxy", n)
+		t.Errorf("%.1f messages per second from each proxy", n)
 	}
 }
 
-// TestAllDieAtOnce: three seconds after all processes were started again each holds a lease, also the one that leads.
+// TestRestartOfAllProcesses checks that three seconds after all processes were restarted each has a lease, including the leader.
 func TestRestartOfAllProcesses(t *testing.T) {
 	for seed := range uint64(30) {
 		s := &story.Story{Name: "power", Members: 7, Seed: seed, Period: seconds(0.3), Length: seconds(9), Keepers: 5, Changes: 4,
@@ -387,7 +389,7 @@
 		f.Run(9 * time.Second)
 		for _, p := range f.procs {
 			if mode := p.basis.Mode(f.local(p)); mode != accord.Leased {
-				t.Errorf("seed %d: %s is %v 3 s after a start of all", seed, p.name, mode)
+				t.Errorf("seed %d: %s is %v 3 s after the restart of all processes", seed, p.name, mode)
 			}
 		}
 		f.Run(12 * time.Second)
@@ -398,8 +400,8 @@
 	}
 }
 
-// TestVersionsOfTheProgramDiffer: a change that one proxy does not understand is turned away while that is there, keeper or not. Once it
-// is gone the change is agreed; back with its old program it acts on nothing that it half understands: it holds no lease.
+// TestMixedProgramVersions checks that a change is refused while a proxy that does not understand it is reachable, voter or not. Once
+// that proxy is gone the change is agreed. If it returns with its old program, it gets no lease and does not apply the new rules.
 func TestMixedProgramVersions(t *testing.T) {
 	for _, old := range []string{"n2", "n5"} {
 		s := &story.Story{Name: "upgrade", Members: 5, Seed: 3, Period: seconds(0.3), Length: seconds(60), Keepers: 3}
@@ -418,7 +420,7 @@
 		}
 		f.Run(5 * time.Second)
 		if got := f.Status("n4"); got.Last() != 1 {
-			t.Errorf("%s does not understand version %d", old, got.Last())
+			t.Errorf("%s does not understand version %d, which was agreed", old, got.Last())
 		}
 		f.Kill(old)
 		f.Run(20 * time.Second)
@@ -432,15 +434,15 @@
 		f.Start(old)
 		f.Run(30 * time.Second)
 		if got := f.Status(old); got.Last() > 1 || f.Mode(old) == accord.Leased {
-			t.Errorf("%s acts on version %d, which it does not understand, %v", old, got.Last(), f.Mode(old))
+			t.Errorf("%s applies version %d, which it does not understand, mode %v", old, got.Last(), f.Mode(old))
 		}
-		// A change that all understand is made on the document as it stands, which the old one does not.
+		// This change itself needs no new form, but it applies to the current document, which the old program does not understand.
 		if err := f.Propose("n4", rules.Change{ID: "third", Kind: rules.Suspend, Server: "b"}); err != nil {
 			t.Fatal(err)
 		}
 		f.Run(35 * time.Second)
 		if got := f.Status("n1"); got.InForce.Number != 3 || f.Results.LeasedBreach > 0 || f.Results.StaleReads > 0 {
-			t.Errorf("after it: version %d, contradictions for %v, %d stale", got.InForce.Number, f.Results.LeasedBreach, f.Results.StaleReads)
+			t.Errorf("after the third change: version %d, contradictions for %v, %d stale", got.InForce.Number, f.Results.LeasedBreach, f.Results.StaleReads)
 		}
 	}
 }
--- a/internal/cluster/accord/store/store.go
+++ b/internal/cluster/accord/store/store.go
@@ -1,5 +1,5 @@
-// Package store keeps a keeper's log, and what a proxy last acted on, in one file of a folder. A write holds once it has
-// returned. What is torn, broken, another fleet's or another proxy's is set aside under another name and told; it never keeps a
+// Package store stores a voter's log, and the rules that a proxy last applied, in one file of a folder. A write is durable once it
+// has returned. A file that is truncated, damaged, or of another fleet or proxy is renamed and reported; it never prevents a
 // process from starting.
 package store
 
@@ -27,11 +27,11 @@
 
 const (
 	fileName = "rules.db"
-	// form is that of the file; another one is not read.
+	// fileForm is the form of the file. Files of other forms are not read.
 	fileForm = 1
-	// lockTime is how long another process of this proxy, which is about to end, is waited for.
+	// lockTimeout is the time to wait for the file lock of another process of this proxy, which is about to exit.
 	lockTimeout = 200 * time.Millisecond
-	// mostEntry bounds what is read of one entry.
+	// maxEntryBytes bounds the size of a stored entry.
 	maxEntryBytes = 8 << 20
 )
 
@@ -47,7 +47,7 @@
 	keyRules    = []byte("acts")
 )
 
-// owner says whose file it is.
+// owner identifies the fleet and the proxy that a file belongs to.
 type owner struct {
 	Form  int    `cbor:"1,keyasint"`
 	Fleet string `cbor:"2,keyasint"`
@@ -61,8 +61,8 @@
 	broken bool
 }
 
-// Open opens a folder's file, or makes one. aside is where a file that is not to be used was put, "" if there was none, and why
-// says what is wrong with it.
+// Open opens a folder's file, or creates it. aside is the new name of a file that could not be used, "" if there was none, and why is
+// the reason.
 func Open(folder, fleet, name string) (s *Store, aside string, why error, err error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, "", nil, fmt.Errorf("store: %w", err)
@@ -84,7 +84,7 @@
 	return &Store{db: db}, aside, why, nil
 }
 
-// open opens a file and looks whether it is sound and its owner's.
+// open opens a file and checks its content and its owner.
 func open(path string, own owner) (db *bbolt.DB, err error) {
 	err = recoverPanics(func() error {
 		var err error
@@ -94,16 +94,16 @@
 		return checkOwner(db, own)
 	})
 	if err != nil && db != nil {
-		recoverPanics(db.Close) // of no use any more, whatever it says
+		recoverPanics(db.Close) // the file is not used anymore, so an error does not matter
 		db = nil
 	}
 	return db, err
 }
 
-// guarded runs what works on a file, and makes an error of a panic. The library takes what it reads for granted, and reads by a
-// mapping: beyond the end of a file that is torn there is nothing, which is a fault and not an error.
+// recoverPanics runs an operation on a file and turns a panic into an error. The library does not check what it reads, and reads from
+// a memory mapping: an access beyond the end of a truncated file is a memory fault and not an error.
 //
-// It guards against a disk that ends the process. It may harm where a write has been begun: the file is not used after it.
+// This keeps a damaged disk from ending the process. A panic may leave a write incomplete, so the file is not used afterwards.
 func recoverPanics(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -114,7 +114,8 @@
 	return f()
 }
 
-// take looks whether an open file is its owner's, and makes it so if it is new. All that is there is read, in this goroutine.
+// checkOwner checks that an open file belongs to its owner, and records the owner in a new file. It reads the whole file, in this
+// goroutine, because recoverPanics recovers from faults of its own goroutine only.
 func checkOwner(db *bbolt.DB, own owner) error {
 	return db.Update(func(tx *bbolt.Tx) error {
 		err := tx.ForEach(func(_ []byte, b *bbolt.Bucket) error { return b.ForEach(func(_, _ []byte) error { return nil }) })
@@ -143,13 +144,13 @@
 			return fmt.Errorf("broken: %w", err)
 		}
 		if is != own {
-			return fmt.Errorf("it is of fleet %q, proxy %q, form %d", is.Fleet, is.Name, is.Form)
+			return fmt.Errorf("the file belongs to fleet %q, proxy %q, and has form %d", is.Fleet, is.Name, is.Form)
 		}
 		return nil
 	})
 }
 
-// Load reads all that is stored.
+// Load returns all that is stored.
 func (s *Store) Load() (accord.Stored, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,14 +202,14 @@
 	return stored, nil
 }
 
-// Save makes a record last: it is on disk, whole, once this has returned.
+// Save writes a record. All of it is on disk once Save has returned without an error.
 func (s *Store) Save(r *accord.Record) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	err := s.transact(s.db.Update, func(tx *bbolt.Tx) error {
 		l := tx.Bucket(logBucket)
 		id := binary.BigEndian.AppendUint64(nil, r.LogID)
-		if string(l.Get(keyLogID)) != string(id) { // a log begun anew
+		if string(l.Get(keyLogID)) != string(id) { // a new log
 			for _, key := range [][]byte{keyHard, keySnapshot} {
 				if err := l.Delete(key); err != nil {
 					return err
@@ -254,10 +255,10 @@
 
 func saveEntries(b *bbolt.Bucket, r *accord.Record) error {
 	if len(r.Entries) > 0 {
-		// What is there from the first one's index on is replaced.
+		// These entries replace all stored ones from the index of the first one on.
 		first := entryKey(r.Entries[0].GetIndex())
 		c := b.Cursor()
-		for key, _ := c.Seek(first); key != nil; key, _ = c.Seek(first) { // after a Delete, Next may pass one over
+		for key, _ := c.Seek(first); key != nil; key, _ = c.Seek(first) { // after a Delete, Next may skip an entry
 			if err := c.Delete(); err != nil {
 				return err
 			}
@@ -290,7 +291,7 @@
 	return b.Put(key, text)
 }
 
-// SaveActs keeps what this proxy acts on, for a start at which no keeper is reached. It is no lease.
+// SaveRules stores the rules that this proxy applies, for a start at which no voter can be reached. They give no lease.
 func (s *Store) SaveRules(acts *rules.Status) error {
 	text, err := cbor.Marshal(acts)
 	if err != nil {
@@ -304,7 +305,7 @@
 	return nil
 }
 
-// work reads or writes, unless a panic has shown the file to be broken before: the library is then in no state to be asked.
+// transact runs a transaction, unless an earlier one panicked: the library's state is undefined after a panic.
 func (s *Store) transact(in func(func(*bbolt.Tx) error) error, f func(*bbolt.Tx) error) error {
 	if s.broken {
 		return errBroken
@@ -318,7 +319,7 @@
 	return err
 }
 
-var errBroken = errors.New("the file was found broken")
+var errBroken = errors.New("the file is damaged")
 
 // Close closes the file.
 func (s *Store) Close() error {
@@ -330,7 +331,7 @@
 	return s.db.Close()
 }
 
-// SetAside puts a folder's file, which is not to be used, under another name, and returns that.
+// SetAside renames a folder's file that must not be used, and returns its new name.
 func SetAside(folder string) (aside string, err error) {
 	path := filepath.Join(folder, fileName)
 	aside = fmt.Sprintf("%s.aside-%d", path, int64(clock.Wall()/time.Second))
--- a/internal/cluster/accord/store/store_test.go
+++ b/internal/cluster/accord/store/store_test.go
@@ -33,7 +33,8 @@
 	return &raftpb.Entry{Index: &index, Term: &term, Data: fmt.Appendf(nil, "%d/%d", index, term)}
 }
 
-// TestSameAsInMemory: whatever is recorded, what is loaded after a start is what the pure form comes to.
+// TestMatchesInMemoryStore checks that Load returns what accord.Stored.Apply gives for the same random records, also after the file was
+// opened again.
 func TestMatchesInMemoryStore(t *testing.T) {
 	for seed := range uint64(10) {
 		dice := rand.New(rand.NewPCG(seed, 1))
@@ -44,7 +45,7 @@
 		for step := range 40 {
 			r := &accord.Record{LogID: id}
 			switch dice.IntN(6) {
-			case 0: // begun anew
+			case 0: // a new log
 				id++
 				last, compacted = 0, 0
 				r.LogID = id
@@ -61,7 +62,7 @@
 				compacted = last
 				r.Install = true
 				r.Snapshot = &raftpb.Snapshot{Data: []byte("from elsewhere"), Metadata: &raftpb.SnapshotMetadata{Index: pointer(last), Term: pointer(uint64(1))}}
-			default: // entries, some in place of others
+			default: // entries, some of which replace others
 				first := compacted + 1 + uint64(dice.IntN(int(last-compacted)+1))
 				last = first + uint64(dice.IntN(4))
 				for i := first; i <= last; i++ {
@@ -85,13 +86,14 @@
 				same = same && proto.Equal(got.Entries[i], want.Entries[i])
 			}
 			if !same || got.Hard != nil && !proto.Equal(got.Hard, want.Hard) || got.Snapshot != nil && !proto.Equal(got.Snapshot, want.Snapshot) {
-				t.Fatalf("seed %d, step %d: %+v, wanted %+v", seed, step, got, want)
+				t.Fatalf("seed %d, step %d: %+v, want %+v", seed, step, got, want)
 			}
 		}
 	}
 }
 
-// TestNoFileKeepsFromStarting: torn at any place, bent, foreign or no file of ours at all, it is set aside, and a new one is begun.
+// TestDamagedFilesDoNotPreventStart checks that a store opens in a folder whose file is truncated anywhere, has damaged bytes, belongs to
+// another fleet or proxy, or has another format. Foreign files are set aside intact.
 func TestDamagedFilesDoNotPreventStart(t *testing.T) {
 	folder := t.TempDir()
 	s := openStore(t, folder)
@@ -111,7 +113,7 @@
 	}
 	opens := func(name string, text []byte) {
 		t.Helper()
-		os.Remove(path) // the library may still hold a lock on what it found broken
+		os.Remove(path) // the library may still hold a lock on a damaged file
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -122,10 +124,10 @@
 		}
 		defer s.Close()
 		if _, err := s.Load(); err != nil {
-			return // told; agreement sets it aside
+			return // an error of Load is acceptable: package agreement then sets the file aside
 		}
 		if err := s.Save(&accord.Record{LogID: 9, Entries: []*raftpb.Entry{entry(1, 1)}}); err != nil {
-			t.Logf("%s: %v", name, err) // what is broken deeper down is found at a write, and is an error
+			t.Logf("%s: %v", name, err) // damage that Open does not find must give an error at a write, not a panic
 		}
 	}
 	dice := rand.New(rand.NewPCG(1, 1))
@@ -158,15 +160,15 @@
 	s = openStore(t, folder)
 	got, err := s.Load()
 	if err != nil || len(got.Entries) != 50 || got.Rules == nil || got.Rules.InForce.Number != 3 {
-		t.Errorf("after all that: %v, %d entries, %+v", err, len(got.Entries), got.Rules)
+		t.Errorf("the original file: %v, %d entries, %+v", err, len(got.Entries), got.Rules)
 	}
 	if _, _, _, err := Open(folder, "shelf", "n1"); !errors.Is(err, bolterrors.ErrTimeout) {
-		t.Errorf("a second process on the folder: %v", err)
+		t.Errorf("a second process opened the folder: %v", err)
 	}
 }
 
-// BenchmarkSaveActs is what a proxy writes at each change that it hears of, with documents of a fleet of 1,400, to the disk of temporary
-// files.
+// BenchmarkSaveActs measures the write of a proxy at each change that it receives, with the documents of a fleet of 1,400, to the disk
+// with the temporary files.
 func BenchmarkSaveActs(b *testing.B) {
 	for _, pending := range []int{0, 1, rules.MaxPending} {
 		b.Run(fmt.Sprint(pending, "-pending"), func(b *testing.B) {
