--- a/internal/cluster/accord/core.go
+++ b/internal/cluster/accord/core.go
@@ -84,7 +84,7 @@
 	now      time.Duration
 
 	// State as a holder of a lease:
-	standing rules.Status // version 0 if no rules are known
+	status   rules.Status // version 0 if no rules are known
 	digest   rules.Digest // digest of the status
 	verified bool         // the status has come from voters since the start, either whole or confirmed by its digest
 	// needsWhole: the rules known here were found to differ from those that others know under the same numbers.
@@ -112,9 +112,9 @@
 	c := &Core{settings: s, host: host, rng: rand.New(rand.NewPCG(seed, 0xacc0)), now: now, leaseUntil: now - 1, lastUnanswered: -1, nextRenewal: now}
 	c.seq = c.rng.Uint64() >> 1
 	if disk.Rules != nil {
-		c.standing = *disk.Rules.Copy() // known rules, without a lease
-		c.standing.Compact()
-		c.digest = c.standing.Digest()
+		c.status = *disk.Rules.Copy() // known rules, without a lease
+		c.status.Compact()
+		c.digest = c.status.Digest()
 	}
 	if slices.Contains(s.Voters, s.Name) && !s.DeferVoter {
 		if err := c.startVoter(now, disk); err != nil {
@@ -273,7 +273,7 @@
 	c.host.Send(to, m)
 }
 
-func (c *Core) held() HeldVersions { return versionsOf(&c.standing) }
+func (c *Core) held() HeldVersions { return versionsOf(&c.status) }
 
 func versionsOf(s *rules.Status) HeldVersions {
 	return HeldVersions{Log: s.Log, InForce: s.InForce.Number, Last: s.Last()}
@@ -417,14 +417,14 @@
 	}
 	switch {
 	case m.Status != nil:
-		if m.Status.Term < c.standing.Term {
+		if m.Status.Term < c.status.Term {
 			return // from former voters that do not know yet that another voter has refounded the log
 		}
 		if !c.understands(m.Status.Form, m.Status.Position()) {
 			return
 		}
-		if m.Status.Log != c.standing.Log {
-			c.setStanding(m.Status) // a majority has confirmed it, and the rules here are of another log
+		if m.Status.Log != c.status.Log {
+			c.setStatus(m.Status) // a majority has confirmed it, and the rules here are of another log
 		}
 		c.adopt(m.Status)
 	case m.Delta != nil:
@@ -452,7 +452,7 @@
 		return true // the leader does not support digests
 	case m.Held != c.held():
 		return c.verified // newer rules have arrived since from elsewhere
-	case m.Status != nil && m.Status.Position() == c.standing.Position():
+	case m.Status != nil && m.Status.Position() == c.status.Position():
 		return true // the rules here are those of the grant
 	}
 	return m.Digest == c.digest
@@ -470,26 +470,26 @@
 
 // adopt applies and acknowledges a status that is newer, or that replaces a wrong one with the same numbers.
 func (c *Core) adopt(s *rules.Status) {
-	mends := c.needsWhole && s.Position() == c.standing.Position()
-	if !mends && !s.NewerThan(&c.standing) || !c.understands(s.Form, s.Position()) {
+	mends := c.needsWhole && s.Position() == c.status.Position()
+	if !mends && !s.NewerThan(&c.status) || !c.understands(s.Form, s.Position()) {
 		return
 	}
-	c.setStanding(s)
+	c.setStatus(s)
 }
 
 // applyDelta applies a delta if it leads to a newer status. If its base is not present, nothing changes, and the next renewal names
 // the versions that are present. If the result differs from the leader's rules, the next renewal requests the whole status.
 func (c *Core) applyDelta(d *rules.Delta) {
-	if c.settings.NoDeltas || d.Log != c.standing.Log || !d.NewerThan(&c.standing) || !c.understands(d.Form, d.Position()) {
+	if c.settings.NoDeltas || d.Log != c.status.Log || !d.NewerThan(&c.status) || !c.understands(d.Form, d.Position()) {
 		return
 	}
-	next, err := rules.Apply(&c.standing, d)
+	next, err := rules.Apply(&c.status, d)
 	if errors.Is(err, rules.ErrDigestMismatch) && c.settings.NoDigestCheck {
 		err = nil
 	}
 	switch {
 	case err == nil:
-		c.setStanding(next)
+		c.setStatus(next)
 	case !errors.Is(err, rules.ErrUnknownBase):
 		c.noteMismatch()
 	}
@@ -499,12 +499,12 @@
 func (c *Core) noteMismatch() {
 	if !c.needsWhole {
 		c.needsWhole = true
-		c.host.Notify(DigestMismatch, Note{InForce: c.standing.InForce.Number, Last: c.standing.Last()})
+		c.host.Notify(DigestMismatch, Note{InForce: c.status.InForce.Number, Last: c.status.Last()})
 	}
 }
 
-func (c *Core) setStanding(s *rules.Status) {
-	c.standing, c.digest = *s, s.Digest()
+func (c *Core) setStatus(s *rules.Status) {
+	c.status, c.digest = *s, s.Digest()
 	c.verified, c.needsWhole = true, false
 	c.basis.Doc = nil // the content may differ even if the numbers are the same
 	c.publish()
@@ -526,15 +526,15 @@
 // publish passes a new Basis to the host.
 func (c *Core) publish() {
 	b := Basis{
-		Log: c.standing.Log, Version: c.standing.InForce.Number, Last: c.standing.Last(), Until: c.leaseUntil, LastUnanswered: c.lastUnanswered,
-		AliveWindow: c.settings.Times.AliveWindow(), RefuseWithoutLease: c.settings.RefuseWithoutLease, NoLeaseCheck: c.settings.NoLeaseCheck && c.standing.Last() > 0,
+		Log: c.status.Log, Version: c.status.InForce.Number, Last: c.status.Last(), Until: c.leaseUntil, LastUnanswered: c.lastUnanswered,
+		AliveWindow: c.settings.Times.AliveWindow(), RefuseWithoutLease: c.settings.RefuseWithoutLease, NoLeaseCheck: c.settings.NoLeaseCheck && c.status.Last() > 0,
 	}
 	if c.basis.Doc != nil && b.Log == c.basis.Log && b.Version == c.basis.Version && b.Last == c.basis.Last {
 		b.Doc, b.Unleased, b.Settled = c.basis.Doc, c.basis.Unleased, c.basis.Settled
 	} else {
-		b.Doc = c.standing.Meet()
+		b.Doc = c.status.Meet()
 		b.Unleased = rules.Unleased(b.Doc)
-		if len(c.standing.Pending) == 0 {
+		if len(c.status.Pending) == 0 {
 			b.Settled = b.Doc
 		}
 	}
@@ -563,7 +563,7 @@
 
 // Report returns a report on this proxy.
 func (c *Core) Report(now time.Duration) Report {
-	r := Report{Status: c.standing, Basis: c.basis, Leader: c.nextHop}
+	r := Report{Status: c.status, Basis: c.basis, Leader: c.nextHop}
 	if c.voter != nil {
 		c.voter.report(now, &r)
 	}
--- a/internal/cluster/accord/cost_test.go
+++ b/internal/cluster/accord/cost_test.go
@@ -48,25 +48,25 @@
 }
 
 // costChange returns a ban, or new numbers: "one" replaces one proxy, whose number another takes, and "third" replaces a third of them.
-func costChange(kind string, of *rules.State, id string) *rules.Change {
+func costChange(kind string, state *rules.State, id string) *rules.Change {
 	if kind == "ban" {
 		return &rules.Change{ID: id, Kind: rules.Suspend, Server: "node-" + id, Who: "ops", Why: "its disk fails, see ticket 4711", Form: 2}
 	}
 	numbers := map[string]int{}
 	if kind == "one" {
-		maps.Copy(numbers, of.InForce.Doc.Numbers)
+		maps.Copy(numbers, state.InForce.Doc.Numbers)
 		delete(numbers, costName(7))
 		numbers[costName(costHolders-1)] = 7
 		return &rules.Change{ID: id, Kind: rules.Renumber, Numbers: numbers, Form: 2}
 	}
-	free := 0
+	nextFree := 0
 	for i := range costHolders {
 		if i%3 == 0 {
 			continue // this proxy is gone, and its number is free
 		}
 		n := i
 		if n >= costHolders*2/3 {
-			n, free = free, free+3
+			n, nextFree = nextFree, nextFree+3
 		}
 		numbers[costName(i)] = n
 	}
@@ -83,13 +83,13 @@
 }
 
 func (h *countingHost) Send(_ string, m *Message) {
-	text, err := m.Encode()
+	data, err := m.Encode()
 	if err != nil {
 		h.tb.Fatal(err)
 	}
 	h.messages++
-	h.bytes += len(text)
-	if len(text) > 1170 {
+	h.bytes += len(data)
+	if len(data) > 1170 {
 		h.streams++
 	}
 	h.last = m
@@ -144,12 +144,12 @@
 // BenchmarkOneChange measures what one change costs a leader with 1,400 holders: it is committed, sent to all, acknowledged by each,
 // brought into force, and that is sent to all.
 func BenchmarkOneChange(b *testing.B) {
-	for _, by := range []string{"differences", "whole"} {
+	for _, format := range []string{"differences", "whole"} {
 		for _, kind := range []string{"ban", "one", "third"} {
-			b.Run(kind+"/"+by, func(b *testing.B) {
+			b.Run(kind+"/"+format, func(b *testing.B) {
 				base := costDocument(b)
 				host := &countingHost{tb: b}
-				deltas := by == "differences"
+				deltas := format == "differences"
 				for i := 0; b.Loop(); i++ {
 					b.StopTimer()
 					c, now := leaderOfMany(b, host, base.Clone(), deltas)
@@ -204,12 +204,12 @@
 	host := &countingHost{tb: b}
 	c, _ := leaderOfMany(b, host, costDocument(b), true)
 	m := &Message{Kind: Renew, From: costName(1), InstanceID: 1, Seq: 1, Held: versionsOf(&c.voter.state.Rules.Status), Form: 2, AcceptsDeltas: true, Digest: c.voter.state.Rules.Status.Digest()}
-	text, err := m.Encode()
+	data, err := m.Encode()
 	if err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		read, err := Decode(text)
+		read, err := Decode(data)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -219,13 +219,13 @@
 
 // BenchmarkHolder measures what a message with one change costs its receiver, which decodes and applies it.
 func BenchmarkHolder(b *testing.B) {
-	for _, by := range []string{"differences", "whole"} {
+	for _, format := range []string{"differences", "whole"} {
 		for _, kind := range []string{"ban", "one", "third"} {
 			for _, pending := range []int{1, rules.MaxPending} {
 				if kind == "one" && pending > 1 {
 					continue // it cannot be proposed twice
 				}
-				b.Run(fmt.Sprintf("%s/%s/%d-pending", kind, by, pending), func(b *testing.B) {
+				b.Run(fmt.Sprintf("%s/%s/%d-pending", kind, format, pending), func(b *testing.B) {
 					state := costDocument(b)
 					for i := range pending - 1 {
 						propose(b, state, costChange("ban", state, fmt.Sprint("before-", i)))
@@ -233,14 +233,14 @@
 					before := state.Copy()
 					propose(b, state, costChange(kind, state, "one"))
 					m := &Message{Kind: Update, From: costName(0), To: costName(1), Status: state.Copy()}
-					if by == "differences" {
+					if format == "differences" {
 						d, ok := rules.DeltaFrom(state, before.Position())
 						if !ok {
 							b.Fatal("no delta")
 						}
 						m.Status, m.Delta = nil, d
 					}
-					text, err := m.Encode()
+					data, err := m.Encode()
 					if err != nil {
 						b.Fatal(err)
 					}
@@ -248,19 +248,19 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					standing, digest := c.standing, c.digest
+					status, digest := c.status, c.digest
 					for b.Loop() {
-						c.standing, c.digest = standing, digest
-						read, err := Decode(text)
+						c.status, c.digest = status, digest
+						read, err := Decode(data)
 						if err != nil {
 							b.Fatal(err)
 						}
 						c.Receive(time.Millisecond, read)
-						if c.standing.Last() != state.Last() {
+						if c.status.Last() != state.Last() {
 							b.Fatal("the change was not applied")
 						}
 					}
-					b.ReportMetric(float64(len(text)), "bytes")
+					b.ReportMetric(float64(len(data)), "bytes")
 				})
 			}
 		}
@@ -271,9 +271,9 @@
 // numbers without giving one to two proxies, which Propose would refuse.
 func TestCostDocuments(t *testing.T) {
 	state := costDocument(t)
-	text, err := (&Message{Kind: Update, From: "a", Status: state.Copy()}).Encode()
-	if err != nil || len(text) < 30_000 || len(text) > 45_000 {
-		t.Errorf("the document has %d bytes, error %v", len(text), err)
+	data, err := (&Message{Kind: Update, From: "a", Status: state.Copy()}).Encode()
+	if err != nil || len(data) < 30_000 || len(data) > 45_000 {
+		t.Errorf("the document has %d bytes, error %v", len(data), err)
 	}
 	before := maps.Clone(state.InForce.Doc.Numbers)
 	propose(t, state, costChange("third", state, "one"))
--- a/internal/cluster/accord/differences.go
+++ b/internal/cluster/accord/differences.go
@@ -83,11 +83,11 @@
 
 // fitsInline reports whether a delta fits into one datagram with its grant.
 func (v *voter) fitsInline(d *rules.Delta) bool {
-	most := maxInlineDelta
+	limit := maxInlineDelta
 	if v.c.settings.MaxInlineDelta > 0 {
-		most = v.c.settings.MaxInlineDelta
+		limit = v.c.settings.MaxInlineDelta
 	}
-	return d.EncodedSize() <= most
+	return d.EncodedSize() <= limit
 }
 
 // needsLongSend reports whether the rules that a holder lacks are too long for a datagram.
--- a/internal/cluster/accord/differences_test.go
+++ b/internal/cluster/accord/differences_test.go
@@ -37,11 +37,11 @@
 }
 
 func (s side) Send(to string, m *Message) {
-	text, err := m.Encode()
+	data, err := m.Encode()
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	read, err := Decode(text)
+	read, err := Decode(data)
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -51,9 +51,9 @@
 func (side) Save(*Record) error        { return nil }
 func (side) ProposalDone(rules.Answer) {}
 
-func (s side) SaveRules(standing *rules.Status) {
+func (s side) SaveRules(status *rules.Status) {
 	if s.name == "holder" {
-		s.savedRules = standing.Copy()
+		s.savedRules = status.Copy()
 	}
 }
 
@@ -63,9 +63,9 @@
 	}
 }
 
-func (s side) Notify(what Event, _ Note) {
+func (s side) Notify(event Event, _ Note) {
 	if s.name == "holder" {
-		s.notices[what]++
+		s.notices[event]++
 	}
 }
 
@@ -127,17 +127,17 @@
 	}
 }
 
-func (p *pair) count(is func(*Message) bool) (n int) {
+func (p *pair) count(match func(*Message) bool) (n int) {
 	for _, m := range p.sent {
-		if is(m) {
+		if match(m) {
 			n++
 		}
 	}
 	return n
 }
 
-func whole(m *Message) bool { return m.Status != nil }
-func delta(m *Message) bool { return m.Delta != nil }
+func hasWholeStatus(m *Message) bool { return m.Status != nil }
+func hasDelta(m *Message) bool       { return m.Delta != nil }
 
 // TestDeltasAreSent checks that deltas are sent to holders that understand them, and whole statuses to others.
 func TestDeltasAreSent(t *testing.T) {
@@ -152,7 +152,7 @@
 			p.ban(fmt.Sprint("node-", i))
 			p.run(time.Second)
 		}
-		deltas, wholes := p.count(delta), p.count(whole)
+		deltas, wholes := p.count(hasDelta), p.count(hasWholeStatus)
 		if older == "none" && (deltas < 10 || wholes > 0) || older != "none" && (deltas > 0 || wholes < 5) {
 			t.Errorf("older: %s: %d deltas, %d whole statuses", older, deltas, wholes)
 		}
@@ -188,14 +188,14 @@
 			p.run(time.Second)
 		}
 		p.holder = p.start("holder", disk, nil)
-		leasedOnOther := false
+		leasedOnCorrupt := false
 		for range 300 {
 			p.run(10 * time.Millisecond)
 			if p.basis.Mode(p.now) == Leased && p.basis.Doc.Decide(rules.Send{Server: "node-0"}) != rules.Banned {
-				leasedOnOther = true
+				leasedOnCorrupt = true
 			}
 		}
-		if leasedOnOther {
+		if leasedOnCorrupt {
 			t.Errorf("changed %v: a lease covered a document that the holder does not have", changed)
 		}
 		if p.basis.Mode(p.now) != Leased || p.notices[DigestMismatch] != 1 {
@@ -207,7 +207,7 @@
 				asked++
 			}
 		}
-		if wholes := p.count(whole); wholes != 1 || changed && asked != 1 || !changed && asked != 0 {
+		if wholes := p.count(hasWholeStatus); wholes != 1 || changed && asked != 1 || !changed && asked != 0 {
 			t.Errorf("changed %v: %d whole statuses were sent, %d requested", changed, wholes, asked)
 		}
 	}
@@ -220,11 +220,11 @@
 	p.run(3 * time.Second)
 	p.ban("node-0")
 	p.run(time.Second)
-	p.drop = whole
+	p.drop = hasWholeStatus
 	p.holder = p.start("holder", Stored{}, nil)
 	const seconds = 10
 	p.run(seconds * time.Second)
-	if wholes := p.count(whole); wholes > 3*seconds+1 || wholes < seconds {
+	if wholes := p.count(hasWholeStatus); wholes > 3*seconds+1 || wholes < seconds {
 		t.Errorf("%d whole statuses in %d s", wholes, seconds)
 	}
 	if p.basis.Mode(p.now) == Leased {
@@ -246,7 +246,7 @@
 	p.run(3 * time.Second)
 	p.holder = p.start("holder", Stored{}, nil)
 	p.run(time.Second)
-	p.drop = func(m *Message) bool { return delta(m) || whole(m) }
+	p.drop = func(m *Message) bool { return hasDelta(m) || hasWholeStatus(m) }
 	return p
 }
 
@@ -261,7 +261,7 @@
 	if p.basis.Mode(p.now) != Leased || p.basis.Until < p.now+500*time.Millisecond || p.basis.Last != 1 || inForce() != 1 {
 		t.Errorf("%v until %v at %v on version %d; %d in force", p.basis.Mode(p.now), p.basis.Until, p.now, p.basis.Last, inForce())
 	}
-	if n := p.count(func(m *Message) bool { return m.Kind == Grant && delta(m) }); n > 0 {
+	if n := p.count(func(m *Message) bool { return m.Kind == Grant && hasDelta(m) }); n > 0 {
 		t.Errorf("%d grants with a delta that is too long for them", n)
 	}
 	p.run(2 * time.Second)
@@ -316,10 +316,10 @@
 	p.run(time.Second)
 	var late []*Message
 	p.drop = func(m *Message) bool {
-		if whole(m) {
+		if hasWholeStatus(m) {
 			late = append(late, m)
 		}
-		return whole(m)
+		return hasWholeStatus(m)
 	}
 	p.holder = p.start("holder", Stored{}, nil)
 	p.run(240 * time.Millisecond)
@@ -368,12 +368,12 @@
 		{Kind: Grant, From: "n1", To: "n4", Seq: 7, Held: HeldVersions{Log: 1, InForce: 2, Last: 3}, Digest: 5, Status: state.Copy()},
 		{Kind: Grant, From: "n1", To: "n4", Seq: 7, Held: HeldVersions{InForce: 1, Last: 2}, Digest: 5, Delta: d},
 	} {
-		text, err := m.Encode()
+		data, err := m.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
 		older := &olderMessage{}
-		if err := decMode.Unmarshal(text, older); err != nil {
+		if err := decMode.Unmarshal(data, older); err != nil {
 			t.Fatalf("an older program cannot decode %+v: %v", m, err)
 		}
 		if older.Kind != m.Kind || older.From != m.From || older.Seq != m.Seq || older.Holds != m.Held || older.Boot != m.InstanceID || older.Form != m.Form {
@@ -382,10 +382,10 @@
 		if (older.Standing == nil) != (m.Status == nil) {
 			t.Errorf("the status of %+v is lost", m)
 		}
-		if text, err = cbor.Marshal(older); err != nil {
+		if data, err = cbor.Marshal(older); err != nil {
 			t.Fatal(err)
 		}
-		back, err := Decode(text)
+		back, err := Decode(data)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -420,14 +420,14 @@
 	}
 	state.Enforce(2)
 	m := &Message{Kind: Update, From: "n1", To: "n2", Status: state.Copy()}
-	text, err := m.Encode()
+	data, err := m.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Decode(text); err != nil {
-		t.Errorf("%d bytes: %v", len(text), err)
+	if _, err := Decode(data); err != nil {
+		t.Errorf("%d bytes: %v", len(data), err)
 	}
-	t.Logf("%d bytes of %d", len(text), MaxMessageBytes)
+	t.Logf("%d bytes of %d", len(data), MaxMessageBytes)
 	snapshot, err := cbor.Marshal(&replicatedState{Rules: state, Voters: map[string]uint64{}})
 	if err != nil || len(snapshot) > MaxMessageBytes {
 		t.Errorf("a snapshot of %d bytes, %v", len(snapshot), err)
--- a/internal/cluster/accord/leases.go
+++ b/internal/cluster/accord/leases.go
@@ -37,11 +37,11 @@
 
 // leaseOf returns the lease of the sender, a new one if it has none; nil if maxHolders is reached.
 func (v *voter) leaseOf(m *Message) *lease {
-	who := holder{m.From, m.InstanceID}
-	l := v.leases[who]
+	h := holder{m.From, m.InstanceID}
+	l := v.leases[h]
 	if l == nil && len(v.leases) < maxHolders {
 		l = &lease{}
-		v.leases[who] = l
+		v.leases[h] = l
 	}
 	return l
 }
@@ -115,8 +115,8 @@
 
 // replyUpdate replies to a renewal with the rules that its sender lacks, unless a long message was just sent.
 func (v *voter) replyUpdate(m *Message, l *lease) {
-	if tell := (&Message{Kind: Update}); v.addMissing(tell, l, l.held) {
-		v.c.reply(m, tell)
+	if update := (&Message{Kind: Update}); v.addMissing(update, l, l.held) {
+		v.c.reply(m, update)
 	}
 }
 
--- a/internal/cluster/accord/leases_test.go
+++ b/internal/cluster/accord/leases_test.go
@@ -145,8 +145,8 @@
 	for _, acknowledges := range []bool{true, false} {
 		host := newTallyHost()
 		c, now := leaderWithHolders(t, host, "p1")
-		standing := &c.voter.state.Rules.Status
-		granted, has := 0, versionsOf(standing)
+		status := &c.voter.state.Rules.Status
+		granted, has := 0, versionsOf(status)
 		for i := range renewals {
 			c.Receive(now, proposalOfBan(i))
 			host.reset()
@@ -160,8 +160,8 @@
 				c.Receive(now, acknowledgement("p1", has))
 			}
 		}
-		most := int(times.Lease/2/times.Renew) + 1
-		if acknowledges && granted != renewals || !acknowledges && granted > most {
+		maxGranted := int(times.Lease/2/times.Renew) + 1
+		if acknowledges && granted != renewals || !acknowledges && granted > maxGranted {
 			t.Errorf("acknowledges %v: %d of %d renewals were granted", acknowledges, granted, renewals)
 		}
 	}
--- a/internal/cluster/accord/log.go
+++ b/internal/cluster/accord/log.go
@@ -179,9 +179,9 @@
 		// Like any message it may be lost. It is then sent again after the next heartbeat, and not as fast as the network allows.
 		v.sentSnapshots = append(v.sentSnapshots, m.GetTo())
 	}
-	text, err := proto.Marshal(m)
+	data, err := proto.Marshal(m)
 	if err == nil {
-		v.c.host.Send(name, &Message{Kind: Raft, From: v.c.settings.Name, To: name, Raft: text})
+		v.c.host.Send(name, &Message{Kind: Raft, From: v.c.settings.Name, To: name, Raft: data})
 	}
 }
 
@@ -302,11 +302,11 @@
 }
 
 func (v *voter) takeSnapshot() error {
-	text, err := cbor.Marshal(v.state)
+	data, err := cbor.Marshal(v.state)
 	if err != nil {
 		return fmt.Errorf("accord: a snapshot: %w", err)
 	}
-	s, err := v.log.CreateSnapshot(v.applied, v.confState, text)
+	s, err := v.log.CreateSnapshot(v.applied, v.confState, data)
 	if err != nil {
 		return fmt.Errorf("accord: a snapshot: %w", err)
 	}
--- a/internal/cluster/accord/membership.go
+++ b/internal/cluster/accord/membership.go
@@ -30,7 +30,7 @@
 func (v *voter) helloTo(name string, reply bool) *Message {
 	m := &Message{Kind: Hello, From: v.c.settings.Name, To: name, LogID: v.id, Empty: v.empty, Reply: reply, Term: v.state.Rules.Term, Form: v.c.settings.form()}
 	if p := v.peers[name]; p != nil && v.isLeader {
-		if progress, there := v.raft.Status().Progress[p.logID]; there {
+		if progress, ok := v.raft.Status().Progress[p.logID]; ok {
 			m.Match = progress.Match
 		}
 	}
@@ -95,13 +95,13 @@
 		return fmt.Errorf("accord: %w", err)
 	}
 	if last > v.applied {
-		rest, err := v.log.Entries(v.applied+1, last+1, 1<<63)
+		entries, err := v.log.Entries(v.applied+1, last+1, 1<<63)
 		if err != nil {
 			return fmt.Errorf("accord: %w", err)
 		}
 		v.isLeader = false
 		before := versionsOf(&v.state.Rules.Status)
-		for _, e := range rest {
+		for _, e := range entries {
 			cmd := &command{}
 			if e.GetType() == raftpb.EntryNormal && len(e.Data) > 0 && decMode.Unmarshal(e.Data, cmd) == nil {
 				v.execute(cmd)
@@ -123,12 +123,12 @@
 // install starts a log with this voter alone, with the given state and this voter's current ID.
 func (v *voter) install(state *rules.State) error {
 	state.Log = v.id
-	text, err := cbor.Marshal(&replicatedState{Rules: state, Voters: map[string]uint64{v.c.settings.Name: v.id}})
+	data, err := cbor.Marshal(&replicatedState{Rules: state, Voters: map[string]uint64{v.c.settings.Name: v.id}})
 	if err != nil {
 		return err
 	}
 	index, term := uint64(1), uint64(1)
-	snapshot := &raftpb.Snapshot{Data: text, Metadata: &raftpb.SnapshotMetadata{
+	snapshot := &raftpb.Snapshot{Data: data, Metadata: &raftpb.SnapshotMetadata{
 		ConfState: &raftpb.ConfState{Voters: []uint64{v.id}}, Index: &index, Term: &term,
 	}}
 	hard := &raftpb.HardState{Term: &term, Commit: &index}
@@ -152,7 +152,7 @@
 	status := v.raft.Status()
 	voters, learners := v.confState.GetVoters(), v.confState.GetLearners()
 	for _, id := range learners {
-		if p, there := status.Progress[id]; there && p.Match > 0 && p.Match+8 >= v.applied {
+		if p, ok := status.Progress[id]; ok && p.Match > 0 && p.Match+8 >= v.applied {
 			v.proposeConfChange(raftpb.ConfChangeAddNode, id, v.nameOf(id))
 			return
 		}
--- a/internal/cluster/accord/model/model.go
+++ b/internal/cluster/accord/model/model.go
@@ -90,13 +90,13 @@
 	arrived           []*accord.Message        // messages that arrived during a write
 	leased            bool                     // at the last check
 	breaches          map[string]time.Duration // start of each contradiction to the rules of others
-	standing          rules.Status
+	status            rules.Status
 	digest            rules.Digest // digest of the status
 }
 
 // setStatus records the rules that a process applies.
-func (p *process) setStanding(s *rules.Status) {
-	p.standing, p.digest = *s, s.Digest()
+func (p *process) setStatus(s *rules.Status) {
+	p.status, p.digest = *s, s.Digest()
 }
 
 type kind uint8
@@ -202,11 +202,11 @@
 		f.config.AdjustSettings(&s)
 	}
 	f.corrupt(p, &s)
-	p.setStanding(&rules.Status{})
+	p.setStatus(&rules.Status{})
 	if p.disk.Rules != nil {
 		stored := p.disk.Rules.Copy() // it applies these rules without storing them again
 		stored.Compact()
-		p.setStanding(stored)
+		p.setStatus(stored)
 	}
 	core, err := accord.New(f.local(p), s, f.rng.Uint64(), p.disk, host{f, p})
 	if err != nil {
@@ -301,13 +301,13 @@
 	if h.p.crashed || q == nil {
 		return
 	}
-	text, err := m.Encode()
+	data, err := m.Encode()
 	if err != nil {
 		f.recordViolation("%s cannot encode a message: %v", h.p.name, err)
 		return
 	}
 	f.Results.Messages++
-	f.Results.Bytes += int64(len(text))
+	f.Results.Bytes += int64(len(data))
 	switch {
 	case m.Delta != nil:
 		f.Results.Deltas++
@@ -315,12 +315,12 @@
 		f.Results.Wholes++
 	}
 	// The message is decoded as from the wire, so that sender and receiver share no memory.
-	read, err := accord.Decode(text)
+	read, err := accord.Decode(data)
 	if err != nil {
 		f.recordViolation("%s sends a message that cannot be decoded: %v", h.p.name, err)
 		return
 	}
-	for _, d := range f.network.Datagram(f.now, faults.Path{From: h.p.name, To: to}, len(text)) {
+	for _, d := range f.network.Datagram(f.now, faults.Path{From: h.p.name, To: to}, len(data)) {
 		if d.Bit < 0 {
 			delay := 200*time.Microsecond + time.Duration(f.rng.Float64()*float64(800*time.Microsecond))
 			f.push(event{at: f.now + h.p.writeTime + delay + d.After, kind: messageEvent, to: q.index, text: read})
@@ -388,8 +388,8 @@
 	f.recordVersion(a.Version, a.ID)
 }
 
-func (h host) Notify(what accord.Event, n accord.Note) {
-	switch what {
+func (h host) Notify(event accord.Event, n accord.Note) {
+	switch event {
 	case accord.Elected:
 		h.Results.Leaders++
 	case accord.DigestMismatch:
@@ -399,9 +399,9 @@
 		if r == nil {
 			return // the process is starting
 		}
-		standing := r.Report(0).Status
-		h.p.setStanding(&standing)
-		for _, v := range append([]rules.Version{h.p.standing.InForce}, h.p.standing.Pending...) {
+		status := r.Report(0).Status
+		h.p.setStatus(&status)
+		for _, v := range append([]rules.Version{h.p.status.InForce}, h.p.status.Pending...) {
 			if v.Number > 1 {
 				h.recordVersion(v.Number, v.Change.ID)
 			}
@@ -411,15 +411,15 @@
 
 // recordVersion records which change made a version. Two changes with the same version are a violation.
 func (f *Fleet) recordVersion(version uint64, id string) {
-	if was, known := f.changeByVersion[version]; known && was != id {
-		f.recordViolation("version %d is of change %s and of change %s", version, was, id)
+	if other, known := f.changeByVersion[version]; known && other != id {
+		f.recordViolation("version %d is of change %s and of change %s", version, other, id)
 	}
 	f.changeByVersion[version] = id
 }
 
 func (f *Fleet) recordViolation(format string, a ...any) {
-	const most = 20
-	if len(f.Results.Violations) < most {
+	const maxViolations = 20
+	if len(f.Results.Violations) < maxViolations {
 		f.Results.Violations = append(f.Results.Violations, fmt.Sprintf("%v: ", f.now)+fmt.Sprintf(format, a...))
 	}
 }
@@ -510,7 +510,7 @@
 	}
 	c := rules.Change{ID: fmt.Sprintf("%016x", f.rng.Uint64()), Who: p.name, Why: "drawn"}
 	server := fmt.Sprintf("node-%02d", f.rng.IntN(f.servers))
-	_, out := p.standing.Meet().Bans[server]
+	_, banned := p.status.Meet().Bans[server]
 	switch d := f.rng.IntN(10); {
 	case d == 0:
 		c.Kind, c.Settings = rules.Configure, &rules.Settings{Quota: 0.5 + f.rng.Float64()/2, Classes: map[string]rules.Class{"hold": {NoRepeat: f.rng.IntN(2) == 0}}}
@@ -519,9 +519,9 @@
 		for i, n := range f.numbersRNG.Perm(len(f.procs)) {
 			c.Numbers[f.procs[i].name] = n
 		}
-	case d == 1 && p.standing.InForce.Number > 1:
-		c.Kind, c.ToVersion = rules.Rollback, p.standing.InForce.Number-1
-	case out:
+	case d == 1 && p.status.InForce.Number > 1:
+		c.Kind, c.ToVersion = rules.Rollback, p.status.InForce.Number-1
+	case banned:
 		c.Kind, c.Server = rules.Resume, server
 	default:
 		c.Kind, c.Server = rules.Suspend, server
@@ -588,7 +588,7 @@
 	forbidding := map[known]*rules.Status{}
 	for _, q := range f.procs {
 		if q.up && !q.paused && q.basis != nil && q.basis.Mode(f.local(q)) == accord.Leased {
-			forbidding[known{q.standing.InForce.Number, q.standing.Last(), q.digest}] = &q.standing
+			forbidding[known{q.status.InForce.Number, q.status.Last(), q.digest}] = &q.status
 		}
 	}
 	for _, p := range f.procs {
@@ -638,8 +638,8 @@
 func contradictions(doc *rules.Document, q *rules.Status) []string {
 	found := rules.Breaches(doc, &q.InForce.Doc)
 	for i := range q.Pending {
-		also := rules.Breaches(doc, &q.Pending[i].Doc)
-		found = slices.DeleteFunc(found, func(b string) bool { return !slices.Contains(also, b) })
+		pending := rules.Breaches(doc, &q.Pending[i].Doc)
+		found = slices.DeleteFunc(found, func(b string) bool { return !slices.Contains(pending, b) })
 	}
 	return found
 }
@@ -655,11 +655,11 @@
 		}
 		return
 	}
-	who := e.Who
-	if len(who) == 0 {
-		who = f.config.Scenario.Names()
+	members := e.Who
+	if len(members) == 0 {
+		members = f.config.Scenario.Names()
 	}
-	for _, name := range who {
+	for _, name := range members {
 		p := f.byName[name]
 		if p == nil {
 			continue
@@ -723,7 +723,7 @@
 }
 
 // Status returns the rules that a member applies.
-func (f *Fleet) Status(name string) rules.Status { return f.byName[name].standing }
+func (f *Fleet) Status(name string) rules.Status { return f.byName[name].status }
 
 // Check verifies at the end of a run that no acknowledged change is lost and that all running members have a lease on the same version.
 func (f *Fleet) Check() {
@@ -746,8 +746,8 @@
 		return
 	}
 	for _, p := range f.procs {
-		if p.up && !p.paused && p.standing.InForce.Number != newest.InForce.Number {
-			f.recordViolation("%s has version %d in force at the end; the newest is %d", p.name, p.standing.InForce.Number, newest.InForce.Number)
+		if p.up && !p.paused && p.status.InForce.Number != newest.InForce.Number {
+			f.recordViolation("%s has version %d in force at the end; the newest is %d", p.name, p.status.InForce.Number, newest.InForce.Number)
 		}
 	}
 	for _, a := range f.acknowledged {
--- a/internal/cluster/accord/model/model_test.go
+++ b/internal/cluster/accord/model/model_test.go
@@ -163,8 +163,8 @@
 	f.Run(time.Duration(s.Length))
 	f.Check()
 	g := &f.Results
-	saves, told := g.Writes-before.Writes, g.Deltas-before.Deltas
-	t.Logf("in force after %v; %d writes, %d deltas sent, %d leases lost", slices.Max(g.InForce), saves, told, g.LeasesLost-before.LeasesLost)
+	writes, deltas := g.Writes-before.Writes, g.Deltas-before.Deltas
+	t.Logf("in force after %v; %d writes, %d deltas sent, %d leases lost", slices.Max(g.InForce), writes, deltas, g.LeasesLost-before.LeasesLost)
 	if len(g.Violations) > 0 || g.LeasedBreach > 0 || g.Agreed != changes || len(g.InForce) != changes {
 		t.Errorf("%d of %d agreed, %d in force; contradictions for %v; %q", g.Agreed, changes, len(g.InForce), g.LeasedBreach, g.Violations)
 	}
@@ -172,8 +172,8 @@
 		t.Errorf("%d leases lost", lost)
 	}
 	// A few batches suffice, each with its two steps. The limits are the costs of the changes one by one.
-	if mostSaves, mostTold := int64(voters*changes), changes/2*members; saves > mostSaves || told > mostTold {
-		t.Errorf("%d writes, %d deltas sent; at most %d and %d are allowed", saves, told, mostSaves, mostTold)
+	if maxWrites, maxDeltas := int64(voters*changes), changes/2*members; writes > maxWrites || deltas > maxDeltas {
+		t.Errorf("%d writes, %d deltas sent; at most %d and %d are allowed", writes, deltas, maxWrites, maxDeltas)
 	}
 }
 
@@ -217,7 +217,7 @@
 
 // TestEachSafeguardIsNeeded checks that the checker finds a contradiction if any one of the safeguards is disabled.
 func TestEachSafeguardIsNeeded(t *testing.T) {
-	for name, defence := range map[string]struct {
+	for name, safeguard := range map[string]struct {
 		set     func(*accord.Settings)
 		corrupt float64
 		first   uint64 // first seed, if many are needed to find a contradiction
@@ -230,8 +230,8 @@
 		"no enforcing":   {set: func(s *accord.Settings) { s.NoEnforcingCheck, s.MaxInlineDelta = true, 1 }, first: 147},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for seed := defence.first; seed < defence.first+400; seed++ {
-				f := run(t, Config{Scenario: randomScenario(seed, 6, 3), Drift: 0.02, AdjustSettings: defence.set, CorruptRate: defence.corrupt})
+			for seed := safeguard.first; seed < safeguard.first+400; seed++ {
+				f := run(t, Config{Scenario: randomScenario(seed, 6, 3), Drift: 0.02, AdjustSettings: safeguard.set, CorruptRate: safeguard.corrupt})
 				if f.Results.LeasedBreach > 0 {
 					t.Logf("found with seed %d, for %v", seed, f.Results.LeasedBreach)
 					return
@@ -413,9 +413,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		later := func(id string) rules.Change { return rules.Change{ID: id, Kind: rules.Suspend, Server: "a", Form: 2} }
+		newForm := func(id string) rules.Change { return rules.Change{ID: id, Kind: rules.Suspend, Server: "a", Form: 2} }
 		f.Run(3 * time.Second)
-		if err := f.Propose("n4", later("first")); err != nil {
+		if err := f.Propose("n4", newForm("first")); err != nil {
 			t.Fatal(err)
 		}
 		f.Run(5 * time.Second)
@@ -424,7 +424,7 @@
 		}
 		f.Kill(old)
 		f.Run(20 * time.Second)
-		if err := f.Propose("n4", later("second")); err != nil {
+		if err := f.Propose("n4", newForm("second")); err != nil {
 			t.Fatal(err)
 		}
 		f.Run(25 * time.Second)
--- a/internal/cluster/accord/proposals.go
+++ b/internal/cluster/accord/proposals.go
@@ -17,16 +17,16 @@
 			return
 		}
 	}
-	if _, waits := v.proposers[m.Change.ID]; waits {
+	if _, waiting := v.proposers[m.Change.ID]; waiting {
 		return // already in the log; the first request gets the result
 	}
 	if !v.hasQuorum() {
 		v.c.reply(m, &Message{Kind: Result, Answer: &rules.Answer{ID: m.Change.ID, Rejection: "a majority of the keepers has not joined the log yet; nothing can be agreed"}})
 		return
 	}
-	if who := v.memberWithoutForm(m.Change.RequiredForm()); who != "" {
-		no := fmt.Sprintf("%s runs a version of the program that does not understand this change; end its upgrade, or its process, and propose again", who)
-		v.c.reply(m, &Message{Kind: Result, Answer: &rules.Answer{ID: m.Change.ID, Rejection: no}})
+	if name := v.memberWithoutForm(m.Change.RequiredForm()); name != "" {
+		refusal := fmt.Sprintf("%s runs a version of the program that does not understand this change; end its upgrade, or its process, and propose again", name)
+		v.c.reply(m, &Message{Kind: Result, Answer: &rules.Answer{ID: m.Change.ID, Rejection: refusal}})
 		return
 	}
 	if len(v.proposers) >= maxProposals {
@@ -66,6 +66,6 @@
 
 // appendCommand proposes a command as an entry of the log, and reports whether the log accepted it.
 func (v *voter) appendCommand(cmd *command) bool {
-	text, err := cbor.Marshal(cmd)
-	return err == nil && v.raft.Propose(text) == nil
+	data, err := cbor.Marshal(cmd)
+	return err == nil && v.raft.Propose(data) == nil
 }
--- a/internal/cluster/accord/store/store.go
+++ b/internal/cluster/accord/store/store.go
@@ -56,9 +56,9 @@
 
 // Store is an open file. Its methods may be called at any time.
 type Store struct {
-	mu     sync.Mutex
-	db     *bbolt.DB
-	broken bool
+	mu      sync.Mutex
+	db      *bbolt.DB
+	damaged bool
 }
 
 // Open opens a folder's file, or creates it. aside is the new name of a file that could not be used, "" if there was none, and why is
@@ -131,20 +131,20 @@
 				return err
 			}
 		}
-		text := b.Get(keyOwner)
-		if text == nil {
-			text, err := cbor.Marshal(own)
+		data := b.Get(keyOwner)
+		if data == nil {
+			data, err := cbor.Marshal(own)
 			if err != nil {
 				return err
 			}
-			return b.Put(keyOwner, text)
+			return b.Put(keyOwner, data)
 		}
-		var is owner
-		if err := cbor.Unmarshal(text, &is); err != nil {
+		var stored owner
+		if err := cbor.Unmarshal(data, &stored); err != nil {
 			return fmt.Errorf("broken: %w", err)
 		}
-		if is != own {
-			return fmt.Errorf("the file belongs to fleet %q, proxy %q, and has form %d", is.Fleet, is.Name, is.Form)
+		if stored != own {
+			return fmt.Errorf("the file belongs to fleet %q, proxy %q, and has form %d", stored.Fleet, stored.Name, stored.Form)
 		}
 		return nil
 	})
@@ -284,22 +284,22 @@
 func entryKey(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
 
 func put(b *bbolt.Bucket, key []byte, m proto.Message) error {
-	text, err := proto.Marshal(m)
+	data, err := proto.Marshal(m)
 	if err != nil {
 		return err
 	}
-	return b.Put(key, text)
+	return b.Put(key, data)
 }
 
 // SaveRules stores the rules that this proxy applies, for a start at which no voter can be reached. They give no lease.
 func (s *Store) SaveRules(acts *rules.Status) error {
-	text, err := cbor.Marshal(acts)
+	data, err := cbor.Marshal(acts)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.transact(s.db.Update, func(tx *bbolt.Tx) error { return tx.Bucket(aboutBucket).Put(keyRules, text) }); err != nil {
+	if err := s.transact(s.db.Update, func(tx *bbolt.Tx) error { return tx.Bucket(aboutBucket).Put(keyRules, data) }); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
 	return nil
@@ -307,26 +307,26 @@
 
 // transact runs a transaction, unless an earlier one panicked: the library's state is undefined after a panic.
 func (s *Store) transact(in func(func(*bbolt.Tx) error) error, f func(*bbolt.Tx) error) error {
-	if s.broken {
-		return errBroken
+	if s.damaged {
+		return errDamaged
 	}
-	s.broken = true
+	s.damaged = true
 	err := recoverPanics(func() error {
 		err := in(f)
-		s.broken = false
+		s.damaged = false
 		return err
 	})
 	return err
 }
 
-var errBroken = errors.New("the file is damaged")
+var errDamaged = errors.New("the file is damaged")
 
 // Close closes the file.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.broken {
-		return errBroken
+	if s.damaged {
+		return errDamaged
 	}
 	return s.db.Close()
 }
--- a/internal/cluster/accord/store/store_test.go
+++ b/internal/cluster/accord/store/store_test.go
@@ -37,14 +37,14 @@
 // opened again.
 func TestMatchesInMemoryStore(t *testing.T) {
 	for seed := range uint64(10) {
-		dice := rand.New(rand.NewPCG(seed, 1))
+		rng := rand.New(rand.NewPCG(seed, 1))
 		folder := t.TempDir()
 		s := openStore(t, folder)
 		var want accord.Stored
 		id, last, compacted := uint64(7), uint64(0), uint64(0)
 		for step := range 40 {
 			r := &accord.Record{LogID: id}
-			switch dice.IntN(6) {
+			switch rng.IntN(6) {
 			case 0: // a new log
 				id++
 				last, compacted = 0, 0
@@ -63,8 +63,8 @@
 				r.Install = true
 				r.Snapshot = &raftpb.Snapshot{Data: []byte("from elsewhere"), Metadata: &raftpb.SnapshotMetadata{Index: pointer(last), Term: pointer(uint64(1))}}
 			default: // entries, some of which replace others
-				first := compacted + 1 + uint64(dice.IntN(int(last-compacted)+1))
-				last = first + uint64(dice.IntN(4))
+				first := compacted + 1 + uint64(rng.IntN(int(last-compacted)+1))
+				last = first + uint64(rng.IntN(4))
 				for i := first; i <= last; i++ {
 					r.Entries = append(r.Entries, entry(i, uint64(step)))
 				}
@@ -107,14 +107,14 @@
 	}
 	s.Close()
 	path := filepath.Join(folder, fileName)
-	whole, err := os.ReadFile(path)
+	intact, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	opens := func(name string, text []byte) {
+	checkOpens := func(name string, data []byte) {
 		t.Helper()
 		os.Remove(path) // the library may still hold a lock on a damaged file
-		if err := os.WriteFile(path, text, 0o600); err != nil {
+		if err := os.WriteFile(path, data, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		s, _, _, err := Open(folder, "shelf", "n1")
@@ -130,21 +130,21 @@
 			t.Logf("%s: %v", name, err) // damage that Open does not find must give an error at a write, not a panic
 		}
 	}
-	dice := rand.New(rand.NewPCG(1, 1))
-	for n := 0; n < len(whole); n += 1 + len(whole)/40 {
-		opens(fmt.Sprintf("the first %d bytes", n), whole[:n])
+	rng := rand.New(rand.NewPCG(1, 1))
+	for n := 0; n < len(intact); n += 1 + len(intact)/40 {
+		checkOpens(fmt.Sprintf("the first %d bytes", n), intact[:n])
 	}
 	for i := range 60 {
-		bent := append([]byte(nil), whole...)
-		for range 1 + dice.IntN(8) {
-			bent[dice.IntN(len(bent))] ^= byte(1 + dice.IntN(255))
+		damaged := append([]byte(nil), intact...)
+		for range 1 + rng.IntN(8) {
+			damaged[rng.IntN(len(damaged))] ^= byte(1 + rng.IntN(255))
 		}
-		opens(fmt.Sprintf("bent %d", i), bent)
+		checkOpens(fmt.Sprintf("bent %d", i), damaged)
 	}
-	opens("noise", []byte("rules: none"))
+	checkOpens("noise", []byte("rules: none"))
 
 	os.Remove(path)
-	if err := os.WriteFile(path, whole, 0o600); err != nil {
+	if err := os.WriteFile(path, intact, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, other := range [][2]string{{"another", "n1"}, {"shelf", "n2"}} {
@@ -187,9 +187,9 @@
 			for i := range pending {
 				state.Propose(&rules.Change{ID: fmt.Sprint(i), Kind: rules.Suspend, Server: fmt.Sprint("node-", i)})
 			}
-			standing := state.Copy()
+			status := state.Copy()
 			for b.Loop() {
-				if err := s.SaveRules(standing); err != nil {
+				if err := s.SaveRules(status); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/cluster/accord/types_test.go
+++ b/internal/cluster/accord/types_test.go
@@ -16,11 +16,11 @@
 		{Kind: Renew, From: "n1", Seq: 7, Held: HeldVersions{Log: 1, InForce: 2, Last: 3}, Form: 2, AcceptsDeltas: true, NeedsWhole: true, Digest: 9},
 		{Kind: Update, From: "n1", To: "n4", Delta: &rules.Delta{Base: 1, InForce: 1, Differences: []rules.Difference{{Number: 2, Bans: map[string]rules.Ban{"a": {}}}}}},
 	} {
-		text, err := m.Encode()
+		data, err := m.Encode()
 		if err != nil {
 			f.Fatal(err)
 		}
-		f.Add(text)
+		f.Add(data)
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		m, err := Decode(text)
