--- a/internal/cluster/accord/core.go
+++ b/internal/cluster/accord/core.go
@@ -46,7 +46,7 @@
 	Superseded     Event = "another keeper refounded the log while this one was unreachable; it starts with an empty log"
 )
 
-// Note goes with an event.
+// Note contains the details of an event.
 type Note struct {
 	InForce, Last uint64
 	Name          string
--- a/internal/cluster/accord/types.go
+++ b/internal/cluster/accord/types.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// LeaseGuard is the time after which a lease has expired on its holder's clock, measured on the clock of the leader that granted it.
+// LeaseGuard is the time, on the clock of the leader that granted a lease, after which the lease has expired on its holder's clock.
 func (t Times) LeaseGuard() time.Duration {
 	return time.Duration(float64(t.Lease) * (1 + 2*t.MaxDrift))
 }
@@ -81,8 +81,8 @@
 	Times      Times
 	// DeferVoter: if this proxy is a voter, StartVoter is called once its disk is available.
 	DeferVoter bool
-	// RefuseWithoutLease: without a lease nothing is served. Otherwise the proxy applies the rules that it knows, and sends no
-	// request twice.
+	// RefuseWithoutLease: without a lease nothing is served. Otherwise the proxy applies the rules that it knows, and
+	// repeats no request.
 	RefuseWithoutLease bool
 
 	// Form is the newest form of documents that this program understands; 0 means rules.CurrentForm.
@@ -167,7 +167,7 @@
 	LogID      uint64        `cbor:"11,keyasint,omitempty"` // in a Hello: the ID of the sender's log
 	Empty      bool          `cbor:"12,keyasint,omitempty"` // in a Hello: the log is still empty
 	Reply      bool          `cbor:"13,keyasint,omitempty"` // in a Hello: it replies to another Hello
-	Match      uint64        `cbor:"14,keyasint,omitempty"` // in a Hello: the index up to which the sender knows that the receiver has the log
+	Match      uint64        `cbor:"14,keyasint,omitempty"` // in a Hello: the receiver's log index, as known to the sender
 	InstanceID uint64        `cbor:"15,keyasint,omitempty"` // the requesting process
 	Term       uint64        `cbor:"16,keyasint,omitempty"` // in a Hello: the term of the sender's rules, which counts refoundations
 	Form       uint8         `cbor:"17,keyasint,omitempty"` // in a Renew or Hello: the newest form of documents that the sender understands; 0 means 1
@@ -175,7 +175,7 @@
 	// Delta replaces Status in a Grant or Update for receivers that have announced that they understand it.
 	Delta         *rules.Delta `cbor:"18,keyasint,omitempty"`
 	AcceptsDeltas bool         `cbor:"19,keyasint,omitempty"` // in a Renew or Acknowledge: the sender understands deltas and digests
-	NeedsWhole    bool         `cbor:"20,keyasint,omitempty"` // in a Renew: the sender's rules differ from those of others, and it needs the whole status
+	NeedsWhole    bool         `cbor:"20,keyasint,omitempty"` // in a Renew: the sender found that its rules differ, and needs the whole status
 	// Digest is the digest of the sender's rules in a Renew, and of the granted rules in a Grant; 0 for none.
 	Digest rules.Digest `cbor:"21,keyasint,omitempty"`
 }
@@ -219,7 +219,7 @@
 	return nil
 }
 
-// MaxMessageBytes is the maximum size of a message, in bytes; a status with documents of maximum size takes far less.
+// MaxMessageBytes is the maximum size of a message. A status with documents of maximum size takes far less.
 const MaxMessageBytes = 4 << 20
 
 var decMode = strict.CBOR(cbor.DecOptions{
@@ -245,7 +245,8 @@
 	return m, m.Validate()
 }
 
-// Record is what a voter has to write to disk before it sends anything that depends on it. A nil or empty part is left unchanged on disk.
+// Record is what a voter has to write to disk before it sends anything that depends on it. A nil or empty part leaves the stored one
+// unchanged.
 type Record struct {
 	LogID    uint64 // the ID of the log; a record with another ID starts a new log
 	Hard     *raftpb.HardState
@@ -291,14 +292,15 @@
 	}
 }
 
-// Basis is the basis on which a proxy decides whether an act is allowed. It is immutable; a new Basis replaces it.
+// Basis is what a proxy's decisions are based on. It is immutable; a new Basis replaces it.
 type Basis struct {
 	Log      uint64
 	Version  uint64 // version in force, as far as this proxy knows
 	Last     uint64 // newest version that it knows
 	Doc      *rules.Document
 	Unleased *rules.Document // the document that applies without a lease
-	// Settled is Doc if no change is pending, and nil otherwise. It serves decisions that must not be made twice, such as taking a number.
+	// Settled is Doc if no change is pending, and nil otherwise. It serves decisions that must not be made twice, such as taking a
+	// number.
 	Settled            *rules.Document
 	Until              time.Duration // when the lease expires
 	LastUnanswered     time.Duration // when the last unanswered renewal was sent; below 0 for never
--- a/internal/cluster/accord/types_test.go
+++ b/internal/cluster/accord/types_test.go
@@ -85,7 +85,7 @@
 	for name, change := range map[string]func(*Settings){
 		"two keepers": func(s *Settings) { s.Voters = s.Voters[:2] }, "one named twice": func(s *Settings) { s.Voters = []string{"a", "b", "a"} },
 		"no name": func(s *Settings) { s.Name = "" }, "a short lease": func(s *Settings) { s.Times.Lease = s.Times.Renew },
-		"a short election": func(s *Settings) { s.Times.Election = s.Times.Heartbeat }, "no patience": func(s *Settings) { s.Times.RequestTimeout = 0 },
+		"a short election": func(s *Settings) { s.Times.Election = s.Times.Heartbeat }, "no request timeout": func(s *Settings) { s.Times.RequestTimeout = 0 },
 		"no drift": func(s *Settings) { s.Times.MaxDrift = 0 },
 	} {
 		s := good
