--- a/internal/cluster/accord/core.go
+++ b/internal/cluster/accord/core.go
@@ -10,14 +10,16 @@
 	"brasswell/internal/cluster/rules"
 )
 
-// Host carries out the actions of a Core. The Core calls its methods from within its own, so they must not call the Core.
+// Host carries out the actions of a Core. The Core calls its methods from within its own, so they must not call the
+// Core.
 type Host interface {
 	// Send sends a message to the named proxy; it may be lost. The host owns the message from then on.
 	Send(to string, m *Message)
-	// Save writes a record to durable storage. Nothing that depends on it has been sent before; after an error nothing will be.
+	// Save writes a record to durable storage. Nothing that depends on it has been sent before; after an error nothing
+	// will be.
 	Save(r *Record) error
-	// SaveRules writes the rules that this proxy knows to durable storage: it is about to acknowledge them, and a start that
-	// reaches no voter must know them too. The host reports a failure; the proxy continues.
+	// SaveRules writes the rules that this proxy knows to durable storage: it is about to acknowledge them, and a start
+	// that reaches no voter must know them too. The host reports a failure; the proxy continues.
 	SaveRules(s *rules.Status)
 	// SetBasis replaces the basis of this proxy's decisions.
 	SetBasis(b *Basis)
@@ -175,11 +177,12 @@
 	}
 }
 
-// recoverVoter stops this proxy's voter if the Raft library panics because it finds a state that it considers impossible.
+// recoverVoter stops this proxy's voter if the Raft library panics because it finds a state that it considers
+// impossible.
 //
-// This keeps the proxy serving if its folder is older than the messages that it has sent, and if a peer sends messages that no
-// correct voter sends. If the fault was in the network, it costs one voter until that is restarted. The panic's text is reported
-// as an event, so that this does not hide faults of this package.
+// This keeps the proxy serving if its folder is older than the messages that it has sent, and if a peer sends messages
+// that no correct voter sends. If the fault was in the network, it costs one voter until that is restarted. The panic's
+// text is reported as an event, so that this does not hide faults of this package.
 func (c *Core) recoverVoter() {
 	if r := recover(); r != nil {
 		if c.voter == nil || c.voter.halted {
@@ -225,8 +228,8 @@
 	c.send(to, m)
 }
 
-// understands reports whether this program understands a form of rules. The parts of a newer form forbid something, so the program
-// must not apply the other parts as if they were all.
+// understands reports whether this program understands a form of rules. The parts of a newer form forbid something, so
+// the program must not apply the other parts as if they were all.
 func (c *Core) understands(form uint8, at rules.Position) bool {
 	if form <= c.settings.form() {
 		c.newerFormSeen = false
@@ -239,14 +242,15 @@
 	return false
 }
 
-// firstHop returns the proxy to which a message for the leader is sent first: the one that worked last, the leader that this voter
-// knows, or any voter. After some missed renewals it is another proxy, which may reach the voters.
+// firstHop returns the proxy to which a message for the leader is sent first: the one that worked last, the leader that
+// this voter knows, or any voter. After some missed renewals it is another proxy, which may reach the voters.
 func (c *Core) firstHop() string {
 	if c.nextHop != "" {
 		return c.nextHop
 	}
 	if v := c.voter; v != nil {
-		// A leader sends its requests to itself: others would forward them back to it, and drop them because of the loop.
+		// A leader sends its requests to itself: others would forward them back to it, and drop them because of the
+		// loop.
 		if name := v.leaderName(); name == c.settings.Name || name != "" && c.missedRenewals%2 == 0 {
 			return name
 		}
@@ -284,7 +288,8 @@
 	c.peers = slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == c.settings.Name })
 }
 
-// Propose proposes a change. The result is reported through ProposalDone, or never if there is none within proposalTimeout.
+// Propose proposes a change. The result is reported through ProposalDone, or never if there is none within
+// proposalTimeout.
 func (c *Core) Propose(now time.Duration, change rules.Change) error {
 	c.now = now
 	defer c.recoverVoter()
@@ -306,9 +311,10 @@
 	return nil
 }
 
-// Refound makes this voter the only one, with the log that it has, after a majority was lost permanently. Changes that the others
-// committed without it are lost, and entries of its log that were not committed become part of the rules. Former voters that
-// return start with an empty log once they hear from it; until then they could grant leases on the old rules.
+// Refound makes this voter the only one, with the log that it has, after a majority was lost permanently. Changes that
+// the others committed without it are lost, and entries of its log that were not committed become part of the rules.
+// Former voters that return start with an empty log once they hear from it; until then they could grant leases on the
+// old rules.
 func (c *Core) Refound(now time.Duration) error {
 	c.now = now
 	if c.voter == nil || c.voter.halted || c.voter.empty {
@@ -321,8 +327,8 @@
 	return err
 }
 
-// Receive handles messages in order. The messages must be valid and must not have arrived after now. A voter writes to its disk once
-// for all of them, so a caller that has several messages should pass them together.
+// Receive handles messages in order. The messages must be valid and must not have arrived after now. A voter writes to
+// its disk once for all of them, so a caller that has several messages should pass them together.
 func (c *Core) Receive(now time.Duration, messages ...*Message) {
 	c.now = now
 	defer c.recoverVoter()
@@ -403,8 +409,8 @@
 	c.send(to, &next)
 }
 
-// handleGrant accepts a lease. Its duration counts from the time of the request on this proxy's own clock, so that a delayed reply
-// cannot extend it.
+// handleGrant accepts a lease. Its duration counts from the time of the request on this proxy's own clock, so that a
+// delayed reply cannot extend it.
 func (c *Core) handleGrant(m *Message) {
 	i := slices.IndexFunc(c.renewals, func(a sentRenewal) bool { return a.seq == m.Seq })
 	if i < 0 {
@@ -444,8 +450,8 @@
 	}
 }
 
-// confirmsContent reports whether a grant covers the content of the rules that this proxy has. Their numbers alone are not enough,
-// because a corrupted disk may hold another document under the same number.
+// confirmsContent reports whether a grant covers the content of the rules that this proxy has. Their numbers alone are
+// not enough, because a corrupted disk may hold another document under the same number.
 func (c *Core) confirmsContent(m *Message) bool {
 	switch {
 	case m.Digest == 0 || c.settings.NoDigestCheck || c.settings.NoDeltas:
@@ -477,8 +483,9 @@
 	c.setStatus(s)
 }
 
-// applyDelta applies a delta if it leads to a newer status. If its base is not present, nothing changes, and the next renewal names
-// the versions that are present. If the result differs from the leader's rules, the next renewal requests the whole status.
+// applyDelta applies a delta if it leads to a newer status. If its base is not present, nothing changes, and the next
+// renewal names the versions that are present. If the result differs from the leader's rules, the next renewal requests
+// the whole status.
 func (c *Core) applyDelta(d *rules.Delta) {
 	if c.settings.NoDeltas || d.Log != c.status.Log || !d.NewerThan(&c.status) || !c.understands(d.Form, d.Position()) {
 		return
--- a/internal/cluster/accord/cost_test.go
+++ b/internal/cluster/accord/cost_test.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// costChange returns a ban, or new numbers: "one" replaces one proxy, whose number another takes, and "third" replaces a third of them.
+// costChange returns a ban, or new numbers: "one" replaces one proxy, whose number another takes, and "third" replaces
+// a third of them.
 func costChange(kind string, state *rules.State, id string) *rules.Change {
 	if kind == "ban" {
 		return &rules.Change{ID: id, Kind: rules.Suspend, Server: "node-" + id, Who: "ops", Why: "its disk fails, see ticket 4711", Form: 2}
@@ -95,7 +96,8 @@
 	h.last = m
 }
 
-// leaderOfMany returns a leader, the only voter, that has granted leases to many holders, which have the version in force.
+// leaderOfMany returns a leader, the only voter, that has granted leases to many holders, which have the version in
+// force.
 func leaderOfMany(tb testing.TB, host Host, state *rules.State, deltas bool) (*Core, time.Duration) {
 	tb.Helper()
 	c, err := New(0, Settings{Name: costName(0), InstanceID: 1, Voters: []string{costName(0)}, Times: DefaultTimes()}, 1, Stored{}, host)
@@ -141,8 +143,8 @@
 	}
 }
 
-// BenchmarkOneChange measures what one change costs a leader with 1,400 holders: it is committed, sent to all, acknowledged by each,
-// brought into force, and that is sent to all.
+// BenchmarkOneChange measures what one change costs a leader with 1,400 holders: it is committed, sent to all,
+// acknowledged by each, brought into force, and that is sent to all.
 func BenchmarkOneChange(b *testing.B) {
 	for _, format := range []string{"differences", "whole"} {
 		for _, kind := range []string{"ban", "one", "third"} {
@@ -199,7 +201,8 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/(costHolders-2), "ns/acknowledgement")
 }
 
-// BenchmarkRenewal measures one renewal at a leader without changes: it is decoded and granted, and the grant is encoded.
+// BenchmarkRenewal measures one renewal at a leader without changes: it is decoded and granted, and the grant is
+// encoded.
 func BenchmarkRenewal(b *testing.B) {
 	host := &countingHost{tb: b}
 	c, _ := leaderOfMany(b, host, costDocument(b), true)
@@ -267,8 +270,8 @@
 	}
 }
 
-// TestCostDocuments checks the data of the benchmarks: the document has the intended size, and the change of a third assigns the free
-// numbers without giving one to two proxies, which Propose would refuse.
+// TestCostDocuments checks the data of the benchmarks: the document has the intended size, and the change of a third
+// assigns the free numbers without giving one to two proxies, which Propose would refuse.
 func TestCostDocuments(t *testing.T) {
 	state := costDocument(t)
 	data, err := (&Message{Kind: Update, From: "a", Status: state.Copy()}).Encode()
--- a/internal/cluster/accord/differences.go
+++ b/internal/cluster/accord/differences.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// longSendShare is the minimum interval between two messages to one holder that do not fit into a datagram, as a fraction of a
-	// lease. Such a message may take long to arrive, and a renewal may arrive in between. The limit delays a holder that lost the
-	// message; it does not extend any lease.
+	// longSendShare is the minimum interval between two messages to one holder that do not fit into a datagram, as a
+	// fraction of a lease. Such a message may take long to arrive, and a renewal may arrive in between. The limit
+	// delays a holder that lost the message; it does not extend any lease.
 	longSendShare = 1. / 3
 	// maxInlineDelta is the maximum size in bytes of a delta that fits with its grant into one datagram of 1,200 bytes.
 	maxInlineDelta = 900
@@ -22,7 +22,8 @@
 	byBase   map[HeldVersions]*rules.Delta // nil if only the whole status helps
 }
 
-// deltaFrom returns the delta from the versions that a holder has to the newest status; nil if only the whole status helps.
+// deltaFrom returns the delta from the versions that a holder has to the newest status; nil if only the whole status
+// helps.
 func (v *voter) deltaFrom(has HeldVersions) *rules.Delta {
 	newest := versionsOf(&v.state.Rules.Status)
 	if v.deltas == nil || v.deltas.versions != newest || len(v.deltas.byBase) > maxHolders {
@@ -59,8 +60,9 @@
 	return known && m.Digest != 0 && m.Digest != digest && !v.c.settings.NoDigestCheck
 }
 
-// addMissing adds the rules that a holder lacks to a message, and reports whether it did: a delta if the holder understands deltas and
-// its base is known here, and the whole status otherwise. It adds nothing that exceeds a datagram shortly after another such message.
+// addMissing adds the rules that a holder lacks to a message, and reports whether it did: a delta if the holder
+// understands deltas and its base is known here, and the whole status otherwise. It adds nothing that exceeds a
+// datagram shortly after another such message.
 func (v *voter) addMissing(m *Message, l *lease, has HeldVersions) bool {
 	var d *rules.Delta
 	if l.acceptsDeltas && !l.needsWhole {
@@ -99,9 +101,9 @@
 	return d == nil || !v.fitsInline(d)
 }
 
-// mayLeaseHeld reports whether a lease may cover the versions that a holder has acknowledged although there are newer ones. It may if
-// the holder knows every version that is in force or that this leader has proposed to enforce. The lease itself keeps a version that
-// the holder does not know from being in force: see enforce.
+// mayLeaseHeld reports whether a lease may cover the versions that a holder has acknowledged although there are newer
+// ones. It may if the holder knows every version that is in force or that this leader has proposed to enforce. The
+// lease itself keeps a version that the holder does not know from being in force: see enforce.
 func (v *voter) mayLeaseHeld(l *lease) bool {
 	s := &v.state.Rules.Status
 	if l.held.Log != s.Log || l.needsWhole || l.held.InForce > s.InForce.Number || l.held.Last < s.InForce.Number {
@@ -115,8 +117,8 @@
 }
 
 // leaseEndsInTime reports whether a lease that is granted now to a holder that does not know a version expires within
-// Times.ConvergenceBound after the commit of that version, even if this leader fails. The time of the commit is not known for a
-// version that was committed under an earlier leader.
+// Times.ConvergenceBound after the commit of that version, even if this leader fails. The time of the commit is not
+// known for a version that was committed under an earlier leader.
 func (v *voter) leaseEndsInTime(unknown uint64) bool {
 	if unknown > v.state.Rules.Last() {
 		return true // the holder knows all versions
@@ -126,7 +128,8 @@
 	return known && v.c.now <= at+t.Election+t.Renew+t.RequestTimeout // Times.ConvergenceBound adds the duration of a lease to these
 }
 
-// recordAgreed records when the newest version was committed, if this leader committed it, and drops the times of versions in force.
+// recordAgreed records when the newest version was committed, if this leader committed it, and drops the times of
+// versions in force.
 func (v *voter) recordAgreed() {
 	s := &v.state.Rules.Status
 	maps.DeleteFunc(v.agreedAt, func(n uint64, _ time.Duration) bool { return n <= s.InForce.Number })
@@ -135,8 +138,8 @@
 	}
 }
 
-// outline returns a status without its documents, for a proxy that does not understand them: it applies none of them, but must know
-// that they exist.
+// outline returns a status without its documents, for a proxy that does not understand them: it applies none of them,
+// but must know that they exist.
 func outline(s *rules.Status) *rules.Status {
 	o := &rules.Status{Log: s.Log, Term: s.Term, Form: s.Form, InForce: rules.Version{Number: s.InForce.Number}}
 	for i := range s.Pending {
--- a/internal/cluster/accord/differences_test.go
+++ b/internal/cluster/accord/differences_test.go
@@ -171,8 +171,9 @@
 	return c
 }
 
-// TestCorruptDocumentUnderTheSameNumber checks that a proxy that starts with a corrupted document gets no lease on it. Without a change
-// it gets the whole status with its first grant. After a change the delta does not fit its document, and it requests the whole status.
+// TestCorruptDocumentUnderTheSameNumber checks that a proxy that starts with a corrupted document gets no lease on it.
+// Without a change it gets the whole status with its first grant. After a change the delta does not fit its document,
+// and it requests the whole status.
 func TestCorruptDocumentUnderTheSameNumber(t *testing.T) {
 	for _, changed := range []bool{false, true} {
 		p := newPair(t)
@@ -213,8 +214,8 @@
 	}
 }
 
-// TestWholeStatusIsRateLimited checks that the whole status is sent once per third of a lease while none arrives, and that the holder
-// gets no lease meanwhile.
+// TestWholeStatusIsRateLimited checks that the whole status is sent once per third of a lease while none arrives, and
+// that the holder gets no lease meanwhile.
 func TestWholeStatusIsRateLimited(t *testing.T) {
 	p := newPair(t)
 	p.run(3 * time.Second)
@@ -237,8 +238,8 @@
 	}
 }
 
-// newPairWithLongDeltas returns a pair whose leader treats every delta as too long for a grant, and whose holder has a lease. From
-// then on no status and no delta reaches the holder.
+// newPairWithLongDeltas returns a pair whose leader treats every delta as too long for a grant, and whose holder has a
+// lease. From then on no status and no delta reaches the holder.
 func newPairWithLongDeltas(t *testing.T) *pair {
 	t.Helper()
 	p := newPair(t)
@@ -250,8 +251,9 @@
 	return p
 }
 
-// TestLeaseOnHeldVersions checks that a holder keeps its lease while a change takes long to arrive, and that the change is not in force
-// meanwhile. If the change never arrives, the lease expires, and the change comes into force without the holder.
+// TestLeaseOnHeldVersions checks that a holder keeps its lease while a change takes long to arrive, and that the change
+// is not in force meanwhile. If the change never arrives, the lease expires, and the change comes into force without
+// the holder.
 func TestLeaseOnHeldVersions(t *testing.T) {
 	p := newPairWithLongDeltas(t)
 	p.ban("node-0")
@@ -281,8 +283,8 @@
 	}
 }
 
-// TestLeasesEndWithinConvergenceBound checks that a lease that lacks a committed version is not granted if it would last beyond
-// ConvergenceBound after the commit, nor if the version was committed under an earlier leader.
+// TestLeasesEndWithinConvergenceBound checks that a lease that lacks a committed version is not granted if it would
+// last beyond ConvergenceBound after the commit, nor if the version was committed under an earlier leader.
 func TestLeasesEndWithinConvergenceBound(t *testing.T) {
 	p := newPairWithLongDeltas(t)
 	p.ban("node-0")
@@ -307,8 +309,8 @@
 	}
 }
 
-// TestLateGrantUpdatesStatus checks that a grant that arrives after the renewal's timeout gives no lease, but that its rules are
-// applied, so that the next grant need not repeat them.
+// TestLateGrantUpdatesStatus checks that a grant that arrives after the renewal's timeout gives no lease, but that its
+// rules are applied, so that the next grant need not repeat them.
 func TestLateGrantUpdatesStatus(t *testing.T) {
 	p := newPair(t)
 	p.run(3 * time.Second)
@@ -353,8 +355,8 @@
 	Form     uint8         `cbor:"17,keyasint,omitempty"`
 }
 
-// TestMessagesOfOlderPrograms checks that an older program decodes new messages and ignores unknown fields. If it forwards a renewal, it
-// drops these fields, so that the leader sends the whole status.
+// TestMessagesOfOlderPrograms checks that an older program decodes new messages and ignores unknown fields. If it
+// forwards a renewal, it drops these fields, so that the leader sends the whole status.
 func TestMessagesOfOlderPrograms(t *testing.T) {
 	state := rules.NewState()
 	has := rules.Position{InForce: 1, Last: 1}
--- a/internal/cluster/accord/election.go
+++ b/internal/cluster/accord/election.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// silentElections is the time for which a leader without a majority sends nothing before it tries again, in election timeouts.
+	// silentElections is the time for which a leader without a majority sends nothing before it tries again, in
+	// election timeouts.
 	silentElections = 4
 	// maxRounds bounds the rounds that wait for confirmation by a majority.
 	maxRounds = 64
@@ -24,8 +25,8 @@
 	now, t := v.c.now, &v.c.settings.Times
 	v.nextHeartbeat = now + t.Heartbeat
 	if now-v.majorityHeard > 2*t.Election {
-		// No majority answers. A leader whose messages arrive but which receives none would keep the others from an election, so
-		// it sends nothing for longer than their election timeout.
+		// No majority answers. A leader whose messages arrive but which receives none would keep the others from an
+		// election, so it sends nothing for longer than their election timeout.
 		if now < v.silentUntil {
 			return
 		}
@@ -41,14 +42,16 @@
 		v.raft.ReportSnapshot(id, raft.SnapshotFinish)
 	}
 	v.sentSnapshots = nil
-	// A round is a heartbeat too, except in a log with one voter: no other voter confirms it, and learners get no message for it.
+	// A round is a heartbeat too, except in a log with one voter: no other voter confirms it, and learners get no
+	// message for it.
 	if !v.confirm() || !v.ownTermApplied || len(v.confState.GetVoters()) == 1 {
 		v.raft.Tick()
 	}
 	v.maintain()
 }
 
-// confirm starts a round in which a majority confirms the leader, for all renewals received so far, and reports whether it did.
+// confirm starts a round in which a majority confirms the leader, for all renewals received so far, and reports whether
+// it did.
 func (v *voter) confirm() bool {
 	if len(v.rounds) >= maxRounds {
 		return false
@@ -59,7 +62,8 @@
 	return true
 }
 
-// roundConfirmed grants the renewals of a confirmed round: a majority confirmed that this voter led after they were requested.
+// roundConfirmed grants the renewals of a confirmed round: a majority confirmed that this voter led after they were
+// requested.
 func (v *voter) roundConfirmed(s raft.ReadState) {
 	if len(s.RequestCtx) != 8 || !v.isLeader || s.Index > v.applied {
 		return // the granted entries must be applied here first; the holders renew again
--- a/internal/cluster/accord/leases.go
+++ b/internal/cluster/accord/leases.go
@@ -14,7 +14,8 @@
 	maxHolders = 4096
 )
 
-// holder is a process that may hold a lease. A proxy has two processes during an upgrade, each with its own acknowledgements.
+// holder is a process that may hold a lease. A proxy has two processes during an upgrade, each with its own
+// acknowledgements.
 type holder struct {
 	name     string
 	instance uint64
@@ -46,8 +47,9 @@
 	return l
 }
 
-// recordHeld records the versions that a holder has acknowledged. A renewal that waited for a majority may be handled after an
-// acknowledgement that was sent later, so older versions of the same log are ignored: a holder's versions only increase.
+// recordHeld records the versions that a holder has acknowledged. A renewal that waited for a majority may be handled
+// after an acknowledgement that was sent later, so older versions of the same log are ignored: a holder's versions only
+// increase.
 func (v *voter) recordHeld(l *lease, has HeldVersions) {
 	if has.Log == l.held.Log && (has.Last < l.held.Last || has.InForce < l.held.InForce) {
 		return
@@ -83,8 +85,8 @@
 	}
 	v.recordHeld(l, m.Held)
 	if v.stalled(l) {
-		// Its messages arrive here, but it receives none. A lease that it does not know about would keep every change from being
-		// in force.
+		// Its messages arrive here, but it receives none. A lease that it does not know about would keep every change
+		// from being in force.
 		v.replyUpdate(m, l)
 		return
 	}
@@ -94,7 +96,8 @@
 		return
 	}
 	if v.needsLongSend(l, l.held) && v.mayLeaseHeld(l) {
-		// The missing rules take long to arrive. The lease does not wait for them and covers the versions that the holder has.
+		// The missing rules take long to arrive. The lease does not wait for them and covers the versions that the
+		// holder has.
 		v.replyGrant(m, l, &Message{Held: l.held})
 		v.replyUpdate(m, l)
 		return
@@ -150,8 +153,8 @@
 	}
 }
 
-// heldByAll returns the newest version that all holders of a lease have acknowledged; 0 if a holder has no version newer than the one
-// in force.
+// heldByAll returns the newest version that all holders of a lease have acknowledged; 0 if a holder has no version
+// newer than the one in force.
 func (v *voter) heldByAll() uint64 {
 	s := &v.state.Rules.Status
 	if v.blocks(v.slowest) {
--- a/internal/cluster/accord/leases_test.go
+++ b/internal/cluster/accord/leases_test.go
@@ -35,8 +35,8 @@
 	h.last[m.Kind] = m
 }
 
-// leaderWithHolders returns a leader, the only voter, and the time. The named holders have leases on the version in force. The leader's next
-// heartbeat is not due yet.
+// leaderWithHolders returns a leader, the only voter, and the time. The named holders have leases on the version in
+// force. The leader's next heartbeat is not due yet.
 func leaderWithHolders(t *testing.T, host Host, holders ...string) (*Core, time.Duration) {
 	t.Helper()
 	c, err := New(0, Settings{Name: "leader", InstanceID: 1, Voters: []string{"leader"}, Times: DefaultTimes()}, 1, Stored{}, host)
@@ -72,8 +72,8 @@
 	return &Message{Kind: Propose, From: "operator", Change: &rules.Change{ID: id, Kind: rules.Suspend, Server: id}}
 }
 
-// TestProposalsAreBatched checks that proposals that arrive together cost the leader as many disk writes as one, and one message per
-// holder.
+// TestProposalsAreBatched checks that proposals that arrive together cost the leader as many disk writes as one, and
+// one message per holder.
 func TestProposalsAreBatched(t *testing.T) {
 	const proposals = rules.MaxPending
 	holders := []string{"p1", "p2", "p3", "p4"}
@@ -91,7 +91,8 @@
 	if host.sent[Result] != proposals || host.sent[Update] != len(holders) {
 		t.Errorf("%d results, %d updates", host.sent[Result], host.sent[Update])
 	}
-	// One write contains the entries. The only voter commits them at once, and a second write contains the commit index.
+	// One write contains the entries. The only voter commits them at once, and a second write contains the commit
+	// index.
 	if host.saves != 2 || host.keeps != 1 {
 		t.Errorf("the log is written %d times, the rules %d times", host.saves, host.keeps)
 	}
@@ -100,7 +101,8 @@
 	}
 }
 
-// TestEntriesAfterAnInvalidOne checks that entries after one that cannot be applied are not applied, and that those before it are.
+// TestEntriesAfterAnInvalidOne checks that entries after one that cannot be applied are not applied, and that those
+// before it are.
 func TestEntriesAfterAnInvalidOne(t *testing.T) {
 	c, now := leaderWithHolders(t, newTallyHost())
 	v := c.voter
@@ -115,8 +117,9 @@
 	}
 }
 
-// TestRenewalDoesNotUndoAcknowledgement guards against a renewal that waits for a majority while its sender acknowledges a change: it
-// must not keep the change from being in force, and its grant must name the acknowledged versions.
+// TestRenewalDoesNotUndoAcknowledgement guards against a renewal that waits for a majority while its sender
+// acknowledges a change: it must not keep the change from being in force, and its grant must name the acknowledged
+// versions.
 func TestRenewalDoesNotUndoAcknowledgement(t *testing.T) {
 	host := newTallyHost()
 	c, now := leaderWithHolders(t, host, "quick", "slow")
@@ -137,8 +140,9 @@
 	}
 }
 
-// TestAcknowledgingHolderKeepsLease checks a proxy whose renewals each lack the newest of a series of changes. It gets its leases if it
-// acknowledges each change before the next renewal, and none after half a lease if it acknowledges nothing.
+// TestAcknowledgingHolderKeepsLease checks a proxy whose renewals each lack the newest of a series of changes. It gets
+// its leases if it acknowledges each change before the next renewal, and none after half a lease if it acknowledges
+// nothing.
 func TestAcknowledgingHolderKeepsLease(t *testing.T) {
 	const renewals = 16
 	times := DefaultTimes()
--- a/internal/cluster/accord/log.go
+++ b/internal/cluster/accord/log.go
@@ -14,15 +14,17 @@
 )
 
 const (
-	// electionTicks is not used, but the library requires more than 1. This package starts the elections itself, because the library
-	// draws its timeouts from a generator that cannot be seeded, and counts ticks, which a paused process does not get.
+	// electionTicks has no effect, but the library requires more than 1. This package starts the elections itself,
+	// because the library draws its timeouts from a generator that cannot be seeded, and counts ticks, which a paused
+	// process does not get.
 	electionTicks = 10
-	// maxAppendBytes is the size of the entries in one message, and maxInflight the number of such messages in flight to one voter.
+	// maxAppendBytes is the size of the entries in one message, and maxInflight the number of such messages in flight
+	// to one voter.
 	maxAppendBytes, maxInflight = 256 << 10, 64
 	// maxUncommittedBytes is the size of the entries that wait for a majority.
 	maxUncommittedBytes = 8 << 20
-	// snapshotInterval is the number of entries after which the log is compacted. keptEntries of them remain for voters that lag
-	// slightly.
+	// snapshotInterval is the number of entries after which the log is compacted. keptEntries of them remain for voters
+	// that lag slightly.
 	snapshotInterval, keptEntries = 512, 64
 )
 
@@ -176,7 +178,8 @@
 		return
 	}
 	if m.GetType() == raftpb.MsgSnap {
-		// Like any message it may be lost. It is then sent again after the next heartbeat, and not as fast as the network allows.
+		// Like any message it may be lost. It is then sent again after the next heartbeat, and not as fast as the
+		// network allows.
 		v.sentSnapshots = append(v.sentSnapshots, m.GetTo())
 	}
 	data, err := proto.Marshal(m)
@@ -185,8 +188,8 @@
 	}
 }
 
-// applyAll applies committed entries and then announces their combined result, so that many changes cost as many messages and disk
-// writes as one.
+// applyAll applies committed entries and then announces their combined result, so that many changes cost as many
+// messages and disk writes as one.
 func (v *voter) applyAll(entries []*raftpb.Entry) {
 	before := versionsOf(&v.state.Rules.Status)
 	var answers []*rules.Answer
@@ -233,7 +236,8 @@
 		}
 		cmd := &command{}
 		if err := decMode.Unmarshal(e.Data, cmd); err != nil || cmd.Propose == nil && cmd.Enforce == 0 {
-			// Skipping an entry that this version does not understand would make its state diverge from that of the others.
+			// Skipping an entry that this version does not understand would make its state diverge from that of the
+			// others.
 			v.halt(fmt.Errorf("accord: entry %d was written by a newer version of the program", v.applied))
 			return nil
 		}
--- a/internal/cluster/accord/membership.go
+++ b/internal/cluster/accord/membership.go
@@ -12,11 +12,12 @@
 	"brasswell/internal/cluster/rules"
 )
 
-// This file contains the membership of the voters: how the log is founded, and how a voter that has lost its folder rejoins it.
+// This file contains the membership of the voters: how the log is founded, and how a voter that has lost its folder
+// rejoins it.
 //
-// Each voter's log has an ID, drawn at random when the log is started, and the Raft configuration contains these IDs, not names. A
-// voter that comes back with an empty folder is therefore a new member, which does not vote until the others have added it. It
-// never votes a second time in an election in which the lost folder voted.
+// Each voter's log has an ID, drawn at random when the log is started, and the Raft configuration contains these IDs,
+// not names. A voter that comes back with an empty folder is therefore a new member, which does not vote until the
+// others have added it. It never votes a second time in an election in which the lost folder voted.
 
 // sendHellos sends this voter's Hello to the other voters.
 func (v *voter) sendHellos() {
@@ -68,8 +69,9 @@
 	}
 }
 
-// foundIfDue founds the voters' log at the first voter, once all others have announced that their logs are empty. It is a log with one
-// voter, which adds the others in the same way as those that come later, so that a log starts in only one way.
+// foundIfDue founds the voters' log at the first voter, once all others have announced that their logs are empty. It is
+// a log with one voter, which adds the others in the same way as those that come later, so that a log starts in only
+// one way.
 func (v *voter) foundIfDue() {
 	s := &v.c.settings
 	if !v.empty || s.Voters[0] != s.Name {
@@ -87,8 +89,8 @@
 	v.c.host.Notify(Founded, Note{Name: s.Name})
 }
 
-// refound starts a log with this voter alone, under the next term of the rules. It includes all entries of the old log, committed or
-// not, because they may have been acknowledged.
+// refound starts a log with this voter alone, under the next term of the rules. It includes all entries of the old log,
+// committed or not, because they may have been acknowledged.
 func (v *voter) refound() error {
 	last, err := v.log.LastIndex()
 	if err != nil {
@@ -143,8 +145,8 @@
 	return v.raft.Campaign()
 }
 
-// updateMembership adds the voters that the settings name, one at a time and first as learners, which do not vote until they have the
-// log. It also removes the logs that they replace.
+// updateMembership adds the voters that the settings name, one at a time and first as learners, which do not vote until
+// they have the log. It also removes the logs that they replace.
 func (v *voter) updateMembership() {
 	if !v.ownTermApplied {
 		return
@@ -158,7 +160,8 @@
 		}
 	}
 	if len(learners) > 0 {
-		// Only one learner at a time; but a learner that was lost before it had the log must not block the next log of its name.
+		// Only one learner at a time; but a learner that was lost before it had the log must not block the next log of
+		// its name.
 		id := learners[0]
 		if p := v.peers[v.nameOf(id)]; p != nil && p.logID != id {
 			v.proposeConfChange(raftpb.ConfChangeRemoveNode, id, v.nameOf(id))
--- a/internal/cluster/accord/model/model.go
+++ b/internal/cluster/accord/model/model.go
@@ -1,6 +1,6 @@
-// Package model simulates the consensus of a fleet in virtual time: proxies with clocks of different rates, disks, and a network with
-// faults, all derived from a seed. A checker verifies throughout the run that no two proxies apply contradictory rules, that no
-// acknowledged change is lost, and that no two versions have the same number.
+// Package model simulates the consensus of a fleet in virtual time: proxies with clocks of different rates, disks, and
+// a network with faults, all derived from a seed. A checker verifies throughout the run that no two proxies apply
+// contradictory rules, that no acknowledged change is lost, and that no two versions have the same number.
 package model
 
 import (
@@ -31,10 +31,11 @@
 	Drift float64
 	// CrashRate is the probability that a process crashes at a disk write, before or after the write is durable.
 	CrashRate float64
-	// CorruptRate is the probability that a process that starts finds another document on its disk under the same number. It does
-	// not apply to processes without digests.
+	// CorruptRate is the probability that a process that starts finds another document on its disk under the same
+	// number. It does not apply to processes without digests.
 	CorruptRate float64
-	// WriteTime is the duration of a disk write. The process receives nothing meanwhile, and then all that arrived at once.
+	// WriteTime is the duration of a disk write. The process receives nothing meanwhile, and then all that arrived at
+	// once.
 	WriteTime time.Duration
 }
 
@@ -45,13 +46,13 @@
 	InForce                         []time.Duration // from a proposal until the change is in force at all running proxies with a lease
 	Leaders                         int
 	Answers                         []Answer
-	// LeasedBreach is the longest time for which a proxy with a lease applied rules that contradicted those that another proxy held
-	// to be in force; it must be 0.
+	// LeasedBreach is the longest time for which a proxy with a lease applied rules that contradicted those that
+	// another proxy held to be in force; it must be 0.
 	LeasedBreach time.Duration
 	// AloneBreach is the same for proxies without a lease that continued with the rules that they knew.
 	AloneBreach time.Duration
-	// Reads counts the checks of the rules that a proxy with a lease applied. StaleReads of them found a proxy that did not know a
-	// version that was already in force somewhere; it must be 0.
+	// Reads counts the checks of the rules that a proxy with a lease applied. StaleReads of them found a proxy that did
+	// not know a version that was already in force somewhere; it must be 0.
 	Reads, StaleReads int
 	// Leaderless are the durations without a running leader, after the first leader.
 	Leaderless []time.Duration
@@ -497,8 +498,8 @@
 	f.afterEvent(p)
 }
 
-// propose proposes a random change at a random member: usually a ban or its end, and sometimes new settings, new numbers for all
-// members, or a rollback.
+// propose proposes a random change at a random member: usually a ban or its end, and sometimes new settings, new
+// numbers for all members, or a rollback.
 func (f *Fleet) propose() {
 	if f.now > time.Duration(f.config.Scenario.Length) {
 		return
@@ -557,8 +558,9 @@
 	}
 }
 
-// checkReads treats the rules that each proxy with a lease applies as the result of a read: a read that starts after a version is in
-// force anywhere must know that version (a regular register, Lamport 1986). Two simultaneous reads may see different versions.
+// checkReads treats the rules that each proxy with a lease applies as the result of a read: a read that starts after a
+// version is in force anywhere must know that version (a regular register, Lamport 1986). Two simultaneous reads may
+// see different versions.
 func (f *Fleet) checkReads() {
 	newest := map[uint64]uint64{} // in force, by log
 	var readers []*process
@@ -575,8 +577,8 @@
 	}
 }
 
-// checkContradictions compares the rules that each proxy applies with those that every other proxy with a lease holds to be in force.
-// It also runs the other periodic checks.
+// checkContradictions compares the rules that each proxy applies with those that every other proxy with a lease holds
+// to be in force. It also runs the other periodic checks.
 func (f *Fleet) checkContradictions() {
 	f.checkLeader()
 	f.countLost()
@@ -634,7 +636,8 @@
 	})
 }
 
-// contradictions returns what a document allows although a status forbids it, under its version in force and under all pending ones.
+// contradictions returns what a document allows although a status forbids it, under its version in force and under all
+// pending ones.
 func contradictions(doc *rules.Document, q *rules.Status) []string {
 	found := rules.Breaches(doc, &q.InForce.Doc)
 	for i := range q.Pending {
@@ -725,7 +728,8 @@
 // Status returns the rules that a member applies.
 func (f *Fleet) Status(name string) rules.Status { return f.byName[name].status }
 
-// Check verifies at the end of a run that no acknowledged change is lost and that all running members have a lease on the same version.
+// Check verifies at the end of a run that no acknowledged change is lost and that all running members have a lease on
+// the same version.
 func (f *Fleet) Check() {
 	var newest *rules.Status
 	for _, p := range f.procs {
--- a/internal/cluster/accord/model/model_test.go
+++ b/internal/cluster/accord/model/model_test.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestRandomScenarios checks under random faults that no proxies with leases contradict each other, that no acknowledged change is lost,
-// and that all agree at the end.
+// TestRandomScenarios checks under random faults that no proxies with leases contradict each other, that no
+// acknowledged change is lost, and that all agree at the end.
 func TestRandomScenarios(t *testing.T) {
 	var sum struct {
 		sync.Mutex
@@ -92,10 +92,11 @@
 	}
 }
 
-// varyConfig varies the configuration by the seed. Of three scenarios one has corrupt disks and no older programs, one has corrupt disks
-// and an older program that is not a voter, and one has older programs among the voters too. Older programs predate deltas and have no
-// digests, so disks are not corrupted where one of them may lead. In every other pair of scenarios grants contain no deltas. In every
-// fourth scenario disk writes take time, and messages that arrive meanwhile are received together.
+// varyConfig varies the configuration by the seed. Of three scenarios one has corrupt disks and no older programs, one
+// has corrupt disks and an older program that is not a voter, and one has older programs among the voters too. Older
+// programs predate deltas and have no digests, so disks are not corrupted where one of them may lead. In every other
+// pair of scenarios grants contain no deltas. In every fourth scenario disk writes take time, and messages that arrive
+// meanwhile are received together.
 func varyConfig(c *Config, seed uint64) {
 	keepers := c.Scenario.Keepers
 	names := c.Scenario.Names()
@@ -122,8 +123,9 @@
 	}
 }
 
-// linearizable reports whether there is an order of all answered changes in which each takes effect between its proposal and its result
-// and the versions increase. Changes without a result may have taken effect at any time, and leave gaps.
+// linearizable reports whether there is an order of all answered changes in which each takes effect between its
+// proposal and its result and the versions increase. Changes without a result may have taken effect at any time, and
+// leave gaps.
 func linearizable(answers []Answer) bool {
 	var ops []porcupine.Operation
 	for i, a := range answers {
@@ -135,16 +137,17 @@
 	}, ops)
 }
 
-// TestLinearizabilityChecker checks that linearizable rejects a change that has a higher version than one that was proposed after its
-// result.
+// TestLinearizabilityChecker checks that linearizable rejects a change that has a higher version than one that was
+// proposed after its result.
 func TestLinearizabilityChecker(t *testing.T) {
 	if !linearizable([]Answer{{1, 5, 3}, {2, 4, 2}, {6, 7, 9}}) || linearizable([]Answer{{1, 2, 3}, {4, 5, 2}}) {
 		t.Error("linearizable accepts an impossible order or rejects a possible one")
 	}
 }
 
-// TestManyChangesAtOnce proposes the maximum number of pending changes at one time, with disks that take a sixth of a renewal's timeout
-// per write. The fleet must agree on all of them with few writes and messages, and no proxy may lose its lease.
+// TestManyChangesAtOnce proposes the maximum number of pending changes at one time, with disks that take a sixth of a
+// renewal's timeout per write. The fleet must agree on all of them with few writes and messages, and no proxy may lose
+// its lease.
 func TestManyChangesAtOnce(t *testing.T) {
 	const members, voters, changes = 40, 5, rules.MaxPending
 	s := &story.Story{Name: "at once", Members: members, Seed: 1, Period: seconds(0.3), Length: seconds(12), Keepers: voters}
@@ -177,8 +180,8 @@
 	}
 }
 
-// TestTimeWithoutLeader checks that another voter leads within ConvergenceBound after the leader is killed. The time in which a new leader
-// waits for old leases to expire is not included.
+// TestTimeWithoutLeader checks that another voter leads within ConvergenceBound after the leader is killed. The time in
+// which a new leader waits for old leases to expire is not included.
 func TestTimeWithoutLeader(t *testing.T) {
 	var all []time.Duration
 	for seed := range uint64(60) {
@@ -204,8 +207,8 @@
 	}
 }
 
-// TestVotersFormLog guards against a log that stays with one voter permanently, after the first message to a voter that is being added is
-// lost, or the founder crashes at the write before it.
+// TestVotersFormLog guards against a log that stays with one voter permanently, after the first message to a voter that
+// is being added is lost, or the founder crashes at the write before it.
 func TestVotersFormLog(t *testing.T) {
 	for _, seed := range []uint64{151, 4969, 5096, 5180, 5295, 5662, 6107, 6258, 6366, 6964, 8489, 8510, 9128} {
 		f := run(t, Config{Scenario: randomScenario(seed, 5+int(seed%4), 3+2*int(seed%2)), Drift: 0.02, CrashRate: 0.001})
@@ -242,8 +245,8 @@
 	}
 }
 
-// TestMajorityLostPermanently checks that one voter refounds the log alone with the agreed rules, and that the others do not undo its
-// changes when they return.
+// TestMajorityLostPermanently checks that one voter refounds the log alone with the agreed rules, and that the others
+// do not undo its changes when they return.
 func TestMajorityLostPermanently(t *testing.T) {
 	second := time.Second
 	for seed := range uint64(20) {
@@ -289,8 +292,8 @@
 	}
 }
 
-// TestFullDisks checks that a voter with a full disk sends nothing that depends on the failed write and stops voting. With one of three
-// disks full, the other voters continue, and the proxy with the full disk continues without voting.
+// TestFullDisks checks that a voter with a full disk sends nothing that depends on the failed write and stops voting.
+// With one of three disks full, the other voters continue, and the proxy with the full disk continues without voting.
 func TestFullDisks(t *testing.T) {
 	for seed := range uint64(10) {
 		s := &story.Story{Name: "full", Members: 5, Seed: seed, Period: seconds(0.3), Length: seconds(15), Keepers: 3, Changes: 4}
@@ -309,8 +312,8 @@
 	}
 }
 
-// TestRing has five voters that reach only their neighbours. The leader has a majority with its two neighbours, and all others reach it
-// through other proxies.
+// TestRing has five voters that reach only their neighbours. The leader has a majority with its two neighbours, and all
+// others reach it through other proxies.
 func TestRing(t *testing.T) {
 	for seed := range uint64(10) {
 		s := &story.Story{Name: "ring", Members: 7, Seed: seed, Period: seconds(0.3), Length: seconds(25), Keepers: 5, Changes: 2}
@@ -331,7 +334,8 @@
 	}
 }
 
-// TestOneWayPartition checks that another leader takes over if the leader's messages arrive but it receives none, or the reverse.
+// TestOneWayPartition checks that another leader takes over if the leader's messages arrive but it receives none, or
+// the reverse.
 func TestOneWayPartition(t *testing.T) {
 	for seed := range uint64(10) {
 		for _, to := range []bool{true, false} {
@@ -377,7 +381,8 @@
 	}
 }
 
-// TestRestartOfAllProcesses checks that three seconds after all processes were restarted each has a lease, including the leader.
+// TestRestartOfAllProcesses checks that three seconds after all processes were restarted each has a lease, including
+// the leader.
 func TestRestartOfAllProcesses(t *testing.T) {
 	for seed := range uint64(30) {
 		s := &story.Story{Name: "power", Members: 7, Seed: seed, Period: seconds(0.3), Length: seconds(9), Keepers: 5, Changes: 4,
@@ -400,8 +405,9 @@
 	}
 }
 
-// TestMixedProgramVersions checks that a change is refused while a proxy that does not understand it is reachable, voter or not. Once
-// that proxy is gone the change is agreed. If it returns with its old program, it gets no lease and does not apply the new rules.
+// TestMixedProgramVersions checks that a change is refused while a proxy that does not understand it is reachable,
+// voter or not. Once that proxy is gone the change is agreed. If it returns with its old program, it gets no lease and
+// does not apply the new rules.
 func TestMixedProgramVersions(t *testing.T) {
 	for _, old := range []string{"n2", "n5"} {
 		s := &story.Story{Name: "upgrade", Members: 5, Seed: 3, Period: seconds(0.3), Length: seconds(60), Keepers: 3}
@@ -436,7 +442,8 @@
 		if got := f.Status(old); got.Last() > 1 || f.Mode(old) == accord.Leased {
 			t.Errorf("%s applies version %d, which it does not understand, mode %v", old, got.Last(), f.Mode(old))
 		}
-		// This change itself needs no new form, but it applies to the current document, which the old program does not understand.
+		// This change itself needs no new form, but it applies to the current document, which the old program does not
+		// understand.
 		if err := f.Propose("n4", rules.Change{ID: "third", Kind: rules.Suspend, Server: "b"}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/cluster/accord/proposals.go
+++ b/internal/cluster/accord/proposals.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// memberWithoutForm returns the name of a reachable proxy that does not understand a form of documents; "" for none. A proxy that is
-// unreachable and comes back with an older program gets no lease and is restricted: see Core.understands.
+// memberWithoutForm returns the name of a reachable proxy that does not understand a form of documents; "" for none. A
+// proxy that is unreachable and comes back with an older program gets no lease and is restricted: see Core.understands.
 func (v *voter) memberWithoutForm(form uint8) string {
 	if v.c.settings.form() < form {
 		return v.c.settings.Name
@@ -56,8 +56,8 @@
 	return ""
 }
 
-// hasQuorum reports whether a majority of the voters that the settings name hold the log. Before that, one lost folder could lose
-// committed changes.
+// hasQuorum reports whether a majority of the voters that the settings name hold the log. Before that, one lost folder
+// could lose committed changes.
 //
 // After a Refound the check does not apply: the operators accepted that risk.
 func (v *voter) hasQuorum() bool {
--- a/internal/cluster/accord/raftlogger.go
+++ b/internal/cluster/accord/raftlogger.go
@@ -4,8 +4,8 @@
 	"fmt"
 )
 
-// silentLogger discards the library's log; important changes are reported as events. On a state that the library considers
-// impossible it panics, so that the voter does not continue.
+// silentLogger discards the library's log; important changes are reported as events. On a state that the library
+// considers impossible it panics, so that the voter does not continue.
 type silentLogger struct{}
 
 func (silentLogger) Debug(...any)            {}
--- a/internal/cluster/accord/store/store.go
+++ b/internal/cluster/accord/store/store.go
@@ -1,6 +1,6 @@
-// Package store stores a voter's log, and the rules that a proxy last applied, in one file of a folder. A write is durable once it
-// has returned. A file that is truncated, damaged, or of another fleet or proxy is renamed and reported; it never prevents a
-// process from starting.
+// Package store stores a voter's log, and the rules that a proxy last applied, in one file of a folder. A write is
+// durable once it has returned. A file that is truncated, damaged, or of another fleet or proxy is renamed and
+// reported; it never prevents a process from starting.
 package store
 
 import (
@@ -61,8 +61,8 @@
 	damaged bool
 }
 
-// Open opens a folder's file, or creates it. aside is the new name of a file that could not be used, "" if there was none, and why is
-// the reason.
+// Open opens a folder's file, or creates it. aside is the new name of a file that could not be used, "" if there was
+// none, and why is the reason.
 func Open(folder, fleet, name string) (s *Store, aside string, why error, err error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, "", nil, fmt.Errorf("store: %w", err)
@@ -100,27 +100,28 @@
 	return db, err
 }
 
-// recoverPanics runs an operation on a file and turns a panic into an error. The library does not check what it reads, and reads from
-// a memory mapping: an access beyond the end of a truncated file is a memory fault and not an error.
+// recoverPanics runs an operation on a file and turns a panic into an error. The library does not check what it reads,
+// and reads from a memory mapping: an access beyond the end of a truncated file is a memory fault and not an error.
 //
-// This keeps a damaged disk from ending the process. A panic may leave a write incomplete, so the file is not used afterwards.
+// This keeps a damaged disk from ending the process. A panic may leave a write incomplete, so the file is not used
+// afterwards.
 func recoverPanics(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("broken: %v", r)
+			err = fmt.Errorf("damaged: %v", r)
 		}
 	}()
 	return f()
 }
 
-// checkOwner checks that an open file belongs to its owner, and records the owner in a new file. It reads the whole file, in this
-// goroutine, because recoverPanics recovers from faults of its own goroutine only.
+// checkOwner checks that an open file belongs to its owner, and records the owner in a new file. It reads the whole
+// file, in this goroutine, because recoverPanics recovers from faults of its own goroutine only.
 func checkOwner(db *bbolt.DB, own owner) error {
 	return db.Update(func(tx *bbolt.Tx) error {
 		err := tx.ForEach(func(_ []byte, b *bbolt.Bucket) error { return b.ForEach(func(_, _ []byte) error { return nil }) })
 		if err != nil {
-			return fmt.Errorf("broken: %w", err)
+			return fmt.Errorf("damaged: %w", err)
 		}
 		b, err := tx.CreateBucketIfNotExists(aboutBucket)
 		if err != nil {
@@ -141,7 +142,7 @@
 		}
 		var stored owner
 		if err := cbor.Unmarshal(data, &stored); err != nil {
-			return fmt.Errorf("broken: %w", err)
+			return fmt.Errorf("damaged: %w", err)
 		}
 		if stored != own {
 			return fmt.Errorf("the file belongs to fleet %q, proxy %q, and has form %d", stored.Fleet, stored.Name, stored.Form)
--- a/internal/cluster/accord/store/store_test.go
+++ b/internal/cluster/accord/store/store_test.go
@@ -33,8 +33,8 @@
 	return &raftpb.Entry{Index: &index, Term: &term, Data: fmt.Appendf(nil, "%d/%d", index, term)}
 }
 
-// TestMatchesInMemoryStore checks that Load returns what accord.Stored.Apply gives for the same random records, also after the file was
-// opened again.
+// TestMatchesInMemoryStore checks that Load returns what accord.Stored.Apply gives for the same random records, also
+// after the file was opened again.
 func TestMatchesInMemoryStore(t *testing.T) {
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestDamagedFilesDoNotPreventStart checks that a store opens in a folder whose file is truncated anywhere, has damaged bytes, belongs to
-// another fleet or proxy, or has another format. Foreign files are set aside intact.
+// TestDamagedFilesDoNotPreventStart checks that a store opens in a folder whose file is truncated anywhere, has damaged
+// bytes, belongs to another fleet or proxy, or has another format. Foreign files are set aside intact.
 func TestDamagedFilesDoNotPreventStart(t *testing.T) {
 	folder := t.TempDir()
 	s := openStore(t, folder)
@@ -167,9 +167,9 @@
 	}
 }
 
-// BenchmarkSaveActs measures the write of a proxy at each change that it receives, with the documents of a fleet of 1,400, to the disk
-// with the temporary files.
-func BenchmarkSaveActs(b *testing.B) {
+// BenchmarkSaveRules measures the write of a proxy at each change that it receives, with the documents of a fleet of
+// 1,400, to the disk with the temporary files.
+func BenchmarkSaveRules(b *testing.B) {
 	for _, pending := range []int{0, 1, rules.MaxPending} {
 		b.Run(fmt.Sprint(pending, "-pending"), func(b *testing.B) {
 			s, _, _, err := Open(b.TempDir(), "shelf", "n1")
--- a/internal/cluster/accord/types.go
+++ b/internal/cluster/accord/types.go
@@ -1,12 +1,14 @@
-// Package accord implements consensus on the rules of a fleet: it decides which rules each proxy applies, and when a proxy may
-// no longer apply the rules that it has. It has no I/O and no clock: it takes events with their time and returns actions, and
-// equal settings, seeds and events give equal actions. It is not safe for concurrent use, except for Basis, which is immutable.
+// Package accord implements consensus on the rules of a fleet: it decides which rules each proxy applies, and when a
+// proxy may no longer apply the rules that it has. It has no I/O and no clock: it takes events with their time and
+// returns actions, and equal settings, seeds and events give equal actions. It is not safe for concurrent use, except
+// for Basis, which is immutable.
 //
-// A few proxies, the voters, replicate the rules in a log that a majority of them agrees on (Raft, Ongaro and Ousterhout 2014;
-// the library go.etcd.io/raft/v3, whose core does no I/O either). Every proxy holds a lease (Gray and Cheriton 1989) granted by
-// the voters' leader, which names the versions that it was granted for. A change takes two steps: while it is pending, every
-// proxy applies the meet of the old and the new document; it is in force once each proxy with a lease has acknowledged the
-// change or its lease has expired. docs/design/accord.md gives the reasons, and the requirements on clocks.
+// A few proxies, the voters, replicate the rules in a log that a majority of them agrees on (Raft, Ongaro and
+// Ousterhout 2014; the library go.etcd.io/raft/v3, whose core does no I/O either). Every proxy holds a lease (Gray and
+// Cheriton 1989) granted by the voters' leader, which names the versions that it was granted for. A change takes two
+// steps: while it is pending, every proxy applies the meet of the old and the new document; it is in force once each
+// proxy with a lease has acknowledged the change or its lease has expired. docs/design/accord.md gives the reasons, and
+// the requirements on clocks.
 package accord
 
 import (
@@ -41,7 +43,8 @@
 	}
 }
 
-// LeaseGuard is the time, on the clock of the leader that granted a lease, after which the lease has expired on its holder's clock.
+// LeaseGuard is the time, on the clock of the leader that granted a lease, after which the lease has expired on its
+// holder's clock.
 func (t Times) LeaseGuard() time.Duration {
 	return time.Duration(float64(t.Lease) * (1 + 2*t.MaxDrift))
 }
@@ -49,11 +52,12 @@
 // AliveWindow is the time after an unanswered renewal during which a proxy may assume that it has not been paused.
 func (t Times) AliveWindow() time.Duration { return 4 * t.Renew }
 
-// ConvergenceBound is the maximum time from the commit of a change until no proxy that reaches the voters or holds a lease acts
-// against it, even if the leader is lost in between.
+// ConvergenceBound is the maximum time from the commit of a change until no proxy that reaches the voters or holds a
+// lease acts against it, even if the leader is lost in between.
 func (t Times) ConvergenceBound() time.Duration {
-	// Worst case: the leader is lost right after the commit. The next one is elected within the time of two attempts, waits
-	// for the leases of its predecessor to expire and reaches the proxies within one renewal, all on the slowest clock.
+	// Worst case: the leader is lost right after the commit. The next one is elected within the time of two attempts,
+	// waits for the leases of its predecessor to expire and reaches the proxies within one renewal, all on the slowest
+	// clock.
 	d := t.Election + t.LeaseGuard() + t.Renew + t.RequestTimeout
 	return time.Duration(float64(d) * (1 + t.MaxDrift))
 }
@@ -98,7 +102,8 @@
 
 	// NoDeltas: only whole statuses are sent and accepted, as by programs that predate deltas.
 	NoDeltas bool
-	// MaxInlineDelta is the maximum size in bytes of a delta that is sent in a grant; 0 means what fits into a datagram.
+	// MaxInlineDelta is the maximum size in bytes of a delta that is sent in a grant; 0 means what fits into a
+	// datagram.
 	MaxInlineDelta int
 }
 
@@ -245,8 +250,8 @@
 	return m, m.Validate()
 }
 
-// Record is what a voter has to write to disk before it sends anything that depends on it. A nil or empty part leaves the stored one
-// unchanged.
+// Record is what a voter has to write to disk before it sends anything that depends on it. A nil or empty part leaves
+// the stored one unchanged.
 type Record struct {
 	LogID    uint64 // the ID of the log; a record with another ID starts a new log
 	Hard     *raftpb.HardState
@@ -299,8 +304,8 @@
 	Last     uint64 // newest version that it knows
 	Doc      *rules.Document
 	Unleased *rules.Document // the document that applies without a lease
-	// Settled is Doc if no change is pending, and nil otherwise. It serves decisions that must not be made twice, such as taking a
-	// number.
+	// Settled is Doc if no change is pending, and nil otherwise. It serves decisions that must not be made twice, such
+	// as taking a number.
 	Settled            *rules.Document
 	Until              time.Duration // when the lease expires
 	LastUnanswered     time.Duration // when the last unanswered renewal was sent; below 0 for never
@@ -332,8 +337,8 @@
 	return Inactive
 }
 
-// Decide decides whether a request may be sent now. It must be called immediately before the send, whatever was decided earlier: a
-// process that was paused in between may have no lease anymore.
+// Decide decides whether a request may be sent now. It must be called immediately before the send, whatever was decided
+// earlier: a process that was paused in between may have no lease anymore.
 func (b *Basis) Decide(now time.Duration, s rules.Send) rules.Decision {
 	switch b.Mode(now) {
 	case Leased:
--- a/internal/cluster/accord/voter.go
+++ b/internal/cluster/accord/voter.go
@@ -12,10 +12,11 @@
 )
 
 const (
-	// helloInterval is the time between two Hellos to all voters, in election timeouts, and helloRetryInterval the time while one
-	// of them is not a voter in the log.
+	// helloInterval is the time between two Hellos to all voters, in election timeouts, and helloRetryInterval the time
+	// while one of them is not a voter in the log.
 	helloInterval, helloRetryInterval = 4, 1
-	// replaceAfter is the time without a message from a log after which a new log of the same voter replaces it, in election timeouts.
+	// replaceAfter is the time without a message from a log after which a new log of the same voter replaces it, in
+	// election timeouts.
 	replaceAfter = 10
 )
 
@@ -27,7 +28,8 @@
 	lastHeard time.Duration
 }
 
-// voter is a replica of the log, at one of the proxies that the settings name. Its methods run in the goroutine that owns the Core.
+// voter is a replica of the log, at one of the proxies that the settings name. Its methods run in the goroutine that
+// owns the Core.
 type voter struct {
 	c         *Core
 	id        uint64 // ID of the log
@@ -89,8 +91,8 @@
 	return nil
 }
 
-// beginEmptyLog starts an empty log under a new ID. A voter that has lost its folder no longer knows what it voted for and stored,
-// so it must not send messages under the ID of the lost log.
+// beginEmptyLog starts an empty log under a new ID. A voter that has lost its folder no longer knows what it voted for
+// and stored, so it must not send messages under the ID of the lost log.
 func (v *voter) beginEmptyLog() error {
 	v.id = v.c.rng.Uint64() | 1
 	v.state = &replicatedState{Rules: rules.NewState(), Voters: map[string]uint64{}}
@@ -194,8 +196,8 @@
 	last, _ := v.log.LastIndex()
 	switch r.GetType() {
 	case raftpb.MsgPreVote, raftpb.MsgVote:
-		// A voter that hears its leader ignores candidates: a voter that is cut off from the leader only would otherwise depose it
-		// again and again.
+		// A voter that hears its leader ignores candidates: a voter that is cut off from the leader only would
+		// otherwise depose it again and again.
 		if v.isLeader && v.c.now-v.majorityHeard < t.Election || !v.isLeader && v.leaderID != 0 && v.c.now-v.leaderHeard < t.Election {
 			return
 		}
