--- a/internal/cluster/accord/leases.go
+++ b/internal/cluster/accord/leases.go
@@ -17,12 +17,12 @@
 // holder is a process that may hold a lease. A proxy has two processes during an upgrade, each with its own
 // acknowledgements.
 type holder struct {
-	name     string
-	instance uint64
+	name       string
+	instanceID uint64
 }
 
 func compareHolders(a, b holder) int {
-	return cmp.Or(cmp.Compare(a.name, b.name), cmp.Compare(a.instance, b.instance))
+	return cmp.Or(cmp.Compare(a.name, b.name), cmp.Compare(a.instanceID, b.instanceID))
 }
 
 // lease is what a leader knows about a holder.
--- a/internal/cluster/accord/leases_test.go
+++ b/internal/cluster/accord/leases_test.go
@@ -11,7 +11,7 @@
 // tallyHost counts a leader's disk writes and messages.
 type tallyHost struct {
 	nobody
-	saves, keeps int
+	logWrites, ruleWrites int
 	sent         map[MessageKind]int
 	last         map[MessageKind]*Message
 }
@@ -23,12 +23,12 @@
 }
 
 func (h *tallyHost) reset() {
-	h.saves, h.keeps, h.sent, h.last = 0, 0, map[MessageKind]int{}, map[MessageKind]*Message{}
+	h.logWrites, h.ruleWrites, h.sent, h.last = 0, 0, map[MessageKind]int{}, map[MessageKind]*Message{}
 }
 
-func (h *tallyHost) Save(*Record) error { h.saves++; return nil }
+func (h *tallyHost) Save(*Record) error { h.logWrites++; return nil }
 
-func (h *tallyHost) SaveRules(*rules.Status) { h.keeps++ }
+func (h *tallyHost) SaveRules(*rules.Status) { h.ruleWrites++ }
 
 func (h *tallyHost) Send(_ string, m *Message) {
 	h.sent[m.Kind]++
@@ -93,8 +93,8 @@
 	}
 	// One write contains the entries. The only voter commits them at once, and a second write contains the commit
 	// index.
-	if host.saves != 2 || host.keeps != 1 {
-		t.Errorf("the log is written %d times, the rules %d times", host.saves, host.keeps)
+	if host.logWrites != 2 || host.ruleWrites != 1 {
+		t.Errorf("the log is written %d times, the rules %d times", host.logWrites, host.ruleWrites)
 	}
 	if bans := len(c.basis.Doc.Bans); bans != proposals {
 		t.Errorf("the leader applies %d bans", bans)
--- a/internal/cluster/accord/model/model.go
+++ b/internal/cluster/accord/model/model.go
@@ -77,7 +77,7 @@
 	index             int
 	up, paused        bool
 	starts            int
-	boot              uint64
+	instanceID        uint64
 	rate              float64
 	offset            time.Duration
 	core              *accord.Core
@@ -112,12 +112,12 @@
 )
 
 type event struct {
-	at   time.Duration
-	kind kind
-	to   int
-	boot uint64
-	text *accord.Message
-	act  story.Act
+	at         time.Duration
+	kind       kind
+	to         int
+	instanceID uint64
+	message    *accord.Message
+	fault      story.Act
 }
 
 // acknowledgedChange is a change that was acknowledged to its proposer.
@@ -173,7 +173,7 @@
 		f.start(p)
 	}
 	for _, a := range c.Scenario.Acts() {
-		f.push(event{at: a.At, kind: faultEvent, act: a})
+		f.push(event{at: a.At, kind: faultEvent, fault: a})
 	}
 	if c.Scenario.Changes > 0 {
 		f.push(event{at: time.Second, kind: proposeEvent})
@@ -193,16 +193,16 @@
 
 func (f *Fleet) start(p *process) {
 	p.starts++
-	p.up, p.paused, p.crashed, p.boot, p.inbox, p.nextTick = true, false, false, f.rng.Uint64(), nil, -1
+	p.up, p.paused, p.crashed, p.instanceID, p.inbox, p.nextTick = true, false, false, f.rng.Uint64(), nil, -1
 	p.writeTime, p.busyUntil, p.arrived, p.leased = 0, 0, nil, false
-	s := accord.Settings{Name: p.name, InstanceID: p.boot, Times: accord.DefaultTimes()}
+	s := accord.Settings{Name: p.name, InstanceID: p.instanceID, Times: accord.DefaultTimes()}
 	for i := range f.config.Scenario.Keepers {
 		s.Voters = append(s.Voters, f.procs[i].name)
 	}
 	if f.config.AdjustSettings != nil {
 		f.config.AdjustSettings(&s)
 	}
-	f.corrupt(p, &s)
+	f.corruptDisk(p, &s)
 	p.setStatus(&rules.Status{})
 	if p.disk.Rules != nil {
 		stored := p.disk.Rules.Copy() // it applies these rules without storing them again
@@ -224,15 +224,15 @@
 	f.afterEvent(p)
 }
 
-// corrupt replaces the documents on a process's disk by others, with the configured probability.
-func (f *Fleet) corrupt(p *process, s *accord.Settings) {
+// corruptDisk replaces the documents on a process's disk by others, with the configured probability.
+func (f *Fleet) corruptDisk(p *process, s *accord.Settings) {
 	if f.config.CorruptRate == 0 || s.NoDeltas || p.disk.Rules == nil || f.disksRNG.Float64() >= f.config.CorruptRate {
 		return
 	}
-	acts := p.disk.Rules.Copy()
-	versions := []*rules.Version{&acts.InForce}
-	for i := range acts.Pending {
-		versions = append(versions, &acts.Pending[i])
+	status := p.disk.Rules.Copy()
+	versions := []*rules.Version{&status.InForce}
+	for i := range status.Pending {
+		versions = append(versions, &status.Pending[i])
 	}
 	changed := false
 	for _, v := range versions {
@@ -244,7 +244,7 @@
 	}
 	if changed {
 		f.Results.CorruptDisks++
-		p.disk.Rules = acts
+		p.disk.Rules = status
 	}
 }
 
@@ -273,7 +273,7 @@
 func (f *Fleet) afterEvent(p *process) {
 	if p.crashed && p.up {
 		f.stop(p)
-		f.push(event{at: f.now + time.Second, kind: tickEvent, to: p.index, boot: p.boot}) // restarts it
+		f.push(event{at: f.now + time.Second, kind: tickEvent, to: p.index, instanceID: p.instanceID}) // restarts it
 		return
 	}
 	if !p.up || p.core == nil {
@@ -281,12 +281,12 @@
 	}
 	if p.writeTime > 0 {
 		p.busyUntil, p.writeTime = max(p.busyUntil, f.now)+p.writeTime, 0
-		f.push(event{at: p.busyUntil, kind: writtenEvent, to: p.index, boot: p.boot})
+		f.push(event{at: p.busyUntil, kind: writtenEvent, to: p.index, instanceID: p.instanceID})
 	}
 	at := f.now + max(time.Duration(float64(p.core.NextTick()-f.local(p))/p.rate), 0) + 1
 	if p.nextTick <= f.now || at < p.nextTick {
 		p.nextTick = at
-		f.push(event{at: at, kind: tickEvent, to: p.index, boot: p.boot})
+		f.push(event{at: at, kind: tickEvent, to: p.index, instanceID: p.instanceID})
 	}
 }
 
@@ -324,7 +324,7 @@
 	for _, d := range f.network.Datagram(f.now, faults.Path{From: h.p.name, To: to}, len(data)) {
 		if d.Bit < 0 {
 			delay := 200*time.Microsecond + time.Duration(f.rng.Float64()*float64(800*time.Microsecond))
-			f.push(event{at: f.now + h.p.writeTime + delay + d.After, kind: messageEvent, to: q.index, text: read})
+			f.push(event{at: f.now + h.p.writeTime + delay + d.After, kind: messageEvent, to: q.index, message: read})
 		}
 	}
 }
@@ -439,7 +439,7 @@
 			f.checkContradictions()
 			f.push(event{at: f.now + checkInterval, kind: checkEvent})
 		case faultEvent:
-			f.applyFault(e.act)
+			f.applyFault(e.fault)
 		case proposeEvent:
 			f.propose()
 		default:
@@ -452,7 +452,7 @@
 func (f *Fleet) deliver(e event) {
 	p := f.procs[e.to]
 	if e.kind == tickEvent || e.kind == writtenEvent {
-		if e.boot != p.boot {
+		if e.instanceID != p.instanceID {
 			return
 		}
 		if e.kind == tickEvent && p.crashed && !p.up {
@@ -467,7 +467,7 @@
 			p.inbox = p.inbox[1:]
 		}
 	case e.kind == messageEvent:
-		p.arrived = append(p.arrived, e.text)
+		p.arrived = append(p.arrived, e.message)
 		f.receiveArrived(p)
 	case f.now < p.busyUntil:
 	default:
--- a/internal/cluster/accord/store/store.go
+++ b/internal/cluster/accord/store/store.go
@@ -293,8 +293,8 @@
 }
 
 // SaveRules stores the rules that this proxy applies, for a start at which no voter can be reached. They give no lease.
-func (s *Store) SaveRules(acts *rules.Status) error {
-	data, err := cbor.Marshal(acts)
+func (s *Store) SaveRules(status *rules.Status) error {
+	data, err := cbor.Marshal(status)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
