--- a/internal/cluster/accord/leases_test.go
+++ b/internal/cluster/accord/leases_test.go
@@ -12,8 +12,8 @@
 type tallyHost struct {
 	nobody
 	logWrites, ruleWrites int
-	sent         map[MessageKind]int
-	last         map[MessageKind]*Message
+	sent                  map[MessageKind]int
+	last                  map[MessageKind]*Message
 }
 
 func newTallyHost() *tallyHost {
