--- a/internal/cluster/accord/cost_test.go
+++ b/internal/cluster/accord/cost_test.go
@@ -9,14 +9,14 @@
 	"brasswell/internal/cluster/rules"
 )
 
-// The fleet that the costs are for.
+// Size of the fleet whose costs are measured.
 const (
 	costHolders  = 1400
 	costBans     = 200
 	costServices = 35
 )
 
-// costDocument is a state with a document of the target's size in force.
+// costDocument returns a state whose document in force has the size that such a fleet needs.
 func costDocument(tb testing.TB) *rules.State {
 	tb.Helper()
 	state := rules.NewState()
@@ -47,33 +47,34 @@
 	}
 }
 
-// costChange is a ban, or other numbers: of "one" proxy that is gone, of which another takes the number, or of a "third".
-func costChange(kind string, of *rules.State, id string) *rules.Change {
+// costChange returns a ban, or new numbers: "one" replaces one proxy, whose number another takes, and "third" replaces
+// a third of them.
+func costChange(kind string, state *rules.State, id string) *rules.Change {
 	if kind == "ban" {
 		return &rules.Change{ID: id, Kind: rules.Suspend, Server: "node-" + id, Who: "ops", Why: "its disk fails, see ticket 4711", Form: 2}
 	}
 	numbers := map[string]int{}
 	if kind == "one" {
-		maps.Copy(numbers, of.InForce.Doc.Numbers)
+		maps.Copy(numbers, state.InForce.Doc.Numbers)
 		delete(numbers, costName(7))
 		numbers[costName(costHolders-1)] = 7
 		return &rules.Change{ID: id, Kind: rules.Renumber, Numbers: numbers, Form: 2}
 	}
-	free := 0
+	nextFree := 0
 	for i := range costHolders {
 		if i%3 == 0 {
-			continue // gone, and its number is free
+			continue // this proxy is gone, and its number is free
 		}
 		n := i
 		if n >= costHolders*2/3 {
-			n, free = free, free+3
+			n, nextFree = nextFree, nextFree+3
 		}
 		numbers[costName(i)] = n
 	}
 	return &rules.Change{ID: id, Kind: rules.Renumber, Numbers: numbers, Form: 2}
 }
 
-// countingHost counts what a leader sends to holders and writes it, as the host of a process does.
+// countingHost counts a leader's messages to holders. It encodes them, as the host of a process does.
 type countingHost struct {
 	nobody
 	tb              testing.TB
@@ -83,19 +84,20 @@
 }
 
 func (h *countingHost) Send(_ string, m *Message) {
-	text, err := m.Encode()
+	data, err := m.Encode()
 	if err != nil {
 		h.tb.Fatal(err)
 	}
 	h.messages++
-	h.bytes += len(text)
-	if len(text) > 1170 {
+	h.bytes += len(data)
+	if len(data) > 1170 {
 		h.streams++
 	}
 	h.last = m
 }
 
-// leaderOfMany is a leader, the only voter, that has granted leases to many holders, which have what is in force.
+// leaderOfMany returns a leader, the only voter, that has granted leases to many holders, which have the version in
+// force.
 func leaderOfMany(tb testing.TB, host Host, state *rules.State, deltas bool) (*Core, time.Duration) {
 	tb.Helper()
 	c, err := New(0, Settings{Name: costName(0), InstanceID: 1, Voters: []string{costName(0)}, Times: DefaultTimes()}, 1, Stored{}, host)
@@ -113,16 +115,16 @@
 		c.Tick(now)
 	}
 	if !c.IsLeader() {
-		tb.Fatal("it does not lead")
+		tb.Fatal("the only voter does not lead")
 	}
-	holdAll(c, now, deltas)
+	renewAll(c, now, deltas)
 	return c, now
 }
 
-// holdAll has all holders renew with what is newest, and take it.
-func holdAll(c *Core, now time.Duration, deltas bool) {
+// renewAll makes all holders renew their leases with the newest versions.
+func renewAll(c *Core, now time.Duration, deltas bool) {
 	v := c.voter
-	holds := holdsOf(&v.state.Rules.Status)
+	holds := versionsOf(&v.state.Rules.Status)
 	for i := 1; i < costHolders; i++ {
 		m := &Message{Kind: Renew, From: costName(i), InstanceID: 1, Seq: 1, Held: holds, Form: 2, AcceptsDeltas: deltas}
 		if deltas {
@@ -131,25 +133,25 @@
 		c.Receive(now, m)
 	}
 	c.Tick(now + 100*time.Millisecond)
-	forgetLong(c)
+	resetLongSends(c)
 }
 
-// forgetLong has what is long sent again at once, as before there were differences.
-func forgetLong(c *Core) {
+// resetLongSends lets the leader send long messages again at once, as before there were deltas.
+func resetLongSends(c *Core) {
 	for _, l := range c.voter.leases {
-		l.longSent = 0
+		l.longSentAt = 0
 	}
 }
 
-// BenchmarkOneChange is what one change costs a leader with 1,400 holders: it is agreed, told to all, acknowledged by each, in force,
-// and that is told to all.
+// BenchmarkOneChange measures what one change costs a leader with 1,400 holders: it is committed, sent to all,
+// acknowledged by each, brought into force, and that is sent to all.
 func BenchmarkOneChange(b *testing.B) {
-	for _, by := range []string{"differences", "whole"} {
+	for _, format := range []string{"differences", "whole"} {
 		for _, kind := range []string{"ban", "one", "third"} {
-			b.Run(kind+"/"+by, func(b *testing.B) {
+			b.Run(kind+"/"+format, func(b *testing.B) {
 				base := costDocument(b)
 				host := &countingHost{tb: b}
-				deltas := by == "differences"
+				deltas := format == "differences"
 				for i := 0; b.Loop(); i++ {
 					b.StopTimer()
 					c, now := leaderOfMany(b, host, base.Clone(), deltas)
@@ -160,12 +162,12 @@
 						b.Fatal(err)
 					}
 					if !deltas {
-						forgetLong(c)
+						resetLongSends(c)
 					}
 					acknowledge(c, now, deltas)
 					acknowledge(c, now, deltas)
 					if s := &c.voter.state.Rules.Status; len(s.Pending) > 0 {
-						b.Fatalf("%d versions are on their way", len(s.Pending))
+						b.Fatalf("%d versions are still pending", len(s.Pending))
 					}
 				}
 				b.ReportMetric(float64(host.messages), "messages")
@@ -176,40 +178,41 @@
 	}
 }
 
-// acknowledge has each holder say that it has what is newest.
+// acknowledge makes each holder acknowledge the newest version.
 func acknowledge(c *Core, now time.Duration, deltas bool) {
-	holds := holdsOf(&c.voter.state.Rules.Status)
+	holds := versionsOf(&c.voter.state.Rules.Status)
 	for i := 1; i < costHolders; i++ {
 		c.Receive(now, &Message{Kind: Acknowledge, From: costName(i), InstanceID: 1, Held: holds, AcceptsDeltas: deltas})
 	}
 }
 
-// BenchmarkAcknowledgements is one round of them at a leader that has to wait for the last.
+// BenchmarkAcknowledgements measures a round of acknowledgements at a leader that is still waiting for the last one.
 func BenchmarkAcknowledgements(b *testing.B) {
 	c, now := leaderOfMany(b, &countingHost{tb: b}, costDocument(b), true)
 	if err := c.Propose(now, *costChange("ban", c.voter.state.Rules, "one")); err != nil {
 		b.Fatal(err)
 	}
-	holds := holdsOf(&c.voter.state.Rules.Status)
+	holds := versionsOf(&c.voter.state.Rules.Status)
 	for b.Loop() {
-		for i := 2; i < costHolders; i++ { // the first never does
+		for i := 2; i < costHolders; i++ { // the first holder never acknowledges
 			c.Receive(now, &Message{Kind: Acknowledge, From: costName(i), InstanceID: 1, Held: holds, AcceptsDeltas: true})
 		}
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/(costHolders-2), "ns/acknowledgement")
 }
 
-// BenchmarkRenewal is one renewal at a leader where nothing has changed: it is read, granted, and the grant is written.
+// BenchmarkRenewal measures one renewal at a leader without changes: it is decoded and granted, and the grant is
+// encoded.
 func BenchmarkRenewal(b *testing.B) {
 	host := &countingHost{tb: b}
 	c, _ := leaderOfMany(b, host, costDocument(b), true)
-	m := &Message{Kind: Renew, From: costName(1), InstanceID: 1, Seq: 1, Held: holdsOf(&c.voter.state.Rules.Status), Form: 2, AcceptsDeltas: true, Digest: c.voter.state.Rules.Status.Digest()}
-	text, err := m.Encode()
+	m := &Message{Kind: Renew, From: costName(1), InstanceID: 1, Seq: 1, Held: versionsOf(&c.voter.state.Rules.Status), Form: 2, AcceptsDeltas: true, Digest: c.voter.state.Rules.Status.Digest()}
+	data, err := m.Encode()
 	if err != nil {
 		b.Fatal(err)
 	}
 	for b.Loop() {
-		read, err := Decode(text)
+		read, err := Decode(data)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -217,30 +220,30 @@
 	}
 }
 
-// BenchmarkHolder is what a message with one change costs its receiver: it is read, applied, and acted on.
+// BenchmarkHolder measures what a message with one change costs its receiver, which decodes and applies it.
 func BenchmarkHolder(b *testing.B) {
-	for _, by := range []string{"differences", "whole"} {
+	for _, format := range []string{"differences", "whole"} {
 		for _, kind := range []string{"ban", "one", "third"} {
 			for _, pending := range []int{1, rules.MaxPending} {
 				if kind == "one" && pending > 1 {
-					continue // it cannot be made twice
+					continue // it cannot be proposed twice
 				}
-				b.Run(fmt.Sprintf("%s/%s/%d-pending", kind, by, pending), func(b *testing.B) {
+				b.Run(fmt.Sprintf("%s/%s/%d-pending", kind, format, pending), func(b *testing.B) {
 					state := costDocument(b)
 					for i := range pending - 1 {
 						propose(b, state, costChange("ban", state, fmt.Sprint("before-", i)))
 					}
 					before := state.Copy()
 					propose(b, state, costChange(kind, state, "one"))
-					m := &Message{Kind: Update, From: costName(0), To: costName(1), Standing: state.Copy()}
-					if by == "differences" {
+					m := &Message{Kind: Update, From: costName(0), To: costName(1), Status: state.Copy()}
+					if format == "differences" {
 						d, ok := rules.DeltaFrom(state, before.Position())
 						if !ok {
 							b.Fatal("no delta")
 						}
-						m.Standing, m.Delta = nil, d
+						m.Status, m.Delta = nil, d
 					}
-					text, err := m.Encode()
+					data, err := m.Encode()
 					if err != nil {
 						b.Fatal(err)
 					}
@@ -248,31 +251,32 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					standing, digest := c.standing, c.digest
+					status, digest := c.status, c.digest
 					for b.Loop() {
-						c.standing, c.digest = standing, digest
-						read, err := Decode(text)
+						c.status, c.digest = status, digest
+						read, err := Decode(data)
 						if err != nil {
 							b.Fatal(err)
 						}
 						c.Receive(time.Millisecond, read)
-						if c.standing.Last() != state.Last() {
-							b.Fatal("not taken")
+						if c.status.Last() != state.Last() {
+							b.Fatal("the change was not applied")
 						}
 					}
-					b.ReportMetric(float64(len(text)), "bytes")
+					b.ReportMetric(float64(len(data)), "bytes")
 				})
 			}
 		}
 	}
 }
 
-// TestCostsOfAChange: the numbers of a third are free and dealt out, none is held twice, and the document is as long as was meant.
-func TestCostsOfAChange(t *testing.T) {
+// TestCostDocuments checks the data of the benchmarks: the document has the intended size, and the change of a third
+// assigns the free numbers without giving one to two proxies, which Propose would refuse.
+func TestCostDocuments(t *testing.T) {
 	state := costDocument(t)
-	text, err := (&Message{Kind: Update, From: "a", Standing: state.Copy()}).Encode()
-	if err != nil || len(text) < 30_000 || len(text) > 45_000 {
-		t.Errorf("a document of %d bytes, %v", len(text), err)
+	data, err := (&Message{Kind: Update, From: "a", Status: state.Copy()}).Encode()
+	if err != nil || len(data) < 30_000 || len(data) > 45_000 {
+		t.Errorf("the document has %d bytes, error %v", len(data), err)
 	}
 	before := maps.Clone(state.InForce.Doc.Numbers)
 	propose(t, state, costChange("third", state, "one"))
@@ -283,6 +287,6 @@
 		}
 	}
 	if moved < 250 {
-		t.Errorf("%d numbers change", moved)
+		t.Errorf("only %d numbers change", moved)
 	}
 }
--- a/internal/cluster/accord/model/model.go
+++ b/internal/cluster/accord/model/model.go
@@ -1,6 +1,6 @@
-// Package model plays the agreement of a fleet on a clock of its own: proxies with clocks of different rates, disks, and a network
-// with faults, all from a seed. A checker looks at every moment whether two proxies act on rules that contradict each other,
-// whether anything that was acknowledged is lost, and whether two versions ever went by one number.
+// Package model simulates the consensus of a fleet in virtual time: proxies with clocks of different rates, disks, and
+// a network with faults, all derived from a seed. A checker verifies throughout the run that no two proxies apply
+// contradictory rules, that no acknowledged change is lost, and that no two versions have the same number.
 package model
 
 import (
@@ -22,135 +22,137 @@
 	"brasswell/internal/rig/story"
 )
 
-// Config is a fleet to be played.
+// Config configures a simulated fleet.
 type Config struct {
 	Scenario *story.Story
-	// Set changes each member's settings, to take defences out; may be nil.
+	// AdjustSettings changes each member's settings, to disable safeguards; may be nil.
 	AdjustSettings func(*accord.Settings)
-	// Drift is the most by which clocks are off their rate.
+	// Drift is the maximum deviation of the clocks' rates, as a fraction.
 	Drift float64
-	// Crash is how likely a process dies at a write of its disk, before or after the write holds.
+	// CrashRate is the probability that a process crashes at a disk write, before or after the write is durable.
 	CrashRate float64
-	// Corrupt is how likely a process that starts finds another document on its disk under the number that it had, unless it is of
-	// the programs that know of no digests.
+	// CorruptRate is the probability that a process that starts finds another document on its disk under the same
+	// number. It does not apply to processes without digests.
 	CorruptRate float64
-	// Write is how long one write of a disk takes. Meanwhile its process takes nothing in, and what came is taken in together.
+	// WriteTime is the duration of a disk write. The process receives nothing meanwhile, and then all that arrived at
+	// once.
 	WriteTime time.Duration
 }
 
-// Figures are what a play has come to.
+// Results are the results of a run.
 type Results struct {
 	Messages, Bytes, Events, Writes int64
 	Proposed, Agreed, Refused       int
-	InForce                         []time.Duration // from a proposal until the last living proxy with a lease acts on it alone
+	InForce                         []time.Duration // from a proposal until the change is in force at all running proxies with a lease
 	Leaders                         int
 	Answers                         []Answer
-	// Leased is the longest time that a proxy with a lease acted against what another held to be in force; it must be 0.
+	// LeasedBreach is the longest time for which a proxy with a lease applied rules that contradicted those that
+	// another proxy held to be in force; it must be 0.
 	LeasedBreach time.Duration
-	// Alone is the same of proxies that had no lease and went on with what they knew.
+	// AloneBreach is the same for proxies without a lease that continued with the rules that they knew.
 	AloneBreach time.Duration
-	// Reads are what proxies with a lease acted on, looked at each tick; Stale of them did not know a version that was in force
-	// somewhere by then, which must not be.
+	// Reads counts the checks of the rules that a proxy with a lease applied. StaleReads of them found a proxy that did
+	// not know a version that was already in force somewhere; it must be 0.
 	Reads, StaleReads int
-	// Leaderless are the times for which no living keeper led, once one had.
+	// Leaderless are the durations without a running leader, after the first leader.
 	Leaderless []time.Duration
-	// Deltas and Wholes are the standings that were sent, as differences and whole.
+	// Deltas and Wholes count the messages with deltas and with whole statuses.
 	Deltas, Wholes int
-	// Lost is how often a process that ran had a lease run out.
+	// LeasesLost counts the leases of running processes that expired.
 	LeasesLost int
-	// Corrupted are the disks that held another document, Mismatches how often a process found that it had another one.
+	// CorruptDisks counts the disks that contained another document, Mismatches the times when a process detected one.
 	CorruptDisks, Mismatches int
-	// Wrong is what must not be.
+	// Violations describes all other failed checks.
 	Violations []string
 }
 
-// Answer is a change that its proposer was told of, with when.
+// Answer is a change whose result was reported to its proposer.
 type Answer struct {
 	ProposedAt, AnsweredAt time.Duration
 	Version                uint64
 }
 
 type process struct {
-	name        string
-	index       int
-	up, paused  bool
-	starts      int
-	boot        uint64
-	rate        float64
-	offset      time.Duration
-	core        *accord.Core
-	basis       *accord.Basis
-	disk        accord.Stored
-	full, crash bool
-	inbox       []event
-	wake        time.Duration
-	writing     time.Duration            // what it has to write takes so long
-	busy        time.Duration            // until when it writes
-	arrived     []*accord.Message        // while it writes
-	leased      bool                     // as last looked
-	breach      map[string]time.Duration // since when it acts against what others hold
-	standing    rules.Status
-	digest      rules.Digest // of the standing
-}
-
-// knows notes what a process acts on.
-func (p *process) knows(s *rules.Status) {
-	p.standing, p.digest = *s, s.Digest()
+	name              string
+	index             int
+	up, paused        bool
+	starts            int
+	instanceID        uint64
+	rate              float64
+	offset            time.Duration
+	core              *accord.Core
+	basis             *accord.Basis
+	disk              accord.Stored
+	diskFull, crashed bool
+	inbox             []event
+	nextTick          time.Duration
+	writeTime         time.Duration            // duration of the writes that it has to do
+	busyUntil         time.Duration            // the current writes end then
+	arrived           []*accord.Message        // messages that arrived during a write
+	leased            bool                     // at the last check
+	breaches          map[string]time.Duration // start of each contradiction to the rules of others
+	status            rules.Status
+	digest            rules.Digest // digest of the status
+}
+
+// setStatus records the rules that a process applies.
+func (p *process) setStatus(s *rules.Status) {
+	p.status, p.digest = *s, s.Digest()
 }
 
 type kind uint8
 
 const (
-	wake kind = iota
-	message
-	written
-	act
-	propose
-	look
+	tickEvent kind = iota
+	messageEvent
+	writtenEvent
+	faultEvent
+	proposeEvent
+	checkEvent
 )
 
 type event struct {
-	at   time.Duration
-	kind kind
-	to   int
-	boot uint64
-	text *accord.Message
-	act  story.Act
+	at         time.Duration
+	kind       kind
+	to         int
+	instanceID uint64
+	message    *accord.Message
+	fault      story.Act
 }
 
-// acked is a change that its proposer was told of.
-type acked struct {
+// acknowledgedChange is a change that was acknowledged to its proposer.
+type acknowledgedChange struct {
 	id      string
 	version uint64
 	at      time.Duration // when it was proposed
 }
 
-// Fleet is a fleet in play.
+// Fleet is a simulated fleet.
 type Fleet struct {
 	config  Config
 	now     time.Duration
 	queue   schedule.Queue[event]
 	network *faults.Network
-	dice    *rand.Rand
-	// numbers and disks draw from dice of their own, so that the faults of a story are the same with and without them.
-	numbers, disks *rand.Rand
-	layers         map[int]*faults.Layer
-	// leaderless is since when nobody leads; 0 while one does.
-	leaderless time.Duration
-	everLed    bool
-	procs      []*process
-	byName     map[string]*process
-
-	proposed map[string]time.Duration
-	acked    []acked
-	waiting  []acked           // agreed, and not in force everywhere yet
-	known    map[uint64]string // by number, the id of the change that made the version
-	servers  int
-	Results  Results
-}
-
-// tick is between two looks of the checker, beside those after each event.
-const tick = 5 * time.Millisecond
+	rng     *rand.Rand
+	// numbersRNG and disksRNG are separate generators, so that the faults of a scenario do not depend on their use.
+	numbersRNG, disksRNG *rand.Rand
+	layers               map[int]*faults.Layer
+	// leaderlessSince is the time since which there is no leader; 0 while there is one.
+	leaderlessSince time.Duration
+	everLed         bool
+	procs           []*process
+	byName          map[string]*process
+
+	proposed        map[string]time.Duration
+	acknowledged    []acknowledgedChange
+	awaitingForce   []acknowledgedChange // committed, but not yet in force everywhere
+	changeByVersion map[uint64]string    // the ID of the change that made each version, by number
+	servers         int
+	Results         Results
+}
+
+// checkInterval is the time between two checks.
+const checkInterval = 5 * time.Millisecond
 
 // New returns a fleet whose members all start at once.
 func New(c Config) (*Fleet, error) {
@@ -158,12 +160,12 @@
 		return nil, err
 	}
 	f := &Fleet{
-		config: c, network: faults.NewNetwork(c.Scenario.Seed), dice: rand.New(rand.NewPCG(c.Scenario.Seed, 31)),
-		numbers: rand.New(rand.NewPCG(c.Scenario.Seed, 32)), disks: rand.New(rand.NewPCG(c.Scenario.Seed, 33)), layers: map[int]*faults.Layer{},
-		byName: map[string]*process{}, proposed: map[string]time.Duration{}, known: map[uint64]string{}, servers: 20,
+		config: c, network: faults.NewNetwork(c.Scenario.Seed), rng: rand.New(rand.NewPCG(c.Scenario.Seed, 31)),
+		numbersRNG: rand.New(rand.NewPCG(c.Scenario.Seed, 32)), disksRNG: rand.New(rand.NewPCG(c.Scenario.Seed, 33)), layers: map[int]*faults.Layer{},
+		byName: map[string]*process{}, proposed: map[string]time.Duration{}, changeByVersion: map[uint64]string{}, servers: 20,
 	}
 	for i, name := range c.Scenario.Names() {
-		p := &process{name: name, index: i, rate: 1 + c.Drift*(2*f.dice.Float64()-1), offset: time.Duration(f.dice.Int64N(int64(time.Hour))), breach: map[string]time.Duration{}}
+		p := &process{name: name, index: i, rate: 1 + c.Drift*(2*f.rng.Float64()-1), offset: time.Duration(f.rng.Int64N(int64(time.Hour))), breaches: map[string]time.Duration{}}
 		f.procs = append(f.procs, p)
 		f.byName[name] = p
 	}
@@ -171,12 +173,12 @@
 		f.start(p)
 	}
 	for _, a := range c.Scenario.Acts() {
-		f.push(event{at: a.At, kind: act, act: a})
+		f.push(event{at: a.At, kind: faultEvent, fault: a})
 	}
 	if c.Scenario.Changes > 0 {
-		f.push(event{at: time.Second, kind: propose})
+		f.push(event{at: time.Second, kind: proposeEvent})
 	}
-	f.push(event{at: tick, kind: look})
+	f.push(event{at: checkInterval, kind: checkEvent})
 	return f, nil
 }
 
@@ -184,32 +186,32 @@
 	f.queue.Push(e.at, e)
 }
 
-// local is the time on a process's own clock.
+// local returns the time on a process's own clock.
 func (f *Fleet) local(p *process) time.Duration {
 	return p.offset + time.Duration(p.rate*float64(f.now))
 }
 
 func (f *Fleet) start(p *process) {
 	p.starts++
-	p.up, p.paused, p.crash, p.boot, p.inbox, p.wake = true, false, false, f.dice.Uint64(), nil, -1
-	p.writing, p.busy, p.arrived, p.leased = 0, 0, nil, false
-	s := accord.Settings{Name: p.name, InstanceID: p.boot, Times: accord.DefaultTimes()}
+	p.up, p.paused, p.crashed, p.instanceID, p.inbox, p.nextTick = true, false, false, f.rng.Uint64(), nil, -1
+	p.writeTime, p.busyUntil, p.arrived, p.leased = 0, 0, nil, false
+	s := accord.Settings{Name: p.name, InstanceID: p.instanceID, Times: accord.DefaultTimes()}
 	for i := range f.config.Scenario.Keepers {
 		s.Voters = append(s.Voters, f.procs[i].name)
 	}
 	if f.config.AdjustSettings != nil {
 		f.config.AdjustSettings(&s)
 	}
-	f.corrupt(p, &s)
-	p.knows(&rules.Status{})
+	f.corruptDisk(p, &s)
+	p.setStatus(&rules.Status{})
 	if p.disk.Rules != nil {
-		stored := p.disk.Rules.Copy() // which it acts on, and has no cause to store again
+		stored := p.disk.Rules.Copy() // it applies these rules without storing them again
 		stored.Compact()
-		p.knows(stored)
+		p.setStatus(stored)
 	}
-	core, err := accord.New(f.local(p), s, f.dice.Uint64(), p.disk, host{f, p})
+	core, err := accord.New(f.local(p), s, f.rng.Uint64(), p.disk, host{f, p})
 	if err != nil {
-		f.wrong("%s does not start: %v", p.name, err)
+		f.recordViolation("%s failed to start: %v", p.name, err)
 		p.up = false
 		return
 	}
@@ -219,43 +221,43 @@
 	}
 	core.SetPeers(others)
 	p.core = core
-	f.after(p)
+	f.afterEvent(p)
 }
 
-// corrupt may have a process find another document on its disk than it has stored.
-func (f *Fleet) corrupt(p *process, s *accord.Settings) {
-	if f.config.CorruptRate == 0 || s.NoDeltas || p.disk.Rules == nil || f.disks.Float64() >= f.config.CorruptRate {
+// corruptDisk replaces the documents on a process's disk by others, with the configured probability.
+func (f *Fleet) corruptDisk(p *process, s *accord.Settings) {
+	if f.config.CorruptRate == 0 || s.NoDeltas || p.disk.Rules == nil || f.disksRNG.Float64() >= f.config.CorruptRate {
 		return
 	}
-	acts := p.disk.Rules.Copy()
-	versions := []*rules.Version{&acts.InForce}
-	for i := range acts.Pending {
-		versions = append(versions, &acts.Pending[i])
+	status := p.disk.Rules.Copy()
+	versions := []*rules.Version{&status.InForce}
+	for i := range status.Pending {
+		versions = append(versions, &status.Pending[i])
 	}
 	changed := false
 	for _, v := range versions {
-		other := rules.Version{Number: v.Number, Doc: v.Doc, Change: v.Change} // its digests are not remembered
-		if f.bend(&other.Doc) {
+		other := rules.Version{Number: v.Number, Doc: v.Doc, Change: v.Change} // a new value, so that no cached digest is reused
+		if f.alterDocument(&other.Doc) {
 			changed = true
 		}
 		*v = other
 	}
 	if changed {
 		f.Results.CorruptDisks++
-		p.disk.Rules = acts
+		p.disk.Rules = status
 	}
 }
 
-// bend makes another document, which allows what the first forbids, and says whether it has.
-func (f *Fleet) bend(doc *rules.Document) bool {
+// alterDocument changes a document so that it allows something that it forbade, and reports whether it did.
+func (f *Fleet) alterDocument(doc *rules.Document) bool {
 	bans, names := slices.Sorted(maps.Keys(doc.Bans)), slices.Sorted(maps.Keys(doc.Numbers))
 	if len(bans) > 0 {
 		doc.Bans = maps.Clone(doc.Bans)
-		delete(doc.Bans, bans[f.disks.IntN(len(bans))])
+		delete(doc.Bans, bans[f.disksRNG.IntN(len(bans))])
 	}
 	if len(names) > 1 {
 		doc.Numbers = maps.Clone(doc.Numbers)
-		i := f.disks.IntN(len(names) - 1)
+		i := f.disksRNG.IntN(len(names) - 1)
 		a, b := names[i], names[i+1]
 		doc.Numbers[a], doc.Numbers[b] = doc.Numbers[b], doc.Numbers[a]
 	}
@@ -264,31 +266,31 @@
 
 func (f *Fleet) stop(p *process) {
 	p.up, p.core, p.inbox, p.basis = false, nil, nil, nil
-	clear(p.breach)
+	clear(p.breaches)
 }
 
-// after is after each event of a process: what it has died of, and when it is next due.
-func (f *Fleet) after(p *process) {
-	if p.crash && p.up {
+// afterEvent runs after each event of a process: it handles a crash and schedules the next events.
+func (f *Fleet) afterEvent(p *process) {
+	if p.crashed && p.up {
 		f.stop(p)
-		f.push(event{at: f.now + time.Second, kind: wake, to: p.index, boot: p.boot}) // which starts it again
+		f.push(event{at: f.now + time.Second, kind: tickEvent, to: p.index, instanceID: p.instanceID}) // restarts it
 		return
 	}
 	if !p.up || p.core == nil {
 		return
 	}
-	if p.writing > 0 {
-		p.busy, p.writing = max(p.busy, f.now)+p.writing, 0
-		f.push(event{at: p.busy, kind: written, to: p.index, boot: p.boot})
+	if p.writeTime > 0 {
+		p.busyUntil, p.writeTime = max(p.busyUntil, f.now)+p.writeTime, 0
+		f.push(event{at: p.busyUntil, kind: writtenEvent, to: p.index, instanceID: p.instanceID})
 	}
 	at := f.now + max(time.Duration(float64(p.core.NextTick()-f.local(p))/p.rate), 0) + 1
-	if p.wake <= f.now || at < p.wake {
-		p.wake = at
-		f.push(event{at: at, kind: wake, to: p.index, boot: p.boot})
+	if p.nextTick <= f.now || at < p.nextTick {
+		p.nextTick = at
+		f.push(event{at: at, kind: tickEvent, to: p.index, instanceID: p.instanceID})
 	}
 }
 
-// host is a process's side of its core.
+// host is the host of a process's core.
 type host struct {
 	*Fleet
 	p *process
@@ -297,32 +299,32 @@
 func (h host) Send(to string, m *accord.Message) {
 	f := h.Fleet
 	q := f.byName[to]
-	if h.p.crash || q == nil {
+	if h.p.crashed || q == nil {
 		return
 	}
-	text, err := m.Encode()
+	data, err := m.Encode()
 	if err != nil {
-		f.wrong("%s cannot write a message: %v", h.p.name, err)
+		f.recordViolation("%s cannot encode a message: %v", h.p.name, err)
 		return
 	}
 	f.Results.Messages++
-	f.Results.Bytes += int64(len(text))
+	f.Results.Bytes += int64(len(data))
 	switch {
 	case m.Delta != nil:
 		f.Results.Deltas++
-	case m.Standing != nil:
+	case m.Status != nil:
 		f.Results.Wholes++
 	}
-	// What is sent is read as it would be from the wire, so that nothing is shared.
-	read, err := accord.Decode(text)
+	// The message is decoded as from the wire, so that sender and receiver share no memory.
+	read, err := accord.Decode(data)
 	if err != nil {
-		f.wrong("%s sends what cannot be read: %v", h.p.name, err)
+		f.recordViolation("%s sends a message that cannot be decoded: %v", h.p.name, err)
 		return
 	}
-	for _, d := range f.network.Datagram(f.now, faults.Path{From: h.p.name, To: to}, len(text)) {
+	for _, d := range f.network.Datagram(f.now, faults.Path{From: h.p.name, To: to}, len(data)) {
 		if d.Bit < 0 {
-			delay := 200*time.Microsecond + time.Duration(f.dice.Float64()*float64(800*time.Microsecond))
-			f.push(event{at: f.now + h.p.writing + delay + d.After, kind: message, to: q.index, text: read})
+			delay := 200*time.Microsecond + time.Duration(f.rng.Float64()*float64(800*time.Microsecond))
+			f.push(event{at: f.now + h.p.writeTime + delay + d.After, kind: messageEvent, to: q.index, message: read})
 		}
 	}
 }
@@ -332,24 +334,24 @@
 func (h host) Save(r *accord.Record) error {
 	f, p := h.Fleet, h.p
 	f.Results.Writes++
-	p.writing += f.config.WriteTime
-	if p.full {
+	p.writeTime += f.config.WriteTime
+	if p.diskFull {
 		return errDisk
 	}
-	if f.dice.Float64() < f.config.CrashRate {
-		p.crash = true
-		if f.dice.IntN(2) == 0 {
-			return errDisk // it died before the write held
+	if f.rng.Float64() < f.config.CrashRate {
+		p.crashed = true
+		if f.rng.IntN(2) == 0 {
+			return errDisk // it crashed before the write was durable
 		}
 	}
 	p.disk.Apply(clone(r))
-	if p.crash {
-		return errDisk // it held, and nothing more was said
+	if p.crashed {
+		return errDisk // the write was durable, but nothing was sent afterwards
 	}
 	return nil
 }
 
-// clone makes a record independent of the log that it comes from.
+// clone returns a copy of a record that shares no memory with the log.
 func clone(r *accord.Record) *accord.Record {
 	c := *r
 	c.Entries = slices.Clone(r.Entries)
@@ -366,8 +368,8 @@
 }
 
 func (h host) SaveRules(s *rules.Status) {
-	h.p.writing += h.config.WriteTime
-	if !h.p.full {
+	h.p.writeTime += h.config.WriteTime
+	if !h.p.diskFull {
 		h.p.disk.Rules = s.Copy()
 	}
 }
@@ -381,14 +383,14 @@
 		return
 	}
 	f.Results.Agreed++
-	one := acked{a.ID, a.Version, f.proposed[a.ID]}
-	f.acked, f.waiting = append(f.acked, one), append(f.waiting, one)
+	one := acknowledgedChange{a.ID, a.Version, f.proposed[a.ID]}
+	f.acknowledged, f.awaitingForce = append(f.acknowledged, one), append(f.awaitingForce, one)
 	f.Results.Answers = append(f.Results.Answers, Answer{f.proposed[a.ID], f.now, a.Version})
-	f.number(a.Version, a.ID)
+	f.recordVersion(a.Version, a.ID)
 }
 
-func (h host) Notify(what accord.Event, n accord.Note) {
-	switch what {
+func (h host) Notify(event accord.Event, n accord.Note) {
+	switch event {
 	case accord.Elected:
 		h.Results.Leaders++
 	case accord.DigestMismatch:
@@ -396,34 +398,34 @@
 	case accord.RulesChanged:
 		r := h.p.core
 		if r == nil {
-			return // while it starts
+			return // the process is starting
 		}
-		standing := r.Report(0).Status
-		h.p.knows(&standing)
-		for _, v := range append([]rules.Version{h.p.standing.InForce}, h.p.standing.Pending...) {
+		status := r.Report(0).Status
+		h.p.setStatus(&status)
+		for _, v := range append([]rules.Version{h.p.status.InForce}, h.p.status.Pending...) {
 			if v.Number > 1 {
-				h.number(v.Number, v.Change.ID)
+				h.recordVersion(v.Number, v.Change.ID)
 			}
 		}
 	}
 }
 
-// number notes which change made a version; two that did are wrong.
-func (f *Fleet) number(version uint64, id string) {
-	if was, known := f.known[version]; known && was != id {
-		f.wrong("version %d is of change %s and of change %s", version, was, id)
+// recordVersion records which change made a version. Two changes with the same version are a violation.
+func (f *Fleet) recordVersion(version uint64, id string) {
+	if other, known := f.changeByVersion[version]; known && other != id {
+		f.recordViolation("version %d is of change %s and of change %s", version, other, id)
 	}
-	f.known[version] = id
+	f.changeByVersion[version] = id
 }
 
-func (f *Fleet) wrong(format string, a ...any) {
-	const most = 20
-	if len(f.Results.Violations) < most {
+func (f *Fleet) recordViolation(format string, a ...any) {
+	const maxViolations = 20
+	if len(f.Results.Violations) < maxViolations {
 		f.Results.Violations = append(f.Results.Violations, fmt.Sprintf("%v: ", f.now)+fmt.Sprintf(format, a...))
 	}
 }
 
-// Play plays until a moment.
+// Run runs the simulation until the given time.
 func (f *Fleet) Run(until time.Duration) {
 	for {
 		at, e, due := f.queue.Pop(until)
@@ -433,12 +435,12 @@
 		f.now = at
 		f.Results.Events++
 		switch e.kind {
-		case look:
-			f.look()
-			f.push(event{at: f.now + tick, kind: look})
-		case act:
-			f.act(e.act)
-		case propose:
+		case checkEvent:
+			f.checkContradictions()
+			f.push(event{at: f.now + checkInterval, kind: checkEvent})
+		case faultEvent:
+			f.applyFault(e.fault)
+		case proposeEvent:
 			f.propose()
 		default:
 			f.deliver(e)
@@ -449,11 +451,11 @@
 
 func (f *Fleet) deliver(e event) {
 	p := f.procs[e.to]
-	if e.kind == wake || e.kind == written {
-		if e.boot != p.boot {
+	if e.kind == tickEvent || e.kind == writtenEvent {
+		if e.instanceID != p.instanceID {
 			return
 		}
-		if e.kind == wake && p.crash && !p.up {
+		if e.kind == tickEvent && p.crashed && !p.up {
 			f.start(p)
 			return
 		}
@@ -464,62 +466,63 @@
 		if p.inbox = append(p.inbox, e); len(p.inbox) > 256 {
 			p.inbox = p.inbox[1:]
 		}
-	case e.kind == message:
-		p.arrived = append(p.arrived, e.text)
-		f.takeIn(p)
-	case f.now < p.busy:
+	case e.kind == messageEvent:
+		p.arrived = append(p.arrived, e.message)
+		f.receiveArrived(p)
+	case f.now < p.busyUntil:
 	default:
-		f.takeIn(p)
-		f.wake(p)
+		f.receiveArrived(p)
+		f.tickProcess(p)
 	}
 }
 
-// wake has a process do what is due, unless it has died or writes.
-func (f *Fleet) wake(p *process) {
-	if !p.up || f.now < p.busy {
+// tickProcess ticks a process's core if that is due, unless the process has crashed or is writing.
+func (f *Fleet) tickProcess(p *process) {
+	if !p.up || f.now < p.busyUntil {
 		return
 	}
 	if f.local(p) >= p.core.NextTick() {
 		p.core.Tick(f.local(p))
 	}
-	f.after(p)
+	f.afterEvent(p)
 }
 
-// takeIn has a process that does not write take in what has arrived.
-func (f *Fleet) takeIn(p *process) {
-	if len(p.arrived) == 0 || f.now < p.busy {
+// receiveArrived passes the arrived messages to a process, unless it is writing.
+func (f *Fleet) receiveArrived(p *process) {
+	if len(p.arrived) == 0 || f.now < p.busyUntil {
 		return
 	}
 	arrived := p.arrived
 	p.arrived = nil
 	p.core.Receive(f.local(p), arrived...)
-	f.after(p)
+	f.afterEvent(p)
 }
 
-// propose has a change proposed at some member: a ban or its lifting, mostly; now and then numbers for all members.
+// propose proposes a random change at a random member: usually a ban or its end, and sometimes new settings, new
+// numbers for all members, or a rollback.
 func (f *Fleet) propose() {
 	if f.now > time.Duration(f.config.Scenario.Length) {
 		return
 	}
-	f.push(event{at: f.now + time.Duration(float64(time.Second)*(0.5+f.dice.Float64())/f.config.Scenario.Changes), kind: propose})
-	p := f.procs[f.dice.IntN(len(f.procs))]
+	f.push(event{at: f.now + time.Duration(float64(time.Second)*(0.5+f.rng.Float64())/f.config.Scenario.Changes), kind: proposeEvent})
+	p := f.procs[f.rng.IntN(len(f.procs))]
 	if !p.up || p.paused {
 		return
 	}
-	c := rules.Change{ID: fmt.Sprintf("%016x", f.dice.Uint64()), Who: p.name, Why: "drawn"}
-	server := fmt.Sprintf("node-%02d", f.dice.IntN(f.servers))
-	_, out := p.standing.Meet().Bans[server]
-	switch d := f.dice.IntN(10); {
+	c := rules.Change{ID: fmt.Sprintf("%016x", f.rng.Uint64()), Who: p.name, Why: "drawn"}
+	server := fmt.Sprintf("node-%02d", f.rng.IntN(f.servers))
+	_, banned := p.status.Meet().Bans[server]
+	switch d := f.rng.IntN(10); {
 	case d == 0:
-		c.Kind, c.Settings = rules.Configure, &rules.Settings{Quota: 0.5 + f.dice.Float64()/2, Classes: map[string]rules.Class{"hold": {NoRepeat: f.dice.IntN(2) == 0}}}
+		c.Kind, c.Settings = rules.Configure, &rules.Settings{Quota: 0.5 + f.rng.Float64()/2, Classes: map[string]rules.Class{"hold": {NoRepeat: f.rng.IntN(2) == 0}}}
 	case d == 2:
 		c.Kind, c.Numbers = rules.Renumber, map[string]int{}
-		for i, n := range f.numbers.Perm(len(f.procs)) {
+		for i, n := range f.numbersRNG.Perm(len(f.procs)) {
 			c.Numbers[f.procs[i].name] = n
 		}
-	case d == 1 && p.standing.InForce.Number > 1:
-		c.Kind, c.ToVersion = rules.Rollback, p.standing.InForce.Number-1
-	case out:
+	case d == 1 && p.status.InForce.Number > 1:
+		c.Kind, c.ToVersion = rules.Rollback, p.status.InForce.Number-1
+	case banned:
 		c.Kind, c.Server = rules.Resume, server
 	default:
 		c.Kind, c.Server = rules.Suspend, server
@@ -529,22 +532,22 @@
 	if err := p.core.Propose(f.local(p), c); err != nil {
 		f.Results.Refused++
 	}
-	f.after(p)
+	f.afterEvent(p)
 }
 
-// led notes for how long nobody leads.
-func (f *Fleet) led() {
+// checkLeader records the durations without a leader.
+func (f *Fleet) checkLeader() {
 	if slices.ContainsFunc(f.procs, func(p *process) bool { return p.up && !p.paused && p.core.IsLeader() }) {
-		if f.leaderless > 0 {
-			f.Results.Leaderless = append(f.Results.Leaderless, f.now-f.leaderless)
+		if f.leaderlessSince > 0 {
+			f.Results.Leaderless = append(f.Results.Leaderless, f.now-f.leaderlessSince)
 		}
-		f.leaderless, f.everLed = 0, true
-	} else if f.everLed && f.leaderless == 0 {
-		f.leaderless = f.now
+		f.leaderlessSince, f.everLed = 0, true
+	} else if f.everLed && f.leaderlessSince == 0 {
+		f.leaderlessSince = f.now
 	}
 }
 
-// countLost notes the leases that have run out.
+// countLost counts the leases that have expired.
 func (f *Fleet) countLost() {
 	for _, p := range f.procs {
 		leased := p.up && !p.paused && p.basis != nil && p.basis.Mode(f.local(p)) == accord.Leased
@@ -555,9 +558,10 @@
 	}
 }
 
-// read takes what each proxy with a lease acts on for an answer to a read: one that began once a version was in force anywhere has
-// to know that version (a regular register, Lamport 1986). That two who read at one time see the same is neither promised nor so.
-func (f *Fleet) read() {
+// checkReads treats the rules that each proxy with a lease applies as the result of a read: a read that starts after a
+// version is in force anywhere must know that version (a regular register, Lamport 1986). Two simultaneous reads may
+// see different versions.
+func (f *Fleet) checkReads() {
 	newest := map[uint64]uint64{} // in force, by log
 	var readers []*process
 	for _, p := range f.procs {
@@ -573,11 +577,12 @@
 	}
 }
 
-// look is the checker: it compares what each proxy acts on with what every other holds to be in force.
-func (f *Fleet) look() {
-	f.led()
+// checkContradictions compares the rules that each proxy applies with those that every other proxy with a lease holds
+// to be in force. It also runs the other periodic checks.
+func (f *Fleet) checkContradictions() {
+	f.checkLeader()
 	f.countLost()
-	f.read()
+	f.checkReads()
 	type known struct {
 		inForce, last uint64
 		digest        rules.Digest
@@ -585,7 +590,7 @@
 	forbidding := map[known]*rules.Status{}
 	for _, q := range f.procs {
 		if q.up && !q.paused && q.basis != nil && q.basis.Mode(f.local(q)) == accord.Leased {
-			forbidding[known{q.standing.InForce.Number, q.standing.Last(), q.digest}] = &q.standing
+			forbidding[known{q.status.InForce.Number, q.status.Last(), q.digest}] = &q.status
 		}
 	}
 	for _, p := range f.procs {
@@ -594,8 +599,8 @@
 		}
 		mode := p.basis.Mode(f.local(p))
 		if _, same := forbidding[known{p.basis.Version, p.basis.Last, p.digest}]; same && len(forbidding) == 1 {
-			clear(p.breach)
-			continue // what all hold cannot contradict itself
+			clear(p.breaches)
+			continue // all proxies have the same rules, which cannot contradict themselves
 		}
 		doc := p.basis.Doc
 		if mode == accord.Alone {
@@ -604,13 +609,13 @@
 		now := map[string]time.Duration{}
 		if mode != accord.Inactive {
 			for _, q := range forbidding {
-				for _, b := range against(doc, q) {
-					since, before := p.breach[b]
+				for _, b := range contradictions(doc, q) {
+					since, before := p.breaches[b]
 					if !before {
 						since = f.now
 					}
 					now[b] = since
-					if lasted := f.now - since + tick; mode == accord.Leased {
+					if lasted := f.now - since + checkInterval; mode == accord.Leased {
 						f.Results.LeasedBreach = max(f.Results.LeasedBreach, lasted)
 					} else {
 						f.Results.AloneBreach = max(f.Results.AloneBreach, lasted)
@@ -618,9 +623,9 @@
 				}
 			}
 		}
-		p.breach = now
+		p.breaches = now
 	}
-	f.waiting = slices.DeleteFunc(f.waiting, func(a acked) bool {
+	f.awaitingForce = slices.DeleteFunc(f.awaitingForce, func(a acknowledgedChange) bool {
 		for _, p := range f.procs {
 			if p.up && !p.paused && p.basis.Mode(f.local(p)) == accord.Leased && p.basis.Version < a.version {
 				return false
@@ -631,17 +636,18 @@
 	})
 }
 
-// against is what a document allows and a standing forbids, under the version in force there and all that are on their way.
-func against(doc *rules.Document, q *rules.Status) []string {
+// contradictions returns what a document allows although a status forbids it, under its version in force and under all
+// pending ones.
+func contradictions(doc *rules.Document, q *rules.Status) []string {
 	found := rules.Breaches(doc, &q.InForce.Doc)
 	for i := range q.Pending {
-		also := rules.Breaches(doc, &q.Pending[i].Doc)
-		found = slices.DeleteFunc(found, func(b string) bool { return !slices.Contains(also, b) })
+		pending := rules.Breaches(doc, &q.Pending[i].Doc)
+		found = slices.DeleteFunc(found, func(b string) bool { return !slices.Contains(pending, b) })
 	}
 	return found
 }
 
-func (f *Fleet) act(a story.Act) {
+func (f *Fleet) applyFault(a story.Act) {
 	e := f.config.Scenario.Events[a.Event]
 	if e.Network() {
 		if a.End {
@@ -652,11 +658,11 @@
 		}
 		return
 	}
-	who := e.Who
-	if len(who) == 0 {
-		who = f.config.Scenario.Names()
+	members := e.Who
+	if len(members) == 0 {
+		members = f.config.Scenario.Names()
 	}
-	for _, name := range who {
+	for _, name := range members {
 		p := f.byName[name]
 		if p == nil {
 			continue
@@ -675,54 +681,55 @@
 			p.paused = p.up
 		case e.Do == story.Pause && p.paused:
 			p.paused = false
-			f.look() // it may act before it has seen to anything
+			f.checkContradictions() // it may send a request before it handles any event
 			inbox := p.inbox
 			p.inbox = nil
 			for _, e := range inbox {
 				f.deliver(e)
 			}
-			f.after(p)
+			f.afterEvent(p)
 		}
 	}
 }
 
-// Refound has a member go on alone as a keeper, as an operator does.
+// Refound makes a member refound the log alone, as an operator does.
 func (f *Fleet) Refound(name string) error {
 	p := f.byName[name]
 	if !p.up || p.paused {
-		return errors.New("model: it is not there")
+		return errors.New("model: the member is not running")
 	}
-	defer f.after(p)
+	defer f.afterEvent(p)
 	return p.core.Refound(f.local(p))
 }
 
-// Fill makes a member's disk full, for good.
-func (f *Fleet) FillDisk(name string) { f.byName[name].full = true }
+// FillDisk makes a member's disk full, permanently.
+func (f *Fleet) FillDisk(name string) { f.byName[name].diskFull = true }
 
-// Propose has a change proposed at a member.
+// Propose proposes a change at a member.
 func (f *Fleet) Propose(name string, c rules.Change) error {
 	p := f.byName[name]
 	f.proposed[c.ID] = f.now
-	defer f.after(p)
+	defer f.afterEvent(p)
 	return p.core.Propose(f.local(p), c)
 }
 
-// Down kills a member's process, and Up starts it.
+// Kill kills a member's process.
 func (f *Fleet) Kill(name string) { f.stop(f.byName[name]) }
 
-// Up starts a member's process.
+// Start starts a member's process.
 func (f *Fleet) Start(name string) { f.start(f.byName[name]) }
 
-// Mode is on what a member acts.
+// Mode returns the mode of a member.
 func (f *Fleet) Mode(name string) accord.Mode {
 	p := f.byName[name]
 	return p.basis.Mode(f.local(p))
 }
 
-// Standing is what a member acts on.
-func (f *Fleet) Standing(name string) rules.Status { return f.byName[name].standing }
+// Status returns the rules that a member applies.
+func (f *Fleet) Status(name string) rules.Status { return f.byName[name].status }
 
-// Judge says at the end of a play what must not be: whether all that was acknowledged is there, and everybody agrees.
+// Check verifies at the end of a run that no acknowledged change is lost and that all running members have a lease on
+// the same version.
 func (f *Fleet) Check() {
 	var newest *rules.Status
 	for _, p := range f.procs {
@@ -731,7 +738,7 @@
 		}
 		r := p.core.Report(f.local(p))
 		if mode := p.basis.Mode(f.local(p)); mode != accord.Leased {
-			f.wrong("%s is %v at the end (leader %q)", p.name, mode, r.Leader)
+			f.recordViolation("%s is %v at the end (leader %q)", p.name, mode, r.Leader)
 		}
 		if newest == nil || r.Status.NewerThan(newest) {
 			s := r.Status
@@ -739,20 +746,20 @@
 		}
 	}
 	if newest == nil {
-		f.wrong("nobody is left")
+		f.recordViolation("no member is running at the end")
 		return
 	}
 	for _, p := range f.procs {
-		if p.up && !p.paused && p.standing.InForce.Number != newest.InForce.Number {
-			f.wrong("%s has version %d in force at the end; the newest is %d", p.name, p.standing.InForce.Number, newest.InForce.Number)
+		if p.up && !p.paused && p.status.InForce.Number != newest.InForce.Number {
+			f.recordViolation("%s has version %d in force at the end; the newest is %d", p.name, p.status.InForce.Number, newest.InForce.Number)
 		}
 	}
-	for _, a := range f.acked {
+	for _, a := range f.acknowledged {
 		if a.version > newest.Last() {
-			f.wrong("version %d was acknowledged, and the newest is %d", a.version, newest.Last())
+			f.recordViolation("version %d was acknowledged, but the newest is %d", a.version, newest.Last())
 		}
-		if f.known[a.version] != a.id {
-			f.wrong("change %s was acknowledged as version %d, which is %s", a.id, a.version, f.known[a.version])
+		if f.changeByVersion[a.version] != a.id {
+			f.recordViolation("change %s was acknowledged as version %d, which is change %s", a.id, a.version, f.changeByVersion[a.version])
 		}
 	}
 }
--- a/internal/cluster/accord/store/store.go
+++ b/internal/cluster/accord/store/store.go
@@ -1,6 +1,6 @@
-// Package store keeps a keeper's log, and what a proxy last acted on, in one file of a folder. A write holds once it has
-// returned. What is torn, broken, another fleet's or another proxy's is set aside under another name and told; it never keeps a
-// process from starting.
+// Package store stores a voter's log, and the rules that a proxy last applied, in one file of a folder. A write is
+// durable once it has returned. A file that is truncated, damaged, or of another fleet or proxy is renamed and
+// reported; it never prevents a process from starting.
 package store
 
 import (
@@ -26,28 +26,28 @@
 )
 
 const (
-	file = "rules.db"
-	// form is that of the file; another one is not read.
-	form = 1
-	// lockTime is how long another process of this proxy, which is about to end, is waited for.
-	lockTime = 200 * time.Millisecond
-	// mostEntry bounds what is read of one entry.
-	mostEntry = 8 << 20
+	fileName = "rules.db"
+	// fileForm is the form of the file. Files of other forms are not read.
+	fileForm = 1
+	// lockTimeout is the time to wait for the file lock of another process of this proxy, which is about to exit.
+	lockTimeout = 200 * time.Millisecond
+	// maxEntryBytes bounds the size of a stored entry.
+	maxEntryBytes = 8 << 20
 )
 
 var (
-	about   = []byte("about")
-	entries = []byte("entries")
-	log     = []byte("log")
+	aboutBucket   = []byte("about")
+	entriesBucket = []byte("entries")
+	logBucket     = []byte("log")
 
 	keyOwner    = []byte("owner")
-	keyStore    = []byte("store")
+	keyLogID    = []byte("store")
 	keyHard     = []byte("hard")
 	keySnapshot = []byte("snapshot")
-	keyActs     = []byte("acts")
+	keyRules    = []byte("acts")
 )
 
-// owner says whose file it is.
+// owner identifies the fleet and the proxy that a file belongs to.
 type owner struct {
 	Form  int    `cbor:"1,keyasint"`
 	Fleet string `cbor:"2,keyasint"`
@@ -56,19 +56,19 @@
 
 // Store is an open file. Its methods may be called at any time.
 type Store struct {
-	mu     sync.Mutex
-	db     *bbolt.DB
-	broken bool
+	mu      sync.Mutex
+	db      *bbolt.DB
+	damaged bool
 }
 
-// Open opens a folder's file, or makes one. aside is where a file that is not to be used was put, "" if there was none, and why
-// says what is wrong with it.
+// Open opens a folder's file, or creates it. aside is the new name of a file that could not be used, "" if there was
+// none, and why is the reason.
 func Open(folder, fleet, name string) (s *Store, aside string, why error, err error) {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, "", nil, fmt.Errorf("store: %w", err)
 	}
-	path := filepath.Join(folder, file)
-	own := owner{form, fleet, name}
+	path := filepath.Join(folder, fileName)
+	own := owner{fileForm, fleet, name}
 	db, why := open(path, own)
 	if errors.Is(why, bolterrors.ErrTimeout) || errors.Is(why, os.ErrPermission) {
 		return nil, "", nil, fmt.Errorf("store: %s: %w", path, why)
@@ -84,79 +84,81 @@
 	return &Store{db: db}, aside, why, nil
 }
 
-// open opens a file and looks whether it is sound and its owner's.
+// open opens a file and checks its content and its owner.
 func open(path string, own owner) (db *bbolt.DB, err error) {
-	err = guarded(func() error {
+	err = recoverPanics(func() error {
 		var err error
-		if db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTime}); err != nil {
+		if db, err = bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout}); err != nil {
 			return err
 		}
-		return take(db, own)
+		return checkOwner(db, own)
 	})
 	if err != nil && db != nil {
-		guarded(db.Close) // of no use any more, whatever it says
+		recoverPanics(db.Close) // the file is not used anymore, so an error does not matter
 		db = nil
 	}
 	return db, err
 }
 
-// guarded runs what works on a file, and makes an error of a panic. The library takes what it reads for granted, and reads by a
-// mapping: beyond the end of a file that is torn there is nothing, which is a fault and not an error.
+// recoverPanics runs an operation on a file and turns a panic into an error. The library does not check what it reads,
+// and reads from a memory mapping: an access beyond the end of a truncated file is a memory fault and not an error.
 //
-// It guards against a disk that ends the process. It may harm where a write has been begun: the file is not used after it.
-func guarded(f func() error) (err error) {
+// This keeps a damaged disk from ending the process. A panic may leave a write incomplete, so the file is not used
+// afterwards.
+func recoverPanics(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
-			err = fmt.Errorf("broken: %v", r)
+			err = fmt.Errorf("damaged: %v", r)
 		}
 	}()
 	return f()
 }
 
-// take looks whether an open file is its owner's, and makes it so if it is new. All that is there is read, in this goroutine.
-func take(db *bbolt.DB, own owner) error {
+// checkOwner checks that an open file belongs to its owner, and records the owner in a new file. It reads the whole
+// file, in this goroutine, because recoverPanics recovers from faults of its own goroutine only.
+func checkOwner(db *bbolt.DB, own owner) error {
 	return db.Update(func(tx *bbolt.Tx) error {
 		err := tx.ForEach(func(_ []byte, b *bbolt.Bucket) error { return b.ForEach(func(_, _ []byte) error { return nil }) })
 		if err != nil {
-			return fmt.Errorf("broken: %w", err)
+			return fmt.Errorf("damaged: %w", err)
 		}
-		b, err := tx.CreateBucketIfNotExists(about)
+		b, err := tx.CreateBucketIfNotExists(aboutBucket)
 		if err != nil {
 			return err
 		}
-		for _, name := range [][]byte{entries, log} {
+		for _, name := range [][]byte{entriesBucket, logBucket} {
 			if _, err := tx.CreateBucketIfNotExists(name); err != nil {
 				return err
 			}
 		}
-		text := b.Get(keyOwner)
-		if text == nil {
-			text, err := cbor.Marshal(own)
+		data := b.Get(keyOwner)
+		if data == nil {
+			data, err := cbor.Marshal(own)
 			if err != nil {
 				return err
 			}
-			return b.Put(keyOwner, text)
+			return b.Put(keyOwner, data)
 		}
-		var is owner
-		if err := cbor.Unmarshal(text, &is); err != nil {
-			return fmt.Errorf("broken: %w", err)
+		var stored owner
+		if err := cbor.Unmarshal(data, &stored); err != nil {
+			return fmt.Errorf("damaged: %w", err)
 		}
-		if is != own {
-			return fmt.Errorf("it is of fleet %q, proxy %q, form %d", is.Fleet, is.Name, is.Form)
+		if stored != own {
+			return fmt.Errorf("the file belongs to fleet %q, proxy %q, and has form %d", stored.Fleet, stored.Name, stored.Form)
 		}
 		return nil
 	})
 }
 
-// Load reads all that is stored.
+// Load returns all that is stored.
 func (s *Store) Load() (accord.Stored, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var stored accord.Stored
-	err := s.work(s.db.View, func(tx *bbolt.Tx) error {
-		l := tx.Bucket(log)
-		if b := l.Get(keyStore); len(b) == 8 {
+	err := s.transact(s.db.View, func(tx *bbolt.Tx) error {
+		l := tx.Bucket(logBucket)
+		if b := l.Get(keyLogID); len(b) == 8 {
 			stored.LogID = binary.BigEndian.Uint64(b)
 		}
 		if b := l.Get(keyHard); b != nil {
@@ -171,7 +173,7 @@
 				return fmt.Errorf("snapshot: %w", err)
 			}
 		}
-		if b := tx.Bucket(about).Get(keyActs); b != nil {
+		if b := tx.Bucket(aboutBucket).Get(keyRules); b != nil {
 			stored.Rules = &rules.Status{}
 			if err := cbor.Unmarshal(b, stored.Rules); err != nil {
 				return fmt.Errorf("rules: %w", err)
@@ -180,9 +182,9 @@
 				return err
 			}
 		}
-		return tx.Bucket(entries).ForEach(func(key, b []byte) error {
+		return tx.Bucket(entriesBucket).ForEach(func(key, b []byte) error {
 			e := &raftpb.Entry{}
-			if len(key) != 8 || len(b) > mostEntry {
+			if len(key) != 8 || len(b) > maxEntryBytes {
 				return fmt.Errorf("entry %x: %d bytes", key, len(b))
 			}
 			if err := proto.Unmarshal(b, e); err != nil {
@@ -201,14 +203,14 @@
 	return stored, nil
 }
 
-// Save makes a record last: it is on disk, whole, once this has returned.
+// Save writes a record. All of it is on disk once Save has returned without an error.
 func (s *Store) Save(r *accord.Record) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	err := s.work(s.db.Update, func(tx *bbolt.Tx) error {
-		l := tx.Bucket(log)
+	err := s.transact(s.db.Update, func(tx *bbolt.Tx) error {
+		l := tx.Bucket(logBucket)
 		id := binary.BigEndian.AppendUint64(nil, r.LogID)
-		if string(l.Get(keyStore)) != string(id) { // a log begun anew
+		if string(l.Get(keyLogID)) != string(id) { // a new log
 			for _, key := range [][]byte{keyHard, keySnapshot} {
 				if err := l.Delete(key); err != nil {
 					return err
@@ -217,7 +219,7 @@
 			if err := clearEntries(tx); err != nil {
 				return err
 			}
-			if err := l.Put(keyStore, id); err != nil {
+			if err := l.Put(keyLogID, id); err != nil {
 				return err
 			}
 		}
@@ -236,7 +238,7 @@
 				}
 			}
 		}
-		return saveEntries(tx.Bucket(entries), r)
+		return saveEntries(tx.Bucket(entriesBucket), r)
 	})
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
@@ -245,25 +247,25 @@
 }
 
 func clearEntries(tx *bbolt.Tx) error {
-	if err := tx.DeleteBucket(entries); err != nil {
+	if err := tx.DeleteBucket(entriesBucket); err != nil {
 		return err
 	}
-	_, err := tx.CreateBucket(entries)
+	_, err := tx.CreateBucket(entriesBucket)
 	return err
 }
 
 func saveEntries(b *bbolt.Bucket, r *accord.Record) error {
 	if len(r.Entries) > 0 {
-		// What is there from the first one's index on is replaced.
-		first := index(r.Entries[0].GetIndex())
+		// These entries replace all stored ones from the index of the first one on.
+		first := entryKey(r.Entries[0].GetIndex())
 		c := b.Cursor()
-		for key, _ := c.Seek(first); key != nil; key, _ = c.Seek(first) { // after a Delete, Next may pass one over
+		for key, _ := c.Seek(first); key != nil; key, _ = c.Seek(first) { // after a Delete, Next may skip an entry
 			if err := c.Delete(); err != nil {
 				return err
 			}
 		}
 		for _, e := range r.Entries {
-			if err := put(b, index(e.GetIndex()), e); err != nil {
+			if err := put(b, entryKey(e.GetIndex()), e); err != nil {
 				return err
 			}
 		}
@@ -280,59 +282,59 @@
 	return nil
 }
 
-func index(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
+func entryKey(i uint64) []byte { return binary.BigEndian.AppendUint64(nil, i) }
 
 func put(b *bbolt.Bucket, key []byte, m proto.Message) error {
-	text, err := proto.Marshal(m)
+	data, err := proto.Marshal(m)
 	if err != nil {
 		return err
 	}
-	return b.Put(key, text)
+	return b.Put(key, data)
 }
 
-// SaveActs keeps what this proxy acts on, for a start at which no keeper is reached. It is no lease.
-func (s *Store) SaveRules(acts *rules.Status) error {
-	text, err := cbor.Marshal(acts)
+// SaveRules stores the rules that this proxy applies, for a start at which no voter can be reached. They give no lease.
+func (s *Store) SaveRules(status *rules.Status) error {
+	data, err := cbor.Marshal(status)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.work(s.db.Update, func(tx *bbolt.Tx) error { return tx.Bucket(about).Put(keyActs, text) }); err != nil {
+	if err := s.transact(s.db.Update, func(tx *bbolt.Tx) error { return tx.Bucket(aboutBucket).Put(keyRules, data) }); err != nil {
 		return fmt.Errorf("store: %w", err)
 	}
 	return nil
 }
 
-// work reads or writes, unless a panic has shown the file to be broken before: the library is then in no state to be asked.
-func (s *Store) work(in func(func(*bbolt.Tx) error) error, f func(*bbolt.Tx) error) error {
-	if s.broken {
-		return errBroken
+// transact runs a transaction, unless an earlier one panicked: the library's state is undefined after a panic.
+func (s *Store) transact(in func(func(*bbolt.Tx) error) error, f func(*bbolt.Tx) error) error {
+	if s.damaged {
+		return errDamaged
 	}
-	s.broken = true
-	err := guarded(func() error {
+	s.damaged = true
+	err := recoverPanics(func() error {
 		err := in(f)
-		s.broken = false
+		s.damaged = false
 		return err
 	})
 	return err
 }
 
-var errBroken = errors.New("the file was found broken")
+var errDamaged = errors.New("the file is damaged")
 
 // Close closes the file.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.broken {
-		return errBroken
+	if s.damaged {
+		return errDamaged
 	}
 	return s.db.Close()
 }
 
-// SetAside puts a folder's file, which is not to be used, under another name, and returns that.
+// SetAside renames a folder's file that must not be used, and returns its new name.
 func SetAside(folder string) (aside string, err error) {
-	path := filepath.Join(folder, file)
+	path := filepath.Join(folder, fileName)
 	aside = fmt.Sprintf("%s.aside-%d", path, int64(clock.Wall()/time.Second))
 	if err := os.Rename(path, aside); err != nil {
 		return "", fmt.Errorf("store: %w", err)
