--- a/internal/cluster/agreement/node.go
+++ b/internal/cluster/agreement/node.go
@@ -37,17 +37,17 @@
 const (
 	// mostWaiting messages, and as many events, stand before the owner; those beyond are dropped, as the network would. After a change each of 1,400
 	// holders of leases acknowledges within milliseconds, and a second step follows at once; renewals come beside both.
-	mostWaiting = 4096
+	maxQueued = 4096
 	// mostTogether messages that wait are taken in together: a voter writes its disk once for them. Between two such batches the owner
 	// does what is due.
-	mostTogether = 512
+	maxBatch = 512
 	// openEvery is between tries for a file that the process before this one still holds.
-	openEvery = 100 * time.Millisecond
+	reopenInterval = 100 * time.Millisecond
 	// lookEvery is between two looks at on what this proxy acts, beside those after each event.
-	lookEvery = 50 * time.Millisecond
+	modeCheckInterval = 50 * time.Millisecond
 	// planEvery is between two looks of a leader at the proxies' numbers. A look goes over all proxies, and with each event, of which a
 	// leader has several a second from each proxy, its cost would grow with the square of their number.
-	planEvery = 250 * time.Millisecond
+	planInterval = 250 * time.Millisecond
 )
 
 // Config is what a node is told.
@@ -74,27 +74,27 @@
 	// messages are those from other proxies, as they came.
 	messages chan *accord.Message
 	events   chan event
-	asks     chan event   // from this process's own, never dropped
-	late     atomic.Int64 // messages that found the owner's line full
+	requests chan event   // from this process's own, never dropped
+	dropped  atomic.Int64 // messages that found the owner's line full
 	basis    atomic.Pointer[accord.Basis]
 	// leaving: this process hands over to another of its proxy, and acts until its end on what it knows.
-	leaving   atomic.Bool
-	addresses atomic.Pointer[map[string]string] // of members, by name
-	mode      accord.Mode                       // the owner's, as last logged
-	told      bool
-	unkept    bool                     // that it cannot be stored has been told
-	planner   *numbering.Planner       // the owner's; nil where numbers do not follow who lives
-	nextPlan  time.Duration            // the owner's; when it next looks at the numbers
-	held      atomic.Pointer[[]string] // backends that this process goes on with though the newest list leaves them out
+	handedOver   atomic.Bool
+	addresses    atomic.Pointer[map[string]string] // of members, by name
+	mode         accord.Mode                       // the owner's, as last logged
+	modeLogged   bool
+	saveFailed   bool                     // that it cannot be stored has been told
+	planner      *numbering.Planner       // the owner's; nil where numbers do not follow who lives
+	nextPlan     time.Duration            // the owner's; when it next looks at the numbers
+	heldBackends atomic.Pointer[[]string] // backends that this process goes on with though the newest list leaves them out
 
 	mu        sync.Mutex
 	followers []func(*accord.Basis)
 	answers   map[string]chan rules.Answer
 
-	ctx     context.Context
-	cancel  context.CancelFunc
-	running sync.WaitGroup
-	closing sync.Once
+	ctx       context.Context
+	cancel    context.CancelFunc
+	running   sync.WaitGroup
+	closeOnce sync.Once
 }
 
 // Clock is time that goes on while the machine sleeps too: a lease must not outlast that.
@@ -108,11 +108,11 @@
 
 // Open begins a proxy's part.
 func Open(c Config, carrier cluster.Carrier) (*Node, error) {
-	if c.Volatile && c.Options.keeps(c.Name) {
+	if c.Volatile && c.Options.isVoter(c.Name) {
 		return nil, fmt.Errorf("rules: %s is a keeper, which needs a folder", c.Name)
 	}
 	n := &Node{
-		config: c, carrier: carrier, messages: make(chan *accord.Message, mostWaiting), events: make(chan event, mostWaiting), asks: make(chan event),
+		config: c, carrier: carrier, messages: make(chan *accord.Message, maxQueued), events: make(chan event, maxQueued), requests: make(chan event),
 		answers: map[string]chan rules.Answer{},
 	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
@@ -134,11 +134,11 @@
 		n.closeStore()
 		return nil, fmt.Errorf("rules: %w", err)
 	}
-	carrier.OnParcel(n.parcel)
-	carrier.Follow(n.members)
-	n.running.Go(n.own)
+	carrier.OnParcel(n.onPayload)
+	carrier.Follow(n.onMembers)
+	n.running.Go(n.run)
 	if later {
-		n.running.Go(n.openLater)
+		n.running.Go(n.retryOpenStore)
 	}
 	return n, nil
 }
@@ -150,15 +150,15 @@
 		return stored, false, nil
 	}
 	for range 2 {
-		disk, aside, why, err := store.Open(c.Options.Folder, c.Fleet, c.Name)
+		disk, setAside, reason, err := store.Open(c.Options.Folder, c.Fleet, c.Name)
 		switch {
 		case errors.Is(err, bolterrors.ErrTimeout):
 			return stored, true, nil
 		case err != nil:
 			c.Log.Error(LogSelf, "what", "the folder cannot be used; this proxy keeps nothing", "error", err)
 			return stored, true, nil
-		case aside != "":
-			c.Log.Error(LogSelf, "what", "the file in the folder is not used, and was set aside", "file", aside, "error", why)
+		case setAside != "":
+			c.Log.Error(LogSelf, "what", "the file in the folder is not used, and was set aside", "file", setAside, "error", reason)
 		}
 		if stored, err = disk.Load(); err == nil {
 			n.disk.Store(disk)
@@ -175,12 +175,12 @@
 }
 
 // openLater makes this proxy a keeper once the process before it has let go of the folder.
-func (n *Node) openLater() {
+func (n *Node) retryOpenStore() {
 	for {
 		select {
 		case <-n.ctx.Done():
 			return
-		case <-time.After(openEvery):
+		case <-time.After(reopenInterval):
 		}
 		disk, _, _, err := store.Open(n.config.Options.Folder, n.config.Fleet, n.config.Name)
 		if err != nil {
@@ -193,7 +193,7 @@
 			return
 		}
 		n.disk.Store(disk)
-		n.ask(n.ctx, func(c *accord.Core, now time.Duration) {
+		n.do(n.ctx, func(c *accord.Core, now time.Duration) {
 			if err := c.Keep(now, stored); err != nil {
 				n.config.Log.Error(LogSelf, "what", "this proxy keeps nothing", "error", err)
 			}
@@ -209,56 +209,56 @@
 }
 
 // own is the goroutine that the core belongs to.
-func (n *Node) own() {
+func (n *Node) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		timer.Reset(min(n.core.Next()-Clock(), lookEvery))
+		timer.Reset(min(n.core.Next()-Clock(), modeCheckInterval))
 		select {
 		case <-n.ctx.Done():
 			return
 		case m := <-n.messages:
-			together := n.waiting(m)
-			n.core.Receive(Clock(), together...) // the clock is read once all of them have come
+			messages := n.batch(m)
+			n.core.Receive(Clock(), messages...) // the clock is read once all of them have come
 		case e := <-n.events:
 			e(n.core, Clock())
-		case e := <-n.asks:
+		case e := <-n.requests:
 			e(n.core, Clock())
 		case <-timer.C:
 		}
 		if now := Clock(); now >= n.core.Next() {
 			n.core.Wake(now)
 		}
-		n.look()
-		n.number()
+		n.logMode()
+		n.proposeNumbers()
 	}
 }
 
 // Late is how many messages were dropped since the start, as too many stood before the owner.
-func (n *Node) Late() int64 { return n.late.Load() }
+func (n *Node) Late() int64 { return n.dropped.Load() }
 
 // waiting is a message with those that wait behind it, as many as are taken in together.
-func (n *Node) waiting(first *accord.Message) []*accord.Message {
-	together := []*accord.Message{first}
-	for len(together) < mostTogether {
+func (n *Node) batch(first *accord.Message) []*accord.Message {
+	messages := []*accord.Message{first}
+	for len(messages) < maxBatch {
 		select {
 		case m := <-n.messages:
-			together = append(together, m)
+			messages = append(messages, m)
 		default:
-			return together
+			return messages
 		}
 	}
-	return together
+	return messages
 }
 
 // number proposes other own numbers for the proxies, where this one leads and they are due.
-func (n *Node) number() {
+func (n *Node) proposeNumbers() {
 	now := Clock()
 	b := n.basis.Load()
 	if n.planner == nil || now < n.nextPlan || !n.core.Leads() || b.Settled == nil || b.Mode(now) != accord.Leased {
 		return
 	}
-	n.nextPlan = now + planEvery
+	n.nextPlan = now + planInterval
 	numbers, due := n.planner.Plan(now, b.Settled.Numbers)
 	if !due {
 		return
@@ -274,25 +274,25 @@
 
 // Number is this proxy's agreed own number, of how many, on a basis; ok is false where it has none, or the change that gives it is
 // on its way.
-func (n *Node) Number(b *accord.Basis) (self, of int, ok bool) {
+func (n *Node) Number(b *accord.Basis) (index, total int, ok bool) {
 	if b.Settled == nil {
 		return 0, 0, false
 	}
-	self, ok = b.Settled.Numbers[n.config.Name]
-	return self, len(b.Settled.Numbers), ok && self < len(b.Settled.Numbers)
+	index, ok = b.Settled.Numbers[n.config.Name]
+	return index, len(b.Settled.Numbers), ok && index < len(b.Settled.Numbers)
 }
 
 // ListDrop is the share of the backends that lists may leave out at once; 1 for any.
 func (n *Node) ListDrop() float64 { return n.config.Options.Drop }
 
 // Hold takes in which backends this process goes on with though the newest list leaves them out, for people.
-func (n *Node) Hold(ids []string) { n.held.Store(&ids) }
+func (n *Node) Hold(ids []string) { n.heldBackends.Store(&ids) }
 
 // look logs on what this proxy acts, if that has changed.
-func (n *Node) look() {
+func (n *Node) logMode() {
 	b := n.basis.Load()
-	if mode := b.Mode(Clock()); mode != n.mode || !n.told {
-		n.mode, n.told = mode, true
+	if mode := b.Mode(Clock()); mode != n.mode || !n.modeLogged {
+		n.mode, n.modeLogged = mode, true
 		level := slog.LevelInfo
 		if mode != accord.Leased {
 			level = slog.LevelWarn
@@ -301,10 +301,10 @@
 	}
 }
 
-func (n *Node) ask(ctx context.Context, e event) bool {
+func (n *Node) do(ctx context.Context, e event) bool {
 	done := make(chan struct{})
 	select {
-	case n.asks <- func(c *accord.Core, now time.Duration) { defer close(done); e(c, now) }:
+	case n.requests <- func(c *accord.Core, now time.Duration) { defer close(done); e(c, now) }:
 		<-done
 		return true
 	case <-ctx.Done():
@@ -314,7 +314,7 @@
 }
 
 // parcel takes in what another proxy has sent.
-func (n *Node) parcel(body []byte) {
+func (n *Node) onPayload(body []byte) {
 	m, err := accord.Decode(body)
 	if err != nil {
 		n.config.Log.Debug("rules: a message is dropped", "error", err)
@@ -323,12 +323,12 @@
 	select {
 	case n.messages <- m:
 	default:
-		n.late.Add(1)
+		n.dropped.Add(1)
 	}
 }
 
 // members takes in who of the fleet is there, and where.
-func (n *Node) members(s view.Standing) {
+func (n *Node) onMembers(s view.Standing) {
 	addresses, living := s.Addresses()
 	n.addresses.Store(&addresses)
 	select {
@@ -385,10 +385,10 @@
 	if d := h.disk.Load(); d != nil {
 		err = d.SaveActs(s)
 	}
-	if err != nil && !h.unkept {
+	if err != nil && !h.saveFailed {
 		h.config.Log.Warn(LogSelf, "what", "what is acted on cannot be stored; a start that reaches no keeper will not know it", "error", err)
 	}
-	h.unkept = err != nil
+	h.saveFailed = err != nil
 }
 
 func (h host) Acts(b *accord.Basis) {
@@ -430,7 +430,7 @@
 
 // Follow tells f on what acts rest, now and after every change of the rules, from one goroutine at a time. f must not block.
 func (n *Node) Follow(f func(*accord.Basis)) {
-	n.ask(n.ctx, func(*accord.Core, time.Duration) {
+	n.do(n.ctx, func(*accord.Core, time.Duration) {
 		n.mu.Lock()
 		n.followers = append(n.followers, f)
 		n.mu.Unlock()
@@ -444,7 +444,7 @@
 // Rule says whether an act is allowed now, and on what that rests. It is to be asked right before the act.
 func (n *Node) Rule(s rules.Send) (rules.Ruling, rules.Ground) {
 	b := n.basis.Load()
-	if n.leaving.Load() {
+	if n.handedOver.Load() {
 		return b.Vague.Rule(s), rules.Ground{Version: b.Last}
 	}
 	now := Clock()
@@ -453,7 +453,7 @@
 
 // Mode is on what this proxy acts.
 func (n *Node) Mode() accord.Mode {
-	if n.leaving.Load() {
+	if n.handedOver.Load() {
 		return accord.Alone
 	}
 	return n.basis.Load().Mode(Clock())
@@ -492,7 +492,7 @@
 		delete(n.answers, c.ID)
 	}()
 	var err error
-	if !n.ask(ctx, func(core *accord.Core, now time.Duration) { err = core.Propose(now, c) }) {
+	if !n.do(ctx, func(core *accord.Core, now time.Duration) { err = core.Propose(now, c) }) {
 		return rules.Answer{}, ErrNoAnswer
 	}
 	if err != nil {
@@ -510,15 +510,15 @@
 // Refound has this keeper go on alone, in place of a majority that is lost for good: see accord.Core.
 func (n *Node) Refound(ctx context.Context) error {
 	err := ErrNoAnswer
-	n.ask(ctx, func(c *accord.Core, now time.Duration) { err = c.Refound(now) })
+	n.do(ctx, func(c *accord.Core, now time.Duration) { err = c.Refound(now) })
 	return err
 }
 
 // Close ends this process's part. With handOver another process of this proxy goes on; this one acts until its end on what it
 // knows, and repeats nothing.
 func (n *Node) Close(handOver bool) {
-	n.closing.Do(func() {
-		n.leaving.Store(handOver)
+	n.closeOnce.Do(func() {
+		n.handedOver.Store(handOver)
 		n.cancel()
 		n.running.Wait()
 		n.closeStore()
--- a/internal/cluster/agreement/node_test.go
+++ b/internal/cluster/agreement/node_test.go
@@ -35,17 +35,17 @@
 
 func (e end) Carry(to string, body []byte) {
 	e.mu.Lock()
-	take := e.nodes[to]
+	receive := e.nodes[to]
 	e.mu.Unlock()
-	if take != nil {
-		take(slices.Clone(body))
+	if receive != nil {
+		receive(slices.Clone(body))
 	}
 }
 
-func (e end) OnParcel(take func([]byte)) {
+func (e end) OnParcel(receive func([]byte)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.nodes[e.name] = take
+	e.nodes[e.name] = receive
 }
 
 func (e end) Follow(f func(view.Standing)) {
@@ -69,9 +69,9 @@
 }
 
 // until waits for what must come.
-func until(t *testing.T, what string, is func() bool) {
+func waitFor(t *testing.T, what string, cond func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !cond(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("not ", what)
 		}
@@ -86,13 +86,13 @@
 		folders[name] = t.TempDir()
 		nodes[name] = w.open(t, name, folders[name])
 	}
-	told := make(chan uint64, 100)
-	nodes["d"].Follow(func(b *accord.Basis) { told <- b.Version })
+	notified := make(chan uint64, 100)
+	nodes["d"].Follow(func(b *accord.Basis) { notified <- b.Version })
 	for name, n := range nodes {
-		until(t, name+" with a lease", func() bool { return n.Mode() == accord.Leased && n.Basis().Version == 1 })
+		waitFor(t, name+" with a lease", func() bool { return n.Mode() == accord.Leased && n.Basis().Version == 1 })
 	}
 	var a rules.Answer
-	until(t, "agreed", func() bool { // the keepers may still be coming together
+	waitFor(t, "agreed", func() bool { // the keepers may still be coming together
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		var err error
@@ -101,12 +101,12 @@
 	})
 	for _, name := range slices.Sorted(maps.Keys(nodes)) {
 		n := nodes[name]
-		until(t, name+" with it in force", func() bool { return n.Basis().Version >= a.Version })
+		waitFor(t, name+" with it in force", func() bool { return n.Basis().Version >= a.Version })
 		if ruling, ground := n.Rule(rules.Send{Server: "node-00"}); ruling != rules.Banned || ground.Version != a.Version || !ground.Leased {
 			t.Errorf("%s: %v by %+v", name, ruling, ground)
 		}
 	}
-	until(t, "told", func() bool { return <-told >= a.Version })
+	waitFor(t, "told", func() bool { return <-notified >= a.Version })
 	r, err := nodes["a"].Report(t.Context())
 	if err != nil || len(r.History) < 2 || r.Keepers == nil || len(r.Document.Bans) != 1 {
 		t.Errorf("%+v, %v", r, err)
@@ -119,14 +119,14 @@
 	for _, name := range []string{"a", "b", "c"} {
 		nodes[name].Close(false)
 	}
-	again := w.open(t, "d", folders["d"])
-	until(t, "alone", func() bool { return again.Mode() == accord.Alone })
-	if ruling, _ := again.Rule(rules.Send{Server: "node-00"}); ruling != rules.Banned {
+	restarted := w.open(t, "d", folders["d"])
+	waitFor(t, "alone", func() bool { return restarted.Mode() == accord.Alone })
+	if ruling, _ := restarted.Rule(rules.Send{Server: "node-00"}); ruling != rules.Banned {
 		t.Errorf("from the folder alone: %v", ruling)
 	}
 }
 
-func TestNobodyAnswers(t *testing.T) {
+func TestNoAnswerFromVoters(t *testing.T) {
 	w := &wire{nodes: map[string]func([]byte){}}
 	n := w.open(t, "d", t.TempDir())
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
@@ -140,7 +140,7 @@
 	if err := n.Refound(t.Context()); err == nil {
 		t.Error("one that is no keeper goes on alone")
 	}
-	n.parcel([]byte("no message"))
+	n.onPayload([]byte("no message"))
 	r, err := n.Report(t.Context())
 	if err != nil || fmt.Sprint(r.Keepers) != "map[]" {
 		t.Errorf("%+v, %v", r, err)
@@ -158,7 +158,7 @@
 func (c *topics) CarryLatest(to, topic string, _ []byte) { c.seen = append(c.seen, to+": "+topic) }
 
 // TestNewerGrantsAndTellsTakeTheirPlace: those of one kind for one proxy replace each other where they wait, and nothing else does.
-func TestNewerGrantsAndTellsTakeTheirPlace(t *testing.T) {
+func TestNewerMessagesReplaceQueued(t *testing.T) {
 	c := &topics{}
 	n := &Node{carrier: c}
 	n.addresses.Store(&map[string]string{"a": "at-a", "b": "at-b"})
@@ -178,19 +178,19 @@
 }
 
 // TestWhatWaitsIsTakenTogether: messages that wait are taken in in their order, so many at one time at most.
-func TestWhatWaitsIsTakenTogether(t *testing.T) {
+func TestQueuedMessagesAreBatched(t *testing.T) {
 	const more = 7
-	n := &Node{messages: make(chan *accord.Message, mostWaiting)}
-	for i := range mostTogether + more {
+	n := &Node{messages: make(chan *accord.Message, maxQueued)}
+	for i := range maxBatch + more {
 		n.messages <- &accord.Message{Seq: uint64(i)}
 	}
 	next := uint64(0)
-	for _, want := range []int{mostTogether, more} {
-		together := n.waiting(<-n.messages)
-		if len(together) != want {
-			t.Errorf("%d messages together; wanted %d", len(together), want)
+	for _, want := range []int{maxBatch, more} {
+		messages := n.batch(<-n.messages)
+		if len(messages) != want {
+			t.Errorf("%d messages together; wanted %d", len(messages), want)
 		}
-		for _, m := range together {
+		for _, m := range messages {
 			if m.Seq != next {
 				t.Fatalf("message %d came as %d", next, m.Seq)
 			}
@@ -201,7 +201,7 @@
 
 // TestProposalsThatWaitTogether: changes that are proposed while the leader's goroutine has other work go out to the others in a few
 // steps, and not in one each.
-func TestProposalsThatWaitTogether(t *testing.T) {
+func TestQueuedProposalsAreBatched(t *testing.T) {
 	const changes = 12
 	w := &wire{nodes: map[string]func([]byte){}}
 	nodes := map[string]*Node{}
@@ -209,10 +209,10 @@
 		nodes[name] = w.open(t, name, t.TempDir())
 	}
 	for name, n := range nodes {
-		until(t, name+" with a lease", func() bool { return n.Mode() == accord.Leased && n.Basis().Version == 1 })
+		waitFor(t, name+" with a lease", func() bool { return n.Mode() == accord.Leased && n.Basis().Version == 1 })
 	}
 	var leader *Node
-	until(t, "led by one that three vote for", func() bool {
+	waitFor(t, "led by one that three vote for", func() bool {
 		for _, n := range nodes {
 			if r, err := n.Report(t.Context()); err == nil && r.Leads && len(r.Keepers) == 3 {
 				leader = n
@@ -228,9 +228,9 @@
 		known[b.Last] = true
 	})
 
-	release, held := make(chan struct{}), make(chan struct{})
-	go leader.ask(leader.ctx, func(*accord.Core, time.Duration) { close(held); <-release })
-	<-held
+	release, blocked := make(chan struct{}), make(chan struct{})
+	go leader.do(leader.ctx, func(*accord.Core, time.Duration) { close(blocked); <-release })
+	<-blocked
 	var proposing sync.WaitGroup
 	for i := range changes {
 		proposing.Go(func() {
@@ -242,10 +242,10 @@
 			}
 		})
 	}
-	until(t, "waiting before the leader", func() bool { return len(leader.messages) >= changes })
+	waitFor(t, "waiting before the leader", func() bool { return len(leader.messages) >= changes })
 	close(release)
 	proposing.Wait()
-	until(t, "known", func() bool { return nodes["d"].Basis().Last == changes+1 })
+	waitFor(t, "known", func() bool { return nodes["d"].Basis().Last == changes+1 })
 	mu.Lock()
 	defer mu.Unlock()
 	t.Logf("d knew %d versions in %d steps", changes+1, len(known))
@@ -255,7 +255,7 @@
 }
 
 // TestWhatFindsNoRoomIsCounted: a message beyond those that may wait is dropped, and told among the figures.
-func TestWhatFindsNoRoomIsCounted(t *testing.T) {
+func TestDroppedMessagesAreCounted(t *testing.T) {
 	n := &Node{messages: make(chan *accord.Message, 1)}
 	n.basis.Store(&accord.Basis{})
 	body, err := (&accord.Message{Kind: accord.Renew, From: "a"}).Encode()
@@ -263,7 +263,7 @@
 		t.Fatal(err)
 	}
 	for range 3 {
-		n.parcel(body)
+		n.onPayload(body)
 	}
 	if n.Late() != 2 || len(n.messages) != 1 {
 		t.Errorf("%d were dropped, %d wait", n.Late(), len(n.messages))
--- a/internal/cluster/agreement/options.go
+++ b/internal/cluster/agreement/options.go
@@ -41,7 +41,7 @@
 		Absent:  "this proxy acts on its own files and on what is said at its own console.",
 		Present: &o.On,
 		Keys: []operator.Key{
-			operator.List("keepers", &o.Keepers, checkKeeper, "The names of 3, 5 or 7 proxies that hold the rules, the same list in the same order at all. The first founds. Put them where they do not fail together.").MustBeSet(),
+			operator.List("keepers", &o.Keepers, checkVoterName, "The names of 3, 5 or 7 proxies that hold the rules, the same list in the same order at all. The first founds. Put them where they do not fail together.").MustBeSet(),
 			operator.Path("folder", &o.Folder, "A folder that lasts, of this proxy alone. A keeper needs it; others know from it at a start what they last acted on.").MustBeSet(),
 			operator.Duration("lease", &o.Lease, 500*time.Millisecond, time.Minute, "How long a proxy acts on rules that no keeper has vouched for since; the same at all. A shorter one makes changes quicker while a proxy is lost, and costs more messages."),
 			operator.Float("list_drop", &o.Drop, 0.01, 1, "The share of the backends in service that lists may leave out within a minute. What leaves out more is held back, and all are gone on with, until ctl rules drop accepts it, they are listed again, or traffic finds them gone. Backends that drain are always left at once. 1 holds nothing back."),
@@ -52,7 +52,7 @@
 	}
 }
 
-func checkKeeper(text string) string {
+func checkVoterName(text string) string {
 	if text == "" || len(text) > 64 {
 		return fmt.Sprintf("%.40q is no proxy's name; write that of its RELAY_NAME, of 64 bytes at most", text)
 	}
@@ -71,9 +71,9 @@
 func (o *Options) Times() accord.Times {
 	t := accord.DefaultTimes()
 	scale := float64(o.Lease) / float64(t.Lease)
-	of := func(d time.Duration) time.Duration { return time.Duration(scale * float64(d)) }
-	return accord.Times{Lease: o.Lease, Renew: of(t.Renew), Heartbeat: of(t.Heartbeat), Election: of(t.Election), Patience: of(t.Patience), Drift: t.Drift}
+	scaled := func(d time.Duration) time.Duration { return time.Duration(scale * float64(d)) }
+	return accord.Times{Lease: o.Lease, Renew: scaled(t.Renew), Heartbeat: scaled(t.Heartbeat), Election: scaled(t.Election), Patience: scaled(t.Patience), Drift: t.Drift}
 }
 
 // keeps says whether a proxy is a keeper.
-func (o *Options) keeps(name string) bool { return slices.Contains(o.Keepers, name) }
+func (o *Options) isVoter(name string) bool { return slices.Contains(o.Keepers, name) }
--- a/internal/cluster/agreement/report.go
+++ b/internal/cluster/agreement/report.go
@@ -48,7 +48,7 @@
 // Report returns how this proxy stands now.
 func (n *Node) Report(ctx context.Context) (*Report, error) {
 	var a accord.Report
-	if !n.ask(ctx, func(c *accord.Core, now time.Duration) { a = c.Report(now) }) {
+	if !n.do(ctx, func(c *accord.Core, now time.Duration) { a = c.Report(now) }) {
 		return nil, errors.New("rules: no answer")
 	}
 	times := n.config.Options.Times()
@@ -60,10 +60,10 @@
 	for _, h := range a.Holders {
 		r.Holders = append(r.Holders, Holder{Name: h.Name, Version: h.Holds.InForce, Last: h.Holds.Last, LeftS: h.Left.Round(time.Millisecond).Seconds()})
 	}
-	if held := n.held.Load(); held != nil && len(*held) > 0 {
+	if held := n.heldBackends.Load(); held != nil && len(*held) > 0 {
 		r.Held = *held
 		r.Trouble = append(r.Trouble, fmt.Sprintf("a list is held back: it leaves out %d backends at once, and they are gone on with (%s). If they are gone: brasswell ctl rules drop --why REASON; if not, mend the list",
-			len(r.Held), some(r.Held)))
+			len(r.Held), abbreviate(r.Held)))
 	}
 	if r.Halted {
 		r.Trouble = append(r.Trouble, "this keeper keeps nothing: its folder cannot be written, or its log is of a newer version; see the log, mend it and restart it")
@@ -87,7 +87,7 @@
 }
 
 // some are the first few of many ids.
-func some(ids []string) string {
+func abbreviate(ids []string) string {
 	const few = 5
 	if len(ids) <= few {
 		return strings.Join(ids, ", ")
@@ -155,11 +155,11 @@
 		b.WriteByte('\n')
 	}
 	for _, h := range r.Holders {
-		late := ""
+		mark := ""
 		if h.Last < r.Last {
-			late = "  LATE"
+			mark = "  LATE"
 		}
-		fmt.Fprintf(&b, "  %-20s acts on %d to %d, lease for %.2f s%s\n", h.Name, h.Version, h.Last, h.LeftS, late)
+		fmt.Fprintf(&b, "  %-20s acts on %d to %d, lease for %.2f s%s\n", h.Name, h.Version, h.Last, h.LeftS, mark)
 	}
 	return b.String()
 }
--- a/internal/cluster/rules/delta.go
+++ b/internal/cluster/rules/delta.go
@@ -9,17 +9,17 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Position is what somebody has, by number: a log, the version in force in it and the newest one.
+// Position identifies the versions that a proxy has: the log, the number of the version in force and that of the newest version.
 type Position struct {
 	Log, InForce, Last uint64
 }
 
-// Position is that of a standing.
+// Position returns the position of the status.
 func (s *Standing) Position() Position {
 	return Position{Log: s.Log, InForce: s.InForce.Number, Last: s.Last()}
 }
 
-// Difference makes one version from another: what is set, and what is removed. What it leaves out stays as it is.
+// Difference turns one version into another: it lists the entries to set and to remove. All other entries are unchanged.
 type Difference struct {
 	Number         uint64           `cbor:"1,keyasint"`
 	Change         Change           `cbor:"2,keyasint"`
@@ -34,25 +34,25 @@
 	RemovedDropped []string         `cbor:"11,keyasint,omitempty"`
 }
 
-// Delta makes a newer standing from one that its receiver has.
+// Delta turns a status that the receiver has into a newer one.
 type Delta struct {
 	Log   uint64 `cbor:"1,keyasint"`
 	Reign uint64 `cbor:"2,keyasint,omitempty"`
 	Form  uint8  `cbor:"3,keyasint,omitempty"`
-	// Base is the version from which the first difference goes on, each other one from the one before it.
+	// Base is the version that the first difference applies to; each further difference applies to the result of the previous one.
 	Base        uint64       `cbor:"4,keyasint"`
 	InForce     uint64       `cbor:"5,keyasint"` // the version in force
 	Differences []Difference `cbor:"6,keyasint,omitempty"`
-	// Digest is that of the standing that is to result.
+	// Digest is the digest of the resulting status.
 	Digest Digest `cbor:"7,keyasint"`
 
-	encoded []byte // as it is written, where that is known: many receivers lack the same
+	encoded []byte // the cached encoding, if any: many receivers lack the same versions
 }
 
-// plainDelta is written field by field.
+// plainDelta has the fields of Delta without its MarshalCBOR method.
 type plainDelta Delta
 
-// MarshalCBOR writes a delta.
+// MarshalCBOR encodes the delta, or returns the cached encoding.
 func (d *Delta) MarshalCBOR() ([]byte, error) {
 	if d.encoded != nil {
 		return d.encoded, nil
@@ -60,23 +60,23 @@
 	return cbor.Marshal((*plainDelta)(d))
 }
 
-// Freeze has a delta written once for all that it goes to. It must not change after that.
+// CacheEncoding encodes the delta once for all its receivers. The delta must not be changed afterwards.
 func (d *Delta) Freeze() error {
-	text, err := cbor.Marshal((*plainDelta)(d))
-	d.encoded = text
+	data, err := cbor.Marshal((*plainDelta)(d))
+	d.encoded = data
 	return err
 }
 
-// What can be wrong with a delta and what it is applied to. Who meets one of them asks for the whole standing.
+// Errors of Apply that mean that the receiver has to request the whole status.
 var (
-	ErrBase   = errors.New("delta: made from a version that is not here")
-	ErrDigest = errors.New("delta: what results has another digest")
+	ErrBase   = errors.New("delta: the base version is not known here")
+	ErrDigest = errors.New("delta: the result has a different digest")
 )
 
-// Size is the bytes of a delta that has been frozen.
+// EncodedSize returns the size in bytes of the encoding that CacheEncoding stored.
 func (d *Delta) Size() int { return len(d.encoded) }
 
-// Last is the number of the newest version that a delta leads to.
+// Last returns the number of the newest version after the delta is applied.
 func (d *Delta) Last() uint64 {
 	if n := len(d.Differences); n > 0 {
 		return d.Differences[n-1].Number
@@ -84,15 +84,15 @@
 	return max(d.Base, d.InForce)
 }
 
-// Position is that of the standing that a delta leads to.
+// Position returns the position of the resulting status.
 func (d *Delta) Position() Position { return Position{Log: d.Log, InForce: d.InForce, Last: d.Last()} }
 
-// NewerThan says whether a delta leads to more than a standing of its log has: see Standing.NewerThan.
+// NewerThan reports whether the resulting status is newer than a status of the same log; see Status.NewerThan.
 func (d *Delta) NewerThan(s *Standing) bool {
 	return d.Last() > s.Last() || d.Last() == s.Last() && d.InForce > s.InForce.Number
 }
 
-// Sound says what is wrong with a delta that has come from outside, as far as it shows without its base.
+// Validate checks a received delta, as far as this is possible without its base.
 func (d *Delta) Sound() error {
 	if len(d.Differences) > MostPending+1 {
 		return fmt.Errorf("delta: %d versions; %d at most", len(d.Differences), MostPending+1)
@@ -101,23 +101,23 @@
 	for i := range d.Differences {
 		number := d.Differences[i].Number
 		if number <= before || i > 0 && number != before+1 {
-			return fmt.Errorf("delta: version %d after %d", number, before)
+			return fmt.Errorf("delta: version %d follows version %d", number, before)
 		}
 		before = number
 	}
 	if d.InForce > before {
-		return fmt.Errorf("delta: version %d in force, and %d is the newest", d.InForce, before)
+		return fmt.Errorf("delta: version %d is in force, but the newest version is %d", d.InForce, before)
 	}
 	return nil
 }
 
-// Between is what somebody lacks who has a position. ok is false where that is of another log, is ahead, or is so far behind that
-// its newest version is not kept any more: only the whole standing helps then.
-func Between(s *State, has Position) (d *Delta, ok bool) {
-	if has.Log != s.Log || has.Last > s.Last() || has.InForce > s.InForce.Number {
+// DeltaFrom returns the delta that a proxy at the given position needs. ok is false if the position belongs to another log, is ahead
+// of the state, or is so old that the history no longer contains its newest version: the proxy needs the whole status then.
+func Between(s *State, from Position) (d *Delta, ok bool) {
+	if from.Log != s.Log || from.Last > s.Last() || from.InForce > s.InForce.Number {
 		return nil, false
 	}
-	base, found := s.Version(has.Last)
+	base, found := s.Version(from.Last)
 	if !found {
 		return nil, false
 	}
@@ -131,26 +131,26 @@
 	return d, true
 }
 
-// versions are all of a standing, the one in force first.
+// versions returns all versions of the status, the one in force first.
 func (s *Standing) versions() []Version {
 	return append([]Version{s.InForce}, s.Pending...)
 }
 
-// difference is what makes one version from another.
+// difference returns the difference between two versions.
 func difference(from, to *Version) Difference {
 	d := Difference{Number: to.Number, Change: to.Change}
-	d.Bans, d.RemovedBans = compareMaps(from.Doc.Bans, to.Doc.Bans)
-	d.Classes, d.RemovedClasses = compareMaps(from.Doc.Classes, to.Doc.Classes)
-	d.Numbers, d.RemovedNumbers = compareMaps(from.Doc.Numbers, to.Doc.Numbers)
-	d.Dropped, d.RemovedDropped = compareSorted(from.Doc.Dropped, to.Doc.Dropped)
+	d.Bans, d.RemovedBans = diffMaps(from.Doc.Bans, to.Doc.Bans)
+	d.Classes, d.RemovedClasses = diffMaps(from.Doc.Classes, to.Doc.Classes)
+	d.Numbers, d.RemovedNumbers = diffMaps(from.Doc.Numbers, to.Doc.Numbers)
+	d.Dropped, d.RemovedDropped = diffSorted(from.Doc.Dropped, to.Doc.Dropped)
 	if quota := to.Doc.Quota; quota != from.Doc.Quota {
 		d.Quota = &quota
 	}
 	return d
 }
 
-// compareMaps is what has to be set and removed, in order, to make one map from another.
-func compareMaps[V comparable](from, to map[string]V) (set map[string]V, removed []string) {
+// compareMaps returns the entries to set and the sorted keys to remove to turn one map into another.
+func diffMaps[V comparable](from, to map[string]V) (set map[string]V, removed []string) {
 	if sameMap(from, to) {
 		return nil, nil
 	}
@@ -172,8 +172,8 @@
 	return set, removed
 }
 
-// changeMap makes one map from another; the same one where nothing changes.
-func changeMap[V any](from, set map[string]V, removed []string) map[string]V {
+// changeMap applies the result of diffMaps to a map. It returns the same map if nothing changes.
+func patchMap[V any](from, set map[string]V, removed []string) map[string]V {
 	if len(set) == 0 && len(removed) == 0 {
 		return from
 	}
@@ -188,8 +188,8 @@
 	return to
 }
 
-// compareSorted is what has to be added and removed to make one ordered list from another.
-func compareSorted(from, to []string) (added, removed []string) {
+// compareSorted returns the elements to add and to remove to turn one sorted list into another.
+func diffSorted(from, to []string) (added, removed []string) {
 	if sameSlice(from, to) {
 		return nil, nil
 	}
@@ -206,26 +206,26 @@
 	return added, removed
 }
 
-// changeSorted makes one ordered list from another; the same one where nothing changes.
-func changeSorted(from, added, removed []string) []string {
+// changeSorted applies the result of diffSorted to a list. It returns the same list if nothing changes.
+func patchSorted(from, added, removed []string) []string {
 	if len(added) == 0 && len(removed) == 0 {
 		return from
 	}
-	out := make(map[string]bool, len(removed))
+	drop := make(map[string]bool, len(removed))
 	for _, id := range removed {
-		out[id] = true
+		drop[id] = true
 	}
-	kept := slices.DeleteFunc(slices.Clone(from), func(id string) bool { return out[id] })
+	kept := slices.DeleteFunc(slices.Clone(from), func(id string) bool { return drop[id] })
 	return slices.Compact(slices.Sorted(slices.Values(append(kept, added...))))
 }
 
-// applyTo makes a version from the one that a difference was made from. Parts that do not change are shared.
+// applyTo returns the version that results from applying the difference to its base. Unchanged parts are shared with the base.
 func (d *Difference) applyTo(base *Version) Version {
 	doc := base.Doc
-	doc.Bans = changeMap(doc.Bans, d.Bans, d.RemovedBans)
-	doc.Classes = changeMap(doc.Classes, d.Classes, d.RemovedClasses)
-	doc.Numbers = changeMap(doc.Numbers, d.Numbers, d.RemovedNumbers)
-	doc.Dropped = changeSorted(doc.Dropped, d.Dropped, d.RemovedDropped)
+	doc.Bans = patchMap(doc.Bans, d.Bans, d.RemovedBans)
+	doc.Classes = patchMap(doc.Classes, d.Classes, d.RemovedClasses)
+	doc.Numbers = patchMap(doc.Numbers, d.Numbers, d.RemovedNumbers)
+	doc.Dropped = patchSorted(doc.Dropped, d.Dropped, d.RemovedDropped)
 	if d.Quota != nil {
 		doc.Quota = *d.Quota
 	}
@@ -234,9 +234,9 @@
 	return v
 }
 
-// start is from which versions of a standing a delta goes on, with which differences. The receiver may have moved on since the delta
-// was made, so that is the newest one that the delta knows, its base or a later one.
-func (d *Delta) start(s *Standing) (versions []Version, rest []Difference) {
+// start returns the versions of a status that the delta builds on and the differences that remain to be applied. The receiver may
+// have advanced since the delta was made, so the last of these versions is the newest one that the delta knows: its base or a later one.
+func (d *Delta) startFrom(s *Standing) (versions []Version, remaining []Difference) {
 	versions = s.versions()
 	for n := len(versions); n > 0; n-- {
 		number := versions[n-1].Number
@@ -250,31 +250,32 @@
 	return nil, nil
 }
 
-// Apply makes a newer standing by a delta. It shares with the one before what has not changed, and is Sound where that was.
+// Apply returns the status that results from applying a delta. It shares unchanged parts with the given status, and it is valid if
+// that one is.
 //
-// With ErrDigest it returns what resulted, which must not be acted on: it is there for a checker that takes the defence out.
+// With ErrDigestMismatch, Apply returns the result too. It must not be acted on; it exists for a checker that disables the digest check.
 func Apply(s *Standing, d *Delta) (*Standing, error) {
 	if err := d.Sound(); err != nil {
 		return nil, err
 	}
-	versions, rest := d.start(s)
+	versions, remaining := d.startFrom(s)
 	if len(versions) == 0 || s.Log != d.Log {
 		return nil, ErrBase
 	}
-	for i := range rest {
+	for i := range remaining {
 		base := versions[len(versions)-1]
-		v := rest[i].applyTo(&base)
-		if err := v.sound(&base); err != nil {
+		v := remaining[i].applyTo(&base)
+		if err := v.validate(&base); err != nil {
 			return nil, err
 		}
 		versions = append(versions, v)
 	}
-	at := slices.IndexFunc(versions, func(v Version) bool { return v.Number == d.InForce })
-	if at < 0 {
+	inForce := slices.IndexFunc(versions, func(v Version) bool { return v.Number == d.InForce })
+	if inForce < 0 {
 		return nil, ErrBase
 	}
-	next := &Standing{Log: d.Log, Reign: d.Reign, Form: d.Form, InForce: versions[at], Pending: slices.Clone(versions[at+1:])}
-	if err := next.soundNumbers(); err != nil {
+	next := &Standing{Log: d.Log, Reign: d.Reign, Form: d.Form, InForce: versions[inForce], Pending: slices.Clone(versions[inForce+1:])}
+	if err := next.validateNumbers(); err != nil {
 		return nil, err
 	}
 	if next.Digest() != d.Digest {
--- a/internal/cluster/rules/delta_test.go
+++ b/internal/cluster/rules/delta_test.go
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 )
 
-// sorted writes equal values as equal bytes.
-var sorted = func() cbor.EncMode {
+// deterministic encodes equal values to equal bytes.
+var deterministic = func() cbor.EncMode {
 	mode, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
 		panic(err)
@@ -21,24 +21,24 @@
 	return mode
 }()
 
-func encoded(t interface{ Fatal(...any) }, v any) []byte {
-	text, err := sorted.Marshal(v)
+func encode(t interface{ Fatal(...any) }, v any) []byte {
+	text, err := deterministic.Marshal(v)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return text
 }
 
-// wired is a copy that shares nothing and remembers no digests, as one that has come from a disk or a peer.
-func wired(t interface{ Fatal(...any) }, s *Standing) *Standing {
+// wired returns a copy that shares nothing and caches no digests, like a status read from disk or received from a peer.
+func decodedCopy(t interface{ Fatal(...any) }, s *Standing) *Standing {
 	back := &Standing{}
-	if err := cbor.Unmarshal(encoded(t, s), back); err != nil {
+	if err := cbor.Unmarshal(encode(t, s), back); err != nil {
 		t.Fatal(err)
 	}
 	return back
 }
 
-// drawChange is a change that fits a state, mostly.
+// drawChange draws a change that is usually applicable to the state.
 func drawChange(t *rapid.T, s *State, id string) *Change {
 	c := &Change{ID: id, Who: "ops", Why: rapid.SampledFrom([]string{"", "disk", "heat"}).Draw(t, "why")}
 	c.Kind = Kind(rapid.IntRange(int(Suspend), int(Drop)).Draw(t, "kind"))
@@ -60,7 +60,7 @@
 	return c
 }
 
-// drawHistory is a state after some changes, and each standing that somebody may have kept from before.
+// drawHistory draws a state after some changes, and returns also each earlier status that a proxy may still have.
 func drawHistory(t *rapid.T) (s *State, kept []*Standing) {
 	s = NewState()
 	s.Log = 7
@@ -76,40 +76,40 @@
 	return s, kept
 }
 
-// TestDeltasComeToTheSame: from whatever somebody has, a delta leads to what the leader has, in content and in digest; and also
-// from what has come over the wire, and the delta itself over it.
-func TestDeltasComeToTheSame(t *testing.T) {
+// TestDeltasReachTheSameStatus checks that a delta leads from each earlier status to the leader's, in content and in digest, also
+// if the delta and the earlier status have been encoded and decoded.
+func TestDeltasReachTheSameStatus(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, kept := drawHistory(t)
-		want := encoded(t, s.Share())
+		want := encode(t, s.Share())
 		for _, has := range kept {
 			d, ok := Between(s, has.Position())
 			if !ok {
-				t.Fatalf("no delta from %+v", has.Position())
+				t.Fatalf("no delta from position %+v", has.Position())
 			}
 			back := &Delta{}
-			if err := cbor.Unmarshal(encoded(t, d), back); err != nil {
+			if err := cbor.Unmarshal(encode(t, d), back); err != nil {
 				t.Fatal(err)
 			}
 			if back.Position() != s.Position() {
-				t.Fatalf("a delta to %+v; wanted %+v", back.Position(), s.Position())
+				t.Fatalf("the delta leads to %+v; wanted %+v", back.Position(), s.Position())
 			}
-			for _, base := range []*Standing{has, wired(t, has)} {
-				before := encoded(t, base)
+			for _, base := range []*Standing{has, decodedCopy(t, has)} {
+				before := encode(t, base)
 				got, err := Apply(base, back)
 				if err != nil {
 					t.Fatalf("from %+v: %v", has.Position(), err)
 				}
-				if !bytes.Equal(encoded(t, got), want) || got.Digest() != s.Standing.Digest() {
+				if !bytes.Equal(encode(t, got), want) || got.Digest() != s.Standing.Digest() {
 					t.Fatalf("from %+v: %q", has.Position(), Diff(got.Meet(), s.Meet()))
 				}
-				if got.Digest() != wired(t, got).Digest() {
-					t.Fatal("a digest that is remembered is another than one that is computed")
+				if got.Digest() != decodedCopy(t, got).Digest() {
+					t.Fatal("a cached digest differs from the computed one")
 				}
 				if err := got.Sound(); err != nil {
 					t.Fatal(err)
 				}
-				if !bytes.Equal(encoded(t, base), before) {
+				if !bytes.Equal(encode(t, base), before) {
 					t.Fatal("the base was written to")
 				}
 			}
@@ -117,8 +117,9 @@
 	})
 }
 
-// TestDeltasThatCross: a delta that was made for what its receiver had before leads to the same, or is turned away for its base.
-func TestDeltasThatCross(t *testing.T) {
+// TestDeltasForEarlierPosition checks a delta whose receiver has advanced since the delta was made: it leads to the same status,
+// or is rejected because its base is unknown.
+func TestDeltasForEarlierPosition(t *testing.T) {
 	crossed := 0
 	rapid.Check(t, func(t *rapid.T) {
 		s, kept := drawHistory(t)
@@ -133,18 +134,18 @@
 		case errors.Is(err, ErrBase):
 		case err != nil:
 			t.Fatal(err)
-		case !bytes.Equal(encoded(t, got), encoded(t, s.Share())):
-			t.Fatalf("%q", Diff(got.Meet(), s.Meet()))
+		case !bytes.Equal(encode(t, got), encode(t, s.Share())):
+			t.Fatalf("the result differs: %q", Diff(got.Meet(), s.Meet()))
 		case moved.Position() != kept[from].Position():
 			crossed++
 		}
 	})
 	if crossed == 0 {
-		t.Error("no delta crossed another")
+		t.Error("no delta was applied to a later position than it was made for")
 	}
 }
 
-// tamper changes one thing in a document.
+// tamper changes one part of a document.
 func tamper(t *rapid.T, doc *Document) {
 	switch rapid.IntRange(0, 4).Draw(t, "part") {
 	case 0:
@@ -172,13 +173,13 @@
 	}
 }
 
-// TestTamperedBasesAreFound: what somebody has under a right number with another content leads to another digest, unless a change
-// replaces just that content.
-func TestTamperedBasesAreFound(t *testing.T) {
+// TestTamperedBasesAreDetected checks that a base with the right number but the wrong content leads to a digest mismatch, unless a
+// change replaces exactly that content.
+func TestTamperedBasesAreDetected(t *testing.T) {
 	found := 0
 	rapid.Check(t, func(t *rapid.T) {
 		s, kept := drawHistory(t)
-		has := wired(t, kept[rapid.IntRange(0, len(kept)-1).Draw(t, "kept")])
+		has := decodedCopy(t, kept[rapid.IntRange(0, len(kept)-1).Draw(t, "kept")])
 		if n := len(has.Pending); n > 0 && rapid.Bool().Draw(t, "pending") {
 			tamper(t, &has.Pending[rapid.IntRange(0, n-1).Draw(t, "which")].Doc)
 		} else {
@@ -194,17 +195,17 @@
 			found++
 		case err != nil:
 			t.Fatal(err)
-		case !bytes.Equal(encoded(t, got), encoded(t, s.Share())):
-			t.Fatal("a tampered base leads to something else, and that is not found")
+		case !bytes.Equal(encode(t, got), encode(t, s.Share())):
+			t.Fatal("a tampered base leads to a different status, and the digest does not detect it")
 		}
 	})
 	if found == 0 {
-		t.Error("no tampered base was found by its digest")
+		t.Error("no tampered base was detected by its digest")
 	}
 }
 
-// TestTamperedDeltasAreFound: nothing but what the leader has results from a delta that was changed on its way.
-func TestTamperedDeltasAreFound(t *testing.T) {
+// TestTamperedDeltasAreDetected checks that a delta that was changed in transit is rejected or leads to the leader's status.
+func TestTamperedDeltasAreDetected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, kept := drawHistory(t)
 		has := kept[rapid.IntRange(0, len(kept)-1).Draw(t, "kept")]
@@ -228,16 +229,16 @@
 				one.RemovedClasses, one.Classes = nil, map[string]Class{"tampered": {Closed: true}}
 			}
 		}
-		if got, err := Apply(has, d); err == nil && !bytes.Equal(encoded(t, got), encoded(t, s.Share())) {
-			t.Fatal("it is applied")
+		if got, err := Apply(has, d); err == nil && !bytes.Equal(encode(t, got), encode(t, s.Share())) {
+			t.Fatal("a tampered delta is applied")
 		} else if err == nil && d.Digest != s.Standing.Digest() {
-			t.Fatal("a delta with another digest is applied")
+			t.Fatal("a delta with a wrong digest is applied")
 		}
 	})
 }
 
-// TestDeltasShareWhatStays: a ban leaves the numbers as they are, and they are neither copied nor sent.
-func TestDeltasShareWhatStays(t *testing.T) {
+// TestDeltasShareUnchangedParts checks that the numbers, which a ban doesn't change, are neither copied nor sent.
+func TestDeltasShareUnchangedParts(t *testing.T) {
 	s := NewState()
 	numbers := map[string]int{}
 	for i := range 1000 {
@@ -245,35 +246,36 @@
 	}
 	s.Propose(&Change{ID: "1", Kind: Number, Numbers: numbers})
 	s.Enforce(2)
-	has := wired(t, s.Share())
+	has := decodedCopy(t, s.Share())
 	s.Propose(&Change{ID: "2", Kind: Suspend, Server: "a"})
 	d, ok := Between(s, has.Position())
 	if !ok {
 		t.Fatal("no delta")
 	}
-	if n := len(encoded(t, d)); n > 100 {
-		t.Errorf("a ban takes %d bytes", n)
+	if n := len(encode(t, d)); n > 100 {
+		t.Errorf("the delta of a ban takes %d bytes", n)
 	}
 	got, err := Apply(has, d)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !sameMap(got.Pending[0].Doc.Numbers, has.InForce.Doc.Numbers) || !sameMap(got.Meet().Numbers, has.InForce.Doc.Numbers) {
-		t.Error("numbers that did not change are copied")
+		t.Error("unchanged numbers are copied")
 	}
-	whole := wired(t, s.Share())
+	whole := decodedCopy(t, s.Share())
 	whole.Compact()
 	if !sameMap(whole.InForce.Doc.Numbers, whole.Pending[0].Doc.Numbers) {
-		t.Error("equal numbers of a whole standing are kept twice")
+		t.Error("equal numbers of a whole status are stored twice")
 	}
 }
 
-// TestNoDelta: where the base is of another log, ahead, or no longer kept, only the whole helps; and an apply says so too.
+// TestNoDelta checks that there is no delta from a position of another log, ahead of the state or no longer in the history, and that
+// Apply rejects a delta for another base and an invalid delta.
 func TestNoDelta(t *testing.T) {
 	s := NewState()
 	s.Log = 7
 	first := s.Share()
-	for i := range mostHistory + 10 {
+	for i := range maxHistory + 10 {
 		s.Propose(&Change{ID: fmt.Sprint(i), Kind: Drop, Servers: []string{fmt.Sprint("node", i)}})
 		s.Enforce(s.Last())
 	}
@@ -283,7 +285,7 @@
 		"more in force": {Log: 7, InForce: last + 1, Last: last},
 	} {
 		if _, ok := Between(s, has); ok {
-			t.Errorf("%s: a delta", name)
+			t.Errorf("%s: there is a delta", name)
 		}
 	}
 	d, ok := Between(s, Position{Log: 7, InForce: last - 1, Last: last - 1})
@@ -291,7 +293,7 @@
 		t.Fatal("no delta from the version before")
 	}
 	if _, err := Apply(first, d); !errors.Is(err, ErrBase) {
-		t.Errorf("applied to what it was not made from: %v", err)
+		t.Errorf("a delta applied to an older status than its base: %v", err)
 	}
 	long := Delta{Base: 1, InForce: 1, Differences: make([]Difference, MostPending+2)}
 	for i := range long.Differences {
@@ -301,16 +303,16 @@
 	ahead := Delta{Base: 1, InForce: 3, Differences: []Difference{{Number: 2}}}
 	for name, d := range map[string]*Delta{"too many": &long, "a gap": &gap, "in force and not there": &ahead} {
 		if d.Sound() == nil {
-			t.Errorf("%s: it is sound", name)
+			t.Errorf("%s: the delta is valid", name)
 		}
 	}
 	bad := Delta{Log: 7, Base: 1, InForce: 1, Differences: []Difference{{Number: 2, Numbers: map[string]int{"a": 1, "b": 1}}}}
 	if _, err := Apply(first, &bad); err == nil || errors.Is(err, ErrDigest) {
-		t.Errorf("two with one number: %v", err)
+		t.Errorf("two proxies with one number: %v", err)
 	}
 }
 
-// FuzzDelta: whatever is read as a delta is applied to a standing or turned away, and what is applied is sound.
+// FuzzDelta checks that any decoded delta is either rejected or leads to a valid status.
 func FuzzDelta(f *testing.F) {
 	s := NewState()
 	s.Propose(&Change{ID: "1", Kind: Configure, Settings: &Settings{Quota: 0.5, Numbers: map[string]int{"a": 0, "b": 1}}})
@@ -323,26 +325,27 @@
 		if !ok {
 			f.Fatal("no delta")
 		}
-		f.Add(encoded(f, d))
+		f.Add(encode(f, d))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
 		d := &Delta{}
 		if cbor.Unmarshal(text, d) != nil {
 			return
 		}
-		before := encoded(t, has)
+		before := encode(t, has)
 		got, err := Apply(has, d)
 		if err == nil && got.Sound() != nil || errors.Is(err, ErrDigest) && got.Sound() != nil {
-			t.Errorf("what resulted is not sound: %v", got.Sound())
+			t.Errorf("the result is not valid: %v", got.Sound())
 		}
-		if !bytes.Equal(before, encoded(t, has)) {
+		if !bytes.Equal(before, encode(t, has)) {
 			t.Error("the base was written to")
 		}
 	})
 }
 
-// TestFormsOfBounds: what goes beyond the bounds of Form 1 needs Form 2 and must say so; what does not stays agreeable.
-func TestFormsOfBounds(t *testing.T) {
+// TestFormRequiredByBounds checks that a change beyond the bounds of form 1 requires form 2 and is rejected if it doesn't state that
+// form, and that a change within the bounds is accepted without it.
+func TestFormRequiredByBounds(t *testing.T) {
 	numbers := func(n int) map[string]int {
 		all := map[string]int{}
 		for i := range n {
@@ -374,7 +377,7 @@
 		s := NewState()
 		c.change.ID = "1"
 		if a := s.Propose(&c.change); (a.Version == 0) != (c.needs > 1) {
-			t.Errorf("%s, with no form said: %+v", name, a)
+			t.Errorf("%s, without a stated form: %+v", name, a)
 		}
 		c.change.ID, c.change.Form = "2", c.needs
 		s = NewState()
@@ -386,24 +389,24 @@
 		}
 	}
 	if err := (&Change{ID: "1", Kind: Number, Numbers: numbers(MostMembers + 1)}).Check(); err == nil {
-		t.Error("more numbers than there may be")
+		t.Error("more numbers than MaxMembers are valid")
 	}
-	// The bytes of a document are bounded as before until something needs Form 2.
+	// The size bound of form 1 applies until a change requires form 2.
 	long := &Change{ID: "1", Kind: Drop}
 	for i := range MostDropped {
 		long.Servers = append(long.Servers, fmt.Sprintf("%0200d", i))
 	}
 	s := NewState()
 	if a := s.Propose(long); a.Version != 0 {
-		t.Error("a document of over 96 KiB under Form 1")
+		t.Error("a document of over 96 KiB is accepted under form 1")
 	}
 	long.ID, long.Servers = "2", long.Servers[:600]
 	if a := s.Propose(long); a.Version != 0 {
-		t.Error("a document of 126 KiB under Form 1")
+		t.Error("a document of 126 KiB is accepted under form 1")
 	}
 	s.Propose(&Change{ID: "3", Kind: Suspend, Server: "a", Form: 2})
 	long.ID = "4"
 	if a := s.Propose(long); a.Version == 0 {
-		t.Errorf("a document of 126 KiB under Form 2: %s", a.No)
+		t.Errorf("a document of 126 KiB is rejected under form 2: %s", a.No)
 	}
 }
--- a/internal/cluster/rules/digest.go
+++ b/internal/cluster/rules/digest.go
@@ -9,34 +9,35 @@
 	"slices"
 )
 
-// Digest stands for the content of versions: two that differ in it differ in content, and two that are equal in it are equal but
-// with a chance of 1 in 2^64. It finds mistakes of disks and programs, not an adversary. 0 stands for none.
+// Digest is a hash of the content of versions. Different digests mean different content; equal digests mean equal content, except
+// with a probability of 1 in 2^64. It detects faults of disks and programs, but gives no protection against an adversary. 0 means
+// no digest.
 //
-// It is taken over a canonical form (maps in the order of their keys, each text behind its length), which names each field by hand:
-// what an older program does not know it must not have to take into account. A part that later documents have is added to the form
-// only where it is set, and needs a later Form.
+// The hash covers a canonical encoding (maps sorted by key, each text preceded by its length) that lists each field explicitly, so
+// that an older program need not include fields that it doesn't know. A new part of a document is added to the encoding only where
+// it is set, and requires a higher document form.
 type Digest uint64
 
-// partDigests are remembered with a version, so that each part of a document is digested once. 0 stands for not yet.
+// partDigests caches the digests of a version, so that each part of a document is hashed only once. 0 means not computed yet.
 type partDigests struct {
 	bans, classes, numbers, dropped, whole Digest
 }
 
-// canonical is the canonical form of what is digested.
+// canonical is a buffer for the canonical encoding that a digest covers.
 type canonical []byte
 
-func (c *canonical) number(n uint64) { *c = binary.AppendUvarint(*c, n) }
+func (c *canonical) appendUint(n uint64) { *c = binary.AppendUvarint(*c, n) }
 
-func (c *canonical) text(s string) {
-	c.number(uint64(len(s)))
+func (c *canonical) appendText(s string) {
+	c.appendUint(uint64(len(s)))
 	*c = append(*c, s...)
 }
 
-func (c *canonical) flag(b bool) {
+func (c *canonical) appendBool(b bool) {
 	if b {
-		c.number(1)
+		c.appendUint(1)
 	} else {
-		c.number(0)
+		c.appendUint(0)
 	}
 }
 
@@ -45,50 +46,50 @@
 	return max(Digest(binary.BigEndian.Uint64(sum[:])), 1)
 }
 
-// digestMap digests a map in the order of its keys.
-func digestMap[V any](of map[string]V, write func(*canonical, V)) Digest {
+// digestMap returns the digest of a map, sorted by key.
+func digestMap[V any](m map[string]V, write func(*canonical, V)) Digest {
 	const perEntry = 48
-	c := make(canonical, 0, perEntry*len(of))
-	for _, key := range slices.Sorted(maps.Keys(of)) {
-		c.text(key)
-		write(&c, of[key])
+	c := make(canonical, 0, perEntry*len(m))
+	for _, key := range slices.Sorted(maps.Keys(m)) {
+		c.appendText(key)
+		write(&c, m[key])
 	}
 	return c.digest()
 }
 
 func writeBan(c *canonical, b Ban) {
-	c.text(b.Who)
-	c.text(b.Why)
+	c.appendText(b.Who)
+	c.appendText(b.Why)
 }
 
 func writeClass(c *canonical, class Class) {
-	c.flag(class.NoRepeat)
-	c.flag(class.Closed)
+	c.appendBool(class.NoRepeat)
+	c.appendBool(class.Closed)
 }
 
-func writeNumber(c *canonical, n int) { c.number(uint64(n)) }
+func writeNumber(c *canonical, n int) { c.appendUint(uint64(n)) }
 
 func digestDropped(ids []string) Digest {
 	var c canonical
 	for _, id := range ids {
-		c.text(id)
+		c.appendText(id)
 	}
 	return c.digest()
 }
 
 func writeChange(c *canonical, change *Change) {
-	c.text(change.ID)
-	c.number(uint64(change.Kind))
-	c.text(change.Server)
-	c.number(change.To)
-	c.text(change.Who)
-	c.text(change.Why)
-	c.number(uint64(change.At))
-	c.number(change.On)
-	c.number(uint64(change.Form))
-}
-
-// computeDigests fills in a version's digests, and its size. Parts that it shares with a base, which may be nil, are not digested again.
+	c.appendText(change.ID)
+	c.appendUint(uint64(change.Kind))
+	c.appendText(change.Server)
+	c.appendUint(change.To)
+	c.appendText(change.Who)
+	c.appendText(change.Why)
+	c.appendUint(uint64(change.At))
+	c.appendUint(change.On)
+	c.appendUint(uint64(change.Form))
+}
+
+// computeDigests sets a version's digests and size. Parts that it shares with base, which may be nil, are not hashed again.
 func (v *Version) computeDigests(base *Version) {
 	if v.digests.whole != 0 {
 		return
@@ -96,71 +97,71 @@
 	if base == nil {
 		base = &Version{}
 	}
-	is, was := &v.digests, &base.digests
-	is.bans, is.classes, is.numbers, is.dropped = 0, 0, 0, 0
+	digests, baseDigests := &v.digests, &base.digests
+	digests.bans, digests.classes, digests.numbers, digests.dropped = 0, 0, 0, 0
 	if sameMap(v.Doc.Bans, base.Doc.Bans) {
-		is.bans = was.bans
+		digests.bans = baseDigests.bans
 	}
 	if sameMap(v.Doc.Classes, base.Doc.Classes) {
-		is.classes = was.classes
+		digests.classes = baseDigests.classes
 	}
 	if sameMap(v.Doc.Numbers, base.Doc.Numbers) {
-		is.numbers = was.numbers
+		digests.numbers = baseDigests.numbers
 	}
 	if sameSlice(v.Doc.Dropped, base.Doc.Dropped) {
-		is.dropped = was.dropped
+		digests.dropped = baseDigests.dropped
 	}
-	if is.bans == 0 {
-		is.bans = digestMap(v.Doc.Bans, writeBan)
+	if digests.bans == 0 {
+		digests.bans = digestMap(v.Doc.Bans, writeBan)
 	}
-	if is.classes == 0 {
-		is.classes = digestMap(v.Doc.Classes, writeClass)
+	if digests.classes == 0 {
+		digests.classes = digestMap(v.Doc.Classes, writeClass)
 	}
-	if is.numbers == 0 {
-		is.numbers = digestMap(v.Doc.Numbers, writeNumber)
+	if digests.numbers == 0 {
+		digests.numbers = digestMap(v.Doc.Numbers, writeNumber)
 	}
-	if is.dropped == 0 {
-		is.dropped = digestDropped(v.Doc.Dropped)
+	if digests.dropped == 0 {
+		digests.dropped = digestDropped(v.Doc.Dropped)
 	}
 	var c canonical
-	c.number(v.Number)
-	for _, part := range []Digest{is.bans, is.classes, is.numbers, is.dropped} {
-		c.number(uint64(part))
+	c.appendUint(v.Number)
+	for _, part := range []Digest{digests.bans, digests.classes, digests.numbers, digests.dropped} {
+		c.appendUint(uint64(part))
 	}
-	c.number(math.Float64bits(v.Doc.Quota))
+	c.appendUint(math.Float64bits(v.Doc.Quota))
 	writeChange(&c, &v.Change)
-	is.whole = c.digest()
+	digests.whole = c.digest()
 	v.bytes = v.Doc.size()
 }
 
-// Digest is that of a version: its number, its document and the change that made it.
+// Digest returns the digest of the version: of its number, its document and the change that produced it.
 func (v *Version) Digest() Digest {
 	if v.digests.whole != 0 {
 		return v.digests.whole
 	}
-	computed := Version{Number: v.Number, Doc: v.Doc, Change: v.Change} // a version that others may read is not written to
+	computed := Version{Number: v.Number, Doc: v.Doc, Change: v.Change} // a copy, because other goroutines may read the version
 	computed.computeDigests(nil)
 	return computed.digests.whole
 }
 
-// Digest is that of a standing: of which version is in force, and of every version in it.
+// Digest returns the digest of the status: of its log, term, form and versions, with the version in force first.
 func (s *Standing) Digest() Digest {
 	var c canonical
-	c.number(s.Log)
-	c.number(s.Reign)
-	c.number(uint64(max(s.Form, 1)))
-	c.number(uint64(s.InForce.Digest()))
+	c.appendUint(s.Log)
+	c.appendUint(s.Reign)
+	c.appendUint(uint64(max(s.Form, 1)))
+	c.appendUint(uint64(s.InForce.Digest()))
 	for i := range s.Pending {
-		c.number(uint64(s.Pending[i].Digest()))
+		c.appendUint(uint64(s.Pending[i].Digest()))
 	}
 	return c.digest()
 }
 
-// Compact has equal parts of successive versions shared and computes the digests, once, of a standing that has come from outside
-// and that nobody else reads yet.
+// Compact makes successive versions share their equal parts and computes the digests. It is called once for a status that was
+// received or read from disk, before any other goroutine reads it.
 func (s *Standing) Compact() { compactVersions(&s.InForce, s.Pending) }
 
-// Compact does for a state what it does for a standing.
+// Compact does the same as Status.Compact for the whole state, including the history.
 func (s *State) Compact() {
 	if len(s.History) > 0 {
 		compactVersions(&s.History[0], s.History[1:])
@@ -182,7 +183,7 @@
 	}
 }
 
-// shareParts has a version share the parts in which it equals another.
+// shareParts makes a version share the parts that are equal in another version.
 func shareParts(v, other *Version) {
 	if maps.Equal(v.Doc.Bans, other.Doc.Bans) {
 		v.Doc.Bans = other.Doc.Bans
@@ -198,12 +199,12 @@
 	}
 }
 
-// sameMap says whether two maps are one, without looking into them.
+// sameMap reports whether two variables hold the same map, without comparing its entries.
 func sameMap[V any](a, b map[string]V) bool {
 	return reflect.ValueOf(a).UnsafePointer() == reflect.ValueOf(b).UnsafePointer()
 }
 
-// sameSlice says whether two slices are one, without looking into them.
+// sameSlice reports whether two slices share the same elements in memory, without comparing them.
 func sameSlice(a, b []string) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
--- a/internal/cluster/rules/rules.go
+++ b/internal/cluster/rules/rules.go
@@ -1,9 +1,10 @@
-// Package rules is what the proxies of a fleet act on together: a document with one version number, how it changes, which
-// two documents contradict each other, and what is right under both. It has no I/O, no clock and no agreement; package
-// accord brings the agreement.
+// Package rules defines the rules that the proxies of a fleet enforce together: a document with one version number, the
+// changes to it, the contradictions between two documents, and what both of them allow. The package has no I/O, no clock
+// and no consensus protocol; package accord provides the consensus.
 //
-// Everything in a document forbids. A proxy that knows more forbids more, so any two documents have a meet: what is
-// allowed under it is allowed under each. That is what a proxy acts on while a change is on its way.
+// Every entry of a document forbids something, so a proxy that knows more entries forbids more. Any two documents therefore
+// have a meet (greatest lower bound): whatever the meet allows, both documents allow. A proxy acts on the meet while a
+// change is pending.
 package rules
 
 import (
@@ -17,65 +18,66 @@
 	"unicode/utf8"
 )
 
-// Bounds of what is agreed. What is over them is not proposed.
+// Bounds of a document and of a change. A change that exceeds them is rejected.
 const (
 	MostBans    = 1000
-	MostClasses = 512  // with Form 2
-	MostMembers = 4096 // with Form 2; as many as a view of the fleet keeps in mind by default
-	MostDropped = 1000 // servers that lists may leave out
-	MostID      = 256  // bytes of a backend's id, a class's or a member's name
-	MostWhy     = 200  // bytes of a reason
-	// MostDocument is the bytes of texts in a document, with Form 2: a standing of 17 of those and a history fit a message of 4 MiB,
-	// and 4,096 numbers for names of 24 bytes fit a document.
-	MostDocument = 160 << 10
-	MostPending  = 16      // changes on their way at one time
-	mostHistory  = 64      // versions that can be gone back to
-	mostKept     = 1 << 20 // bytes of texts in those
-	mostAnswers  = 256     // proposals whose answers are remembered
+	MostClasses = 512  // under form 2
+	MostMembers = 4096 // under form 2; the default bound of a view of the fleet
+	MostDropped = 1000 // servers that discovery lists may omit
+	MostID      = 256  // of a backend's ID, a class name or a member name
+	MostWhy     = 200  // of a reason
+	// MostDocument bounds the texts in a document, under form 2. A status with 17 such documents and a history fits into a message of
+	// 4 MiB, and 4,096 numbers for names of 24 bytes fit into a document.
+	MostDocument    = 160 << 10
+	MostPending     = 16      // changes pending at one time
+	maxHistory      = 64      // versions that a rollback can restore
+	maxHistoryBytes = 1 << 20 // of the texts in the history
+	maxAnswers      = 256     // proposals whose answers are kept, to recognize repeated proposals
 )
 
-// The bounds of documents of Form 1.
+// The bounds of documents of form 1.
 const (
 	form1Classes  = 64
 	form1Members  = 1000
 	form1Document = 96 << 10
 )
 
-// Ban takes a backend out at every proxy.
+// Ban removes a backend from use at every proxy.
 type Ban struct {
 	Who string `cbor:"1,keyasint" json:"who"`
 	Why string `cbor:"2,keyasint" json:"why"`
 }
 
-// Class is what holds for the requests of one class. The zero value forbids nothing.
+// Class holds the rules for the requests of one class. The zero value forbids nothing.
 type Class struct {
-	// NoRepeat: a request that may have run is not sent again, whatever the platform's file allows.
+	// NoRepeat forbids sending a request again that may have run, even where the platform's file allows it.
 	NoRepeat bool `cbor:"1,keyasint,omitempty" json:"no_repeat,omitempty"`
-	// Closed: requests are refused at once.
+	// Closed makes a proxy reject all requests of the class immediately.
 	Closed bool `cbor:"2,keyasint,omitempty" json:"closed,omitempty"`
 }
 
-// Every stands for all classes. What it forbids no class allows.
+// Every applies to all classes; the entry of a single class cannot allow what it forbids.
 const Every = "*"
 
-// Settings are the part of a document that is replaced as a whole.
+// Settings is the part of a document that a Configure change replaces as a whole.
 type Settings struct {
 	Classes map[string]Class `cbor:"1,keyasint,omitempty" json:"classes,omitempty"`
-	// Quota is the share of their quotas that tenants have, above 0 and up to 1; 0 stands for 1.
+	// Quota is the share of their configured quotas that tenants get, above 0 and up to 1; 0 means 1.
 	Quota float64 `cbor:"2,keyasint,omitempty" json:"quota,omitempty"`
-	// Numbers are the proxies' own numbers, by name. One that is not there keeps what its own file says.
+	// Numbers assigns a number to each proxy, by name. A proxy that is absent keeps the number of its own file.
 	Numbers map[string]int `cbor:"3,keyasint,omitempty" json:"numbers,omitempty"`
 }
 
-// Document is all that is agreed. It is not changed once it has been handed on.
+// Document is the complete set of agreed rules. It is immutable once it has been passed on.
 type Document struct {
 	Bans     map[string]Ban `cbor:"1,keyasint,omitempty" json:"bans,omitempty"`
 	Settings `cbor:"2,keyasint"`
-	// Dropped are servers that lists may leave out, in order, by the word of an operator: who has held them back lets go of them.
+	// Droppable holds, sorted, the servers that lists may omit because an operator allowed it. A proxy that still uses such a
+	// server, although a list held for confirmation omits it, stops using it.
 	Dropped []string `cbor:"3,keyasint,omitempty" json:"dropped,omitempty"`
 }
 
-// size is about the bytes that a document takes.
+// size returns the approximate encoded size of the document in bytes.
 func (d *Document) size() (n int) {
 	const each = 16
 	for id, b := range d.Bans {
@@ -93,57 +95,57 @@
 	return n
 }
 
-// Ruling is what a document, or a proxy's lease, says of one send.
+// Decision is the result of checking one send against a document or a proxy's lease.
 type Ruling uint8
 
-// The rulings.
+// The possible decisions.
 const (
 	Allowed  Ruling = iota
-	Banned          // the backend is out
+	Banned          // the backend is banned
 	NoRepeat        // the request may have run
-	Closed          // the class is closed
-	NoLease         // nobody has vouched for these rules since the process was away
+	Closed          // the class is closed to requests
+	NoLease         // no voter has confirmed these rules since the process started or was paused
 )
 
 func (r Ruling) String() string {
 	return [...]string{"allowed", "banned", "no repeat", "closed", "no lease"}[r]
 }
 
-// Send is an act about which there are rules: one request to one backend.
+// Send describes the action that rules apply to: sending one request to one backend.
 type Send struct {
 	Server, Class string
-	Again         bool // an earlier try of it may have run
-	Held          bool // the newest list leaves the backend out, and that list is held back (package lists)
+	Again         bool // an earlier attempt of the request may have run
+	Held          bool // the newest list omits the backend and is held for confirmation (package lists)
 }
 
-// Ground is what a ruling rests on.
+// DecisionBasis says which rules a decision is based on.
 type Ground struct {
-	Version uint64 // the newest that was known
-	Leased  bool   // keepers vouch for it
+	Version uint64 // the newest known version
+	Leased  bool   // the proxy held a lease from the voters
 }
 
-// Rule says whether an act is allowed.
+// Decide reports whether a send is allowed.
 func (d *Document) Rule(s Send) Ruling {
 	if _, out := d.Bans[s.Server]; out || s.Held && d.MayDrop(s.Server) {
 		return Banned
 	}
-	of, all := d.Classes[s.Class], d.Classes[Every]
+	class, all := d.Classes[s.Class], d.Classes[Every]
 	switch {
-	case of.Closed || all.Closed:
+	case class.Closed || all.Closed:
 		return Closed
-	case s.Again && (of.NoRepeat || all.NoRepeat):
+	case s.Again && (class.NoRepeat || all.NoRepeat):
 		return NoRepeat
 	}
 	return Allowed
 }
 
-// MayDrop says whether a list may leave a server out.
+// MayDrop reports whether a list may omit a server.
 func (d *Document) MayDrop(id string) bool {
 	_, found := slices.BinarySearch(d.Dropped, id)
 	return found
 }
 
-// Share is the share of their quotas that tenants have.
+// QuotaShare returns the share of their configured quotas that tenants get.
 func (s *Settings) Share() float64 {
 	if s.Quota == 0 {
 		return 1
@@ -151,8 +153,9 @@
 	return s.Quota
 }
 
-// Meet is what is right under both: banned by either is banned, repeated only if both allow it, the smaller quota. A number
-// on which they differ belongs to nobody; its holder keeps what it has and nobody else takes it.
+// Meet returns the document that forbids what either document forbids: it holds the bans of both, allows repeated sends only
+// if both allow them, and has the smaller quota. It assigns no number where the two differ: the present holder keeps its
+// number, and no other proxy takes it.
 func Meet(a, b *Document) *Document {
 	if a == b {
 		return a
@@ -162,7 +165,7 @@
 	return m
 }
 
-// meetQuota is the smaller share, with 0 for 1.
+// meetQuota returns the smaller quota share, with 0 for 1.
 func meetQuota(a, b *Document) float64 {
 	if q := min(a.Share(), b.Share()); q < 1 {
 		return q
@@ -170,7 +173,7 @@
 	return 0
 }
 
-// meetBans is the union of two maps; one of them itself where it holds the other.
+// meetBans returns the union of two maps. If one map contains all keys of the other, it is returned itself, without a copy.
 func meetBans(a, b map[string]Ban) map[string]Ban {
 	if len(a) < len(b) {
 		a, b = b, a
@@ -188,7 +191,7 @@
 	return met
 }
 
-// meetClasses forbids for each class what either forbids.
+// meetClasses returns, for each class, a rule that forbids what either of the maps forbids.
 func meetClasses(a, b map[string]Class) map[string]Class {
 	if maps.Equal(a, b) {
 		return a
@@ -204,7 +207,7 @@
 	return met
 }
 
-// meetNumbers are those on which both agree; one of the maps itself where it holds no others.
+// meetNumbers returns the entries that are equal in both maps. If the maps are equal, a is returned without a copy.
 func meetNumbers(a, b map[string]int) map[string]int {
 	if sameMap(a, b) || maps.Equal(a, b) {
 		return a
@@ -221,7 +224,7 @@
 	return met
 }
 
-// meetDropped is the union of two ordered lists.
+// meetDropped returns the union of two sorted lists.
 func meetDropped(a, b []string) []string {
 	if slices.Equal(a, b) {
 		return a
@@ -229,14 +232,14 @@
 	return slices.Compact(slices.Sorted(slices.Values(append(slices.Clone(a), b...))))
 }
 
-// Unknowing is what a proxy acts on of which nobody vouches that it knows the latest: what it knows, and no repeat, since any
-// class may have been forbidden one.
+// Unleased returns the rules for a proxy without a lease, which may not know the newest document: the rules that it knows, with
+// no repeated sends, because a newer document may forbid them for any class.
 func Unknowing(d *Document) *Document {
 	return Meet(d, &Document{Settings: Settings{Classes: map[string]Class{Every: {NoRepeat: true}}}})
 }
 
-// Breaches are the acts that one document allows and another forbids, in words; none if the first is as strict. A proxy that
-// acts on the first contradicts one that acts on the second by these and no others.
+// Breaches describes the actions that one document allows and the other forbids; there are none if the first is at least as
+// strict. A proxy that acts on the first document contradicts a proxy that acts on the second by these actions only.
 func Breaches(acts, forbids *Document) []string {
 	var found []string
 	for _, id := range slices.Sorted(maps.Keys(forbids.Bans)) {
@@ -251,7 +254,7 @@
 	}
 	all, strict := acts.Classes[Every], forbids.Classes[Every]
 	if all.Closed {
-		return found[:0] // it sends nothing
+		return found[:0] // the proxy sends nothing
 	}
 	if strict.NoRepeat && !all.NoRepeat {
 		found = append(found, "repeats")
@@ -286,7 +289,7 @@
 	return found
 }
 
-// Diff is what is different, in words, for people: from a to b.
+// Diff describes the differences from a to b for operators.
 func Diff(a, b *Document) []string {
 	var d []string
 	for _, id := range slices.Sorted(maps.Keys(b.Bans)) {
@@ -352,7 +355,7 @@
 	return "free"
 }
 
-// Check says all that is wrong with settings; each finding names its place and what may stand there.
+// Validate returns all errors in the settings. Each error names the faulty entry and the allowed values.
 func (s *Settings) Check() error {
 	var errs []error
 	bad := func(format string, a ...any) { errs = append(errs, fmt.Errorf(format, a...)) }
@@ -364,7 +367,7 @@
 			bad("class %.40q: %w", name, err)
 		}
 	}
-	if !(s.Quota >= 0 && s.Quota <= 1) { // which is so for no NaN
+	if !(s.Quota >= 0 && s.Quota <= 1) { // this form rejects NaN too
 		bad("quota: %v; above 0 and up to 1 is allowed (leave it out for 1)", s.Quota)
 	}
 	if err := checkNumbers(s.Numbers); err != nil {
@@ -373,20 +376,20 @@
 	return errors.Join(errs...)
 }
 
-// checkNumbers says all that is wrong with proxies' own numbers.
+// checkNumbers returns all errors in the proxies' assigned numbers.
 func checkNumbers(numbers map[string]int) error {
 	var errs []error
 	bad := func(format string, a ...any) { errs = append(errs, fmt.Errorf(format, a...)) }
 	if len(numbers) > MostMembers {
 		bad("number: %d of them; %d at most", len(numbers), MostMembers)
 	}
-	holder := make(map[int]string, len(numbers)) // the first by name
+	holder := make(map[int]string, len(numbers)) // by number; the first name in alphabetical order
 	for name, n := range numbers {
 		if other, taken := holder[n]; !taken || name < other {
 			holder[n] = name
 		}
 	}
-	var faulty []string // most have none, and are not put in order for that
+	var faulty []string // usually empty, so only the faulty names are sorted
 	for name, n := range numbers {
 		if n < 0 || holder[n] != name || checkText(name, MostID, false) != nil {
 			faulty = append(faulty, name)
@@ -408,17 +411,17 @@
 	return errors.Join(errs...)
 }
 
-func checkText(text string, most int, mayBeEmpty bool) error {
+func checkText(text string, maxBytes int, mayBeEmpty bool) error {
 	switch {
 	case text == "" && !mayBeEmpty:
 		return errors.New("empty")
-	case len(text) > most:
-		return fmt.Errorf("over %d bytes", most)
+	case len(text) > maxBytes:
+		return fmt.Errorf("over %d bytes", maxBytes)
 	case !utf8.ValidString(text) || strings.ContainsFunc(text, unicode.IsControl):
 		return errors.New("not plain text")
 	}
 	return nil
 }
 
-// compareVersions orders versions by number.
+// compareVersions compares a version's number, for a binary search.
 func compareVersions(a Version, number uint64) int { return cmp.Compare(a.Number, number) }
--- a/internal/cluster/rules/rules_test.go
+++ b/internal/cluster/rules/rules_test.go
@@ -25,35 +25,35 @@
 	return d
 })
 
-// TestWhatMustHoldOfMeets: a meet breaches neither side, is the same from both sides, and is no stricter than it has to be.
-func TestWhatMustHoldOfMeets(t *testing.T) {
+// TestMeetProperties checks that a meet contradicts neither document, is commutative, and is no stricter than necessary.
+func TestMeetProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := drawDocument.Draw(t, "a"), drawDocument.Draw(t, "b")
 		m := Meet(a, b)
 		if found := append(Breaches(m, a), Breaches(m, b)...); len(found) > 0 {
-			t.Fatalf("the meet %q", found)
+			t.Fatalf("the meet breaches a document: %q", found)
 		}
 		if d := Diff(m, Meet(b, a)); len(d) > 0 {
-			t.Fatalf("from the other side: %q", d)
+			t.Fatalf("the meet is not commutative: %q", d)
 		}
 		for _, server := range []string{"a", "b", "c", "d"} {
 			for _, class := range []string{"hold", "search", "other"} {
 				for n := range 4 {
 					s := Send{Server: server, Class: class, Again: n&1 > 0, Held: n&2 > 0}
 					if both := a.Rule(s) == Allowed && b.Rule(s) == Allowed; both != (m.Rule(s) == Allowed) {
-						t.Fatalf("%+v: %v and %v, and under the meet %v", s, a.Rule(s), b.Rule(s), m.Rule(s))
+						t.Fatalf("%+v: %v and %v, but %v under the meet", s, a.Rule(s), b.Rule(s), m.Rule(s))
 					}
 				}
 			}
 		}
 		if v := Unknowing(a); v.Rule(Send{Server: "d", Class: "other", Again: true}) != NoRepeat && v.Rule(Send{Server: "d", Class: "other", Again: true}) != Closed {
-			t.Fatal("who knows of no lease repeats")
+			t.Fatal("a proxy without a lease may repeat a send")
 		}
 	})
 }
 
-// TestMeetOfAStanding: it is the meet of each document in it, one after another.
-func TestMeetOfAStanding(t *testing.T) {
+// TestMeetOfStatus checks that the meet of a status equals the meet of its documents, computed one after another.
+func TestMeetOfStatus(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, _ := drawHistory(t)
 		one := s.InForce.Doc
@@ -63,18 +63,18 @@
 		}
 		got := s.Meet()
 		if d := Diff(want, got); len(d) > 0 || got.Share() != want.Share() {
-			t.Fatalf("%q", d)
+			t.Fatalf("the meets differ: %q", d)
 		}
 		for _, v := range s.versions() {
 			if found := Breaches(got, &v.Doc); len(found) > 0 {
-				t.Fatalf("against version %d: %q", v.Number, found)
+				t.Fatalf("the meet breaches version %d: %q", v.Number, found)
 			}
 		}
 	})
 }
 
-// TestDocumentsSurviveTheWire: what is written is read back as it was; two parts with one key would not be.
-func TestDocumentsSurviveTheWire(t *testing.T) {
+// TestDocumentRoundTrip checks that a decoded document equals the encoded one. Two fields with the same CBOR key would fail here.
+func TestDocumentRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawDocument.Draw(t, "document")
 		text, err := cbor.Marshal(d)
@@ -86,7 +86,7 @@
 			t.Fatal(err)
 		}
 		if diff := Diff(d, &back); len(diff) > 0 {
-			t.Fatalf("%q", diff)
+			t.Fatalf("the decoded document differs: %q", diff)
 		}
 	})
 }
@@ -100,20 +100,20 @@
 		t.Fatalf("%+v", a)
 	}
 	if a := s.Propose(suspend("1", "a")); a.Version != 2 || len(s.Pending) != 1 {
-		t.Errorf("one that came twice: %+v, %d on their way", a, len(s.Pending))
+		t.Errorf("the same change twice: %+v, %d pending", a, len(s.Pending))
 	}
 	if a := s.Propose(&Change{ID: "2", Kind: Resume, Server: "b"}); a.Version != 0 || !strings.Contains(a.No, "is not out") {
 		t.Errorf("%+v", a)
 	}
 	if a := s.Propose(&Change{ID: "3", Kind: Suspend, Server: "b", On: 1}); a.Version != 0 || !strings.Contains(a.No, "the newest is 2") {
-		t.Errorf("made for an older version: %+v", a)
+		t.Errorf("a change for an older version: %+v", a)
 	}
 	s.Propose(suspend("4", "b"))
 	if m := s.Meet(); len(m.Bans) != 2 || len(s.InForce.Doc.Bans) != 0 {
-		t.Errorf("on their way: %v; in force %v", m.Bans, s.InForce.Doc.Bans)
+		t.Errorf("bans in the meet: %v; in force: %v", m.Bans, s.InForce.Doc.Bans)
 	}
 	if !s.Enforce(2) || s.InForce.Number != 2 || len(s.Pending) != 1 || s.Enforce(2) {
-		t.Errorf("in force %d, %d on their way", s.InForce.Number, len(s.Pending))
+		t.Errorf("version %d in force, %d pending", s.InForce.Number, len(s.Pending))
 	}
 	s.Enforce(3)
 	if a := s.Propose(&Change{ID: "5", Kind: GoBack, To: 2}); a.Version != 4 {
@@ -121,7 +121,7 @@
 	}
 	s.Enforce(4)
 	if got := slices.Sorted(maps.Keys(s.InForce.Doc.Bans)); !slices.Equal(got, []string{"a"}) {
-		t.Errorf("after going back: %q", got)
+		t.Errorf("bans after a rollback: %q", got)
 	}
 	numbers := map[string]int{"n1": 0, "n2": 1}
 	s.Propose(&Change{ID: "7", Kind: Number, Numbers: numbers})
@@ -129,11 +129,11 @@
 	s.Propose(&Change{ID: "9", Kind: Configure, Settings: &Settings{Quota: 0.5}})
 	s.Enforce(s.Last())
 	if d := &s.InForce.Doc; !maps.Equal(d.Numbers, numbers) || !slices.Equal(d.Dropped, []string{"a", "z"}) || d.Quota != 0.5 {
-		t.Errorf("settings that name no numbers: %+v", d)
+		t.Errorf("after settings without numbers: %+v", d)
 	}
 	for _, c := range []*Change{{ID: "10", Kind: Number, Numbers: numbers}, {ID: "11", Kind: Drop, Servers: []string{"z", "a"}}} {
 		if a := s.Propose(c); a.Version != 0 {
-			t.Errorf("what is so already: %+v", a)
+			t.Errorf("a change without effect is accepted: %+v", a)
 		}
 	}
 	if a := s.Propose(&Change{ID: "6", Kind: GoBack, To: 99}); !strings.Contains(a.No, "is not kept") {
@@ -143,14 +143,14 @@
 		s.Propose(suspend(fmt.Sprint("many", i), fmt.Sprint("node", i)))
 	}
 	if len(s.Pending) != MostPending {
-		t.Errorf("%d on their way", len(s.Pending))
+		t.Errorf("%d pending", len(s.Pending))
 	}
 	if err := s.Sound(); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestWhatIsNotProposed(t *testing.T) {
+func TestInvalidChanges(t *testing.T) {
 	for want, c := range map[string]Change{
 		"id: empty":               {Kind: Suspend, Server: "a"},
 		"backend: empty":          {ID: "1", Kind: Suspend},
@@ -169,7 +169,7 @@
 	}
 }
 
-// BenchmarkEnforce brings a ban into force, with documents for 1,400 proxies in the history.
+// BenchmarkEnforce measures Enforce for a ban, with documents for 1,400 proxies in the history.
 func BenchmarkEnforce(b *testing.B) {
 	s := NewState()
 	numbers := map[string]int{}
@@ -178,20 +178,20 @@
 	}
 	s.Propose(&Change{ID: "numbers", Kind: Number, Numbers: numbers, Form: 2})
 	s.Enforce(s.Last())
-	for i := range mostHistory {
+	for i := range maxHistory {
 		s.Propose(&Change{ID: fmt.Sprint(i), Kind: Suspend, Server: fmt.Sprint("node-", i)})
 		s.Enforce(s.Last())
 	}
 	s.Propose(&Change{ID: "last", Kind: Suspend, Server: "last"})
 	for b.Loop() {
 		if !s.Clone().Enforce(s.Last()) {
-			b.Fatal("not in force")
+			b.Fatal("the version is not pending")
 		}
 	}
 }
 
-// TestBoundsOfWhatIsKept: long reasons fill neither a document nor the history over what a message holds.
-func TestBoundsOfWhatIsKept(t *testing.T) {
+// TestStateSizeBounds checks that many bans with long reasons make neither a document nor the history larger than a message may be.
+func TestStateSizeBounds(t *testing.T) {
 	s := NewState()
 	refused := 0
 	for i := range MostBans + 200 {
@@ -202,10 +202,10 @@
 		s.Enforce(s.Last())
 	}
 	if n := s.InForce.Doc.size(); n > MostDocument || refused == 0 {
-		t.Errorf("%d bytes, %d turned away", n, refused)
+		t.Errorf("a document of %d bytes, %d changes rejected", n, refused)
 	}
 	text, err := cbor.Marshal(s)
-	if err != nil || len(text) > 2*mostKept || len(s.History) < 2 {
-		t.Errorf("%d bytes of state with %d versions, %v", len(text), len(s.History), err)
+	if err != nil || len(text) > 2*maxHistoryBytes || len(s.History) < 2 {
+		t.Errorf("a state of %d bytes with %d versions, error %v", len(text), len(s.History), err)
 	}
 }
--- a/internal/cluster/rules/state.go
+++ b/internal/cluster/rules/state.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// Kind is what a change does.
+// Kind is the kind of a change.
 type Kind uint8
 
 // The kinds of changes.
 const (
-	Suspend   Kind = iota + 1 // takes Server out
-	Resume                    // puts Server back
-	Configure                 // replaces the settings
-	GoBack                    // takes the settings and bans of version To again
-	Number                    // replaces the proxies' own numbers alone
-	Drop                      // lets lists leave Servers out, and no others
+	Suspend   Kind = iota + 1 // bans Server
+	Resume                    // lifts the ban of Server
+	Configure                 // replaces the settings; the numbers only if it has any
+	GoBack                    // restores the document of version ToVersion
+	Number                    // replaces only the proxies' assigned numbers
+	Drop                      // allows lists to omit exactly the servers in Servers
 )
 
-// Change is one proposal.
+// Change is a proposed change of the document.
 type Change struct {
-	// ID is drawn at random by who proposes; one that comes twice is one change.
+	// ID is drawn at random by the proposer. Two proposals with the same ID are the same change.
 	ID       string        `cbor:"1,keyasint" json:"id"`
 	Kind     Kind          `cbor:"2,keyasint" json:"kind"`
 	Server   string        `cbor:"3,keyasint,omitempty" json:"server,omitempty"`
@@ -31,23 +31,23 @@
 	To       uint64        `cbor:"5,keyasint,omitempty" json:"to,omitempty"`
 	Who      string        `cbor:"6,keyasint,omitempty" json:"who"`
 	Why      string        `cbor:"7,keyasint,omitempty" json:"why"`
-	At       time.Duration `cbor:"8,keyasint,omitempty" json:"at"` // Unix time by who proposed, for people only
-	// Numbers are those of a Number, Servers those of a Drop.
+	At       time.Duration `cbor:"8,keyasint,omitempty" json:"at"` // Unix time on the proposer's clock; informational only
+	// Numbers belongs to a Renumber change, Servers to an AllowDrop change.
 	Numbers map[string]int `cbor:"10,keyasint,omitempty" json:"numbers,omitempty"`
 	Servers []string       `cbor:"11,keyasint,omitempty" json:"servers,omitempty"`
-	// Form is that of documents which is needed to understand the change; 0 stands for 1. See Form.
+	// Form is the document form that a proxy must support to understand the change; 0 means 1. See CurrentForm.
 	Form uint8 `cbor:"12,keyasint,omitempty" json:"form,omitempty"`
-	// On is the version that the change was made for; 0 for any. Where another came meanwhile it is turned away.
+	// BaseVersion is the version that the change was made for; 0 for any. The change is rejected if it is no longer the newest.
 	On uint64 `cbor:"9,keyasint,omitempty" json:"on,omitempty"`
 }
 
-// Form is the form of documents that this version of the program understands. A proxy acts on no document of a later one: what it
-// does not understand forbids something. It grows with each kind of change, with each part of a document, and with each bound of
-// one, as a replica must not turn away what others take. Form 2 has greater bounds than Form 1.
+// CurrentForm is the latest document form that this version of the program supports. A proxy doesn't act on a document of a later
+// form, because the part that it doesn't understand forbids something. The form increases with each new kind of change, each new
+// part of a document and each raised bound, as a replica must not reject what others accept. Form 2 has higher bounds than form 1.
 const Form = 2
 
-// Needs is the form that is needed to understand a change: what its proposer says, or a later one for what goes beyond the bounds
-// of Form 1.
+// RequiredForm returns the form that is needed to understand the change: the form that its proposer states, or at least form 2 if the
+// change exceeds the bounds of form 1.
 func (c *Change) Needs() uint8 {
 	numbers, classes := len(c.Numbers), 0
 	if c.Settings != nil {
@@ -59,15 +59,15 @@
 	return max(c.Form, 1)
 }
 
-// mostDocument is the bytes of texts that a document may hold under a form.
-func mostDocument(form uint8) int {
+// mostDocument returns the bound of the size of a document under a form.
+func maxDocumentBytes(form uint8) int {
 	if form < 2 {
 		return form1Document
 	}
 	return MostDocument
 }
 
-// Check says what is wrong with a change before it is proposed.
+// Validate checks a change on its own, without the state that it applies to.
 func (c *Change) Check() error {
 	if err := checkText(c.ID, 64, false); err != nil {
 		return fmt.Errorf("change: id: %w", err)
@@ -111,17 +111,17 @@
 	return nil
 }
 
-// Version is a document with what made it.
+// Version is a numbered document together with the change that produced it.
 type Version struct {
 	Number uint64   `cbor:"1,keyasint" json:"version"`
 	Doc    Document `cbor:"2,keyasint" json:"document"`
 	Change Change   `cbor:"3,keyasint" json:"change"`
 
 	digests partDigests // see computeDigests
-	bytes   int         // the size of Doc, once the digests are computed
+	bytes   int         // the size of Doc, set when the digests are computed
 }
 
-// size is about the bytes that a version's document takes.
+// size returns the approximate encoded size of the version's document in bytes.
 func (v *Version) size() int {
 	if v.digests.whole != 0 {
 		return v.bytes
@@ -129,22 +129,22 @@
 	return v.Doc.size()
 }
 
-// Standing is what a proxy has to act on: the version in force, and those on their way, each made on the one before.
+// Status holds the versions that a proxy acts on: the version in force and the pending ones, each based on its predecessor.
 type Standing struct {
-	// Log is drawn when the keepers' log is founded. Versions of two logs have nothing to do with each other.
+	// Log is an ID drawn at random when the voters' log is created. Versions of different logs are unrelated.
 	Log uint64 `cbor:"5,keyasint,omitempty" json:"log"`
-	// Reign counts how often operators had one keeper go on alone, in place of a majority that was lost for good.
+	// Term counts how often an operator had a single voter refound the log because the majority was permanently lost.
 	Reign uint64 `cbor:"6,keyasint,omitempty" json:"reign,omitempty"`
-	// Form is the latest that any change until now has needed; 0 stands for 1.
+	// Form is the highest form that any change so far has required; 0 means 1.
 	Form    uint8     `cbor:"7,keyasint,omitempty" json:"form,omitempty"`
 	InForce Version   `cbor:"1,keyasint" json:"in_force"`
 	Pending []Version `cbor:"2,keyasint,omitempty" json:"pending,omitempty"`
 }
 
-// Last is the number of the newest version.
+// Last returns the number of the newest version.
 func (s *Standing) Last() uint64 { return s.newest().Number }
 
-// newest is the newest version.
+// newest returns the newest version.
 func (s *Standing) newest() *Version {
 	if n := len(s.Pending); n > 0 {
 		return &s.Pending[n-1]
@@ -152,19 +152,20 @@
 	return &s.InForce
 }
 
-// NewerThan says whether a standing has more than another of the same log: a version more, or one more of them in force.
+// NewerThan reports whether the status is newer than another of the same log: its newest version is later, or that is equal and
+// a later version is in force.
 func (s *Standing) NewerThan(o *Standing) bool {
 	return (s.Log == o.Log || o.Log == 0) && (s.Last() > o.Last() || s.Last() == o.Last() && s.InForce.Number > o.InForce.Number)
 }
 
-// Share is a copy that may be handed on; documents are shared, as they do not change.
+// Copy returns a copy that may be passed on. The copy shares the documents, which are immutable.
 func (s *Standing) Share() *Standing {
 	return &Standing{Log: s.Log, Reign: s.Reign, Form: s.Form, InForce: s.InForce, Pending: slices.Clone(s.Pending)}
 }
 
-// Meet is what is right under the version in force and all that are on their way.
+// Meet returns the meet of the version in force and all pending versions.
 func (s *Standing) Meet() *Document {
-	met := s.InForce.Doc // the standing itself may change
+	met := s.InForce.Doc // a copy, as the status itself may change later
 	before := &s.InForce.Doc
 	for i := range s.Pending {
 		doc := &s.Pending[i].Doc
@@ -174,8 +175,8 @@
 	return &met
 }
 
-// meet makes a document that of what is right under it and another one, of which the parts that it shares with the one before it are
-// in there already.
+// meet replaces the document by its meet with another one. Parts that other shares with its predecessor are skipped, because the
+// document includes them already.
 func (d *Document) meet(other, before *Document) {
 	if !sameMap(other.Bans, before.Bans) {
 		d.Bans = meetBans(d.Bans, other.Bans)
@@ -192,18 +193,18 @@
 	d.Quota = meetQuota(d, other)
 }
 
-// Sound says what is wrong with a standing that has come from outside.
+// Validate checks a status that was received from another process or read from disk.
 func (s *Standing) Sound() error {
-	if err := s.soundNumbers(); err != nil {
+	if err := s.validateNumbers(); err != nil {
 		return err
 	}
-	if err := s.InForce.sound(&Version{}); err != nil {
+	if err := s.InForce.validate(&Version{}); err != nil {
 		return err
 	}
 	before := &s.InForce
 	for i := range s.Pending {
 		v := &s.Pending[i]
-		if err := v.sound(before); err != nil {
+		if err := v.validate(before); err != nil {
 			return err
 		}
 		before = v
@@ -211,28 +212,28 @@
 	return nil
 }
 
-// soundNumbers says what is wrong with the order of a standing's versions.
-func (s *Standing) soundNumbers() error {
+// soundNumbers checks the order and the number of the versions.
+func (s *Standing) validateNumbers() error {
 	if len(s.Pending) > MostPending {
-		return fmt.Errorf("standing: %d versions on their way; %d at most", len(s.Pending), MostPending)
+		return fmt.Errorf("status: %d pending versions; %d at most", len(s.Pending), MostPending)
 	}
 	before := s.InForce.Number
 	for i := range s.Pending {
 		if number := s.Pending[i].Number; number != before+1 {
-			return fmt.Errorf("standing: version %d after %d", number, before)
+			return fmt.Errorf("status: version %d follows version %d", number, before)
 		}
 		before++
 	}
 	return nil
 }
 
-// sound says what is wrong with a version. Numbers that it shares with another one, which is sound, are not looked at again.
-func (v *Version) sound(other *Version) error {
+// sound checks a version. Numbers that it shares with another version, which is valid, are not checked again.
+func (v *Version) validate(other *Version) error {
 	if len(v.Doc.Bans) > MostBans || len(v.Doc.Dropped) > MostDropped {
-		return fmt.Errorf("version %d: %d bans, %d dropped; %d and %d at most", v.Number, len(v.Doc.Bans), len(v.Doc.Dropped), MostBans, MostDropped)
+		return fmt.Errorf("version %d: %d bans and %d droppable servers; %d and %d at most", v.Number, len(v.Doc.Bans), len(v.Doc.Dropped), MostBans, MostDropped)
 	}
 	if !slices.IsSorted(v.Doc.Dropped) {
-		return fmt.Errorf("version %d: dropped servers out of order", v.Number)
+		return fmt.Errorf("version %d: the droppable servers are not sorted", v.Number)
 	}
 	settings := v.Doc.Settings
 	if sameMap(settings.Numbers, other.Doc.Numbers) {
@@ -244,36 +245,37 @@
 	return nil
 }
 
-// Answer is what became of a proposal.
+// Answer is the outcome of a proposal.
 type Answer struct {
 	ID      string `cbor:"1,keyasint" json:"id"`
-	Version uint64 `cbor:"2,keyasint,omitempty" json:"version,omitempty"` // 0 where it was turned away
-	No      string `cbor:"3,keyasint,omitempty" json:"no,omitempty"`      // why
+	Version uint64 `cbor:"2,keyasint,omitempty" json:"version,omitempty"` // 0 if the proposal was rejected
+	No      string `cbor:"3,keyasint,omitempty" json:"no,omitempty"`      // the reason for a rejection
 }
 
-// State is what the keepers hold, each the same at the same place of their log. It changes by Propose and Enforce alone.
+// State is the replicated state machine of the voters: it is the same at each voter at the same index of their log. Only Propose
+// and Enforce change it.
 type State struct {
 	Standing
-	// History holds the last versions that were in force, the oldest first, the one in force now included.
+	// History holds the latest versions that were in force, the oldest first, including the version in force now.
 	History []Version `cbor:"3,keyasint,omitempty"`
-	Answers []Answer  `cbor:"4,keyasint,omitempty"` // the last ones, the oldest first
+	Answers []Answer  `cbor:"4,keyasint,omitempty"` // the latest ones, the oldest first
 }
 
-// NewState is a fleet's before anything was agreed: version 1 forbids nothing.
+// NewState returns the state of a fleet that has agreed on nothing yet: version 1 forbids nothing.
 func NewState() *State {
 	first := Version{Number: 1}
 	first.computeDigests(nil)
 	return &State{Standing: Standing{InForce: first}, History: []Version{first}}
 }
 
-// Clone is a copy that may be changed; documents are shared, as they do not change.
+// Clone returns a copy that may be changed. The copy shares the documents, which are immutable.
 func (s *State) Clone() *State {
 	c := *s
 	c.Pending, c.History, c.Answers = slices.Clone(s.Pending), slices.Clone(s.History), slices.Clone(s.Answers)
 	return &c
 }
 
-// Propose makes a change a version on its way, or turns it away. A change that came before has its answer again.
+// Propose adds a pending version for a change, or rejects the change. A change that was proposed before gets its earlier answer.
 func (s *State) Propose(c *Change) Answer {
 	for i := len(s.Answers) - 1; i >= 0; i-- {
 		if s.Answers[i].ID == c.ID {
@@ -286,19 +288,21 @@
 		a.No = err.Error()
 	} else {
 		v := Version{Number: s.Last() + 1, Doc: *doc, Change: *c}
-		v.Change.Settings, v.Change.Numbers, v.Change.Servers = nil, nil, nil // they are the document's
+		v.Change.Settings, v.Change.Numbers, v.Change.Servers = nil, nil, nil // the document holds them
 		v.computeDigests(s.newest())
 		s.Pending = append(s.Pending[:len(s.Pending):len(s.Pending)], v)
 		a.Version = v.Number
 		s.Form = max(s.Form, c.Form)
 	}
-	if s.Answers = append(s.Answers, a); len(s.Answers) > mostAnswers {
-		s.Answers = slices.Clone(s.Answers[len(s.Answers)-mostAnswers:])
+	if s.Answers = append(s.Answers, a); len(s.Answers) > maxAnswers {
+		s.Answers = slices.Clone(s.Answers[len(s.Answers)-maxAnswers:])
 	}
 	return a
 }
 
-// apply is the newest document with a change made.
+// apply returns the newest document with a change applied.
+//
+// Its error texts, including those of Change.Validate, become part of the replicated state and must be the same at all voters.
 func (s *State) apply(c *Change) (*Document, error) {
 	if err := c.Check(); err != nil {
 		return nil, err
@@ -307,7 +311,7 @@
 		return nil, fmt.Errorf("%d changes are on their way; wait for them", len(s.Pending))
 	}
 	if c.Needs() > max(c.Form, 1) {
-		// An older replica turns it away for its bounds, and all must come to the same.
+		// An older replica rejects the change because of its bounds, and all replicas must reach the same result.
 		return nil, fmt.Errorf("the change needs form %d of documents, and says that %d is enough", c.Needs(), max(c.Form, 1))
 	}
 	if c.On != 0 && c.On != s.Last() {
@@ -335,7 +339,7 @@
 	case Configure:
 		doc.Settings = *c.Settings
 		if doc.Numbers == nil {
-			doc.Numbers = was.Numbers // a file that names none leaves them as they are
+			doc.Numbers = was.Numbers // settings without numbers leave the numbers unchanged
 		}
 	case Number:
 		if maps.Equal(was.Numbers, c.Numbers) {
@@ -355,23 +359,24 @@
 		}
 		doc = old.Doc
 	}
-	if n, most := doc.size(), mostDocument(max(s.Form, c.Form)); n > most {
-		return nil, fmt.Errorf("%d bytes of bans and settings; %d at most: lift bans that are over, or give shorter reasons", n, most)
+	if n, limit := doc.size(), maxDocumentBytes(max(s.Form, c.Form)); n > limit {
+		return nil, fmt.Errorf("%d bytes of bans and settings; %d at most: lift bans that are over, or give shorter reasons", n, limit)
 	}
 	return &doc, nil
 }
 
-// Version is one that was in force, or is on its way.
+// Version returns a version by its number, from the history or the pending versions.
 func (s *State) Version(number uint64) (Version, bool) {
-	for _, of := range [][]Version{s.History, s.Pending} {
-		if i, found := slices.BinarySearchFunc(of, number, compareVersions); found {
-			return of[i], true
+	for _, versions := range [][]Version{s.History, s.Pending} {
+		if i, found := slices.BinarySearchFunc(versions, number, compareVersions); found {
+			return versions[i], true
 		}
 	}
 	return Version{}, false
 }
 
-// Enforce brings all versions up to a number into force. One that is no longer on its way changes nothing.
+// Enforce brings all pending versions up to a number into force. It changes nothing and returns false if the numbered version is
+// not pending.
 func (s *State) Enforce(number uint64) bool {
 	i, found := slices.BinarySearchFunc(s.Pending, number, compareVersions)
 	if !found {
@@ -379,10 +384,10 @@
 	}
 	s.InForce = s.Pending[i]
 	s.History = append(s.History[:len(s.History):len(s.History)], s.Pending[:i+1]...)
-	s.History = slices.Clone(s.History[max(0, len(s.History)-mostHistory):])
-	kept := 0
+	s.History = slices.Clone(s.History[max(0, len(s.History)-maxHistory):])
+	size := 0
 	for i := len(s.History) - 1; i >= 0; i-- {
-		if kept += s.History[i].size(); kept > mostKept {
+		if size += s.History[i].size(); size > maxHistoryBytes {
 			s.History = s.History[i+1:]
 			break
 		}
