--- a/internal/backends/conn.go
+++ b/internal/backends/conn.go
@@ -24,7 +24,7 @@
 	pool     *Pool
 	endpoint Endpoint
 	cc       *http.ClientConn
-	framing  framing.Follower // of the answers; used by the one that reads, and once it is done
+	framing  framing.Tracker // of the answers; used by the one that reads, and once it is done
 
 	last  atomic.Bool // the next write may hold the request's last byte
 	wrote atomic.Bool // a write of this attempt has begun
@@ -151,7 +151,7 @@
 	if n > 0 {
 		c.framing.Feed(b[:n])
 		switch {
-		case c.framing.Interim() > maxInterim:
+		case c.framing.InterimCount() > maxInterim:
 			return 0, errInterim
 		case c.framing.AfterInterim():
 			c.unwatchRest() // the answer proper may be far off
@@ -165,7 +165,7 @@
 // stream says that from now on a message is passed on while it comes.
 func (c *conn) stream() {
 	c.pool.mu.Lock()
-	c.silence = c.pool.options.StreamSilence
+	c.silence = c.pool.options.StreamIdleTimeout
 	c.restEnd = time.Time{}
 	c.pool.mu.Unlock()
 	c.streams.Store(true)
@@ -238,7 +238,7 @@
 
 // renew makes a connection that has been idle ready for its next request.
 func (c *conn) renew() {
-	c.framing = framing.Follower{}
+	c.framing = framing.Tracker{}
 	c.wrote.Store(false)
 	c.last.Store(false)
 	c.began.Store(false)
--- a/internal/backends/exchange.go
+++ b/internal/backends/exchange.go
@@ -38,28 +38,28 @@
 
 // Reply is a backend's 200 answer: whole, or as far as it has come.
 type Reply struct {
-	Header http.Header
-	Body   []byte
-	Length int64 // of the whole body; -1 if it is not known yet
-	Rest   *Rest // what follows Body; nil if that is all
+	Header    http.Header
+	Body      []byte
+	Length    int64      // of the whole body; -1 if it is not known yet
+	Remainder *Remainder // what follows Body; nil if that is all
 	// Channel is set, and nothing else but Header, where the backend changed to the WebSocket protocol.
 	Channel *Channel
 }
 
 // Rest is what is still to come of an answer. It is for one goroutine, which must close it.
-type Rest struct {
+type Remainder struct {
 	from  io.Reader
 	ended chan error // takes what the rest ended with
 }
 
 // ErrLeft is what a Rest is closed with that nobody takes any more: no fault of the backend's.
-var ErrLeft = errors.New("the caller has left")
+var ErrCallerLeft = errors.New("the caller has left")
 
 // Read reads on; io.EOF stands behind a whole answer alone.
-func (r *Rest) Read(p []byte) (int, error) { return r.from.Read(p) }
+func (r *Remainder) Read(p []byte) (int, error) { return r.from.Read(p) }
 
 // Close ends the attempt: nil for an answer read to its end, ErrLeft, or what Read returned.
-func (r *Rest) Close(err error) { r.ended <- err }
+func (r *Remainder) Close(err error) { r.ended <- err }
 
 // Attempt is what is asked and told on the way of one attempt, from Exchange's goroutine.
 type Attempt interface {
@@ -74,7 +74,7 @@
 // is another endpoint: it must not get the old one's connections, which lead nowhere and may never say so.
 type Endpoint struct {
 	Server, Address string
-	Boot            time.Duration
+	StartTime       time.Duration
 }
 
 // Exchange carries one attempt out and says how it ended. The reply is a whole answer; one that streams goes to
@@ -149,8 +149,8 @@
 	}
 	c.stream()
 	c.answering.Store(true)
-	rest := &Rest{from: &limited{resp.Body, body.MaxBytes - int64(len(text))}, ended: make(chan error, 1)}
-	if !a.Started(&Reply{Header: resp.Header, Body: text, Length: resp.ContentLength, Rest: rest}) {
+	rest := &Remainder{from: &limited{resp.Body, body.MaxBytes - int64(len(text))}, ended: make(chan error, 1)}
+	if !a.Started(&Reply{Header: resp.Header, Body: text, Length: resp.ContentLength, Remainder: rest}) {
 		c.discard()
 		return c.brokenOutcome(ctx), nil
 	}
@@ -158,7 +158,7 @@
 	case nil:
 		p.release(c)
 		return balance.OK, nil
-	case ErrLeft:
+	case ErrCallerLeft:
 		c.discard()
 		return balance.Canceled, nil
 	}
@@ -193,14 +193,14 @@
 		return nil, false, body.ErrTooLarge
 	case resp.ContentLength < 0 && resp.TransferEncoding == nil:
 		// Nothing of it is passed on before its end while it can be kept: noise behind a head looks the same, and has none.
-		text, whole, err = body.ReadAtMost(resp.Body, body.WholeBytes, func() bool { return true })
+		text, whole, err = body.ReadAtMost(resp.Body, body.MaxBufferedBytes, func() bool { return true })
 		if err != nil {
 			return nil, false, fmt.Errorf("answer: %w", err)
 		}
 		return text, whole, nil
 	case resp.ContentLength < 0 && !c.framing.Chunked():
 		return nil, false, errFraming
-	case resp.ContentLength > body.WholeBytes:
+	case resp.ContentLength > body.MaxBufferedBytes:
 		text = make([]byte, firstBytes)
 		n, err := resp.Body.Read(text)
 		if n == 0 {
@@ -216,7 +216,7 @@
 		return text, true, err
 	}
 	begun := time.Now()
-	text, whole, err = body.ReadAtMost(resp.Body, body.WholeBytes, func() bool { return time.Since(begun) < streamAfter })
+	text, whole, err = body.ReadAtMost(resp.Body, body.MaxBufferedBytes, func() bool { return time.Since(begun) < streamAfter })
 	if err != nil {
 		return nil, false, fmt.Errorf("answer: %w", err)
 	}
@@ -228,13 +228,13 @@
 
 // discardAnswer reads to the end of an answer whose body means nothing, or drops the connection.
 func (p *Pool) discardAnswer(c *conn, resp *http.Response) {
-	if resp.StatusCode < 200 || resp.ContentLength > body.WholeBytes {
+	if resp.StatusCode < 200 || resp.ContentLength > body.MaxBufferedBytes {
 		c.discard()
 		return
 	}
 	late := time.AfterFunc(leftoverWait, c.discard)
-	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, body.WholeBytes+1))
-	if late.Stop() && err == nil && n <= body.WholeBytes {
+	n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, body.MaxBufferedBytes+1))
+	if late.Stop() && err == nil && n <= body.MaxBufferedBytes {
 		p.release(c)
 		return
 	}
--- a/internal/backends/options.go
+++ b/internal/backends/options.go
@@ -14,16 +14,16 @@
 	AnswerTimeout time.Duration
 	// StreamSilence is how long a backend may be silent, or take nothing, within a message that is passed on
 	// while it comes. There is no other attempt then, so it is only against peers that will never go on.
-	StreamSilence time.Duration
+	StreamIdleTimeout time.Duration
 	// Settle is how long a connection rests after an answer before it carries another request. What a backend
 	// sends too much mostly comes right behind its answer; on a connection already in use again it would pass
 	// for the next answer. Against what comes later than that this is no help.
-	Settle time.Duration
+	SettleTime time.Duration
 }
 
 // DefaultOptions fit backends that may answer with more than belongs to them.
 func DefaultOptions() Options {
-	return Options{AnswerTimeout: 400 * time.Millisecond, StreamSilence: 10 * time.Second, Settle: 5 * time.Millisecond}
+	return Options{AnswerTimeout: 400 * time.Millisecond, StreamIdleTimeout: 10 * time.Second, SettleTime: 5 * time.Millisecond}
 }
 
 // Section describes the options to the operator file.
@@ -35,9 +35,9 @@
 		Keys: []operator.Key{
 			operator.Duration("answer_timeout", &o.AnswerTimeout, 10*time.Millisecond, time.Minute,
 				"How long an answer that has begun may be silent before it is given up. Raise it for backends that send an answer as they compute it.").OnReload(),
-			operator.Duration("stream_silence", &o.StreamSilence, 100*time.Millisecond, time.Hour,
+			operator.Duration("stream_silence", &o.StreamIdleTimeout, 100*time.Millisecond, time.Hour,
 				"How long a backend may be silent, or take nothing, within a message over 64 KiB, which is passed on while it comes.").OnReload(),
-			operator.Duration("settle", &o.Settle, 0, time.Second,
+			operator.Duration("settle", &o.SettleTime, 0, time.Second,
 				"How long a connection rests after an answer, so that stray bytes behind it cannot pass for the next one. 0 trusts the backends.").OnReload(),
 		},
 	}
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -40,8 +40,8 @@
 	// Control is called for each socket before it connects, as net.Dialer has it.
 	Control func(network, address string, c syscall.RawConn) error
 	// Written is called with the request's class once for each attempt that has been written whole. It must not block.
-	Written func(class int)
-	Options Options
+	OnWritten func(class int)
+	Options   Options
 }
 
 // NewPool returns a pool that keeps no connections until Keep names the endpoints that are wanted.
@@ -52,7 +52,7 @@
 		// A request that crosses the backend's close ends as a reset, and may have run for all we know.
 		// The fifth left is for answers that took their time to be read.
 		idleFor: l.ConnIdle * 4 / 5,
-		limit:   l.Conns, options: l.Options, written: l.Written,
+		limit:   l.Conns, options: l.Options, written: l.OnWritten,
 		idle: map[Endpoint]*idleList{},
 	}
 	p.transport = &http.Transport{
@@ -81,7 +81,7 @@
 	p.mu.Lock()
 	now := time.Now()
 	for c == nil && p.idle[to] != nil {
-		k := p.idle[to].lastSettled(now, p.options.Settle)
+		k := p.idle[to].lastSettled(now, p.options.SettleTime)
 		if k == nil {
 			break
 		}
@@ -154,7 +154,7 @@
 }
 
 // Keep closes the idle connections to all endpoints but these, now and as they come free.
-func (p *Pool) Keep(wanted map[Endpoint]bool) {
+func (p *Pool) SetWanted(wanted map[Endpoint]bool) {
 	p.mu.Lock()
 	p.wanted = wanted
 	var drop []*conn
@@ -270,7 +270,7 @@
 }
 
 // States counts the connections that are open or being opened, and those of them that idle.
-func (p *Pool) States() map[string]int {
+func (p *Pool) ConnCounts() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	idle := 0
--- a/internal/backends/upgrade.go
+++ b/internal/backends/upgrade.go
@@ -17,11 +17,11 @@
 
 // Channel is a connection that a backend has changed to the WebSocket protocol. Who takes it has to close it.
 type Channel struct {
-	Server string
-	Conn   *net.TCPConn
-	Header http.Header // of the answer of 101
-	Behind []byte      // what has come behind it
-	Agreed handshake.Agreement
+	Server    string
+	Conn      *net.TCPConn
+	Header    http.Header // of the answer of 101
+	Buffered  []byte      // what has come behind it
+	Agreement handshake.Agreement
 }
 
 // Upgrade carries out one attempt of a request for a channel, on a connection of its own. A backend that answers with
@@ -110,7 +110,7 @@
 	if err != nil {
 		return balance.Failed, nil, err
 	}
-	return balance.OK, &Channel{Conn: tcp, Header: resp.Header, Behind: append([]byte(nil), behind...), Agreed: agreed}, nil
+	return balance.OK, &Channel{Conn: tcp, Header: resp.Header, Buffered: append([]byte(nil), behind...), Agreement: agreed}, nil
 }
 
 // writeUpgrade writes the head of a request for a channel. http.Request.Write would do it, if it did not add and drop
--- a/internal/body/body.go
+++ b/internal/body/body.go
@@ -15,13 +15,13 @@
 	// more is given up: the rest is neither passed on nor read.
 	MaxBytes = 32 << 20
 	// WholeBytes is the longest body that is read whole before anything is done with it. What is longer streams.
-	WholeBytes = 64 << 10
+	MaxBufferedBytes = 64 << 10
 )
 
 // Why a body was not read.
 var (
 	ErrTooLarge = errors.New("body over 32 MiB")
-	ErrNoRoom   = errors.New("no memory for the body")
+	ErrNoMemory = errors.New("no memory for the body")
 )
 
 // Budget is the memory that all bodies held at one time share.
@@ -85,15 +85,15 @@
 		return nil, nil, nil
 	case length > MaxBytes:
 		return nil, nil, ErrTooLarge
-	case length > WholeBytes:
+	case length > MaxBufferedBytes:
 		return &Body{stream: NewStream(length, budget)}, r, nil
 	}
 	most := length
 	if most < 0 {
-		most = WholeBytes
+		most = MaxBufferedBytes
 	}
 	if !budget.take(most) {
-		return nil, nil, ErrNoRoom
+		return nil, nil, ErrNoMemory
 	}
 	data, whole, err := ReadAtMost(r, most, func() bool { return true })
 	if err != nil {
--- a/internal/body/pace.go
+++ b/internal/body/pace.go
@@ -8,24 +8,26 @@
 //
 // It guards against peers that send or read a byte now and then for ever, and should catch those that stop within a
 // message. It might harm a peer behind a line that stalls for longer than Silence.
-type Pace struct {
-	Silence time.Duration // without a byte
-	Grace   time.Duration // that a transfer may take beyond what Rate allows
-	Rate    int64         // bytes a second, over the whole transfer
+type MinDataRate struct {
+	IdleTimeout    time.Duration // without a byte
+	GracePeriod    time.Duration // that a transfer may take beyond what Rate allows
+	BytesPerSecond int64         // bytes a second, over the whole transfer
 }
 
 // Transfer is one transfer under a Pace. Times are since any fixed moment, but of one clock.
 type Transfer struct {
-	pace        Pace
+	pace        MinDataRate
 	begun, last time.Duration
 	bytes       int64
 }
 
 // Begin begins a transfer.
-func (p Pace) Begin(now time.Duration) Transfer { return Transfer{pace: p, begun: now, last: now} }
+func (p MinDataRate) Begin(now time.Duration) Transfer {
+	return Transfer{pace: p, begun: now, last: now}
+}
 
 // Moved takes in that bytes have come or gone.
-func (t *Transfer) Moved(now time.Duration, bytes int) {
+func (t *Transfer) AddBytes(now time.Duration, bytes int) {
 	if bytes > 0 {
 		t.last, t.bytes = now, t.bytes+int64(bytes)
 	}
@@ -33,6 +35,6 @@
 
 // Deadline is by when the next byte has to come or go.
 func (t *Transfer) Deadline() time.Duration {
-	byRate := t.begun + t.pace.Grace + time.Duration(float64(t.bytes)/float64(t.pace.Rate)*float64(time.Second))
-	return min(t.last+t.pace.Silence, byRate)
+	byRate := t.begun + t.pace.GracePeriod + time.Duration(float64(t.bytes)/float64(t.pace.BytesPerSecond)*float64(time.Second))
+	return min(t.last+t.pace.IdleTimeout, byRate)
 }
--- a/internal/body/stream.go
+++ b/internal/body/stream.go
@@ -13,14 +13,14 @@
 	// last byte has come still has to go out within the request's time.
 	ahead = 2
 	// KeepMost is how much of a stream is kept for a further attempt, where the budget has room.
-	KeepMost = 1 << 20
+	MaxReplayBytes = 1 << 20
 )
 
 // Why a stream cannot be read.
 var (
-	ErrSpent = errors.New("the body is no longer whole here")
-	errOld   = errors.New("another attempt reads the body now")
-	ErrEnded = errors.New("the body is not wanted any more")
+	ErrDiscarded    = errors.New("the body is no longer whole here")
+	errOld          = errors.New("another attempt reads the body now")
+	ErrStreamClosed = errors.New("the body is not wanted any more")
 )
 
 // Stream is a body that is passed on while it arrives. One goroutine fills it, and one reader at a time takes what has
@@ -117,7 +117,7 @@
 	if s.spent || len(s.segments) < ahead {
 		return
 	}
-	if s.spent = s.filled >= KeepMost || !s.budget.take(segment); !s.spent {
+	if s.spent = s.filled >= MaxReplayBytes || !s.budget.take(segment); !s.spent {
 		s.charged += segment
 	}
 }
@@ -140,7 +140,7 @@
 }
 
 // End ends the stream: whoever fills or reads it gets the error. The first one stands.
-func (s *Stream) End(err error) {
+func (s *Stream) CloseWithError(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.err == nil {
@@ -151,7 +151,7 @@
 
 // Release gives the memory back; nothing can be read any more.
 func (s *Stream) Release() {
-	s.End(ErrEnded)
+	s.CloseWithError(ErrStreamClosed)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.segments = nil
@@ -194,7 +194,7 @@
 		case s.reader != r:
 			return 0, false, errOld
 		case r.at < s.base:
-			return 0, false, ErrSpent
+			return 0, false, ErrDiscarded
 		case s.segments == nil && s.err != nil:
 			return 0, false, s.err
 		case r.at < s.filled:
--- a/internal/body/stream_test.go
+++ b/internal/body/stream_test.go
@@ -50,9 +50,9 @@
 		stream bool
 		err    error
 	}{
-		{0, 0, false, nil}, {1, 1, false, nil}, {WholeBytes, WholeBytes, false, nil}, {WholeBytes, -1, false, nil},
-		{0, -1, false, nil}, {1000, -1, false, nil}, {WholeBytes + 1, WholeBytes + 1, true, nil},
-		{WholeBytes + 1, -1, true, nil}, {5, MaxBytes, true, nil}, {5, MaxBytes + 1, false, ErrTooLarge},
+		{0, 0, false, nil}, {1, 1, false, nil}, {MaxBufferedBytes, MaxBufferedBytes, false, nil}, {MaxBufferedBytes, -1, false, nil},
+		{0, -1, false, nil}, {1000, -1, false, nil}, {MaxBufferedBytes + 1, MaxBufferedBytes + 1, true, nil},
+		{MaxBufferedBytes + 1, -1, true, nil}, {5, MaxBytes, true, nil}, {5, MaxBytes + 1, false, ErrTooLarge},
 	} {
 		budget := NewBudget(1 << 20)
 		in := text(c.size)
@@ -79,7 +79,7 @@
 }
 
 func TestStreamGoesThroughWholeInPiecesOfAnySize(t *testing.T) {
-	for _, size := range []int{0, 1, segment - 1, segment, segment + 1, WholeBytes + 7, KeepMost - 1, KeepMost + segment + 3, 3 << 20} {
+	for _, size := range []int{0, 1, segment - 1, segment, segment + 1, MaxBufferedBytes + 7, MaxReplayBytes - 1, MaxReplayBytes + segment + 3, 3 << 20} {
 		for _, length := range []int64{int64(size), -1} {
 			in := text(size)
 			budget := NewBudget(16 << 20)
@@ -118,8 +118,8 @@
 		taken, budget int
 		spent         bool
 	}{
-		{0, 16 << 20, false}, {1, 16 << 20, false}, {500_000, 16 << 20, false}, {KeepMost - 4*segment, 16 << 20, false},
-		{KeepMost + 4*segment, 16 << 20, true}, {0, 0, false}, {8 * segment, 0, true}, {8 * segment, 2 * segment, true},
+		{0, 16 << 20, false}, {1, 16 << 20, false}, {500_000, 16 << 20, false}, {MaxReplayBytes - 4*segment, 16 << 20, false},
+		{MaxReplayBytes + 4*segment, 16 << 20, true}, {0, 0, false}, {8 * segment, 0, true}, {8 * segment, 2 * segment, true},
 		{2 * segment, 4 * segment, false},
 	} {
 		in := text(2 << 20)
@@ -144,7 +144,7 @@
 			t.Errorf("%+v: spent", c)
 		}
 		out, _, err := readAll(s.Reader())
-		if c.spent && err != ErrSpent || !c.spent && (err != nil || !bytes.Equal(in, out)) {
+		if c.spent && err != ErrDiscarded || !c.spent && (err != nil || !bytes.Equal(in, out)) {
 			t.Errorf("%+v: the second reader got %d bytes, %v", c, len(out), err)
 		}
 		if _, _, err := first.Read(make([]byte, 1)); err == nil {
@@ -216,7 +216,7 @@
 	full := NewStream(-1, NewBudget(0))
 	var all sync.WaitGroup
 	all.Go(func() {
-		if err := full.Fill(zeros{}); err != ErrEnded {
+		if err := full.Fill(zeros{}); err != ErrStreamClosed {
 			t.Errorf("filler without room: %v", err)
 		}
 	})
@@ -224,12 +224,12 @@
 	silent := NewStream(-1, NewBudget(0))
 	r := silent.Reader()
 	all.Go(func() {
-		if err := silent.Fill(from); err != ErrEnded {
+		if err := silent.Fill(from); err != ErrStreamClosed {
 			t.Errorf("filler without bytes: %v", err)
 		}
 	})
 	all.Go(func() {
-		if _, _, err := r.Read(make([]byte, 1)); err != ErrEnded {
+		if _, _, err := r.Read(make([]byte, 1)); err != ErrStreamClosed {
 			t.Errorf("reader: %v", err)
 		}
 	})
@@ -250,7 +250,7 @@
 }
 
 func TestPace(t *testing.T) {
-	p := Pace{Silence: time.Second, Grace: 2 * time.Second, Rate: 1000}
+	p := MinDataRate{IdleTimeout: time.Second, GracePeriod: 2 * time.Second, BytesPerSecond: 1000}
 	x := p.Begin(10 * time.Second)
 	for _, step := range []struct {
 		at    time.Duration
@@ -265,7 +265,7 @@
 		{12500 * time.Millisecond, 100_000, 13500 * time.Millisecond}, // made up for it
 		{100 * time.Second, 1_000_000, 101 * time.Second},             // long and fast
 	} {
-		x.Moved(step.at, step.bytes)
+		x.AddBytes(step.at, step.bytes)
 		if got := x.Deadline(); got != step.want {
 			t.Errorf("at %v, %d bytes more: until %v, wanted %v", step.at, step.bytes, got, step.want)
 		}
--- a/internal/callers/callers.go
+++ b/internal/callers/callers.go
@@ -169,7 +169,7 @@
 		k.requests++
 		c.become(k, busy, now)
 	case state != http.StateIdle:
-	case !k.framing.Between():
+	case !k.framing.AtMessageBoundary():
 		c.become(k, partial, now) // the next request has begun behind the last
 	case k.requests <= 1:
 		c.become(k, once, now)
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -19,21 +19,21 @@
 type Conn struct {
 	net.Conn
 	set     *Set
-	framing framing.Follower // of what it sends; used by the one that reads
-	ahead   []byte           // read from the socket and not handed on yet; the same
-	flooded bool             // more came than is read ahead; the same
-	waited  time.Duration    // before it was accepted; the same
-	raw     syscall.RawConn  // nil where there is no socket
+	framing framing.Tracker // of what it sends; used by the one that reads
+	ahead   []byte          // read from the socket and not handed on yet; the same
+	flooded bool            // more came than is read ahead; the same
+	waited  time.Duration   // before it was accepted; the same
+	raw     syscall.RawConn // nil where there is no socket
 
 	// Guarded by set.mu.
 	state    http.ConnState
 	kind     kind
 	since    time.Time // when it became so; of a partial head, when its last bytes came
 	ended    bool
-	requests int       // begun so far
-	breaking bool      // its read is broken off, so that it can be parked
-	lot      *idle.Lot // where it is parked, or nil
-	key      int32     // by which it is known there
+	requests int          // begun so far
+	breaking bool         // its read is broken off, so that it can be parked
+	lot      *idle.Poller // where it is parked, or nil
+	key      int32        // by which it is known there
 
 	linked.Links[Conn] // in the list of its kind
 }
--- a/internal/callers/linger.go
+++ b/internal/callers/linger.go
@@ -40,7 +40,7 @@
 	if !ok || c.shut || k.ended || k.state != http.StateActive || c.lingering >= min(mostLingering, c.hard-c.soft) {
 		return false
 	}
-	if k.framing.Between() && len(k.ahead) == 0 && !k.unread() {
+	if k.framing.AtMessageBoundary() && len(k.ahead) == 0 && !k.unread() {
 		return false
 	}
 	k.ended = true
--- a/internal/callers/park.go
+++ b/internal/callers/park.go
@@ -19,8 +19,8 @@
 // system calls and a new goroutine more, so who asks again within Pace.After never is.
 type Parking struct {
 	set   *Set
-	lot   *idle.Lot
-	pace  idle.Pace
+	lot   *idle.Poller
+	pace  idle.Policy
 	addr  net.Addr
 	woken chan *Conn
 
@@ -30,8 +30,8 @@
 
 // Park has the set's idle connections held. It is called before the server accepts any; the server must serve the
 // Parking, too, and Run must be called.
-func (c *Set) Park(pace idle.Pace, addr net.Addr) (*Parking, error) {
-	lot, err := idle.NewLot()
+func (c *Set) Park(pace idle.Policy, addr net.Addr) (*Parking, error) {
+	lot, err := idle.NewPoller()
 	if err != nil {
 		return nil, err
 	}
@@ -44,7 +44,7 @@
 	var waking sync.WaitGroup
 	failed := make(chan error, 1)
 	waking.Go(func() { failed <- p.lot.Run() })
-	ticker := time.NewTicker(p.pace.Every())
+	ticker := time.NewTicker(p.pace.CheckInterval())
 	defer func() {
 		ticker.Stop()
 		p.Close()
@@ -77,10 +77,10 @@
 	c := p.set
 	c.mu.Lock()
 	defer c.unlock()
-	batch := p.pace.Batch(len(c.open))
-	batch -= c.endFirst([]kind{parkedOnce, parkedIdle}, batch, func(k *Conn) bool { return p.pace.Close(k.since, now) })
+	batch := p.pace.BatchSize(len(c.open))
+	batch -= c.endFirst([]kind{parkedOnce, parkedIdle}, batch, func(k *Conn) bool { return p.pace.ShouldClose(k.since, now) })
 	for _, kind := range []kind{once, idling} {
-		for k := c.waiting[kind].Front(); k != nil && batch > 0 && p.pace.Hold(k.since, now); k = c.waiting[kind].Front() {
+		for k := c.waiting[kind].Front(); k != nil && batch > 0 && p.pace.ShouldPark(k.since, now); k = c.waiting[kind].Front() {
 			// net/http ends what it reads no more from; Close parks it.
 			c.become(k, kind.parked(), k.since)
 			k.breaking = true
@@ -111,7 +111,7 @@
 	held := &Conn{set: c, framing: k.framing, kind: busy, requests: k.requests}
 	kind, since := k.kind, k.since
 	c.forget(k)
-	key, err := p.lot.Hold(tcp, held)
+	key, err := p.lot.Park(tcp, held)
 	if err != nil {
 		return true // it is closed
 	}
@@ -135,14 +135,14 @@
 }
 
 // Woken takes in that a parked connection has bytes, or is over.
-func (k *Conn) Woken() {
+func (k *Conn) SocketReady() {
 	c := k.set
 	c.mu.Lock()
 	if _, open := c.open[k]; !open || k.lot == nil {
 		c.mu.Unlock()
 		return
 	}
-	conn, err := k.lot.Take(k.key)
+	conn, err := k.lot.Unpark(k.key)
 	k.lot = nil
 	if err != nil {
 		c.forget(k)
--- a/internal/cli/ctl.go
+++ b/internal/cli/ctl.go
@@ -57,7 +57,7 @@
 		func([]string) string { return "/v1/metrics" }, readFigures)
 	verb("status", "How it stands: who is avoided, why and since when, the limit, what is open", 0, http.MethodGet,
 		func([]string) string { return "/v1/status" }, raw, func(text string) (string, error) {
-			s, err := status.Read(text)
+			s, err := status.Parse(text)
 			if err != nil {
 				return "", err
 			}
--- a/internal/cli/rules.go
+++ b/internal/cli/rules.go
@@ -54,7 +54,7 @@
 		}
 		s.Classes[name] = rules.Class{NoRepeat: c.NoRepeat, Closed: c.Closed}
 	}
-	return s, s.Check()
+	return s, s.Validate()
 }
 
 // rulesCall is what the verbs about rules share.
@@ -106,7 +106,7 @@
 			if err != nil {
 				return err
 			}
-			return r.propose(c.Context(), rules.Change{Kind: rules.GoBack, To: n})
+			return r.propose(c.Context(), rules.Change{Kind: rules.Rollback, ToVersion: n})
 		},
 	})
 	changes(&cobra.Command{
@@ -119,11 +119,11 @@
 				if err != nil {
 					return err
 				}
-				if args = got.Held; len(args) == 0 {
+				if args = got.HeldBackends; len(args) == 0 {
 					return fmt.Errorf("%s holds nothing back; name the backends, or ask a proxy whose `ctl rules` shows some", got.Name)
 				}
 			}
-			return r.propose(c.Context(), rules.Change{Kind: rules.Drop, Servers: args})
+			return r.propose(c.Context(), rules.Change{Kind: rules.AllowDrop, Servers: args})
 		},
 	})
 	wait := &cobra.Command{
@@ -166,7 +166,7 @@
 				}
 				var b strings.Builder
 				for _, v := range got.History {
-					fmt.Fprintln(&b, agreement.Line(v))
+					fmt.Fprintln(&b, agreement.FormatVersion(v))
 				}
 				return b.String(), nil
 			})
--- a/internal/cli/rules_test.go
+++ b/internal/cli/rules_test.go
@@ -109,7 +109,7 @@
 
 func TestReadRules(t *testing.T) {
 	s, err := readRules([]byte("quota = 0.5\n[class.hold]\nno_repeat = true\n[class.\"*\"]\nclosed = true\n[number]\nn1 = 0\n"))
-	if err != nil || s.Quota != 0.5 || !s.Classes["hold"].NoRepeat || !s.Classes[rules.Every].Closed || s.Numbers["n1"] != 0 {
+	if err != nil || s.Quota != 0.5 || !s.Classes["hold"].NoRepeat || !s.Classes[rules.AllClasses].Closed || s.Numbers["n1"] != 0 {
 		t.Errorf("%+v, %v", s, err)
 	}
 	for text, want := range map[string]string{
@@ -128,7 +128,7 @@
 func FuzzReadRules(f *testing.F) {
 	f.Add([]byte("quota = 0.5\n[class.hold]\nno_repeat = true\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if s, err := readRules(text); err == nil && s.Check() != nil {
+		if s, err := readRules(text); err == nil && s.Validate() != nil {
 			t.Error("it takes what cannot be")
 		}
 	})
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -110,20 +110,20 @@
 		return nil, err
 	}
 	if c.SocketFD > 0 {
-		first.Name, first.MeetIn = c.Name, e.getenv("TMPDIR")
-		first.OnPart = ownMemory
+		first.Name, first.HandoverDir = c.Name, e.getenv("TMPDIR")
+		first.OnMemoryShare = ownMemory
 		first.Inherited = os.NewFile(uintptr(c.SocketFD), "RELAY_SOCKET_FD")
 	}
 	if r.operator.Fleet.On {
-		if r.fleet, err = r.join(c, first.MeetIn != ""); err != nil {
+		if r.fleet, err = r.join(c, first.HandoverDir != ""); err != nil {
 			return nil, err
 		}
 		first.Fleet = r.fleet
 	}
-	if r.operator.Rules.On {
+	if r.operator.Rules.Enabled {
 		o := &r.operator.Fleet
 		r.rules, err = agreement.Open(agreement.Config{
-			Options: r.operator.Rules, Fleet: o.Name, Name: c.Name, Boot: rand.Uint64(), Seed: c.SeedNumber, Log: r.log.Logger,
+			Options: r.operator.Rules, Fleet: o.Name, Name: c.Name, InstanceID: rand.Uint64(), Seed: c.SeedNumber, Log: r.log.Logger,
 		}, r.fleet.Part(cluster.RulesPart))
 		if err != nil {
 			r.fleet.Close(false)
@@ -145,8 +145,8 @@
 			break
 		}
 		own := first
-		own.Listen, own.Discovery, own.Known, own.Log = l.Listen, l.Discovery, nil, r.log.With("listener", l.Name)
-		own.Inherited, own.Console, own.MeetIn, own.OnPart, own.Fleet, own.Rules, own.Recovery = nil, "", "", nil, nil, nil, nil
+		own.Listen, own.Discovery, own.CachedList, own.Log = l.Listen, l.Discovery, nil, r.log.With("listener", l.Name)
+		own.Inherited, own.Console, own.HandoverDir, own.OnMemoryShare, own.Fleet, own.Rules, own.Recovery = nil, "", "", nil, nil, nil, nil
 		if l.Settings != "" {
 			own.Settings, err = readSettings(l.Settings)
 		}
--- a/internal/cli/state_test.go
+++ b/internal/cli/state_test.go
@@ -25,7 +25,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := s.Save(&state.Learned{Written: state.Now(), Knowledge: handover.Knowledge{Seq: 9}, Demand: map[string]float64{"hold": 3}}); err != nil {
+	if err := s.Save(&state.Learned{Written: state.Now(), Knowledge: handover.State{Seq: 9}, Demand: map[string]float64{"hold": 3}}); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
--- a/internal/cluster/accord/core.go
+++ b/internal/cluster/accord/core.go
@@ -18,13 +18,13 @@
 	Save(r *Record) error
 	// Keep makes what this proxy knows last: it is about to say that it has it, and a start that reaches no voter must know it too.
 	// Where it fails that is the host's to tell; the proxy goes on.
-	Keep(s *rules.Standing)
+	SaveRules(s *rules.Status)
 	// Acts replaces what this proxy's acts rest on.
-	Acts(b *Basis)
+	SetBasis(b *Basis)
 	// Answered brings what became of a proposal of this proxy's own.
-	Answered(a rules.Answer)
+	ProposalDone(a rules.Answer)
 	// Told tells what has happened, for people.
-	Told(what Event, of Note)
+	Notify(what Event, of Note)
 }
 
 // Event is what has happened, for people.
@@ -32,18 +32,18 @@
 
 // The events.
 const (
-	Learned   Event = "rules" // another standing is acted on
-	Elected   Event = "leads" // this keeper leads
-	Deposed   Event = "leads no more"
-	Founded   Event = "founded the keepers' log"
-	Joined    Event = "joins the keepers' log"
-	Forgetful Event = "its log is older than what it has said; it begins anew"
-	Disk      Event = "keeps no longer: the folder cannot be written"
-	Changed   Event = "keepers changed"
-	Refounded Event = "goes on alone, in place of the other keepers"
-	Later     Event = "the agreed rules are of a later version of the program; this one acts carefully and holds no lease until it is upgraded"
-	Differs   Event = "what is acted on here is not what the voters have under the same number; the whole is asked for"
-	GivenUp   Event = "was given up for good while it was away; begins anew"
+	RulesChanged   Event = "rules" // another standing is acted on
+	Elected        Event = "leads" // this keeper leads
+	Deposed        Event = "leads no more"
+	Founded        Event = "founded the keepers' log"
+	Joined         Event = "joins the keepers' log"
+	LogOutdated    Event = "its log is older than what it has said; it begins anew"
+	DiskFailed     Event = "keeps no longer: the folder cannot be written"
+	VotersChanged  Event = "keepers changed"
+	Refounded      Event = "goes on alone, in place of the other keepers"
+	NewerForm      Event = "the agreed rules are of a later version of the program; this one acts carefully and holds no lease until it is upgraded"
+	DigestMismatch Event = "what is acted on here is not what the voters have under the same number; the whole is asked for"
+	Superseded     Event = "was given up for good while it was away; begins anew"
 )
 
 // Note goes with an event.
@@ -84,9 +84,9 @@
 	now  time.Duration
 
 	// As a holder of a lease:
-	standing rules.Standing // version 0 while nothing is known
-	digest   rules.Digest   // of the standing
-	verified bool           // the standing has come from voters since the start, whole or proven by its digest
+	standing rules.Status // version 0 while nothing is known
+	digest   rules.Digest // of the standing
+	verified bool         // the standing has come from voters since the start, whole or proven by its digest
 	// needsWhole: what is known here was found to differ from what others know by the same number.
 	needsWhole bool
 	until      time.Duration
@@ -111,12 +111,12 @@
 	}
 	c := &Core{set: s, host: host, rng: rand.New(rand.NewPCG(seed, 0xacc0)), now: now, until: now - 1, tested: -1, renew: now}
 	c.seq = c.rng.Uint64() >> 1
-	if disk.Acts != nil {
-		c.standing = *disk.Acts.Share() // as what is known without a lease
+	if disk.Rules != nil {
+		c.standing = *disk.Rules.Copy() // as what is known without a lease
 		c.standing.Compact()
 		c.digest = c.standing.Digest()
 	}
-	if slices.Contains(s.Keepers, s.Name) && !s.Later {
+	if slices.Contains(s.Voters, s.Name) && !s.DeferVoter {
 		if err := c.startVoter(now, disk); err != nil {
 			return nil, err
 		}
@@ -126,25 +126,25 @@
 }
 
 // Keep makes a proxy that the settings name a voter one, where its disk could not be had at the start.
-func (c *Core) Keep(now time.Duration, disk Stored) error {
+func (c *Core) StartVoter(now time.Duration, disk Stored) error {
 	c.now = now
-	if c.voter != nil || !slices.Contains(c.set.Keepers, c.set.Name) {
+	if c.voter != nil || !slices.Contains(c.set.Voters, c.set.Name) {
 		return nil
 	}
 	return c.startVoter(now, disk)
 }
 
 // Keeps says whether this proxy holds the log now.
-func (c *Core) Keeps() bool { return c.voter != nil && !c.voter.halted }
+func (c *Core) IsVoter() bool { return c.voter != nil && !c.voter.halted }
 
 // Leads says whether this proxy leads the voters, and has since its log says so.
-func (c *Core) Leads() bool { return c.Keeps() && c.voter.ownTermApplied }
+func (c *Core) IsLeader() bool { return c.IsVoter() && c.voter.ownTermApplied }
 
 // Next is when Wake is to be called at the latest.
-func (c *Core) Next() time.Duration {
+func (c *Core) NextTick() time.Duration {
 	next := c.renew
 	if len(c.sent) > 0 {
-		next = min(next, c.sent[0].at+c.set.Times.Patience)
+		next = min(next, c.sent[0].at+c.set.Times.RequestTimeout)
 	}
 	for _, p := range c.waiting {
 		next = min(next, p.next)
@@ -156,7 +156,7 @@
 }
 
 // Wake does what is due.
-func (c *Core) Wake(now time.Duration) {
+func (c *Core) Tick(now time.Duration) {
 	c.now = now
 	defer c.guard()
 	c.unanswered()
@@ -192,7 +192,7 @@
 // unanswered notes renewals whose answer has not come in time.
 func (c *Core) unanswered() {
 	n := 0
-	for n < len(c.sent) && c.now-c.sent[n].at >= c.set.Times.Patience {
+	for n < len(c.sent) && c.now-c.sent[n].at >= c.set.Times.RequestTimeout {
 		n++
 	}
 	if n == 0 {
@@ -218,9 +218,9 @@
 	if c.sent = append(c.sent, asked{c.seq, c.now, to}); len(c.sent) > mostSent {
 		c.sent = c.sent[1:]
 	}
-	m := &Message{Kind: Renew, From: c.set.Name, Boot: c.set.Boot, Seq: c.seq, Holds: c.holds(), Form: c.set.form()}
+	m := &Message{Kind: Renew, From: c.set.Name, InstanceID: c.set.InstanceID, Seq: c.seq, Held: c.holds(), Form: c.set.form()}
 	if !c.set.NoDeltas {
-		m.Deltas, m.Whole, m.Digest = true, c.needsWhole, c.digest
+		m.AcceptsDeltas, m.NeedsWhole, m.Digest = true, c.needsWhole, c.digest
 	}
 	c.send(to, m)
 }
@@ -234,7 +234,7 @@
 	}
 	if !c.later {
 		c.later = true
-		c.host.Told(Later, Note{InForce: at.InForce, Last: at.Last})
+		c.host.Notify(NewerForm, Note{InForce: at.InForce, Last: at.Last})
 	}
 	return false
 }
@@ -254,7 +254,7 @@
 	if c.missed%3 == 2 && len(c.peers) > 0 {
 		return c.peers[c.rng.IntN(len(c.peers))]
 	}
-	return c.set.Keepers[c.rng.IntN(len(c.set.Keepers))]
+	return c.set.Voters[c.rng.IntN(len(c.set.Voters))]
 }
 
 // toLeader sends something that the leader is to have.
@@ -273,10 +273,10 @@
 	c.host.Send(to, m)
 }
 
-func (c *Core) holds() Holds { return holdsOf(&c.standing) }
+func (c *Core) holds() HeldVersions { return holdsOf(&c.standing) }
 
-func holdsOf(s *rules.Standing) Holds {
-	return Holds{Log: s.Log, InForce: s.InForce.Number, Last: s.Last()}
+func holdsOf(s *rules.Status) HeldVersions {
+	return HeldVersions{Log: s.Log, InForce: s.InForce.Number, Last: s.Last()}
 }
 
 // SetPeers says who else is there, by name.
@@ -288,13 +288,13 @@
 func (c *Core) Propose(now time.Duration, change rules.Change) error {
 	c.now = now
 	defer c.guard()
-	if err := change.Check(); err != nil {
+	if err := change.Validate(); err != nil {
 		return err
 	}
 	if len(c.waiting) >= mostProposals {
 		return fmt.Errorf("accord: %d proposals wait for their answers", len(c.waiting))
 	}
-	if needs := change.Needs(); needs > 1 {
+	if needs := change.RequiredForm(); needs > 1 {
 		change.Form = needs
 	}
 	p := &proposal{change: change, next: now + c.set.Times.Renew, until: now + proposalTime}
@@ -336,12 +336,12 @@
 
 func (c *Core) handle(m *Message) {
 	switch m.Kind {
-	case Renew, Propose, Have:
+	case Renew, Propose, Acknowledge:
 		if c.voter != nil && c.voter.handleRequest(m) {
 			return
 		}
 		c.passOn(m)
-	case Grant, Tell, Result:
+	case Grant, Update, Result:
 		if m.To != c.set.Name {
 			c.passBack(m)
 			return
@@ -349,7 +349,7 @@
 		switch m.Kind {
 		case Grant:
 			c.granted(m)
-		case Tell:
+		case Update:
 			c.told(m)
 		case Result:
 			c.result(m.Answer)
@@ -370,7 +370,7 @@
 	if c.voter != nil {
 		to = c.voter.leader()
 	} else if to == "" {
-		to = c.set.Keepers[c.rng.IntN(len(c.set.Keepers))]
+		to = c.set.Voters[c.rng.IntN(len(c.set.Voters))]
 	}
 	if to == "" || to == c.set.Name || to == m.From || slices.Contains(m.Path, to) {
 		return
@@ -412,25 +412,25 @@
 		return
 	}
 	a := c.sent[i]
-	if m.Digest != 0 && m.Holds == c.holds() && m.Digest != c.digest && !c.set.NoDigest {
+	if m.Digest != 0 && m.Held == c.holds() && m.Digest != c.digest && !c.set.NoDigestCheck {
 		c.differs()
 	}
 	switch {
-	case m.Standing != nil:
-		if m.Standing.Reign < c.standing.Reign {
+	case m.Status != nil:
+		if m.Status.Term < c.standing.Term {
 			return // from voters that do not know yet that they were given up for good
 		}
-		if !c.understands(m.Standing.Form, m.Standing.Position()) {
+		if !c.understands(m.Status.Form, m.Status.Position()) {
 			return
 		}
-		if m.Standing.Log != c.standing.Log {
-			c.take(m.Standing) // a majority vouches for it, and what is here is of another log
+		if m.Status.Log != c.standing.Log {
+			c.take(m.Status) // a majority vouches for it, and what is here is of another log
 		}
-		c.adopt(m.Standing)
+		c.adopt(m.Status)
 	case m.Delta != nil:
 		c.applyDelta(m.Delta)
 	}
-	if h := c.holds(); h.Log != m.Holds.Log || h.Last < m.Holds.Last || h.InForce < m.Holds.InForce && h.Last == m.Holds.Last {
+	if h := c.holds(); h.Log != m.Held.Log || h.Last < m.Held.Last || h.InForce < m.Held.InForce && h.Last == m.Held.Last {
 		return // it vouches for what this proxy does not have
 	}
 	if !c.vouchedFor(m) {
@@ -448,11 +448,11 @@
 // another document under that.
 func (c *Core) vouchedFor(m *Message) bool {
 	switch {
-	case m.Digest == 0 || c.set.NoDigest || c.set.NoDeltas:
+	case m.Digest == 0 || c.set.NoDigestCheck || c.set.NoDeltas:
 		return true // the leader knows of no digests
-	case m.Holds != c.holds():
+	case m.Held != c.holds():
 		return c.verified // more has come since, by others' word
-	case m.Standing != nil && m.Standing.Position() == c.standing.Position():
+	case m.Status != nil && m.Status.Position() == c.standing.Position():
 		return true // what is here is what the grant has brought
 	}
 	return m.Digest == c.digest
@@ -461,15 +461,15 @@
 // told takes in what a leader has brought, without a lease.
 func (c *Core) told(m *Message) {
 	switch {
-	case m.Standing != nil:
-		c.adopt(m.Standing)
+	case m.Status != nil:
+		c.adopt(m.Status)
 	case m.Delta != nil:
 		c.applyDelta(m.Delta)
 	}
 }
 
 // adopt acts on a standing that is newer, or that mends what is here, and says so.
-func (c *Core) adopt(s *rules.Standing) {
+func (c *Core) adopt(s *rules.Status) {
 	mends := c.needsWhole && s.Position() == c.standing.Position()
 	if !mends && !s.NewerThan(&c.standing) || !c.understands(s.Form, s.Position()) {
 		return
@@ -484,13 +484,13 @@
 		return
 	}
 	next, err := rules.Apply(&c.standing, d)
-	if errors.Is(err, rules.ErrDigest) && c.set.NoDigest {
+	if errors.Is(err, rules.ErrDigestMismatch) && c.set.NoDigestCheck {
 		err = nil
 	}
 	switch {
 	case err == nil:
 		c.take(next)
-	case !errors.Is(err, rules.ErrBase):
+	case !errors.Is(err, rules.ErrUnknownBase):
 		c.differs()
 	}
 }
@@ -499,18 +499,18 @@
 func (c *Core) differs() {
 	if !c.needsWhole {
 		c.needsWhole = true
-		c.host.Told(Differs, Note{InForce: c.standing.InForce.Number, Last: c.standing.Last()})
+		c.host.Notify(DigestMismatch, Note{InForce: c.standing.InForce.Number, Last: c.standing.Last()})
 	}
 }
 
-func (c *Core) take(s *rules.Standing) {
+func (c *Core) take(s *rules.Status) {
 	c.standing, c.digest = *s, s.Digest()
 	c.verified, c.needsWhole = true, false
 	c.basis.Doc = nil // also where the numbers are the same, the content may be another
 	c.publish()
-	c.host.Keep(s)
-	c.host.Told(Learned, Note{InForce: s.InForce.Number, Last: s.Last()})
-	c.toLeader(&Message{Kind: Have, From: c.set.Name, Boot: c.set.Boot, Holds: c.holds(), Deltas: !c.set.NoDeltas})
+	c.host.SaveRules(s)
+	c.host.Notify(RulesChanged, Note{InForce: s.InForce.Number, Last: s.Last()})
+	c.toLeader(&Message{Kind: Acknowledge, From: c.set.Name, InstanceID: c.set.InstanceID, Held: c.holds(), AcceptsDeltas: !c.set.NoDeltas})
 }
 
 // result takes in what became of a proposal.
@@ -520,35 +520,35 @@
 		return
 	}
 	c.waiting = slices.Delete(c.waiting, i, i+1)
-	c.host.Answered(*a)
+	c.host.ProposalDone(*a)
 }
 
 // publish hands on what acts rest on.
 func (c *Core) publish() {
 	b := Basis{
-		Log: c.standing.Log, Version: c.standing.InForce.Number, Last: c.standing.Last(), Until: c.until, Tested: c.tested,
-		Awake: c.set.Times.Awake(), Refuse: c.set.Refuse, Trust: c.set.NoLeaseCheck && c.standing.Last() > 0,
+		Log: c.standing.Log, Version: c.standing.InForce.Number, Last: c.standing.Last(), Until: c.until, LastUnanswered: c.tested,
+		AliveWindow: c.set.Times.AliveWindow(), RefuseWithoutLease: c.set.RefuseWithoutLease, NoLeaseCheck: c.set.NoLeaseCheck && c.standing.Last() > 0,
 	}
 	if c.basis.Doc != nil && b.Log == c.basis.Log && b.Version == c.basis.Version && b.Last == c.basis.Last {
-		b.Doc, b.Vague, b.Settled = c.basis.Doc, c.basis.Vague, c.basis.Settled
+		b.Doc, b.Unleased, b.Settled = c.basis.Doc, c.basis.Unleased, c.basis.Settled
 	} else {
 		b.Doc = c.standing.Meet()
-		b.Vague = rules.Unknowing(b.Doc)
+		b.Unleased = rules.Unleased(b.Doc)
 		if len(c.standing.Pending) == 0 {
 			b.Settled = b.Doc
 		}
 	}
 	c.basis = b
-	c.host.Acts(&b)
+	c.host.SetBasis(&b)
 }
 
 // Report is how a proxy stands in the agreement, for people.
 type Report struct {
-	Standing rules.Standing
+	Status   rules.Status
 	Basis    Basis
 	Leader   string // as this proxy knows; "" for none
-	Leads    bool
-	Keepers  map[string]bool // those that the log names, and whether each votes; nil at a proxy that holds no log
+	IsLeader bool
+	Voters   map[string]bool // those that the log names, and whether each votes; nil at a proxy that holds no log
 	Halted   bool
 	Holders  []Holder        // at the leader, by name
 	History  []rules.Version // at a voter
@@ -556,14 +556,14 @@
 
 // Holder is a proxy as the leader sees it.
 type Holder struct {
-	Name  string
-	Holds Holds
-	Left  time.Duration // of its lease, as the leader counts it
+	Name      string
+	Held      HeldVersions
+	LeaseLeft time.Duration // of its lease, as the leader counts it
 }
 
 // Report says how this proxy stands.
 func (c *Core) Report(now time.Duration) Report {
-	r := Report{Standing: c.standing, Basis: c.basis, Leader: c.route}
+	r := Report{Status: c.standing, Basis: c.basis, Leader: c.route}
 	if c.voter != nil {
 		c.voter.report(now, &r)
 	}
--- a/internal/cluster/accord/cost_test.go
+++ b/internal/cluster/accord/cost_test.go
@@ -43,7 +43,7 @@
 func propose(tb testing.TB, state *rules.State, c *rules.Change) {
 	tb.Helper()
 	if a := state.Propose(c); a.Version == 0 {
-		tb.Fatal(a.No)
+		tb.Fatal(a.Rejection)
 	}
 }
 
@@ -57,7 +57,7 @@
 		maps.Copy(numbers, of.InForce.Doc.Numbers)
 		delete(numbers, costName(7))
 		numbers[costName(costHolders-1)] = 7
-		return &rules.Change{ID: id, Kind: rules.Number, Numbers: numbers, Form: 2}
+		return &rules.Change{ID: id, Kind: rules.Renumber, Numbers: numbers, Form: 2}
 	}
 	free := 0
 	for i := range costHolders {
@@ -70,7 +70,7 @@
 		}
 		numbers[costName(i)] = n
 	}
-	return &rules.Change{ID: id, Kind: rules.Number, Numbers: numbers, Form: 2}
+	return &rules.Change{ID: id, Kind: rules.Renumber, Numbers: numbers, Form: 2}
 }
 
 // countingHost counts what a leader sends to holders and writes it, as the host of a process does.
@@ -98,21 +98,21 @@
 // leaderOfMany is a leader, the only voter, that has granted leases to many holders, which have what is in force.
 func leaderOfMany(tb testing.TB, host Host, state *rules.State, deltas bool) (*Core, time.Duration) {
 	tb.Helper()
-	c, err := New(0, Settings{Name: costName(0), Boot: 1, Keepers: []string{costName(0)}, Times: DefaultTimes()}, 1, Stored{}, host)
+	c, err := New(0, Settings{Name: costName(0), InstanceID: 1, Voters: []string{costName(0)}, Times: DefaultTimes()}, 1, Stored{}, host)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	now := time.Duration(0)
-	c.Wake(now)
+	c.Tick(now)
 	if err := c.voter.install(state); err != nil {
 		tb.Fatal(err)
 	}
 	c.voter.processReady()
 	for now < 3*time.Second {
 		now += 10 * time.Millisecond
-		c.Wake(now)
+		c.Tick(now)
 	}
-	if !c.Leads() {
+	if !c.IsLeader() {
 		tb.Fatal("it does not lead")
 	}
 	holdAll(c, now, deltas)
@@ -122,15 +122,15 @@
 // holdAll has all holders renew with what is newest, and take it.
 func holdAll(c *Core, now time.Duration, deltas bool) {
 	v := c.voter
-	holds := holdsOf(&v.state.Rules.Standing)
+	holds := holdsOf(&v.state.Rules.Status)
 	for i := 1; i < costHolders; i++ {
-		m := &Message{Kind: Renew, From: costName(i), Boot: 1, Seq: 1, Holds: holds, Form: 2, Deltas: deltas}
+		m := &Message{Kind: Renew, From: costName(i), InstanceID: 1, Seq: 1, Held: holds, Form: 2, AcceptsDeltas: deltas}
 		if deltas {
 			m.Digest = v.digests[holds]
 		}
 		c.Receive(now, m)
 	}
-	c.Wake(now + 100*time.Millisecond)
+	c.Tick(now + 100*time.Millisecond)
 	forgetLong(c)
 }
 
@@ -164,7 +164,7 @@
 					}
 					acknowledge(c, now, deltas)
 					acknowledge(c, now, deltas)
-					if s := &c.voter.state.Rules.Standing; len(s.Pending) > 0 {
+					if s := &c.voter.state.Rules.Status; len(s.Pending) > 0 {
 						b.Fatalf("%d versions are on their way", len(s.Pending))
 					}
 				}
@@ -178,9 +178,9 @@
 
 // acknowledge has each holder say that it has what is newest.
 func acknowledge(c *Core, now time.Duration, deltas bool) {
-	holds := holdsOf(&c.voter.state.Rules.Standing)
+	holds := holdsOf(&c.voter.state.Rules.Status)
 	for i := 1; i < costHolders; i++ {
-		c.Receive(now, &Message{Kind: Have, From: costName(i), Boot: 1, Holds: holds, Deltas: deltas})
+		c.Receive(now, &Message{Kind: Acknowledge, From: costName(i), InstanceID: 1, Held: holds, AcceptsDeltas: deltas})
 	}
 }
 
@@ -190,10 +190,10 @@
 	if err := c.Propose(now, *costChange("ban", c.voter.state.Rules, "one")); err != nil {
 		b.Fatal(err)
 	}
-	holds := holdsOf(&c.voter.state.Rules.Standing)
+	holds := holdsOf(&c.voter.state.Rules.Status)
 	for b.Loop() {
 		for i := 2; i < costHolders; i++ { // the first never does
-			c.Receive(now, &Message{Kind: Have, From: costName(i), Boot: 1, Holds: holds, Deltas: true})
+			c.Receive(now, &Message{Kind: Acknowledge, From: costName(i), InstanceID: 1, Held: holds, AcceptsDeltas: true})
 		}
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/(costHolders-2), "ns/acknowledgement")
@@ -203,7 +203,7 @@
 func BenchmarkRenewal(b *testing.B) {
 	host := &countingHost{tb: b}
 	c, _ := leaderOfMany(b, host, costDocument(b), true)
-	m := &Message{Kind: Renew, From: costName(1), Boot: 1, Seq: 1, Holds: holdsOf(&c.voter.state.Rules.Standing), Form: 2, Deltas: true, Digest: c.voter.state.Rules.Standing.Digest()}
+	m := &Message{Kind: Renew, From: costName(1), InstanceID: 1, Seq: 1, Held: holdsOf(&c.voter.state.Rules.Status), Form: 2, AcceptsDeltas: true, Digest: c.voter.state.Rules.Status.Digest()}
 	text, err := m.Encode()
 	if err != nil {
 		b.Fatal(err)
@@ -221,7 +221,7 @@
 func BenchmarkHolder(b *testing.B) {
 	for _, by := range []string{"differences", "whole"} {
 		for _, kind := range []string{"ban", "one", "third"} {
-			for _, pending := range []int{1, rules.MostPending} {
+			for _, pending := range []int{1, rules.MaxPending} {
 				if kind == "one" && pending > 1 {
 					continue // it cannot be made twice
 				}
@@ -230,21 +230,21 @@
 					for i := range pending - 1 {
 						propose(b, state, costChange("ban", state, fmt.Sprint("before-", i)))
 					}
-					before := state.Share()
+					before := state.Copy()
 					propose(b, state, costChange(kind, state, "one"))
-					m := &Message{Kind: Tell, From: costName(0), To: costName(1), Standing: state.Share()}
+					m := &Message{Kind: Update, From: costName(0), To: costName(1), Status: state.Copy()}
 					if by == "differences" {
-						d, ok := rules.Between(state, before.Position())
+						d, ok := rules.DeltaFrom(state, before.Position())
 						if !ok {
 							b.Fatal("no delta")
 						}
-						m.Standing, m.Delta = nil, d
+						m.Status, m.Delta = nil, d
 					}
 					text, err := m.Encode()
 					if err != nil {
 						b.Fatal(err)
 					}
-					c, err := New(0, Settings{Name: costName(1), Boot: 1, Keepers: []string{costName(0)}, Times: DefaultTimes()}, 1, Stored{Acts: before}, nobody{})
+					c, err := New(0, Settings{Name: costName(1), InstanceID: 1, Voters: []string{costName(0)}, Times: DefaultTimes()}, 1, Stored{Rules: before}, nobody{})
 					if err != nil {
 						b.Fatal(err)
 					}
@@ -270,7 +270,7 @@
 // TestCostsOfAChange: the numbers of a third are free and dealt out, none is held twice, and the document is as long as was meant.
 func TestCostsOfAChange(t *testing.T) {
 	state := costDocument(t)
-	text, err := (&Message{Kind: Tell, From: "a", Standing: state.Share()}).Encode()
+	text, err := (&Message{Kind: Update, From: "a", Status: state.Copy()}).Encode()
 	if err != nil || len(text) < 30_000 || len(text) > 45_000 {
 		t.Errorf("a document of %d bytes, %v", len(text), err)
 	}
--- a/internal/cluster/accord/differences.go
+++ b/internal/cluster/accord/differences.go
@@ -17,20 +17,20 @@
 
 // differences are what a leader has worked out for its newest standing: many holders lack the same.
 type differences struct {
-	of     Holds
-	byBase map[Holds]*rules.Delta // nil for one that only the whole helps
+	of     HeldVersions
+	byBase map[HeldVersions]*rules.Delta // nil for one that only the whole helps
 }
 
 // delta is what somebody lacks of the newest standing; nil where only the whole helps.
-func (v *voter) delta(has Holds) *rules.Delta {
-	newest := holdsOf(&v.state.Rules.Standing)
+func (v *voter) delta(has HeldVersions) *rules.Delta {
+	newest := holdsOf(&v.state.Rules.Status)
 	if v.worked == nil || v.worked.of != newest || len(v.worked.byBase) > mostHolders {
-		v.worked = &differences{of: newest, byBase: map[Holds]*rules.Delta{}}
+		v.worked = &differences{of: newest, byBase: map[HeldVersions]*rules.Delta{}}
 	}
 	d, known := v.worked.byBase[has]
 	if !known {
 		var ok bool
-		if d, ok = rules.Between(v.state.Rules, rules.Position(has)); !ok || d.Freeze() != nil {
+		if d, ok = rules.DeltaFrom(v.state.Rules, rules.Position(has)); !ok || d.CacheEncoding() != nil {
 			d = nil // which cannot be written goes out as a whole
 		}
 		v.worked.byBase[has] = d
@@ -40,27 +40,27 @@
 
 // noteDigest remembers the digest of the standing as it is now, and lets go of those on which no lease is granted any more.
 func (v *voter) noteDigest() {
-	s := &v.state.Rules.Standing
+	s := &v.state.Rules.Status
 	for of := range v.digests {
 		if of.Log != s.Log || of.Last < s.InForce.Number {
 			delete(v.digests, of)
 		}
 	}
 	if v.digests == nil {
-		v.digests = map[Holds]rules.Digest{}
+		v.digests = map[HeldVersions]rules.Digest{}
 	}
 	v.digests[holdsOf(s)] = s.Digest()
 }
 
 // differs says whether who asks has something else than was here under the same numbers.
 func (v *voter) differs(m *Message) bool {
-	digest, known := v.digests[m.Holds]
-	return known && m.Digest != 0 && m.Digest != digest && !v.c.set.NoDigest
+	digest, known := v.digests[m.Held]
+	return known && m.Digest != 0 && m.Digest != digest && !v.c.set.NoDigestCheck
 }
 
 // bring puts into a message what a holder lacks, and says whether it has: the difference where the holder understands it and its base
 // is known here, and the whole otherwise. What is long is left out where something long has just been sent.
-func (v *voter) bring(m *Message, l *lease, has Holds) bool {
+func (v *voter) bring(m *Message, l *lease, has HeldVersions) bool {
 	var d *rules.Delta
 	if l.deltas && !l.needsWhole {
 		d = v.delta(has)
@@ -75,7 +75,7 @@
 	}
 	l.longSent = now
 	if m.Delta = d; d == nil {
-		m.Standing = v.state.Rules.Share()
+		m.Status = v.state.Rules.Copy()
 	}
 	return true
 }
@@ -83,14 +83,14 @@
 // isShort says whether a difference goes with a grant in one datagram.
 func (v *voter) isShort(d *rules.Delta) bool {
 	most := mostShort
-	if v.c.set.MostShort > 0 {
-		most = v.c.set.MostShort
+	if v.c.set.MaxInlineDelta > 0 {
+		most = v.c.set.MaxInlineDelta
 	}
-	return d.Size() <= most
+	return d.EncodedSize() <= most
 }
 
 // bringsLong says whether what a holder lacks is too long for a datagram.
-func (v *voter) bringsLong(l *lease, has Holds) bool {
+func (v *voter) bringsLong(l *lease, has HeldVersions) bool {
 	if !l.deltas || l.needsWhole {
 		return true
 	}
@@ -102,11 +102,11 @@
 // come to be by what this leader has written into the log, that the holder does not know. A version that it does not know is kept from
 // being in force by the lease itself: see enforce.
 func (v *voter) mayRest(l *lease) bool {
-	s := &v.state.Rules.Standing
+	s := &v.state.Rules.Status
 	if l.holds.Log != s.Log || l.needsWhole || l.holds.InForce > s.InForce.Number || l.holds.Last < s.InForce.Number {
 		return false
 	}
-	if l.holds.Last < v.enforcing && !v.c.set.NoEnforcing {
+	if l.holds.Last < v.enforcing && !v.c.set.NoEnforcingCheck {
 		return false
 	}
 	_, known := v.digests[l.holds]
@@ -121,12 +121,12 @@
 	}
 	t := &v.c.set.Times
 	at, known := v.agreedAt[unknown]
-	return known && v.c.now <= at+t.Election+t.Renew+t.Patience // see Times.Bound, which has a lease's time beside these
+	return known && v.c.now <= at+t.Election+t.Renew+t.RequestTimeout // see Times.Bound, which has a lease's time beside these
 }
 
 // noteAgreed remembers when the newest version was agreed, where that was under this leader, and lets go of those in force.
 func (v *voter) noteAgreed() {
-	s := &v.state.Rules.Standing
+	s := &v.state.Rules.Status
 	maps.DeleteFunc(v.agreedAt, func(n uint64, _ time.Duration) bool { return n <= s.InForce.Number })
 	if v.leads && v.ownTermApplied {
 		v.agreedAt[s.Last()] = v.c.now
@@ -135,8 +135,8 @@
 
 // outline is a standing without its documents, for who does not understand them: it takes none of them, and is to know that they
 // are there.
-func outline(s *rules.Standing) *rules.Standing {
-	o := &rules.Standing{Log: s.Log, Reign: s.Reign, Form: s.Form, InForce: rules.Version{Number: s.InForce.Number}}
+func outline(s *rules.Status) *rules.Status {
+	o := &rules.Status{Log: s.Log, Term: s.Term, Form: s.Form, InForce: rules.Version{Number: s.InForce.Number}}
 	for i := range s.Pending {
 		o.Pending = append(o.Pending, rules.Version{Number: s.Pending[i].Number})
 	}
--- a/internal/cluster/accord/differences_test.go
+++ b/internal/cluster/accord/differences_test.go
@@ -20,9 +20,9 @@
 	asked          []*Message // by the holder
 	lose           func(m *Message) bool
 	queue          []addressed
-	kept           *rules.Standing // by the holder
-	told           map[Event]int   // to the holder
-	basis          *Basis          // the holder's
+	kept           *rules.Status // by the holder
+	told           map[Event]int // to the holder
+	basis          *Basis        // the holder's
 }
 
 type addressed struct {
@@ -48,22 +48,22 @@
 	s.queue = append(s.queue, addressed{to, read})
 }
 
-func (side) Save(*Record) error    { return nil }
-func (side) Answered(rules.Answer) {}
+func (side) Save(*Record) error        { return nil }
+func (side) ProposalDone(rules.Answer) {}
 
-func (s side) Keep(standing *rules.Standing) {
+func (s side) SaveRules(standing *rules.Status) {
 	if s.name == "holder" {
-		s.kept = standing.Share()
+		s.kept = standing.Copy()
 	}
 }
 
-func (s side) Acts(b *Basis) {
+func (s side) SetBasis(b *Basis) {
 	if s.name == "holder" {
 		s.basis = b
 	}
 }
 
-func (s side) Told(what Event, _ Note) {
+func (s side) Notify(what Event, _ Note) {
 	if s.name == "holder" {
 		s.told[what]++
 	}
@@ -78,7 +78,7 @@
 
 func (p *pair) start(name string, disk Stored, change func(*Settings)) *Core {
 	p.t.Helper()
-	s := Settings{Name: name, Boot: 1, Keepers: []string{"leader"}, Times: DefaultTimes()}
+	s := Settings{Name: name, InstanceID: 1, Voters: []string{"leader"}, Times: DefaultTimes()}
 	if change != nil {
 		change(&s)
 	}
@@ -94,8 +94,8 @@
 	const step = 10 * time.Millisecond
 	for end := p.now + d; p.now < end; p.now += step {
 		for _, c := range []*Core{p.leader, p.holder} {
-			if c != nil && p.now >= c.Next() {
-				c.Wake(p.now)
+			if c != nil && p.now >= c.NextTick() {
+				c.Tick(p.now)
 			}
 		}
 		for len(p.queue) > 0 {
@@ -112,7 +112,7 @@
 		p.leader.Receive(p.now, a.m)
 		return
 	}
-	if a.m.Kind == Grant || a.m.Kind == Tell {
+	if a.m.Kind == Grant || a.m.Kind == Update {
 		p.sent = append(p.sent, a.m)
 	}
 	if p.holder != nil && (p.lose == nil || !p.lose(a.m)) {
@@ -136,7 +136,7 @@
 	return n
 }
 
-func whole(m *Message) bool { return m.Standing != nil }
+func whole(m *Message) bool { return m.Status != nil }
 func delta(m *Message) bool { return m.Delta != nil }
 
 // TestDifferencesAreSent to who says that it understands them, and whole standings to who does not.
@@ -163,8 +163,8 @@
 }
 
 // corrupted is a standing with another document under the same numbers, as a disk may hold it.
-func corrupted(s *rules.Standing) *rules.Standing {
-	c := s.Share()
+func corrupted(s *rules.Status) *rules.Status {
+	c := s.Copy()
 	c.InForce = rules.Version{Number: s.InForce.Number, Change: s.InForce.Change, Doc: s.InForce.Doc}
 	c.InForce.Doc.Bans = maps.Clone(s.InForce.Doc.Bans)
 	delete(c.InForce.Doc.Bans, "node-0")
@@ -180,7 +180,7 @@
 		p.holder = p.start("holder", Stored{}, nil)
 		p.ban("node-0")
 		p.run(time.Second)
-		disk := Stored{Acts: corrupted(p.kept)}
+		disk := Stored{Rules: corrupted(p.kept)}
 		p.holder, p.sent, p.asked = nil, nil, nil
 		p.run(2 * time.Second)
 		if changed {
@@ -191,19 +191,19 @@
 		leasedOnOther := false
 		for range 300 {
 			p.run(10 * time.Millisecond)
-			if p.basis.Mode(p.now) == Leased && p.basis.Doc.Rule(rules.Send{Server: "node-0"}) != rules.Banned {
+			if p.basis.Mode(p.now) == Leased && p.basis.Doc.Decide(rules.Send{Server: "node-0"}) != rules.Banned {
 				leasedOnOther = true
 			}
 		}
 		if leasedOnOther {
 			t.Errorf("changed %v: it held a lease on what it does not have", changed)
 		}
-		if p.basis.Mode(p.now) != Leased || p.told[Differs] != 1 {
-			t.Errorf("changed %v: %v, told %d times", changed, p.basis.Mode(p.now), p.told[Differs])
+		if p.basis.Mode(p.now) != Leased || p.told[DigestMismatch] != 1 {
+			t.Errorf("changed %v: %v, told %d times", changed, p.basis.Mode(p.now), p.told[DigestMismatch])
 		}
 		asked := 0
 		for _, m := range p.asked {
-			if m.Whole {
+			if m.NeedsWhole {
 				asked++
 			}
 		}
@@ -241,7 +241,7 @@
 func newPairOfLongDifferences(t *testing.T) *pair {
 	t.Helper()
 	p := newPair(t)
-	p.leader = p.start("leader", Stored{}, func(s *Settings) { s.MostShort = 1 })
+	p.leader = p.start("leader", Stored{}, func(s *Settings) { s.MaxInlineDelta = 1 })
 	p.run(3 * time.Second)
 	p.holder = p.start("holder", Stored{}, nil)
 	p.run(time.Second)
@@ -270,7 +270,7 @@
 	// What it has is less than what is in force: no lease rests on that.
 	p.sent = nil
 	p.run(2 * time.Second)
-	if n := p.count(func(m *Message) bool { return m.Kind == Grant && m.Holds.Last < 2 }); n > 0 || p.basis.Mode(p.now) == Leased {
+	if n := p.count(func(m *Message) bool { return m.Kind == Grant && m.Held.Last < 2 }); n > 0 || p.basis.Mode(p.now) == Leased {
 		t.Errorf("%d grants on what is no longer in force, %v", n, p.basis.Mode(p.now))
 	}
 	p.lose = nil
@@ -291,10 +291,10 @@
 		t.Errorf("after it was agreed: %v", v.agreedAt)
 	}
 	p.run(3 * time.Second)
-	if bound := DefaultTimes().Bound(); p.basis.Last != 1 || p.basis.Until > agreed+bound {
+	if bound := DefaultTimes().ConvergenceBound(); p.basis.Last != 1 || p.basis.Until > agreed+bound {
 		t.Errorf("a lease on version %d until %v; agreed at %v, and %v is stated", p.basis.Last, p.basis.Until, agreed, bound)
 	}
-	p.now = agreed + DefaultTimes().Bound()
+	p.now = agreed + DefaultTimes().ConvergenceBound()
 	v.c.now = p.now
 	if v.agreedAt[2] = agreed; v.restsInTime(2) {
 		t.Error("a lease may rest on less than is agreed for longer than is stated")
@@ -333,23 +333,23 @@
 
 // olderMessage is a message as programs from before there were differences write and read it.
 type olderMessage struct {
-	Kind     MessageKind     `cbor:"1,keyasint"`
-	From     string          `cbor:"2,keyasint"`
-	To       string          `cbor:"3,keyasint,omitempty"`
-	Seq      uint64          `cbor:"4,keyasint,omitempty"`
-	Path     []string        `cbor:"5,keyasint,omitempty"`
-	Holds    Holds           `cbor:"6,keyasint,omitempty"`
-	Standing *rules.Standing `cbor:"7,keyasint,omitempty"`
-	Change   *rules.Change   `cbor:"8,keyasint,omitempty"`
-	Answer   *rules.Answer   `cbor:"9,keyasint,omitempty"`
-	Raft     []byte          `cbor:"10,keyasint,omitempty"`
-	Store    uint64          `cbor:"11,keyasint,omitempty"`
-	Empty    bool            `cbor:"12,keyasint,omitempty"`
-	Reply    bool            `cbor:"13,keyasint,omitempty"`
-	Match    uint64          `cbor:"14,keyasint,omitempty"`
-	Boot     uint64          `cbor:"15,keyasint,omitempty"`
-	Reign    uint64          `cbor:"16,keyasint,omitempty"`
-	Form     uint8           `cbor:"17,keyasint,omitempty"`
+	Kind     MessageKind   `cbor:"1,keyasint"`
+	From     string        `cbor:"2,keyasint"`
+	To       string        `cbor:"3,keyasint,omitempty"`
+	Seq      uint64        `cbor:"4,keyasint,omitempty"`
+	Path     []string      `cbor:"5,keyasint,omitempty"`
+	Holds    HeldVersions  `cbor:"6,keyasint,omitempty"`
+	Standing *rules.Status `cbor:"7,keyasint,omitempty"`
+	Change   *rules.Change `cbor:"8,keyasint,omitempty"`
+	Answer   *rules.Answer `cbor:"9,keyasint,omitempty"`
+	Raft     []byte        `cbor:"10,keyasint,omitempty"`
+	Store    uint64        `cbor:"11,keyasint,omitempty"`
+	Empty    bool          `cbor:"12,keyasint,omitempty"`
+	Reply    bool          `cbor:"13,keyasint,omitempty"`
+	Match    uint64        `cbor:"14,keyasint,omitempty"`
+	Boot     uint64        `cbor:"15,keyasint,omitempty"`
+	Reign    uint64        `cbor:"16,keyasint,omitempty"`
+	Form     uint8         `cbor:"17,keyasint,omitempty"`
 }
 
 // TestMessagesBesideOlderPrograms: an older program reads what this one says and passes over what it does not know, and one that
@@ -358,14 +358,14 @@
 	state := rules.NewState()
 	has := rules.Position{InForce: 1, Last: 1}
 	state.Propose(&rules.Change{ID: "1", Kind: rules.Suspend, Server: "a"})
-	d, ok := rules.Between(state, has)
+	d, ok := rules.DeltaFrom(state, has)
 	if !ok {
 		t.Fatal("no delta")
 	}
 	for _, m := range []*Message{
-		{Kind: Renew, From: "n4", Seq: 7, Boot: 9, Holds: Holds{Log: 1, InForce: 2, Last: 3}, Form: 2, Deltas: true, Whole: true, Digest: 1 << 63},
-		{Kind: Grant, From: "n1", To: "n4", Seq: 7, Holds: Holds{Log: 1, InForce: 2, Last: 3}, Digest: 5, Standing: state.Share()},
-		{Kind: Grant, From: "n1", To: "n4", Seq: 7, Holds: Holds{InForce: 1, Last: 2}, Digest: 5, Delta: d},
+		{Kind: Renew, From: "n4", Seq: 7, InstanceID: 9, Held: HeldVersions{Log: 1, InForce: 2, Last: 3}, Form: 2, AcceptsDeltas: true, NeedsWhole: true, Digest: 1 << 63},
+		{Kind: Grant, From: "n1", To: "n4", Seq: 7, Held: HeldVersions{Log: 1, InForce: 2, Last: 3}, Digest: 5, Status: state.Copy()},
+		{Kind: Grant, From: "n1", To: "n4", Seq: 7, Held: HeldVersions{InForce: 1, Last: 2}, Digest: 5, Delta: d},
 	} {
 		text, err := m.Encode()
 		if err != nil {
@@ -375,10 +375,10 @@
 		if err := reading.Unmarshal(text, older); err != nil {
 			t.Fatalf("an older program cannot read %+v: %v", m, err)
 		}
-		if older.Kind != m.Kind || older.From != m.From || older.Seq != m.Seq || older.Holds != m.Holds || older.Boot != m.Boot || older.Form != m.Form {
+		if older.Kind != m.Kind || older.From != m.From || older.Seq != m.Seq || older.Holds != m.Held || older.Boot != m.InstanceID || older.Form != m.Form {
 			t.Errorf("an older program reads %+v from %+v", older, m)
 		}
-		if (older.Standing == nil) != (m.Standing == nil) {
+		if (older.Standing == nil) != (m.Status == nil) {
 			t.Errorf("the standing of %+v is lost", m)
 		}
 		if text, err = cbor.Marshal(older); err != nil {
@@ -388,7 +388,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if back.Deltas || back.Whole || back.Digest != 0 || back.Delta != nil || back.Seq != m.Seq {
+		if back.AcceptsDeltas || back.NeedsWhole || back.Digest != 0 || back.Delta != nil || back.Seq != m.Seq {
 			t.Errorf("passed on by an older program: %+v", back)
 		}
 	}
@@ -397,7 +397,7 @@
 	p.run(3 * time.Second)
 	p.holder = p.start("holder", Stored{}, nil)
 	p.run(time.Second)
-	p.lose = func(m *Message) bool { m.Delta = nil; return m.Kind == Tell }
+	p.lose = func(m *Message) bool { m.Delta = nil; return m.Kind == Update }
 	p.ban("node-0")
 	p.run(1500 * time.Millisecond)
 	if p.basis.Mode(p.now) == Leased || p.basis.Last != 1 {
@@ -408,17 +408,17 @@
 // TestTheGreatestMessages: a standing of the greatest documents is read, and is within the bound of a message.
 func TestTheGreatestMessages(t *testing.T) {
 	state := rules.NewState()
-	for i := range rules.MostPending {
+	for i := range rules.MaxPending {
 		numbers := map[string]int{}
-		for n := range rules.MostMembers {
+		for n := range rules.MaxMembers {
 			numbers[fmt.Sprintf("proxy-%04d-of-a-region-%d", n, i%10)] = n
 		}
-		if a := state.Propose(&rules.Change{ID: fmt.Sprint(i), Kind: rules.Number, Numbers: numbers, Form: 2}); a.Version == 0 {
-			t.Fatal(a.No)
+		if a := state.Propose(&rules.Change{ID: fmt.Sprint(i), Kind: rules.Renumber, Numbers: numbers, Form: 2}); a.Version == 0 {
+			t.Fatal(a.Rejection)
 		}
 	}
 	state.Enforce(2)
-	m := &Message{Kind: Tell, From: "n1", To: "n2", Standing: state.Share()}
+	m := &Message{Kind: Update, From: "n1", To: "n2", Status: state.Copy()}
 	text, err := m.Encode()
 	if err != nil {
 		t.Fatal(err)
@@ -426,9 +426,9 @@
 	if _, err := Decode(text); err != nil {
 		t.Errorf("%d bytes: %v", len(text), err)
 	}
-	t.Logf("%d bytes of %d", len(text), MostMessage)
+	t.Logf("%d bytes of %d", len(text), MaxMessageBytes)
 	snapshot, err := cbor.Marshal(&replicatedState{Rules: state, Keepers: map[string]uint64{}})
-	if err != nil || len(snapshot) > MostMessage {
+	if err != nil || len(snapshot) > MaxMessageBytes {
 		t.Errorf("a snapshot of %d bytes, %v", len(snapshot), err)
 	}
 	back := &replicatedState{}
--- a/internal/cluster/accord/election.go
+++ b/internal/cluster/accord/election.go
@@ -113,10 +113,10 @@
 	if !leads {
 		v.leaderHeard = now
 		v.resetTimeout()
-		v.c.host.Told(Deposed, Note{Name: v.c.set.Name})
+		v.c.host.Notify(Deposed, Note{Name: v.c.set.Name})
 		return
 	}
 	v.electedAt, v.majorityHeard, v.nextHeartbeat, v.lastEnforce = now, now, now, 0
 	v.leases, v.rounds, v.proposers = map[holder]*lease{}, map[uint64][]*Message{}, map[string]*Message{}
-	v.c.host.Told(Elected, Note{Name: v.c.set.Name})
+	v.c.host.Notify(Elected, Note{Name: v.c.set.Name})
 }
--- a/internal/cluster/accord/leases_test.go
+++ b/internal/cluster/accord/leases_test.go
@@ -28,7 +28,7 @@
 
 func (h *tallyHost) Save(*Record) error { h.saves++; return nil }
 
-func (h *tallyHost) Keep(*rules.Standing) { h.keeps++ }
+func (h *tallyHost) SaveRules(*rules.Status) { h.keeps++ }
 
 func (h *tallyHost) Send(_ string, m *Message) {
 	h.sent[m.Kind]++
@@ -38,32 +38,32 @@
 // leaderWithHolders is a leader, the only voter, with leases of holders that have what is in force. Its next heartbeat is not due yet.
 func leaderWithHolders(t *testing.T, host Host, holders ...string) (*Core, time.Duration) {
 	t.Helper()
-	c, err := New(0, Settings{Name: "leader", Boot: 1, Keepers: []string{"leader"}, Times: DefaultTimes()}, 1, Stored{}, host)
+	c, err := New(0, Settings{Name: "leader", InstanceID: 1, Voters: []string{"leader"}, Times: DefaultTimes()}, 1, Stored{}, host)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Duration(0)
 	for ; now < 3*time.Second; now += 10 * time.Millisecond {
-		c.Wake(now)
+		c.Tick(now)
 	}
-	if !c.Leads() {
+	if !c.IsLeader() {
 		t.Fatal("it does not lead")
 	}
 	for _, name := range holders {
-		c.Receive(now, renewal(c, name, holdsOf(&c.voter.state.Rules.Standing)))
+		c.Receive(now, renewal(c, name, holdsOf(&c.voter.state.Rules.Status)))
 	}
 	now = c.voter.nextHeartbeat
-	c.Wake(now)
+	c.Tick(now)
 	return c, now
 }
 
 // renewal is one of a holder that has something which was once at the leader.
-func renewal(c *Core, name string, has Holds) *Message {
-	return &Message{Kind: Renew, From: name, Boot: 1, Seq: 1, Holds: has, Form: rules.Form, Deltas: true, Digest: c.voter.digests[has]}
+func renewal(c *Core, name string, has HeldVersions) *Message {
+	return &Message{Kind: Renew, From: name, InstanceID: 1, Seq: 1, Held: has, Form: rules.CurrentForm, AcceptsDeltas: true, Digest: c.voter.digests[has]}
 }
 
-func acknowledgement(name string, has Holds) *Message {
-	return &Message{Kind: Have, From: name, Boot: 1, Holds: has, Deltas: true}
+func acknowledgement(name string, has HeldVersions) *Message {
+	return &Message{Kind: Acknowledge, From: name, InstanceID: 1, Held: has, AcceptsDeltas: true}
 }
 
 func proposalOfBan(number int) *Message {
@@ -73,7 +73,7 @@
 
 // TestProposalsThatComeTogether cost the leader the writes of the disk of one, and its holders one message each.
 func TestProposalsThatComeTogether(t *testing.T) {
-	const proposals = rules.MostPending
+	const proposals = rules.MaxPending
 	holders := []string{"p1", "p2", "p3", "p4"}
 	host := newTallyHost()
 	c, now := leaderWithHolders(t, host, holders...)
@@ -86,8 +86,8 @@
 	if n := len(c.voter.state.Rules.Pending); n != proposals {
 		t.Errorf("%d versions are on their way", n)
 	}
-	if host.sent[Result] != proposals || host.sent[Tell] != len(holders) {
-		t.Errorf("%d answers, %d holders told", host.sent[Result], host.sent[Tell])
+	if host.sent[Result] != proposals || host.sent[Update] != len(holders) {
+		t.Errorf("%d answers, %d holders told", host.sent[Result], host.sent[Update])
 	}
 	// One write holds the entries and one, as the only voter agrees with itself at once, that they are agreed.
 	if host.saves != 2 || host.keeps != 1 {
@@ -108,8 +108,8 @@
 	}
 	v.propose(proposalOfBan(1))
 	c.Receive(now)
-	if c.Keeps() || v.state.Rules.Last() != 2 || c.basis.Last != 2 {
-		t.Errorf("keeps %v; version %d at the voter, %d at its proxy", c.Keeps(), v.state.Rules.Last(), c.basis.Last)
+	if c.IsVoter() || v.state.Rules.Last() != 2 || c.basis.Last != 2 {
+		t.Errorf("keeps %v; version %d at the voter, %d at its proxy", c.IsVoter(), v.state.Rules.Last(), c.basis.Last)
 	}
 }
 
@@ -118,19 +118,19 @@
 func TestARenewalTakesNoAcknowledgementBack(t *testing.T) {
 	host := newTallyHost()
 	c, now := leaderWithHolders(t, host, "quick", "slow")
-	before := holdsOf(&c.voter.state.Rules.Standing)
+	before := holdsOf(&c.voter.state.Rules.Status)
 	c.Receive(now, renewal(c, "quick", before))
 	c.Receive(now, proposalOfBan(0))
-	has := holdsOf(&c.voter.state.Rules.Standing)
+	has := holdsOf(&c.voter.state.Rules.Status)
 	c.Receive(now, acknowledgement("quick", has))
 	host.reset()
 	now = c.voter.nextHeartbeat
-	c.Wake(now)
-	if g := host.last[Grant]; host.sent[Grant] != 1 || g.Holds != has || g.Delta != nil {
+	c.Tick(now)
+	if g := host.last[Grant]; host.sent[Grant] != 1 || g.Held != has || g.Delta != nil {
 		t.Errorf("%d grants, the last on %+v", host.sent[Grant], g)
 	}
 	c.Receive(now, acknowledgement("slow", has))
-	if s := &c.voter.state.Rules.Standing; s.InForce.Number != has.Last {
+	if s := &c.voter.state.Rules.Status; s.InForce.Number != has.Last {
 		t.Errorf("version %d is in force, and all have %d", s.InForce.Number, has.Last)
 	}
 }
@@ -143,18 +143,18 @@
 	for _, acknowledges := range []bool{true, false} {
 		host := newTallyHost()
 		c, now := leaderWithHolders(t, host, "p1")
-		standing := &c.voter.state.Rules.Standing
+		standing := &c.voter.state.Rules.Status
 		granted, has := 0, holdsOf(standing)
 		for i := range renewals {
 			c.Receive(now, proposalOfBan(i))
 			host.reset()
 			c.Receive(now, renewal(c, "p1", has))
 			for wait := now + times.Renew; now < wait; now += 10 * time.Millisecond {
-				c.Wake(now)
+				c.Tick(now)
 			}
 			granted += host.sent[Grant]
 			if acknowledges {
-				has = holdsOf(&c.voter.state.Rules.Standing)
+				has = holdsOf(&c.voter.state.Rules.Status)
 				c.Receive(now, acknowledgement("p1", has))
 			}
 		}
--- a/internal/cluster/accord/log.go
+++ b/internal/cluster/accord/log.go
@@ -39,7 +39,7 @@
 
 // load goes on with what a disk holds.
 func (v *voter) load(disk Stored) error {
-	v.id, v.log, v.conf = disk.Store, raft.NewMemoryStorage(), &raftpb.ConfState{}
+	v.id, v.log, v.conf = disk.LogID, raft.NewMemoryStorage(), &raftpb.ConfState{}
 	v.state = &replicatedState{Rules: rules.NewState(), Keepers: map[string]uint64{}}
 	v.empty = disk.Snapshot == nil
 	if disk.Snapshot != nil {
@@ -88,7 +88,7 @@
 		return errors.New("accord: a snapshot with no rules")
 	}
 	state.Rules.Compact()
-	if err := state.Rules.Sound(); err != nil {
+	if err := state.Rules.Validate(); err != nil {
 		return fmt.Errorf("accord: a snapshot: %w", err)
 	}
 	if state.Rules.Form > v.c.set.form() {
@@ -130,7 +130,7 @@
 
 // persist makes last what the log is to remember, and then takes it over.
 func (v *voter) persist(r *raft.Ready) bool {
-	record := &Record{Store: v.id, Hard: r.HardState, Entries: r.Entries}
+	record := &Record{LogID: v.id, Hard: r.HardState, Entries: r.Entries}
 	if !raft.IsEmptySnap(r.Snapshot) {
 		record.Snapshot, record.Install = r.Snapshot, true
 	}
@@ -151,9 +151,9 @@
 		}
 		if v.empty {
 			v.empty = false
-			v.c.host.Told(Joined, Note{Name: v.c.set.Name})
+			v.c.host.Notify(Joined, Note{Name: v.c.set.Name})
 		}
-		v.c.adopt(v.state.Rules.Standing.Share())
+		v.c.adopt(v.state.Rules.Status.Copy())
 	}
 	if len(record.Entries) > 0 {
 		v.empty = false
@@ -187,7 +187,7 @@
 // applyAll takes agreed entries in, and tells of what they come to together: what many changes cost in messages and writes of the disk
 // is then that of one.
 func (v *voter) applyAll(entries []*raftpb.Entry) {
-	before := holdsOf(&v.state.Rules.Standing)
+	before := holdsOf(&v.state.Rules.Status)
 	var answers []*rules.Answer
 	executed := false
 	for _, e := range entries {
@@ -236,8 +236,8 @@
 			v.halt(fmt.Errorf("accord: entry %d is of a newer version of the program", v.applied))
 			return nil
 		}
-		if cmd.Propose != nil && cmd.Propose.Needs() > v.c.set.form() {
-			v.halt(fmt.Errorf("accord: entry %d needs form %d of documents, and this program understands %d: upgrade it", v.applied, cmd.Propose.Needs(), v.c.set.form()))
+		if cmd.Propose != nil && cmd.Propose.RequiredForm() > v.c.set.form() {
+			v.halt(fmt.Errorf("accord: entry %d needs form %d of documents, and this program understands %d: upgrade it", v.applied, cmd.Propose.RequiredForm(), v.c.set.form()))
 			return nil
 		}
 		return cmd
@@ -248,20 +248,20 @@
 // execute carries an agreed command out, and returns what became of the proposal in it; nil where there is none.
 func (v *voter) execute(cmd *command) *rules.Answer {
 	state := v.state.Rules.Clone()
-	before := holdsOf(&state.Standing)
+	before := holdsOf(&state.Status)
 	var answer *rules.Answer
 	last := state.Last()
 	if cmd.Propose != nil {
 		a := state.Propose(cmd.Propose)
 		answer = &a
-		if v.c.set.NoPrepared {
+		if v.c.set.NoPreparePhase {
 			state.Enforce(a.Version)
 		}
 	} else {
 		state.Enforce(cmd.Enforce)
 	}
 	v.state.Rules = state
-	if holdsOf(&state.Standing) != before {
+	if holdsOf(&state.Status) != before {
 		v.noteDigest()
 		if state.Last() > last {
 			v.noteAgreed()
@@ -271,9 +271,9 @@
 }
 
 // adoptSince has this voter's own proxy act on the standing, where that is another one than before.
-func (v *voter) adoptSince(before Holds) {
-	if s := &v.state.Rules.Standing; holdsOf(s) != before {
-		v.c.adopt(s.Share())
+func (v *voter) adoptSince(before HeldVersions) {
+	if s := &v.state.Rules.Status; holdsOf(s) != before {
+		v.c.adopt(s.Copy())
 	}
 }
 
@@ -310,7 +310,7 @@
 		return fmt.Errorf("accord: a snapshot: %w", err)
 	}
 	upTo := max(v.applied, keepEntries) - keepEntries
-	if err := v.c.host.Save(&Record{Store: v.id, Snapshot: s, Compact: upTo}); err != nil {
+	if err := v.c.host.Save(&Record{LogID: v.id, Snapshot: s, Compact: upTo}); err != nil {
 		return err
 	}
 	v.snapshotIndex = v.applied
--- a/internal/cluster/accord/membership.go
+++ b/internal/cluster/accord/membership.go
@@ -20,7 +20,7 @@
 
 // sendHellos tells the other voters who this one is, as long as one of them is not known to hold the log.
 func (v *voter) sendHellos() {
-	for _, name := range v.c.set.Keepers {
+	for _, name := range v.c.set.Voters {
 		if name != v.c.set.Name {
 			v.c.host.Send(name, v.helloTo(name, false))
 		}
@@ -28,7 +28,7 @@
 }
 
 func (v *voter) helloTo(name string, reply bool) *Message {
-	m := &Message{Kind: Hello, From: v.c.set.Name, To: name, Store: v.id, Empty: v.empty, Reply: reply, Reign: v.state.Rules.Reign, Form: v.c.set.form()}
+	m := &Message{Kind: Hello, From: v.c.set.Name, To: name, LogID: v.id, Empty: v.empty, Reply: reply, Term: v.state.Rules.Term, Form: v.c.set.form()}
 	if p := v.peers[name]; p != nil && v.leads {
 		if progress, there := v.raft.Status().Progress[p.store]; there {
 			m.Match = progress.Match
@@ -39,11 +39,11 @@
 
 // handleHello takes in who another voter is.
 func (v *voter) handleHello(m *Message) {
-	if !slices.Contains(v.c.set.Keepers, m.From) || m.Store == 0 || m.From == v.c.set.Name {
+	if !slices.Contains(v.c.set.Voters, m.From) || m.LogID == 0 || m.From == v.c.set.Name {
 		return
 	}
-	if m.Reign > v.state.Rules.Reign && !m.Empty && !v.empty {
-		v.c.host.Told(GivenUp, Note{Name: m.From})
+	if m.Term > v.state.Rules.Term && !m.Empty && !v.empty {
+		v.c.host.Notify(Superseded, Note{Name: m.From})
 		v.startOver()
 		return
 	}
@@ -53,12 +53,12 @@
 		v.peers[m.From] = p
 	}
 	delete(v.byLog, p.store)
-	v.byLog[m.Store] = m.From
+	v.byLog[m.LogID] = m.From
 	// A log that speaks under a name whose other log was just heard waits: two processes may go by one name.
-	if agreed := v.state.Keepers[m.From]; agreed != 0 && p.store == agreed && m.Store != agreed && v.c.now-p.heard < replaceAfter*v.c.set.Times.Election {
+	if agreed := v.state.Keepers[m.From]; agreed != 0 && p.store == agreed && m.LogID != agreed && v.c.now-p.heard < replaceAfter*v.c.set.Times.Election {
 		return
 	}
-	*p = peer{store: m.Store, empty: m.Empty, form: m.Form, heard: v.c.now}
+	*p = peer{store: m.LogID, empty: m.Empty, form: m.Form, heard: v.c.now}
 	if last, _ := v.log.LastIndex(); m.Match > last {
 		v.startOver()
 		return
@@ -72,10 +72,10 @@
 // takes the others in, as it does with those that come later: there is no second way for a log to begin.
 func (v *voter) foundIfDue() {
 	s := &v.c.set
-	if !v.empty || s.Keepers[0] != s.Name {
+	if !v.empty || s.Voters[0] != s.Name {
 		return
 	}
-	for _, name := range s.Keepers[1:] {
+	for _, name := range s.Voters[1:] {
 		if p := v.peers[name]; p == nil || !p.empty || v.c.now-p.heard > replaceAfter*s.Times.Election {
 			return
 		}
@@ -84,7 +84,7 @@
 		v.halt(err)
 		return
 	}
-	v.c.host.Told(Founded, Note{Name: s.Name})
+	v.c.host.Notify(Founded, Note{Name: s.Name})
 }
 
 // refound goes on alone under the next reign. All that is in the log counts, agreed or not: it may have been acknowledged.
@@ -99,7 +99,7 @@
 			return fmt.Errorf("accord: %w", err)
 		}
 		v.leads = false
-		before := holdsOf(&v.state.Rules.Standing)
+		before := holdsOf(&v.state.Rules.Status)
 		for _, e := range rest {
 			cmd := &command{}
 			if e.GetType() == raftpb.EntryNormal && len(e.Data) > 0 && reading.Unmarshal(e.Data, cmd) == nil {
@@ -109,13 +109,13 @@
 		v.adoptSince(before)
 	}
 	state := v.state.Rules.Clone()
-	state.Reign++
+	state.Term++
 	v.id = v.c.rng.Uint64() | 1
 	if err := v.install(state); err != nil {
 		v.halt(err)
 		return err
 	}
-	v.c.host.Told(Refounded, Note{Name: v.c.set.Name})
+	v.c.host.Notify(Refounded, Note{Name: v.c.set.Name})
 	return nil
 }
 
@@ -131,12 +131,12 @@
 		ConfState: &raftpb.ConfState{Voters: []uint64{v.id}}, Index: &index, Term: &term,
 	}}
 	hard := &raftpb.HardState{Term: &term, Commit: &index}
-	if err := v.c.host.Save(&Record{Store: v.id, Hard: hard, Snapshot: snapshot, Install: true}); err != nil {
+	if err := v.c.host.Save(&Record{LogID: v.id, Hard: hard, Snapshot: snapshot, Install: true}); err != nil {
 		return err
 	}
 	v.setRole(false)
 	v.lead = 0
-	if err := v.load(Stored{Store: v.id, Hard: hard, Snapshot: snapshot}); err != nil {
+	if err := v.load(Stored{LogID: v.id, Hard: hard, Snapshot: snapshot}); err != nil {
 		return err
 	}
 	return v.raft.Campaign()
@@ -164,7 +164,7 @@
 		}
 		return
 	}
-	for _, name := range v.c.set.Keepers {
+	for _, name := range v.c.set.Voters {
 		p, agreed := v.peers[name], v.state.Keepers[name]
 		if name == v.c.set.Name || p == nil || p.store == agreed || v.c.now-p.heard > replaceAfter*v.c.set.Times.Election {
 			continue
@@ -206,5 +206,5 @@
 			return
 		}
 	}
-	v.c.host.Told(Changed, Note{Name: name})
+	v.c.host.Notify(VotersChanged, Note{Name: name})
 }
--- a/internal/cluster/accord/model/model.go
+++ b/internal/cluster/accord/model/model.go
@@ -24,50 +24,50 @@
 
 // Config is a fleet to be played.
 type Config struct {
-	Story *story.Story
+	Scenario *story.Story
 	// Set changes each member's settings, to take defences out; may be nil.
-	Set func(*accord.Settings)
+	AdjustSettings func(*accord.Settings)
 	// Drift is the most by which clocks are off their rate.
 	Drift float64
 	// Crash is how likely a process dies at a write of its disk, before or after the write holds.
-	Crash float64
+	CrashRate float64
 	// Corrupt is how likely a process that starts finds another document on its disk under the number that it had, unless it is of
 	// the programs that know of no digests.
-	Corrupt float64
+	CorruptRate float64
 	// Write is how long one write of a disk takes. Meanwhile its process takes nothing in, and what came is taken in together.
-	Write time.Duration
+	WriteTime time.Duration
 }
 
 // Figures are what a play has come to.
-type Figures struct {
-	Messages, Bytes, Events, Saves int64
-	Proposed, Agreed, Refused      int
-	InForce                        []time.Duration // from a proposal until the last living proxy with a lease acts on it alone
-	Leaders                        int
-	Answers                        []Answer
+type Results struct {
+	Messages, Bytes, Events, Writes int64
+	Proposed, Agreed, Refused       int
+	InForce                         []time.Duration // from a proposal until the last living proxy with a lease acts on it alone
+	Leaders                         int
+	Answers                         []Answer
 	// Leased is the longest time that a proxy with a lease acted against what another held to be in force; it must be 0.
-	Leased time.Duration
+	LeasedBreach time.Duration
 	// Alone is the same of proxies that had no lease and went on with what they knew.
-	Alone time.Duration
+	AloneBreach time.Duration
 	// Reads are what proxies with a lease acted on, looked at each tick; Stale of them did not know a version that was in force
 	// somewhere by then, which must not be.
-	Reads, Stale int
+	Reads, StaleReads int
 	// Leaderless are the times for which no living keeper led, once one had.
 	Leaderless []time.Duration
 	// Deltas and Wholes are the standings that were sent, as differences and whole.
 	Deltas, Wholes int
 	// Lost is how often a process that ran had a lease run out.
-	Lost int
+	LeasesLost int
 	// Corrupted are the disks that held another document, Mismatches how often a process found that it had another one.
-	Corrupted, Mismatches int
+	CorruptDisks, Mismatches int
 	// Wrong is what must not be.
-	Wrong []string
+	Violations []string
 }
 
 // Answer is a change that its proposer was told of, with when.
 type Answer struct {
-	Asked, Told time.Duration
-	Version     uint64
+	ProposedAt, AnsweredAt time.Duration
+	Version                uint64
 }
 
 type process struct {
@@ -89,12 +89,12 @@
 	arrived     []*accord.Message        // while it writes
 	leased      bool                     // as last looked
 	breach      map[string]time.Duration // since when it acts against what others hold
-	standing    rules.Standing
+	standing    rules.Status
 	digest      rules.Digest // of the standing
 }
 
 // knows notes what a process acts on.
-func (p *process) knows(s *rules.Standing) {
+func (p *process) knows(s *rules.Status) {
 	p.standing, p.digest = *s, s.Digest()
 }
 
@@ -146,7 +146,7 @@
 	waiting  []acked           // agreed, and not in force everywhere yet
 	known    map[uint64]string // by number, the id of the change that made the version
 	servers  int
-	Figures  Figures
+	Results  Results
 }
 
 // tick is between two looks of the checker, beside those after each event.
@@ -154,15 +154,15 @@
 
 // New returns a fleet whose members all start at once.
 func New(c Config) (*Fleet, error) {
-	if err := c.Story.Validate(); err != nil {
+	if err := c.Scenario.Validate(); err != nil {
 		return nil, err
 	}
 	f := &Fleet{
-		config: c, network: faults.NewNetwork(c.Story.Seed), dice: rand.New(rand.NewPCG(c.Story.Seed, 31)),
-		numbers: rand.New(rand.NewPCG(c.Story.Seed, 32)), disks: rand.New(rand.NewPCG(c.Story.Seed, 33)), layers: map[int]*faults.Layer{},
+		config: c, network: faults.NewNetwork(c.Scenario.Seed), dice: rand.New(rand.NewPCG(c.Scenario.Seed, 31)),
+		numbers: rand.New(rand.NewPCG(c.Scenario.Seed, 32)), disks: rand.New(rand.NewPCG(c.Scenario.Seed, 33)), layers: map[int]*faults.Layer{},
 		byName: map[string]*process{}, proposed: map[string]time.Duration{}, known: map[uint64]string{}, servers: 20,
 	}
-	for i, name := range c.Story.Names() {
+	for i, name := range c.Scenario.Names() {
 		p := &process{name: name, index: i, rate: 1 + c.Drift*(2*f.dice.Float64()-1), offset: time.Duration(f.dice.Int64N(int64(time.Hour))), breach: map[string]time.Duration{}}
 		f.procs = append(f.procs, p)
 		f.byName[name] = p
@@ -170,10 +170,10 @@
 	for _, p := range f.procs {
 		f.start(p)
 	}
-	for _, a := range c.Story.Acts() {
+	for _, a := range c.Scenario.Acts() {
 		f.push(event{at: a.At, kind: act, act: a})
 	}
-	if c.Story.Changes > 0 {
+	if c.Scenario.Changes > 0 {
 		f.push(event{at: time.Second, kind: propose})
 	}
 	f.push(event{at: tick, kind: look})
@@ -193,17 +193,17 @@
 	p.starts++
 	p.up, p.paused, p.crash, p.boot, p.inbox, p.wake = true, false, false, f.dice.Uint64(), nil, -1
 	p.writing, p.busy, p.arrived, p.leased = 0, 0, nil, false
-	s := accord.Settings{Name: p.name, Boot: p.boot, Times: accord.DefaultTimes()}
-	for i := range f.config.Story.Keepers {
-		s.Keepers = append(s.Keepers, f.procs[i].name)
+	s := accord.Settings{Name: p.name, InstanceID: p.boot, Times: accord.DefaultTimes()}
+	for i := range f.config.Scenario.Keepers {
+		s.Voters = append(s.Voters, f.procs[i].name)
 	}
-	if f.config.Set != nil {
-		f.config.Set(&s)
+	if f.config.AdjustSettings != nil {
+		f.config.AdjustSettings(&s)
 	}
 	f.corrupt(p, &s)
-	p.knows(&rules.Standing{})
-	if p.disk.Acts != nil {
-		stored := p.disk.Acts.Share() // which it acts on, and has no cause to store again
+	p.knows(&rules.Status{})
+	if p.disk.Rules != nil {
+		stored := p.disk.Rules.Copy() // which it acts on, and has no cause to store again
 		stored.Compact()
 		p.knows(stored)
 	}
@@ -224,10 +224,10 @@
 
 // corrupt may have a process find another document on its disk than it has stored.
 func (f *Fleet) corrupt(p *process, s *accord.Settings) {
-	if f.config.Corrupt == 0 || s.NoDeltas || p.disk.Acts == nil || f.disks.Float64() >= f.config.Corrupt {
+	if f.config.CorruptRate == 0 || s.NoDeltas || p.disk.Rules == nil || f.disks.Float64() >= f.config.CorruptRate {
 		return
 	}
-	acts := p.disk.Acts.Share()
+	acts := p.disk.Rules.Copy()
 	versions := []*rules.Version{&acts.InForce}
 	for i := range acts.Pending {
 		versions = append(versions, &acts.Pending[i])
@@ -241,8 +241,8 @@
 		*v = other
 	}
 	if changed {
-		f.Figures.Corrupted++
-		p.disk.Acts = acts
+		f.Results.CorruptDisks++
+		p.disk.Rules = acts
 	}
 }
 
@@ -281,7 +281,7 @@
 		p.busy, p.writing = max(p.busy, f.now)+p.writing, 0
 		f.push(event{at: p.busy, kind: written, to: p.index, boot: p.boot})
 	}
-	at := f.now + max(time.Duration(float64(p.core.Next()-f.local(p))/p.rate), 0) + 1
+	at := f.now + max(time.Duration(float64(p.core.NextTick()-f.local(p))/p.rate), 0) + 1
 	if p.wake <= f.now || at < p.wake {
 		p.wake = at
 		f.push(event{at: at, kind: wake, to: p.index, boot: p.boot})
@@ -305,13 +305,13 @@
 		f.wrong("%s cannot write a message: %v", h.p.name, err)
 		return
 	}
-	f.Figures.Messages++
-	f.Figures.Bytes += int64(len(text))
+	f.Results.Messages++
+	f.Results.Bytes += int64(len(text))
 	switch {
 	case m.Delta != nil:
-		f.Figures.Deltas++
-	case m.Standing != nil:
-		f.Figures.Wholes++
+		f.Results.Deltas++
+	case m.Status != nil:
+		f.Results.Wholes++
 	}
 	// What is sent is read as it would be from the wire, so that nothing is shared.
 	read, err := accord.Decode(text)
@@ -331,18 +331,18 @@
 
 func (h host) Save(r *accord.Record) error {
 	f, p := h.Fleet, h.p
-	f.Figures.Saves++
-	p.writing += f.config.Write
+	f.Results.Writes++
+	p.writing += f.config.WriteTime
 	if p.full {
 		return errDisk
 	}
-	if f.dice.Float64() < f.config.Crash {
+	if f.dice.Float64() < f.config.CrashRate {
 		p.crash = true
 		if f.dice.IntN(2) == 0 {
 			return errDisk // it died before the write held
 		}
 	}
-	p.disk.Take(clone(r))
+	p.disk.Apply(clone(r))
 	if p.crash {
 		return errDisk // it held, and nothing more was said
 	}
@@ -365,40 +365,40 @@
 	return &c
 }
 
-func (h host) Keep(s *rules.Standing) {
-	h.p.writing += h.config.Write
+func (h host) SaveRules(s *rules.Status) {
+	h.p.writing += h.config.WriteTime
 	if !h.p.full {
-		h.p.disk.Acts = s.Share()
+		h.p.disk.Rules = s.Copy()
 	}
 }
 
-func (h host) Acts(b *accord.Basis) { h.p.basis = b }
+func (h host) SetBasis(b *accord.Basis) { h.p.basis = b }
 
-func (h host) Answered(a rules.Answer) {
+func (h host) ProposalDone(a rules.Answer) {
 	f := h.Fleet
 	if a.Version == 0 {
-		f.Figures.Refused++
+		f.Results.Refused++
 		return
 	}
-	f.Figures.Agreed++
+	f.Results.Agreed++
 	one := acked{a.ID, a.Version, f.proposed[a.ID]}
 	f.acked, f.waiting = append(f.acked, one), append(f.waiting, one)
-	f.Figures.Answers = append(f.Figures.Answers, Answer{f.proposed[a.ID], f.now, a.Version})
+	f.Results.Answers = append(f.Results.Answers, Answer{f.proposed[a.ID], f.now, a.Version})
 	f.number(a.Version, a.ID)
 }
 
-func (h host) Told(what accord.Event, n accord.Note) {
+func (h host) Notify(what accord.Event, n accord.Note) {
 	switch what {
 	case accord.Elected:
-		h.Figures.Leaders++
-	case accord.Differs:
-		h.Figures.Mismatches++
-	case accord.Learned:
+		h.Results.Leaders++
+	case accord.DigestMismatch:
+		h.Results.Mismatches++
+	case accord.RulesChanged:
 		r := h.p.core
 		if r == nil {
 			return // while it starts
 		}
-		standing := r.Report(0).Standing
+		standing := r.Report(0).Status
 		h.p.knows(&standing)
 		for _, v := range append([]rules.Version{h.p.standing.InForce}, h.p.standing.Pending...) {
 			if v.Number > 1 {
@@ -418,20 +418,20 @@
 
 func (f *Fleet) wrong(format string, a ...any) {
 	const most = 20
-	if len(f.Figures.Wrong) < most {
-		f.Figures.Wrong = append(f.Figures.Wrong, fmt.Sprintf("%v: ", f.now)+fmt.Sprintf(format, a...))
+	if len(f.Results.Violations) < most {
+		f.Results.Violations = append(f.Results.Violations, fmt.Sprintf("%v: ", f.now)+fmt.Sprintf(format, a...))
 	}
 }
 
 // Play plays until a moment.
-func (f *Fleet) Play(until time.Duration) {
+func (f *Fleet) Run(until time.Duration) {
 	for {
 		at, e, due := f.queue.Pop(until)
 		if !due {
 			break
 		}
 		f.now = at
-		f.Figures.Events++
+		f.Results.Events++
 		switch e.kind {
 		case look:
 			f.look()
@@ -479,8 +479,8 @@
 	if !p.up || f.now < p.busy {
 		return
 	}
-	if f.local(p) >= p.core.Next() {
-		p.core.Wake(f.local(p))
+	if f.local(p) >= p.core.NextTick() {
+		p.core.Tick(f.local(p))
 	}
 	f.after(p)
 }
@@ -498,10 +498,10 @@
 
 // propose has a change proposed at some member: a ban or its lifting, mostly; now and then numbers for all members.
 func (f *Fleet) propose() {
-	if f.now > time.Duration(f.config.Story.Length) {
+	if f.now > time.Duration(f.config.Scenario.Length) {
 		return
 	}
-	f.push(event{at: f.now + time.Duration(float64(time.Second)*(0.5+f.dice.Float64())/f.config.Story.Changes), kind: propose})
+	f.push(event{at: f.now + time.Duration(float64(time.Second)*(0.5+f.dice.Float64())/f.config.Scenario.Changes), kind: propose})
 	p := f.procs[f.dice.IntN(len(f.procs))]
 	if !p.up || p.paused {
 		return
@@ -513,30 +513,30 @@
 	case d == 0:
 		c.Kind, c.Settings = rules.Configure, &rules.Settings{Quota: 0.5 + f.dice.Float64()/2, Classes: map[string]rules.Class{"hold": {NoRepeat: f.dice.IntN(2) == 0}}}
 	case d == 2:
-		c.Kind, c.Numbers = rules.Number, map[string]int{}
+		c.Kind, c.Numbers = rules.Renumber, map[string]int{}
 		for i, n := range f.numbers.Perm(len(f.procs)) {
 			c.Numbers[f.procs[i].name] = n
 		}
 	case d == 1 && p.standing.InForce.Number > 1:
-		c.Kind, c.To = rules.GoBack, p.standing.InForce.Number-1
+		c.Kind, c.ToVersion = rules.Rollback, p.standing.InForce.Number-1
 	case out:
 		c.Kind, c.Server = rules.Resume, server
 	default:
 		c.Kind, c.Server = rules.Suspend, server
 	}
-	f.Figures.Proposed++
+	f.Results.Proposed++
 	f.proposed[c.ID] = f.now
 	if err := p.core.Propose(f.local(p), c); err != nil {
-		f.Figures.Refused++
+		f.Results.Refused++
 	}
 	f.after(p)
 }
 
 // led notes for how long nobody leads.
 func (f *Fleet) led() {
-	if slices.ContainsFunc(f.procs, func(p *process) bool { return p.up && !p.paused && p.core.Leads() }) {
+	if slices.ContainsFunc(f.procs, func(p *process) bool { return p.up && !p.paused && p.core.IsLeader() }) {
 		if f.leaderless > 0 {
-			f.Figures.Leaderless = append(f.Figures.Leaderless, f.now-f.leaderless)
+			f.Results.Leaderless = append(f.Results.Leaderless, f.now-f.leaderless)
 		}
 		f.leaderless, f.everLed = 0, true
 	} else if f.everLed && f.leaderless == 0 {
@@ -549,7 +549,7 @@
 	for _, p := range f.procs {
 		leased := p.up && !p.paused && p.basis != nil && p.basis.Mode(f.local(p)) == accord.Leased
 		if p.leased && !leased && p.up && !p.paused {
-			f.Figures.Lost++
+			f.Results.LeasesLost++
 		}
 		p.leased = leased
 	}
@@ -567,8 +567,8 @@
 		}
 	}
 	for _, p := range readers {
-		if f.Figures.Reads++; p.basis.Last < newest[p.basis.Log] {
-			f.Figures.Stale++
+		if f.Results.Reads++; p.basis.Last < newest[p.basis.Log] {
+			f.Results.StaleReads++
 		}
 	}
 }
@@ -582,7 +582,7 @@
 		inForce, last uint64
 		digest        rules.Digest
 	}
-	forbidding := map[known]*rules.Standing{}
+	forbidding := map[known]*rules.Status{}
 	for _, q := range f.procs {
 		if q.up && !q.paused && q.basis != nil && q.basis.Mode(f.local(q)) == accord.Leased {
 			forbidding[known{q.standing.InForce.Number, q.standing.Last(), q.digest}] = &q.standing
@@ -599,10 +599,10 @@
 		}
 		doc := p.basis.Doc
 		if mode == accord.Alone {
-			doc = p.basis.Vague
+			doc = p.basis.Unleased
 		}
 		now := map[string]time.Duration{}
-		if mode != accord.Away {
+		if mode != accord.Inactive {
 			for _, q := range forbidding {
 				for _, b := range against(doc, q) {
 					since, before := p.breach[b]
@@ -611,9 +611,9 @@
 					}
 					now[b] = since
 					if lasted := f.now - since + tick; mode == accord.Leased {
-						f.Figures.Leased = max(f.Figures.Leased, lasted)
+						f.Results.LeasedBreach = max(f.Results.LeasedBreach, lasted)
 					} else {
-						f.Figures.Alone = max(f.Figures.Alone, lasted)
+						f.Results.AloneBreach = max(f.Results.AloneBreach, lasted)
 					}
 				}
 			}
@@ -626,13 +626,13 @@
 				return false
 			}
 		}
-		f.Figures.InForce = append(f.Figures.InForce, f.now-a.at)
+		f.Results.InForce = append(f.Results.InForce, f.now-a.at)
 		return true
 	})
 }
 
 // against is what a document allows and a standing forbids, under the version in force there and all that are on their way.
-func against(doc *rules.Document, q *rules.Standing) []string {
+func against(doc *rules.Document, q *rules.Status) []string {
 	found := rules.Breaches(doc, &q.InForce.Doc)
 	for i := range q.Pending {
 		also := rules.Breaches(doc, &q.Pending[i].Doc)
@@ -642,19 +642,19 @@
 }
 
 func (f *Fleet) act(a story.Act) {
-	e := f.config.Story.Events[a.Event]
+	e := f.config.Scenario.Events[a.Event]
 	if e.Network() {
 		if a.End {
 			f.network.Remove(f.layers[a.Event])
 			delete(f.layers, a.Event)
 		} else {
-			f.layers[a.Event] = f.network.Add(f.config.Story.Paths(e), e.Condition())
+			f.layers[a.Event] = f.network.Add(f.config.Scenario.Paths(e), e.Condition())
 		}
 		return
 	}
 	who := e.Who
 	if len(who) == 0 {
-		who = f.config.Story.Names()
+		who = f.config.Scenario.Names()
 	}
 	for _, name := range who {
 		p := f.byName[name]
@@ -697,7 +697,7 @@
 }
 
 // Fill makes a member's disk full, for good.
-func (f *Fleet) Fill(name string) { f.byName[name].full = true }
+func (f *Fleet) FillDisk(name string) { f.byName[name].full = true }
 
 // Propose has a change proposed at a member.
 func (f *Fleet) Propose(name string, c rules.Change) error {
@@ -708,10 +708,10 @@
 }
 
 // Down kills a member's process, and Up starts it.
-func (f *Fleet) Down(name string) { f.stop(f.byName[name]) }
+func (f *Fleet) Kill(name string) { f.stop(f.byName[name]) }
 
 // Up starts a member's process.
-func (f *Fleet) Up(name string) { f.start(f.byName[name]) }
+func (f *Fleet) Start(name string) { f.start(f.byName[name]) }
 
 // Mode is on what a member acts.
 func (f *Fleet) Mode(name string) accord.Mode {
@@ -720,11 +720,11 @@
 }
 
 // Standing is what a member acts on.
-func (f *Fleet) Standing(name string) rules.Standing { return f.byName[name].standing }
+func (f *Fleet) Status(name string) rules.Status { return f.byName[name].standing }
 
 // Judge says at the end of a play what must not be: whether all that was acknowledged is there, and everybody agrees.
-func (f *Fleet) Judge() {
-	var newest *rules.Standing
+func (f *Fleet) Check() {
+	var newest *rules.Status
 	for _, p := range f.procs {
 		if !p.up || p.paused {
 			continue
@@ -733,8 +733,8 @@
 		if mode := p.basis.Mode(f.local(p)); mode != accord.Leased {
 			f.wrong("%s is %v at the end (leader %q)", p.name, mode, r.Leader)
 		}
-		if newest == nil || r.Standing.NewerThan(newest) {
-			s := r.Standing
+		if newest == nil || r.Status.NewerThan(newest) {
+			s := r.Status
 			newest = &s
 		}
 	}
--- a/internal/cluster/accord/model/model_test.go
+++ b/internal/cluster/accord/model/model_test.go
@@ -33,16 +33,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Play(time.Duration(c.Story.Length) + settle)
-	f.Judge()
+	f.Run(time.Duration(c.Scenario.Length) + settle)
+	f.Check()
 	return f
 }
 
 func TestCalm(t *testing.T) {
 	s := &story.Story{Name: "calm", Members: 5, Seed: 1, Period: seconds(0.3), Length: seconds(10), Keepers: 3, Changes: 5}
-	f := play(t, Config{Story: s})
-	if g := &f.Figures; len(g.Wrong) > 0 || g.Leased > 0 || g.Agreed < 20 || g.Agreed != g.Proposed {
-		t.Errorf("%d of %d agreed; contradictions for %v; %v", g.Agreed, g.Proposed, g.Leased, g.Wrong)
+	f := play(t, Config{Scenario: s})
+	if g := &f.Results; len(g.Violations) > 0 || g.LeasedBreach > 0 || g.Agreed < 20 || g.Agreed != g.Proposed {
+		t.Errorf("%d of %d agreed; contradictions for %v; %v", g.Agreed, g.Proposed, g.LeasedBreach, g.Violations)
 	}
 }
 
@@ -60,25 +60,25 @@
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
 				keepers := 3 + 2*int(seed%2)
-				c := Config{Story: drawn(seed, 5+int(seed%4), keepers), Drift: 0.02, Crash: 0.001}
+				c := Config{Scenario: drawn(seed, 5+int(seed%4), keepers), Drift: 0.02, CrashRate: 0.001}
 				mix(&c, seed)
 				f := play(t, c)
-				g := &f.Figures
-				if g.Leased > 0 || len(g.Wrong) > 0 {
-					t.Errorf("contradictions for %v; %q", g.Leased, g.Wrong)
+				g := &f.Results
+				if g.LeasedBreach > 0 || len(g.Violations) > 0 {
+					t.Errorf("contradictions for %v; %q", g.LeasedBreach, g.Violations)
 				}
-				if g.Stale > 0 || g.Reads == 0 {
-					t.Errorf("%d of %d reads did not know what was in force", g.Stale, g.Reads)
+				if g.StaleReads > 0 || g.Reads == 0 {
+					t.Errorf("%d of %d reads did not know what was in force", g.StaleReads, g.Reads)
 				}
 				if !linearizable(g.Answers) {
 					t.Error("the versions that proposers were told of are in no order that time allows")
 				}
 				sum.Lock()
 				defer sum.Unlock()
-				sum.agreed, sum.proposed, sum.leaders, sum.alone = sum.agreed+g.Agreed, sum.proposed+g.Proposed, sum.leaders+g.Leaders, max(sum.alone, g.Alone)
+				sum.agreed, sum.proposed, sum.leaders, sum.alone = sum.agreed+g.Agreed, sum.proposed+g.Proposed, sum.leaders+g.Leaders, max(sum.alone, g.AloneBreach)
 				sum.reads += g.Reads
 				sum.deltas, sum.wholes = sum.deltas+g.Deltas, sum.wholes+g.Wholes
-				sum.corrupted, sum.mismatches = sum.corrupted+g.Corrupted, sum.mismatches+g.Mismatches
+				sum.corrupted, sum.mismatches = sum.corrupted+g.CorruptDisks, sum.mismatches+g.Mismatches
 			})
 		}
 	})
@@ -97,28 +97,28 @@
 // that no disk is corrupted where one of them may lead. In every other pair of stories no difference goes with a grant. In every fourth
 // writes of the disk take time, and what arrives meanwhile is taken in together.
 func mix(c *Config, seed uint64) {
-	keepers := c.Story.Keepers
-	names := c.Story.Names()
+	keepers := c.Scenario.Keepers
+	names := c.Scenario.Names()
 	older := map[string]bool{}
 	switch seed % 3 {
 	case 0:
-		c.Corrupt = 0.5
+		c.CorruptRate = 0.5
 	case 1:
-		c.Corrupt = 0.5
+		c.CorruptRate = 0.5
 		older[names[keepers]] = true
 	case 2:
 		for i, name := range names {
 			older[name] = (seed/3+uint64(i))%2 == 0
 		}
 	}
-	c.Set = func(s *accord.Settings) {
+	c.AdjustSettings = func(s *accord.Settings) {
 		s.NoDeltas = older[s.Name]
 		if seed/2%2 == 1 {
-			s.MostShort = 1 // all is long, and leases rest on what proxies have
+			s.MaxInlineDelta = 1 // all is long, and leases rest on what proxies have
 		}
 	}
 	if seed%4 == 3 {
-		c.Write = 5 * time.Millisecond
+		c.WriteTime = 5 * time.Millisecond
 	}
 }
 
@@ -127,7 +127,7 @@
 func linearizable(answers []Answer) bool {
 	var ops []porcupine.Operation
 	for i, a := range answers {
-		ops = append(ops, porcupine.Operation{ClientId: i, Call: int64(a.Asked), Return: int64(a.Told), Output: a.Version})
+		ops = append(ops, porcupine.Operation{ClientId: i, Call: int64(a.ProposedAt), Return: int64(a.AnsweredAt), Output: a.Version})
 	}
 	return porcupine.CheckOperations(porcupine.Model{
 		Init: func() any { return uint64(1) },
@@ -145,29 +145,29 @@
 // TestManyChangesAtOnce: with disks that take a sixth of a renewal's patience for each write, a fleet agrees on as many changes as can be
 // on their way, proposed at one time, in few writes and messages, and nobody loses a lease meanwhile.
 func TestManyChangesAtOnce(t *testing.T) {
-	const members, voters, changes = 40, 5, rules.MostPending
+	const members, voters, changes = 40, 5, rules.MaxPending
 	s := &story.Story{Name: "at once", Members: members, Seed: 1, Period: seconds(0.3), Length: seconds(12), Keepers: voters}
-	f, err := New(Config{Story: s, Drift: 0.02, Write: accord.DefaultTimes().Patience / 6})
+	f, err := New(Config{Scenario: s, Drift: 0.02, WriteTime: accord.DefaultTimes().RequestTimeout / 6})
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Play(8 * time.Second)
-	before := f.Figures
+	f.Run(8 * time.Second)
+	before := f.Results
 	for i := range changes {
 		id := fmt.Sprint("ban-", i)
 		if err := f.Propose(s.Names()[voters+i], rules.Change{ID: id, Kind: rules.Suspend, Server: id}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	f.Play(time.Duration(s.Length))
-	f.Judge()
-	g := &f.Figures
-	saves, told := g.Saves-before.Saves, g.Deltas-before.Deltas
-	t.Logf("in force after %v; %d writes, %d differences sent, %d leases lost", slices.Max(g.InForce), saves, told, g.Lost-before.Lost)
-	if len(g.Wrong) > 0 || g.Leased > 0 || g.Agreed != changes || len(g.InForce) != changes {
-		t.Errorf("%d of %d agreed, %d in force; contradictions for %v; %q", g.Agreed, changes, len(g.InForce), g.Leased, g.Wrong)
+	f.Run(time.Duration(s.Length))
+	f.Check()
+	g := &f.Results
+	saves, told := g.Writes-before.Writes, g.Deltas-before.Deltas
+	t.Logf("in force after %v; %d writes, %d differences sent, %d leases lost", slices.Max(g.InForce), saves, told, g.LeasesLost-before.LeasesLost)
+	if len(g.Violations) > 0 || g.LeasedBreach > 0 || g.Agreed != changes || len(g.InForce) != changes {
+		t.Errorf("%d of %d agreed, %d in force; contradictions for %v; %q", g.Agreed, changes, len(g.InForce), g.LeasedBreach, g.Violations)
 	}
-	if lost := g.Lost - before.Lost; lost > 0 {
+	if lost := g.LeasesLost - before.LeasesLost; lost > 0 {
 		t.Errorf("%d leases lost", lost)
 	}
 	// A few batches, each with its two steps; one by one each change would have cost that much.
@@ -186,9 +186,9 @@
 				{At: seconds(3), For: seconds(3), Do: story.Kill, Who: []string{"n1"}}, {At: seconds(8), For: seconds(3), Do: story.Kill, Who: []string{"n2"}},
 			},
 		}
-		g := &play(t, Config{Story: s, Drift: 0.02}).Figures
-		if len(g.Wrong) > 0 || g.Leased > 0 || g.Stale > 0 {
-			t.Errorf("seed %d: %q, contradictions for %v, %d stale", seed, g.Wrong, g.Leased, g.Stale)
+		g := &play(t, Config{Scenario: s, Drift: 0.02}).Results
+		if len(g.Violations) > 0 || g.LeasedBreach > 0 || g.StaleReads > 0 {
+			t.Errorf("seed %d: %q, contradictions for %v, %d stale", seed, g.Violations, g.LeasedBreach, g.StaleReads)
 		}
 		all = append(all, g.Leaderless...)
 	}
@@ -197,7 +197,7 @@
 		t.Fatalf("nobody led %d times; a leader was to be killed about 60 times", len(all))
 	}
 	t.Logf("without a leader %d times: p50 %v, worst %v", len(all), all[len(all)/2], all[len(all)-1])
-	if bound := accord.DefaultTimes().Bound(); all[len(all)-1] > bound {
+	if bound := accord.DefaultTimes().ConvergenceBound(); all[len(all)-1] > bound {
 		t.Errorf("for %v, and %v is stated", all[len(all)-1], bound)
 	}
 }
@@ -206,9 +206,9 @@
 // is not left with one voter for good.
 func TestKeepersComeTogether(t *testing.T) {
 	for _, seed := range []uint64{151, 4969, 5096, 5180, 5295, 5662, 6107, 6258, 6366, 6964, 8489, 8510, 9128} {
-		f := play(t, Config{Story: drawn(seed, 5+int(seed%4), 3+2*int(seed%2)), Drift: 0.02, Crash: 0.001})
-		if g := &f.Figures; g.Agreed < g.Proposed/2 || len(g.Wrong) > 0 || g.Leased > 0 {
-			t.Errorf("seed %d: %d of %d agreed, contradictions for %v; %q", seed, g.Agreed, g.Proposed, g.Leased, g.Wrong)
+		f := play(t, Config{Scenario: drawn(seed, 5+int(seed%4), 3+2*int(seed%2)), Drift: 0.02, CrashRate: 0.001})
+		if g := &f.Results; g.Agreed < g.Proposed/2 || len(g.Violations) > 0 || g.LeasedBreach > 0 {
+			t.Errorf("seed %d: %d of %d agreed, contradictions for %v; %q", seed, g.Agreed, g.Proposed, g.LeasedBreach, g.Violations)
 		}
 	}
 }
@@ -221,17 +221,17 @@
 		first   uint64 // seed, where it takes many to find it
 	}{
 		"no lease check": {set: func(s *accord.Settings) { s.NoLeaseCheck = true }},
-		"no prepared":    {set: func(s *accord.Settings) { s.NoPrepared = true }},
-		"no wait":        {set: func(s *accord.Settings) { s.NoWait = true }},
-		"no confirm":     {set: func(s *accord.Settings) { s.NoConfirm = true }},
-		"no digest":      {set: func(s *accord.Settings) { s.NoDigest = true }, corrupt: 0.5},
-		"no enforcing":   {set: func(s *accord.Settings) { s.NoEnforcing, s.MostShort = true, 1 }, first: 147},
+		"no prepared":    {set: func(s *accord.Settings) { s.NoPreparePhase = true }},
+		"no wait":        {set: func(s *accord.Settings) { s.NoLeaderWait = true }},
+		"no confirm":     {set: func(s *accord.Settings) { s.NoQuorumCheck = true }},
+		"no digest":      {set: func(s *accord.Settings) { s.NoDigestCheck = true }, corrupt: 0.5},
+		"no enforcing":   {set: func(s *accord.Settings) { s.NoEnforcingCheck, s.MaxInlineDelta = true, 1 }, first: 147},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := defence.first; seed < defence.first+400; seed++ {
-				f := play(t, Config{Story: drawn(seed, 6, 3), Drift: 0.02, Set: defence.set, Corrupt: defence.corrupt})
-				if f.Figures.Leased > 0 {
-					t.Logf("found with seed %d, for %v", seed, f.Figures.Leased)
+				f := play(t, Config{Scenario: drawn(seed, 6, 3), Drift: 0.02, AdjustSettings: defence.set, CorruptRate: defence.corrupt})
+				if f.Results.LeasedBreach > 0 {
+					t.Logf("found with seed %d, for %v", seed, f.Results.LeasedBreach)
 					return
 				}
 			}
@@ -248,41 +248,41 @@
 		s := &story.Story{Name: "for good", Members: 5, Seed: seed, Period: seconds(0.3), Length: seconds(30), Keepers: 3, Events: []story.Event{
 			{At: seconds(5), For: seconds(15), Do: story.Kill, Who: []string{"n2", "n3"}},
 		}}
-		f, err := New(Config{Story: s, Drift: 0.02})
+		f, err := New(Config{Scenario: s, Drift: 0.02})
 		if err != nil {
 			t.Fatal(err)
 		}
 		ban := func(id, server string) rules.Change { return rules.Change{ID: id, Kind: rules.Suspend, Server: server} }
-		f.Play(3 * second)
+		f.Run(3 * second)
 		if err := f.Propose("n5", ban("before", "node-00")); err != nil {
 			t.Fatal(err)
 		}
-		f.Play(8 * second)
+		f.Run(8 * second)
 		if err := f.Refound("n4"); err == nil {
 			t.Error("one that is no keeper goes on alone")
 		}
 		if err := f.Refound("n1"); err != nil {
 			t.Fatal(err)
 		}
-		f.Play(11 * second)
+		f.Run(11 * second)
 		if err := f.Propose("n4", ban("after", "node-01")); err != nil {
 			t.Fatal(err)
 		}
-		f.Play(15 * second)
+		f.Run(15 * second)
 		for _, m := range []string{"n1", "n4", "n5"} {
-			if s := f.Standing(m); len(s.InForce.Doc.Bans) != 2 || s.Reign != 1 {
-				t.Fatalf("seed %d: %s has %v in force, reign %d", seed, m, s.InForce.Doc.Bans, s.Reign)
+			if s := f.Status(m); len(s.InForce.Doc.Bans) != 2 || s.Term != 1 {
+				t.Fatalf("seed %d: %s has %v in force, reign %d", seed, m, s.InForce.Doc.Bans, s.Term)
 			}
 		}
-		f.Play(35 * second)
-		f.Judge()
+		f.Run(35 * second)
+		f.Check()
 		for _, m := range s.Names() {
-			if s := f.Standing(m); len(s.InForce.Doc.Bans) != 2 || s.Reign != 1 {
-				t.Errorf("seed %d: once the others are back %s has %v in force, reign %d", seed, m, s.InForce.Doc.Bans, s.Reign)
+			if s := f.Status(m); len(s.InForce.Doc.Bans) != 2 || s.Term != 1 {
+				t.Errorf("seed %d: once the others are back %s has %v in force, reign %d", seed, m, s.InForce.Doc.Bans, s.Term)
 			}
 		}
-		if g := &f.Figures; len(g.Wrong) > 0 || g.Leased > 0 {
-			t.Errorf("seed %d: contradictions for %v; %q", seed, g.Leased, g.Wrong)
+		if g := &f.Results; len(g.Violations) > 0 || g.LeasedBreach > 0 {
+			t.Errorf("seed %d: contradictions for %v; %q", seed, g.LeasedBreach, g.Violations)
 		}
 	}
 }
@@ -292,17 +292,17 @@
 func TestFullDisks(t *testing.T) {
 	for seed := range uint64(10) {
 		s := &story.Story{Name: "full", Members: 5, Seed: seed, Period: seconds(0.3), Length: seconds(15), Keepers: 3, Changes: 4}
-		f, err := New(Config{Story: s, Drift: 0.02})
+		f, err := New(Config{Scenario: s, Drift: 0.02})
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Play(5 * time.Second)
-		before := f.Figures.Agreed
-		f.Fill([]string{"n1", "n2", "n3"}[seed%3])
-		f.Play(20 * time.Second)
-		f.Judge()
-		if g := &f.Figures; len(g.Wrong) > 0 || g.Leased > 0 || g.Agreed < before+20 {
-			t.Errorf("seed %d: %d changes before and %d after; contradictions for %v; %q", seed, before, g.Agreed-before, g.Leased, g.Wrong)
+		f.Run(5 * time.Second)
+		before := f.Results.Agreed
+		f.FillDisk([]string{"n1", "n2", "n3"}[seed%3])
+		f.Run(20 * time.Second)
+		f.Check()
+		if g := &f.Results; len(g.Violations) > 0 || g.LeasedBreach > 0 || g.Agreed < before+20 {
+			t.Errorf("seed %d: %d changes before and %d after; contradictions for %v; %q", seed, before, g.Agreed-before, g.LeasedBreach, g.Violations)
 		}
 	}
 }
@@ -315,16 +315,16 @@
 		for _, pair := range [][2]string{{"n1", "n3"}, {"n1", "n4"}, {"n2", "n4"}, {"n2", "n5"}, {"n3", "n5"}} {
 			s.Events = append(s.Events, story.Event{At: seconds(5), For: seconds(20), Do: story.Cut, Who: pair[:1], With: pair[1:]})
 		}
-		f, err := New(Config{Story: s, Drift: 0.02})
+		f, err := New(Config{Scenario: s, Drift: 0.02})
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Play(8 * time.Second)
-		before := f.Figures.Agreed
-		f.Play(30 * time.Second)
-		f.Judge()
-		if g := &f.Figures; len(g.Wrong) > 0 || g.Leased > 0 || g.Agreed < before+20 || g.Leaders > 4 {
-			t.Errorf("seed %d: %d changes and %d and %d times a leader; contradictions for %v; %q", seed, before, g.Agreed-before, g.Leaders, g.Leased, g.Wrong)
+		f.Run(8 * time.Second)
+		before := f.Results.Agreed
+		f.Run(30 * time.Second)
+		f.Check()
+		if g := &f.Results; len(g.Violations) > 0 || g.LeasedBreach > 0 || g.Agreed < before+20 || g.Leaders > 4 {
+			t.Errorf("seed %d: %d changes and %d and %d times a leader; contradictions for %v; %q", seed, before, g.Agreed-before, g.Leaders, g.LeasedBreach, g.Violations)
 		}
 	}
 }
@@ -339,16 +339,16 @@
 				cut.Who, cut.With = []string{"n2", "n3", "n4", "n5"}, []string{"n1"}
 			}
 			s.Events = []story.Event{cut}
-			f, err := New(Config{Story: s, Drift: 0.02})
+			f, err := New(Config{Scenario: s, Drift: 0.02})
 			if err != nil {
 				t.Fatal(err)
 			}
-			f.Play(9 * time.Second)
-			before := f.Figures.Agreed
-			f.Play(25 * time.Second)
-			f.Judge()
-			if g := &f.Figures; len(g.Wrong) > 0 || g.Leased > 0 || g.Agreed < before+8 {
-				t.Errorf("seed %d, heard %v: %d changes and %d, %d times a leader; contradictions for %v; %q", seed, to, before, g.Agreed-before, g.Leaders, g.Leased, g.Wrong)
+			f.Run(9 * time.Second)
+			before := f.Results.Agreed
+			f.Run(25 * time.Second)
+			f.Check()
+			if g := &f.Results; len(g.Violations) > 0 || g.LeasedBreach > 0 || g.Agreed < before+8 {
+				t.Errorf("seed %d, heard %v: %d changes and %d, %d times a leader; contradictions for %v; %q", seed, to, before, g.Agreed-before, g.Leaders, g.LeasedBreach, g.Violations)
 			}
 		}
 	}
@@ -357,15 +357,15 @@
 // TestAtRest: nothing is written while nothing changes, and messages are few.
 func TestAtRest(t *testing.T) {
 	s := &story.Story{Name: "rest", Members: 9, Seed: 1, Period: seconds(0.3), Length: seconds(70), Keepers: 3}
-	f, err := New(Config{Story: s, Drift: 0.02})
+	f, err := New(Config{Scenario: s, Drift: 0.02})
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Play(10 * time.Second)
-	before := f.Figures
-	f.Play(70 * time.Second)
-	after := &f.Figures
-	if n := after.Saves - before.Saves; n != 0 {
+	f.Run(10 * time.Second)
+	before := f.Results
+	f.Run(70 * time.Second)
+	after := &f.Results
+	if n := after.Writes - before.Writes; n != 0 {
 		t.Errorf("%d writes in a minute in which nothing changed", n)
 	}
 	each := func(n int64) float64 { return float64(n) / 60 / 9 }
@@ -380,20 +380,20 @@
 	for seed := range uint64(30) {
 		s := &story.Story{Name: "power", Members: 7, Seed: seed, Period: seconds(0.3), Length: seconds(9), Keepers: 5, Changes: 4,
 			Events: []story.Event{{At: seconds(5), For: seconds(1), Do: story.Kill}}}
-		f, err := New(Config{Story: s, Drift: 0.02})
+		f, err := New(Config{Scenario: s, Drift: 0.02})
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Play(9 * time.Second)
+		f.Run(9 * time.Second)
 		for _, p := range f.procs {
 			if mode := p.basis.Mode(f.local(p)); mode != accord.Leased {
 				t.Errorf("seed %d: %s is %v 3 s after a start of all", seed, p.name, mode)
 			}
 		}
-		f.Play(12 * time.Second)
-		f.Judge()
-		if g := &f.Figures; len(g.Wrong) > 0 || g.Leased > 0 {
-			t.Errorf("seed %d: contradictions for %v; %q", seed, g.Leased, g.Wrong)
+		f.Run(12 * time.Second)
+		f.Check()
+		if g := &f.Results; len(g.Violations) > 0 || g.LeasedBreach > 0 {
+			t.Errorf("seed %d: contradictions for %v; %q", seed, g.LeasedBreach, g.Violations)
 		}
 	}
 }
@@ -403,7 +403,7 @@
 func TestVersionsOfTheProgramDiffer(t *testing.T) {
 	for _, old := range []string{"n2", "n5"} {
 		s := &story.Story{Name: "upgrade", Members: 5, Seed: 3, Period: seconds(0.3), Length: seconds(60), Keepers: 3}
-		f, err := New(Config{Story: s, Set: func(set *accord.Settings) {
+		f, err := New(Config{Scenario: s, AdjustSettings: func(set *accord.Settings) {
 			if set.Form = 2; set.Name == old {
 				set.Form = 1
 			}
@@ -412,35 +412,35 @@
 			t.Fatal(err)
 		}
 		later := func(id string) rules.Change { return rules.Change{ID: id, Kind: rules.Suspend, Server: "a", Form: 2} }
-		f.Play(3 * time.Second)
+		f.Run(3 * time.Second)
 		if err := f.Propose("n4", later("first")); err != nil {
 			t.Fatal(err)
 		}
-		f.Play(5 * time.Second)
-		if got := f.Standing("n4"); got.Last() != 1 {
+		f.Run(5 * time.Second)
+		if got := f.Status("n4"); got.Last() != 1 {
 			t.Errorf("%s does not understand version %d", old, got.Last())
 		}
-		f.Down(old)
-		f.Play(20 * time.Second)
+		f.Kill(old)
+		f.Run(20 * time.Second)
 		if err := f.Propose("n4", later("second")); err != nil {
 			t.Fatal(err)
 		}
-		f.Play(25 * time.Second)
-		if got := f.Standing("n4"); got.InForce.Number != 2 || got.Form != 2 {
+		f.Run(25 * time.Second)
+		if got := f.Status("n4"); got.InForce.Number != 2 || got.Form != 2 {
 			t.Errorf("without %s: %+v", old, got)
 		}
-		f.Up(old)
-		f.Play(30 * time.Second)
-		if got := f.Standing(old); got.Last() > 1 || f.Mode(old) == accord.Leased {
+		f.Start(old)
+		f.Run(30 * time.Second)
+		if got := f.Status(old); got.Last() > 1 || f.Mode(old) == accord.Leased {
 			t.Errorf("%s acts on version %d, which it does not understand, %v", old, got.Last(), f.Mode(old))
 		}
 		// A change that all understand is made on the document as it stands, which the old one does not.
 		if err := f.Propose("n4", rules.Change{ID: "third", Kind: rules.Suspend, Server: "b"}); err != nil {
 			t.Fatal(err)
 		}
-		f.Play(35 * time.Second)
-		if got := f.Standing("n1"); got.InForce.Number != 3 || f.Figures.Leased > 0 || f.Figures.Stale > 0 {
-			t.Errorf("after it: version %d, contradictions for %v, %d stale", got.InForce.Number, f.Figures.Leased, f.Figures.Stale)
+		f.Run(35 * time.Second)
+		if got := f.Status("n1"); got.InForce.Number != 3 || f.Results.LeasedBreach > 0 || f.Results.StaleReads > 0 {
+			t.Errorf("after it: version %d, contradictions for %v, %d stale", got.InForce.Number, f.Results.LeasedBreach, f.Results.StaleReads)
 		}
 	}
 }
--- a/internal/cluster/accord/proposals.go
+++ b/internal/cluster/accord/proposals.go
@@ -21,12 +21,12 @@
 		return // in the log already, and its answer goes to who asked first
 	}
 	if !v.hasQuorum() {
-		v.c.answer(m, &Message{Kind: Result, Answer: &rules.Answer{ID: m.Change.ID, No: "the keepers are still coming together; nothing can be agreed yet"}})
+		v.c.answer(m, &Message{Kind: Result, Answer: &rules.Answer{ID: m.Change.ID, Rejection: "the keepers are still coming together; nothing can be agreed yet"}})
 		return
 	}
-	if who := v.memberBelow(m.Change.Needs()); who != "" {
+	if who := v.memberBelow(m.Change.RequiredForm()); who != "" {
 		no := fmt.Sprintf("%s runs a version of the program that does not understand this change; end its upgrade, or its process, and propose again", who)
-		v.c.answer(m, &Message{Kind: Result, Answer: &rules.Answer{ID: m.Change.ID, No: no}})
+		v.c.answer(m, &Message{Kind: Result, Answer: &rules.Answer{ID: m.Change.ID, Rejection: no}})
 		return
 	}
 	if len(v.proposers) >= mostProposals {
@@ -48,7 +48,7 @@
 			return h.name
 		}
 	}
-	for _, name := range v.c.set.Keepers {
+	for _, name := range v.c.set.Voters {
 		if p := v.peers[name]; p != nil && max(p.form, 1) < form && v.c.now-p.heard < replaceAfter*v.c.set.Times.Election {
 			return name
 		}
@@ -61,7 +61,7 @@
 //
 // Where operators had one go on alone they know that.
 func (v *voter) hasQuorum() bool {
-	return 2*len(v.conf.GetVoters()) > len(v.c.set.Keepers) || v.state.Rules.Reign > 0
+	return 2*len(v.conf.GetVoters()) > len(v.c.set.Voters) || v.state.Rules.Term > 0
 }
 
 // appendCommand puts a command into the log.
--- a/internal/cluster/accord/store/store.go
+++ b/internal/cluster/accord/store/store.go
@@ -157,7 +157,7 @@
 	err := s.work(s.db.View, func(tx *bbolt.Tx) error {
 		l := tx.Bucket(log)
 		if b := l.Get(keyStore); len(b) == 8 {
-			stored.Store = binary.BigEndian.Uint64(b)
+			stored.LogID = binary.BigEndian.Uint64(b)
 		}
 		if b := l.Get(keyHard); b != nil {
 			stored.Hard = &raftpb.HardState{}
@@ -172,11 +172,11 @@
 			}
 		}
 		if b := tx.Bucket(about).Get(keyActs); b != nil {
-			stored.Acts = &rules.Standing{}
-			if err := cbor.Unmarshal(b, stored.Acts); err != nil {
+			stored.Rules = &rules.Status{}
+			if err := cbor.Unmarshal(b, stored.Rules); err != nil {
 				return fmt.Errorf("rules: %w", err)
 			}
-			if err := stored.Acts.Sound(); err != nil {
+			if err := stored.Rules.Validate(); err != nil {
 				return err
 			}
 		}
@@ -207,7 +207,7 @@
 	defer s.mu.Unlock()
 	err := s.work(s.db.Update, func(tx *bbolt.Tx) error {
 		l := tx.Bucket(log)
-		id := binary.BigEndian.AppendUint64(nil, r.Store)
+		id := binary.BigEndian.AppendUint64(nil, r.LogID)
 		if string(l.Get(keyStore)) != string(id) { // a log begun anew
 			for _, key := range [][]byte{keyHard, keySnapshot} {
 				if err := l.Delete(key); err != nil {
@@ -291,7 +291,7 @@
 }
 
 // SaveActs keeps what this proxy acts on, for a start at which no keeper is reached. It is no lease.
-func (s *Store) SaveActs(acts *rules.Standing) error {
+func (s *Store) SaveRules(acts *rules.Status) error {
 	text, err := cbor.Marshal(acts)
 	if err != nil {
 		return fmt.Errorf("store: %w", err)
--- a/internal/cluster/accord/store/store_test.go
+++ b/internal/cluster/accord/store/store_test.go
@@ -42,12 +42,12 @@
 		var want accord.Stored
 		id, last, compacted := uint64(7), uint64(0), uint64(0)
 		for step := range 40 {
-			r := &accord.Record{Store: id}
+			r := &accord.Record{LogID: id}
 			switch dice.IntN(6) {
 			case 0: // begun anew
 				id++
 				last, compacted = 0, 0
-				r.Store = id
+				r.LogID = id
 			case 1:
 				r.Hard = &raftpb.HardState{Term: pointer(uint64(step)), Commit: pointer(last)}
 			case 2:
@@ -71,7 +71,7 @@
 			if err := s.Save(r); err != nil {
 				t.Fatal(err)
 			}
-			want.Take(r)
+			want.Apply(r)
 			if step%10 == 9 {
 				s.Close()
 				s = open1(t, folder)
@@ -80,7 +80,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			same := got.Store == want.Store && len(got.Entries) == len(want.Entries) && (got.Hard == nil) == (want.Hard == nil) && (got.Snapshot == nil) == (want.Snapshot == nil)
+			same := got.LogID == want.LogID && len(got.Entries) == len(want.Entries) && (got.Hard == nil) == (want.Hard == nil) && (got.Snapshot == nil) == (want.Snapshot == nil)
 			for i := range min(len(got.Entries), len(want.Entries)) {
 				same = same && proto.Equal(got.Entries[i], want.Entries[i])
 			}
@@ -96,11 +96,11 @@
 	folder := t.TempDir()
 	s := open1(t, folder)
 	for i := range uint64(50) {
-		if err := s.Save(&accord.Record{Store: 7, Entries: []*raftpb.Entry{entry(i+1, 1)}}); err != nil {
+		if err := s.Save(&accord.Record{LogID: 7, Entries: []*raftpb.Entry{entry(i+1, 1)}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := s.SaveActs(&rules.Standing{InForce: rules.Version{Number: 3}}); err != nil {
+	if err := s.SaveRules(&rules.Status{InForce: rules.Version{Number: 3}}); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -124,7 +124,7 @@
 		if _, err := s.Load(); err != nil {
 			return // told; agreement sets it aside
 		}
-		if err := s.Save(&accord.Record{Store: 9, Entries: []*raftpb.Entry{entry(1, 1)}}); err != nil {
+		if err := s.Save(&accord.Record{LogID: 9, Entries: []*raftpb.Entry{entry(1, 1)}}); err != nil {
 			t.Logf("%s: %v", name, err) // what is broken deeper down is found at a write, and is an error
 		}
 	}
@@ -157,8 +157,8 @@
 	}
 	s = open1(t, folder)
 	got, err := s.Load()
-	if err != nil || len(got.Entries) != 50 || got.Acts == nil || got.Acts.InForce.Number != 3 {
-		t.Errorf("after all that: %v, %d entries, %+v", err, len(got.Entries), got.Acts)
+	if err != nil || len(got.Entries) != 50 || got.Rules == nil || got.Rules.InForce.Number != 3 {
+		t.Errorf("after all that: %v, %d entries, %+v", err, len(got.Entries), got.Rules)
 	}
 	if _, _, _, err := Open(folder, "shelf", "n1"); !errors.Is(err, bolterrors.ErrTimeout) {
 		t.Errorf("a second process on the folder: %v", err)
@@ -168,7 +168,7 @@
 // BenchmarkSaveActs is what a proxy writes at each change that it hears of, with documents of a fleet of 1,400, to the disk of temporary
 // files.
 func BenchmarkSaveActs(b *testing.B) {
-	for _, pending := range []int{0, 1, rules.MostPending} {
+	for _, pending := range []int{0, 1, rules.MaxPending} {
 		b.Run(fmt.Sprint(pending, "-pending"), func(b *testing.B) {
 			s, _, _, err := Open(b.TempDir(), "shelf", "n1")
 			if err != nil {
@@ -180,14 +180,14 @@
 			for i := range 1400 {
 				numbers[fmt.Sprintf("proxy-%04d", i)] = i
 			}
-			state.Propose(&rules.Change{ID: "numbers", Kind: rules.Number, Numbers: numbers, Form: 2})
+			state.Propose(&rules.Change{ID: "numbers", Kind: rules.Renumber, Numbers: numbers, Form: 2})
 			state.Enforce(state.Last())
 			for i := range pending {
 				state.Propose(&rules.Change{ID: fmt.Sprint(i), Kind: rules.Suspend, Server: fmt.Sprint("node-", i)})
 			}
-			standing := state.Share()
+			standing := state.Copy()
 			for b.Loop() {
-				if err := s.SaveActs(standing); err != nil {
+				if err := s.SaveRules(standing); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/cluster/accord/types.go
+++ b/internal/cluster/accord/types.go
@@ -25,35 +25,37 @@
 
 // Times are those that a fleet's proxies agree on by having them alike.
 type Times struct {
-	Lease     time.Duration // how long a lease lasts from the moment that it was asked for
-	Renew     time.Duration // between two renewals
-	Heartbeat time.Duration // between two messages of a leader
-	Election  time.Duration // without a leader's message, up to twice that, before another tries
-	Patience  time.Duration // for an answer
-	Drift     float64       // the most by which the rate of a clock is off, as a share
+	Lease          time.Duration // how long a lease lasts from the moment that it was asked for
+	Renew          time.Duration // between two renewals
+	Heartbeat      time.Duration // between two messages of a leader
+	Election       time.Duration // without a leader's message, up to twice that, before another tries
+	RequestTimeout time.Duration // for an answer
+	MaxDrift       float64       // the most by which the rate of a clock is off, as a share
 }
 
 // DefaultTimes fit one site.
 func DefaultTimes() Times {
 	return Times{
 		Lease: time.Second, Renew: 250 * time.Millisecond, Heartbeat: 100 * time.Millisecond, Election: 500 * time.Millisecond,
-		Patience: 150 * time.Millisecond, Drift: 0.02,
+		RequestTimeout: 150 * time.Millisecond, MaxDrift: 0.02,
 	}
 }
 
 // Guard is how long, on the clock of who granted it, a lease may still hold on another's clock.
-func (t Times) Guard() time.Duration { return time.Duration(float64(t.Lease) * (1 + 2*t.Drift)) }
+func (t Times) LeaseGuard() time.Duration {
+	return time.Duration(float64(t.Lease) * (1 + 2*t.MaxDrift))
+}
 
 // Awake is how long after a renewal that went unanswered a proxy knows that it has been running.
-func (t Times) Awake() time.Duration { return 4 * t.Renew }
+func (t Times) AliveWindow() time.Duration { return 4 * t.Renew }
 
 // Bound is the stated time: once a change is agreed, no proxy that hears the voters or holds a lease acts against it after so
 // long, with the leader lost meanwhile.
-func (t Times) Bound() time.Duration {
+func (t Times) ConvergenceBound() time.Duration {
 	// A leader is lost at once after the change was agreed; the next is elected within two tries' time, waits for the leases
 	// of the one before, and tells within a renewal. The whole on the slowest clock.
-	d := t.Election + t.Guard() + t.Renew + t.Patience
-	return time.Duration(float64(d) * (1 + t.Drift))
+	d := t.Election + t.LeaseGuard() + t.Renew + t.RequestTimeout
+	return time.Duration(float64(d) * (1 + t.MaxDrift))
 }
 
 // Validate says what is wrong with the times.
@@ -63,58 +65,58 @@
 		return fmt.Errorf("accord: a lease of %v with renewals each %v would run out when one is lost; let it be three times as long", t.Lease, t.Renew)
 	case t.Heartbeat <= 0 || t.Election < 3*t.Heartbeat:
 		return fmt.Errorf("accord: an election after %v with messages each %v; let it be three times as long", t.Election, t.Heartbeat)
-	case t.Patience <= 0 || t.Patience > t.Renew:
-		return fmt.Errorf("accord: a patience of %v; above 0 and up to %v is allowed", t.Patience, t.Renew)
-	case !(t.Drift > 0 && t.Drift <= 0.2):
-		return fmt.Errorf("accord: a drift of %v; above 0 and up to 0.2 is allowed", t.Drift)
+	case t.RequestTimeout <= 0 || t.RequestTimeout > t.Renew:
+		return fmt.Errorf("accord: a patience of %v; above 0 and up to %v is allowed", t.RequestTimeout, t.Renew)
+	case !(t.MaxDrift > 0 && t.MaxDrift <= 0.2):
+		return fmt.Errorf("accord: a drift of %v; above 0 and up to 0.2 is allowed", t.MaxDrift)
 	}
 	return nil
 }
 
 // Settings are what a core is told. The zero values of the switches at the end leave every defence on.
 type Settings struct {
-	Name    string   // of this proxy
-	Boot    uint64   // drawn at each start: two processes of one proxy hold a lease each
-	Keepers []string // by name, the same at all; the first founds
-	Times   Times
+	Name       string   // of this proxy
+	InstanceID uint64   // drawn at each start: two processes of one proxy hold a lease each
+	Voters     []string // by name, the same at all; the first founds
+	Times      Times
 	// Later: where this proxy is a voter, Keep is called once its disk can be had.
-	Later bool
+	DeferVoter bool
 	// Refuse: without a lease nothing is served. Otherwise it goes on with what is known, and repeats nothing.
-	Refuse bool
+	RefuseWithoutLease bool
 
 	// Form is the form of documents that this program understands; 0 stands for rules.Form.
 	Form uint8
 
 	// Each takes one defence out, so that a checker can be seen to find what it guards against.
-	NoLeaseCheck bool // acts rest on what was last heard, however long ago
-	NoPrepared   bool // a change is in force at once
-	NoWait       bool // a new leader does not wait for the leases of the one before
-	NoConfirm    bool // leases are granted without hearing from a majority
-	NoDigest     bool // what a proxy has is not compared with what is vouched for, but by its number
-	NoEnforcing  bool // a lease may rest on what a proxy has though the leader has written into the log that more is in force
+	NoLeaseCheck     bool // acts rest on what was last heard, however long ago
+	NoPreparePhase   bool // a change is in force at once
+	NoLeaderWait     bool // a new leader does not wait for the leases of the one before
+	NoQuorumCheck    bool // leases are granted without hearing from a majority
+	NoDigestCheck    bool // what a proxy has is not compared with what is vouched for, but by its number
+	NoEnforcingCheck bool // a lease may rest on what a proxy has though the leader has written into the log that more is in force
 
 	// NoDeltas: whole standings alone are sent and taken, as by programs from before there were differences.
 	NoDeltas bool
 	// MostShort is the bytes of a difference that goes with a grant; 0 stands for what fits a datagram.
-	MostShort int
+	MaxInlineDelta int
 }
 
 // form is that of documents which this program understands.
 func (s *Settings) form() uint8 {
 	if s.Form == 0 {
-		return rules.Form
+		return rules.CurrentForm
 	}
 	return s.Form
 }
 
 // Validate says what is wrong with the settings.
 func (s *Settings) Validate() error {
-	if n := len(s.Keepers); n != 1 && n != 3 && n != 5 && n != 7 {
+	if n := len(s.Voters); n != 1 && n != 3 && n != 5 && n != 7 {
 		return fmt.Errorf("accord: %d keepers; 3, 5 or 7 are right, and 1 for a try", n)
 	}
 	seen := map[string]bool{}
-	for _, k := range s.Keepers {
-		if k == "" || len(k) > rules.MostID || seen[k] {
+	for _, k := range s.Voters {
+		if k == "" || len(k) > rules.MaxIDBytes || seen[k] {
 			return fmt.Errorf("accord: keeper %.40q is empty, too long, or named twice", k)
 		}
 		seen[k] = true
@@ -130,19 +132,19 @@
 
 // The kinds of messages.
 const (
-	Renew   MessageKind = iota + 1 // asks the leader for a lease
-	Grant                          // grants it
-	Tell                           // brings a standing, and no lease
-	Have                           // says what the sender acts on
-	Propose                        // asks the leader for a change
-	Result                         // says what became of it
-	Raft                           // is a message between voters' logs
-	Hello                          // says who a voter is
+	Renew       MessageKind = iota + 1 // asks the leader for a lease
+	Grant                              // grants it
+	Update                             // brings a standing, and no lease
+	Acknowledge                        // says what the sender acts on
+	Propose                            // asks the leader for a change
+	Result                             // says what became of it
+	Raft                               // is a message between voters' logs
+	Hello                              // says who a voter is
 	lastMessage
 )
 
 // Holds is what a proxy acts on, by number.
-type Holds struct {
+type HeldVersions struct {
 	Log     uint64 `cbor:"3,keyasint,omitempty"` // see rules.Standing
 	InForce uint64 `cbor:"1,keyasint"`
 	Last    uint64 `cbor:"2,keyasint"`
@@ -155,24 +157,24 @@
 	To   string      `cbor:"3,keyasint,omitempty"` // who gets it at the end; "" for the leader
 	Seq  uint64      `cbor:"4,keyasint,omitempty"`
 	// Path are those who passed it on, the first one first; an answer goes back along it.
-	Path     []string        `cbor:"5,keyasint,omitempty"`
-	Holds    Holds           `cbor:"6,keyasint,omitempty"`
-	Standing *rules.Standing `cbor:"7,keyasint,omitempty"`
-	Change   *rules.Change   `cbor:"8,keyasint,omitempty"`
-	Answer   *rules.Answer   `cbor:"9,keyasint,omitempty"`
-	Raft     []byte          `cbor:"10,keyasint,omitempty"`
-	Store    uint64          `cbor:"11,keyasint,omitempty"` // of a Hello: the id of the sender's log
-	Empty    bool            `cbor:"12,keyasint,omitempty"` // of a Hello: the log holds nothing yet
-	Reply    bool            `cbor:"13,keyasint,omitempty"` // of a Hello: it answers one
-	Match    uint64          `cbor:"14,keyasint,omitempty"` // of a Hello: how much of the receiver's log the sender has seen
-	Boot     uint64          `cbor:"15,keyasint,omitempty"` // of who asks
-	Reign    uint64          `cbor:"16,keyasint,omitempty"` // of a Hello: that of the sender's log
-	Form     uint8           `cbor:"17,keyasint,omitempty"` // of a Renew or Hello: which form of documents the sender understands; 0 stands for 1
+	Path       []string      `cbor:"5,keyasint,omitempty"`
+	Held       HeldVersions  `cbor:"6,keyasint,omitempty"`
+	Status     *rules.Status `cbor:"7,keyasint,omitempty"`
+	Change     *rules.Change `cbor:"8,keyasint,omitempty"`
+	Answer     *rules.Answer `cbor:"9,keyasint,omitempty"`
+	Raft       []byte        `cbor:"10,keyasint,omitempty"`
+	LogID      uint64        `cbor:"11,keyasint,omitempty"` // of a Hello: the id of the sender's log
+	Empty      bool          `cbor:"12,keyasint,omitempty"` // of a Hello: the log holds nothing yet
+	Reply      bool          `cbor:"13,keyasint,omitempty"` // of a Hello: it answers one
+	Match      uint64        `cbor:"14,keyasint,omitempty"` // of a Hello: how much of the receiver's log the sender has seen
+	InstanceID uint64        `cbor:"15,keyasint,omitempty"` // of who asks
+	Term       uint64        `cbor:"16,keyasint,omitempty"` // of a Hello: that of the sender's log
+	Form       uint8         `cbor:"17,keyasint,omitempty"` // of a Renew or Hello: which form of documents the sender understands; 0 stands for 1
 
 	// Delta stands in a Grant or Tell in place of Standing, for those who have said that they understand it.
-	Delta  *rules.Delta `cbor:"18,keyasint,omitempty"`
-	Deltas bool         `cbor:"19,keyasint,omitempty"` // of a Renew or Have: the sender understands differences and digests
-	Whole  bool         `cbor:"20,keyasint,omitempty"` // of a Renew: the sender has found that it has something else than others, and needs the whole
+	Delta         *rules.Delta `cbor:"18,keyasint,omitempty"`
+	AcceptsDeltas bool         `cbor:"19,keyasint,omitempty"` // of a Renew or Have: the sender understands differences and digests
+	NeedsWhole    bool         `cbor:"20,keyasint,omitempty"` // of a Renew: the sender has found that it has something else than others, and needs the whole
 	// Digest is of a Renew that of what the sender has, and of a Grant that of what is vouched for; 0 for none.
 	Digest rules.Digest `cbor:"21,keyasint,omitempty"`
 }
@@ -181,35 +183,35 @@
 const mostHops = 3
 
 // Sound says what is wrong with a message that has come from outside.
-func (m *Message) Sound() error {
+func (m *Message) Validate() error {
 	if m.Kind == 0 || m.Kind >= lastMessage {
 		return fmt.Errorf("accord: no kind of message %d", m.Kind)
 	}
 	for _, name := range append([]string{m.From}, m.Path...) {
-		if name == "" || len(name) > rules.MostID {
+		if name == "" || len(name) > rules.MaxIDBytes {
 			return fmt.Errorf("accord: a name of %d bytes", len(name))
 		}
 	}
-	if len(m.To) > rules.MostID || len(m.Path) > mostHops {
+	if len(m.To) > rules.MaxIDBytes || len(m.Path) > mostHops {
 		return fmt.Errorf("accord: passed on %d times to a name of %d bytes", len(m.Path), len(m.To))
 	}
-	if m.Standing != nil {
-		if err := m.Standing.Sound(); err != nil {
+	if m.Status != nil {
+		if err := m.Status.Validate(); err != nil {
 			return fmt.Errorf("accord: %w", err)
 		}
 	}
 	if m.Delta != nil {
-		if err := m.Delta.Sound(); err != nil {
+		if err := m.Delta.Validate(); err != nil {
 			return fmt.Errorf("accord: %w", err)
 		}
 	}
 	switch {
-	case m.Kind == Propose && m.Change == nil, m.Kind == Result && m.Answer == nil, m.Kind == Tell && m.Standing == nil && m.Delta == nil,
+	case m.Kind == Propose && m.Change == nil, m.Kind == Result && m.Answer == nil, m.Kind == Update && m.Status == nil && m.Delta == nil,
 		m.Kind == Raft && len(m.Raft) == 0:
 		return fmt.Errorf("accord: a message of kind %d with nothing in it", m.Kind)
 	}
 	if m.Change != nil {
-		if err := m.Change.Check(); err != nil {
+		if err := m.Change.Validate(); err != nil {
 			return fmt.Errorf("accord: %w", err)
 		}
 	}
@@ -217,7 +219,7 @@
 }
 
 // MostMessage is the longest message, in bytes; what a standing of the greatest documents takes is far less.
-const MostMessage = 4 << 20
+const MaxMessageBytes = 4 << 20
 
 var reading = strict.CBOR(cbor.DecOptions{
 	TagsMd:          cbor.TagsForbidden,
@@ -229,22 +231,22 @@
 
 // Decode reads a message; what it returns is Sound.
 func Decode(b []byte) (*Message, error) {
-	if len(b) > MostMessage {
-		return nil, fmt.Errorf("accord: a message of %d bytes; %d at most", len(b), MostMessage)
+	if len(b) > MaxMessageBytes {
+		return nil, fmt.Errorf("accord: a message of %d bytes; %d at most", len(b), MaxMessageBytes)
 	}
 	m := &Message{}
 	if err := reading.Unmarshal(b, m); err != nil {
 		return nil, fmt.Errorf("accord: %w", err)
 	}
-	if m.Standing != nil {
-		m.Standing.Compact()
+	if m.Status != nil {
+		m.Status.Compact()
 	}
-	return m, m.Sound()
+	return m, m.Validate()
 }
 
 // Record is what a voter has to have on disk before anything that rests on it is said. A nil or empty part stays as it is.
 type Record struct {
-	Store    uint64 // the id of the log; a record with another one begins a log anew
+	LogID    uint64 // the id of the log; a record with another one begins a log anew
 	Hard     *raftpb.HardState
 	Entries  []*raftpb.Entry // replace all from the first one's index on
 	Snapshot *raftpb.Snapshot
@@ -254,17 +256,17 @@
 
 // Stored is what a disk holds of a voter. The zero value is that of an empty one.
 type Stored struct {
-	Store    uint64
+	LogID    uint64
 	Hard     *raftpb.HardState
 	Entries  []*raftpb.Entry
 	Snapshot *raftpb.Snapshot
-	Acts     *rules.Standing // what the proxy last acted on; also at one that is no voter
+	Rules    *rules.Status // what the proxy last acted on; also at one that is no voter
 }
 
 // Take makes a record part of what is stored, as a disk does.
-func (s *Stored) Take(r *Record) {
-	if r.Store != s.Store {
-		*s = Stored{Store: r.Store, Acts: s.Acts}
+func (s *Stored) Apply(r *Record) {
+	if r.LogID != s.LogID {
+		*s = Stored{LogID: r.LogID, Rules: s.Rules}
 	}
 	if r.Hard != nil {
 		s.Hard = r.Hard
@@ -290,18 +292,18 @@
 
 // Basis is what a proxy may rest its acts on. It does not change; a new one takes its place.
 type Basis struct {
-	Log     uint64
-	Version uint64 // in force, as far as this proxy knows
-	Last    uint64 // the newest that it knows
-	Doc     *rules.Document
-	Vague   *rules.Document // what it acts on without a lease
+	Log      uint64
+	Version  uint64 // in force, as far as this proxy knows
+	Last     uint64 // the newest that it knows
+	Doc      *rules.Document
+	Unleased *rules.Document // what it acts on without a lease
 	// Settled is Doc where nothing is on its way, and nil otherwise: for what is not to be done twice, such as taking a number.
-	Settled *rules.Document
-	Until   time.Duration // when the lease runs out
-	Tested  time.Duration // when a renewal was asked for that went unanswered; below 0 for never
-	Awake   time.Duration // so long after Tested it is known to run
-	Refuse  bool
-	Trust   bool // the lease is not looked at: a defence taken out
+	Settled            *rules.Document
+	Until              time.Duration // when the lease runs out
+	LastUnanswered     time.Duration // when a renewal was asked for that went unanswered; below 0 for never
+	AliveWindow        time.Duration // so long after Tested it is known to run
+	RefuseWithoutLease bool
+	NoLeaseCheck       bool // the lease is not looked at: a defence taken out
 }
 
 // Mode is on what a proxy acts.
@@ -309,9 +311,9 @@
 
 // The modes.
 const (
-	Leased Mode = iota // on rules that the voters vouch for
-	Alone              // on what it knows, carefully: no voter has been heard for as long as a lease lasts
-	Away               // on nothing: it was paused, has just started, or is to refuse
+	Leased   Mode = iota // on rules that the voters vouch for
+	Alone                // on what it knows, carefully: no voter has been heard for as long as a lease lasts
+	Inactive             // on nothing: it was paused, has just started, or is to refuse
 )
 
 func (m Mode) String() string { return [...]string{"leased", "alone", "away"}[m] }
@@ -319,22 +321,22 @@
 // Mode is on what a proxy acts at a moment.
 func (b *Basis) Mode(now time.Duration) Mode {
 	switch {
-	case now <= b.Until || b.Trust:
+	case now <= b.Until || b.NoLeaseCheck:
 		return Leased
-	case !b.Refuse && b.Tested >= 0 && now-b.Tested <= b.Awake:
+	case !b.RefuseWithoutLease && b.LastUnanswered >= 0 && now-b.LastUnanswered <= b.AliveWindow:
 		return Alone
 	}
-	return Away
+	return Inactive
 }
 
 // Rule says whether an act is allowed now. It is to be asked right before the act, whatever was decided before: a process that
 // was paused in between has no lease any more.
-func (b *Basis) Rule(now time.Duration, s rules.Send) rules.Ruling {
+func (b *Basis) Decide(now time.Duration, s rules.Send) rules.Decision {
 	switch b.Mode(now) {
 	case Leased:
-		return b.Doc.Rule(s)
+		return b.Doc.Decide(s)
 	case Alone:
-		return b.Vague.Rule(s)
+		return b.Unleased.Decide(s)
 	}
 	return rules.NoLease
 }
--- a/internal/cluster/accord/voter.go
+++ b/internal/cluster/accord/voter.go
@@ -35,7 +35,7 @@
 	state *replicatedState
 	conf  *raftpb.ConfState
 	// digests are those of the standings that there were, as far as leases may still rest on them.
-	digests map[Holds]rules.Digest
+	digests map[HeldVersions]rules.Digest
 	empty   bool // the log holds nothing yet
 	halted  bool
 	term    uint64
@@ -77,7 +77,7 @@
 func (c *Core) startVoter(now time.Duration, disk Stored) error {
 	v := &voter{c: c, leaderHeard: now, nextHello: now, peers: map[string]*peer{}, byLog: map[uint64]string{}}
 	c.voter = v
-	if disk.Store == 0 {
+	if disk.LogID == 0 {
 		return v.begin()
 	}
 	if err := v.load(disk); err != nil {
@@ -96,7 +96,7 @@
 	v.conf = &raftpb.ConfState{}
 	v.log = raft.NewMemoryStorage()
 	v.empty, v.applied, v.snapshotIndex, v.lead, v.term = true, 0, 0, 0, 0
-	if err := v.c.host.Save(&Record{Store: v.id}); err != nil {
+	if err := v.c.host.Save(&Record{LogID: v.id}); err != nil {
 		v.halt(err)
 		return nil
 	}
@@ -110,7 +110,7 @@
 		return
 	}
 	v.halted, v.leads = true, false
-	v.c.host.Told(Disk, Note{Err: err})
+	v.c.host.Notify(DiskFailed, Note{Err: err})
 }
 
 func (v *voter) nextWake() time.Duration {
@@ -133,7 +133,7 @@
 	now, t := v.c.now, &v.c.set.Times
 	if now >= v.nextHello {
 		v.nextHello = now + helloAgain*t.Election
-		if len(v.conf.GetVoters()) == len(v.c.set.Keepers) {
+		if len(v.conf.GetVoters()) == len(v.c.set.Voters) {
 			v.nextHello = now + helloEvery*t.Election
 		}
 		v.sendHellos()
@@ -156,14 +156,14 @@
 		return false
 	}
 	switch m.Kind {
-	case Have:
-		if l := v.leases[holder{m.From, m.Boot}]; l != nil {
-			l.deltas = m.Deltas && !v.c.set.NoDeltas
-			v.noteHolds(l, m.Holds)
+	case Acknowledge:
+		if l := v.leases[holder{m.From, m.InstanceID}]; l != nil {
+			l.deltas = m.AcceptsDeltas && !v.c.set.NoDeltas
+			v.noteHolds(l, m.Held)
 			v.enforce()
 		}
 	case Renew:
-		if v.c.set.NoConfirm {
+		if v.c.set.NoQuorumCheck {
 			v.grant(m)
 			break
 		}
@@ -220,7 +220,7 @@
 
 // startOver begins the log anew, as one that has lost its folder does.
 func (v *voter) startOver() {
-	v.c.host.Told(Forgetful, Note{})
+	v.c.host.Notify(LogOutdated, Note{})
 	v.leads, v.leases, v.worked, v.slowest = false, nil, nil, nil
 	if err := v.begin(); err != nil {
 		v.halt(err)
@@ -229,17 +229,17 @@
 
 // report adds what a voter knows to a report.
 func (v *voter) report(now time.Duration, r *Report) {
-	r.Halted, r.Leads = v.halted, v.leads && !v.halted
+	r.Halted, r.IsLeader = v.halted, v.leads && !v.halted
 	if name := v.leader(); name != "" {
 		r.Leader = name
 	}
-	r.Keepers = map[string]bool{}
+	r.Voters = map[string]bool{}
 	for name, id := range v.state.Keepers {
-		r.Keepers[name] = slices.Contains(v.conf.GetVoters(), id)
+		r.Voters[name] = slices.Contains(v.conf.GetVoters(), id)
 	}
 	r.History = append(slices.Clone(v.state.Rules.History), v.state.Rules.Pending...)
 	for _, h := range slices.SortedFunc(maps.Keys(v.leases), compareHolders) {
 		l := v.leases[h]
-		r.Holders = append(r.Holders, Holder{Name: h.name, Holds: l.holds, Left: max(l.until-now, 0)})
+		r.Holders = append(r.Holders, Holder{Name: h.name, Held: l.holds, LeaseLeft: max(l.until-now, 0)})
 	}
 }
--- a/internal/cluster/agreement/node.go
+++ b/internal/cluster/agreement/node.go
@@ -52,11 +52,11 @@
 
 // Config is what a node is told.
 type Config struct {
-	Options Options
-	Fleet   string // the fleet's name
-	Name    string // this proxy's
-	Boot    uint64 // drawn at random at each start
-	Seed    uint64
+	Options    Options
+	Fleet      string // the fleet's name
+	Name       string // this proxy's
+	InstanceID uint64 // drawn at random at each start
+	Seed       uint64
 	// Volatile: this member keeps nothing on disk, and has no folder. A start that reaches no keeper then knows nothing. It is for
 	// many members on one machine, in scale runs; a keeper cannot be one.
 	Volatile bool
@@ -116,7 +116,7 @@
 		answers: map[string]chan rules.Answer{},
 	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
-	if c.Options.Numbers {
+	if c.Options.AssignNumbers {
 		n.planner = numbering.New(numbering.DefaultSettings())
 	}
 	none := map[string]string{}
@@ -127,8 +127,8 @@
 		return nil, err
 	}
 	n.core, err = accord.New(Clock(), accord.Settings{
-		Name: c.Name, Boot: c.Boot, Keepers: c.Options.Keepers, Times: c.Options.Times(), Refuse: c.Options.Alone == Refuse, Later: later,
-	}, c.Seed^c.Boot, stored, host{n})
+		Name: c.Name, InstanceID: c.InstanceID, Voters: c.Options.Voters, Times: c.Options.Times(), RefuseWithoutLease: c.Options.WithoutLease == Refuse, DeferVoter: later,
+	}, c.Seed^c.InstanceID, stored, host{n})
 	if err != nil {
 		n.cancel()
 		n.closeStore()
@@ -194,7 +194,7 @@
 		}
 		n.disk.Store(disk)
 		n.do(n.ctx, func(c *accord.Core, now time.Duration) {
-			if err := c.Keep(now, stored); err != nil {
+			if err := c.StartVoter(now, stored); err != nil {
 				n.config.Log.Error(LogSelf, "what", "this proxy keeps nothing", "error", err)
 			}
 		})
@@ -213,7 +213,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		timer.Reset(min(n.core.Next()-Clock(), modeCheckInterval))
+		timer.Reset(min(n.core.NextTick()-Clock(), modeCheckInterval))
 		select {
 		case <-n.ctx.Done():
 			return
@@ -226,8 +226,8 @@
 			e(n.core, Clock())
 		case <-timer.C:
 		}
-		if now := Clock(); now >= n.core.Next() {
-			n.core.Wake(now)
+		if now := Clock(); now >= n.core.NextTick() {
+			n.core.Tick(now)
 		}
 		n.logMode()
 		n.proposeNumbers()
@@ -235,7 +235,7 @@
 }
 
 // Late is how many messages were dropped since the start, as too many stood before the owner.
-func (n *Node) Late() int64 { return n.dropped.Load() }
+func (n *Node) DroppedMessages() int64 { return n.dropped.Load() }
 
 // waiting is a message with those that wait behind it, as many as are taken in together.
 func (n *Node) batch(first *accord.Message) []*accord.Message {
@@ -255,7 +255,7 @@
 func (n *Node) proposeNumbers() {
 	now := Clock()
 	b := n.basis.Load()
-	if n.planner == nil || now < n.nextPlan || !n.core.Leads() || b.Settled == nil || b.Mode(now) != accord.Leased {
+	if n.planner == nil || now < n.nextPlan || !n.core.IsLeader() || b.Settled == nil || b.Mode(now) != accord.Leased {
 		return
 	}
 	n.nextPlan = now + planInterval
@@ -264,7 +264,7 @@
 		return
 	}
 	c := rules.Change{
-		ID: NewID(), Kind: rules.Number, Numbers: numbers, Who: n.config.Name, Why: fmt.Sprintf("%d proxies live", len(numbers)), On: b.Last,
+		ID: NewID(), Kind: rules.Renumber, Numbers: numbers, Who: n.config.Name, Why: fmt.Sprintf("%d proxies live", len(numbers)), BaseVersion: b.Last,
 		At: clock.Wall(),
 	}
 	if err := n.core.Propose(now, c); err != nil {
@@ -274,7 +274,7 @@
 
 // Number is this proxy's agreed own number, of how many, on a basis; ok is false where it has none, or the change that gives it is
 // on its way.
-func (n *Node) Number(b *accord.Basis) (index, total int, ok bool) {
+func (n *Node) AgreedNumber(b *accord.Basis) (index, total int, ok bool) {
 	if b.Settled == nil {
 		return 0, 0, false
 	}
@@ -283,10 +283,10 @@
 }
 
 // ListDrop is the share of the backends that lists may leave out at once; 1 for any.
-func (n *Node) ListDrop() float64 { return n.config.Options.Drop }
+func (n *Node) MaxListDrop() float64 { return n.config.Options.MaxListDrop }
 
 // Hold takes in which backends this process goes on with though the newest list leaves them out, for people.
-func (n *Node) Hold(ids []string) { n.heldBackends.Store(&ids) }
+func (n *Node) SetHeldBackends(ids []string) { n.heldBackends.Store(&ids) }
 
 // look logs on what this proxy acts, if that has changed.
 func (n *Node) logMode() {
@@ -365,7 +365,7 @@
 	switch {
 	case able && m.Kind == accord.Grant: // each brings all that its receiver lacks
 		latest.CarryLatest(address, "grant "+m.To, body)
-	case able && m.Kind == accord.Tell:
+	case able && m.Kind == accord.Update:
 		latest.CarryLatest(address, "tell "+m.To, body)
 	default:
 		h.carrier.Carry(address, body)
@@ -380,10 +380,10 @@
 	return d.Save(r)
 }
 
-func (h host) Keep(s *rules.Standing) {
+func (h host) SaveRules(s *rules.Status) {
 	var err error
 	if d := h.disk.Load(); d != nil {
-		err = d.SaveActs(s)
+		err = d.SaveRules(s)
 	}
 	if err != nil && !h.saveFailed {
 		h.config.Log.Warn(LogSelf, "what", "what is acted on cannot be stored; a start that reaches no keeper will not know it", "error", err)
@@ -391,7 +391,7 @@
 	h.saveFailed = err != nil
 }
 
-func (h host) Acts(b *accord.Basis) {
+func (h host) SetBasis(b *accord.Basis) {
 	if was := h.basis.Swap(b); was != nil && was.Doc == b.Doc {
 		return // a lease renewed, several times a second: what is acted on is the same
 	}
@@ -403,7 +403,7 @@
 	}
 }
 
-func (h host) Answered(a rules.Answer) {
+func (h host) ProposalDone(a rules.Answer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if c := h.answers[a.ID]; c != nil {
@@ -414,14 +414,14 @@
 	}
 }
 
-func (h host) Told(what accord.Event, of accord.Note) {
+func (h host) Notify(what accord.Event, of accord.Note) {
 	log := h.config.Log
 	switch what {
-	case accord.Learned:
+	case accord.RulesChanged:
 		log.Info(LogRules, "version", of.InForce, "last", of.Last)
-	case accord.Forgetful, accord.Disk:
+	case accord.LogOutdated, accord.DiskFailed:
 		log.Error(LogSelf, "what", string(what), "error", of.Err)
-	case accord.Differs:
+	case accord.DigestMismatch:
 		log.Warn(LogSelf, "what", string(what), "version", of.InForce, "last", of.Last)
 	default:
 		log.Info(LogSelf, "what", string(what), "of", of.Name)
@@ -442,13 +442,13 @@
 func (n *Node) Basis() *accord.Basis { return n.basis.Load() }
 
 // Rule says whether an act is allowed now, and on what that rests. It is to be asked right before the act.
-func (n *Node) Rule(s rules.Send) (rules.Ruling, rules.Ground) {
+func (n *Node) Decide(s rules.Send) (rules.Decision, rules.DecisionBasis) {
 	b := n.basis.Load()
 	if n.handedOver.Load() {
-		return b.Vague.Rule(s), rules.Ground{Version: b.Last}
+		return b.Unleased.Decide(s), rules.DecisionBasis{Version: b.Last}
 	}
 	now := Clock()
-	return b.Rule(now, s), rules.Ground{Version: b.Last, Leased: b.Mode(now) == accord.Leased}
+	return b.Decide(now, s), rules.DecisionBasis{Version: b.Last, Leased: b.Mode(now) == accord.Leased}
 }
 
 // Mode is on what this proxy acts.
--- a/internal/cluster/agreement/node_test.go
+++ b/internal/cluster/agreement/node_test.go
@@ -59,8 +59,8 @@
 func (w *wire) open(t *testing.T, name, folder string) *Node {
 	t.Helper()
 	o := DefaultOptions()
-	o.Keepers, o.Folder, o.Lease = []string{"a", "b", "c"}, folder, 500*time.Millisecond
-	n, err := Open(Config{Options: o, Fleet: "shelf", Name: name, Boot: uint64(len(folder)) + uint64(name[0]), Seed: 1, Log: slog.New(slog.DiscardHandler)}, end{w, name})
+	o.Voters, o.Folder, o.Lease = []string{"a", "b", "c"}, folder, 500*time.Millisecond
+	n, err := Open(Config{Options: o, Fleet: "shelf", Name: name, InstanceID: uint64(len(folder)) + uint64(name[0]), Seed: 1, Log: slog.New(slog.DiscardHandler)}, end{w, name})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,23 +97,23 @@
 		defer cancel()
 		var err error
 		a, err = nodes["d"].Propose(ctx, rules.Change{Kind: rules.Suspend, Server: "node-00", Why: "disk"})
-		return err == nil && a.No == ""
+		return err == nil && a.Rejection == ""
 	})
 	for _, name := range slices.Sorted(maps.Keys(nodes)) {
 		n := nodes[name]
 		waitFor(t, name+" with it in force", func() bool { return n.Basis().Version >= a.Version })
-		if ruling, ground := n.Rule(rules.Send{Server: "node-00"}); ruling != rules.Banned || ground.Version != a.Version || !ground.Leased {
+		if ruling, ground := n.Decide(rules.Send{Server: "node-00"}); ruling != rules.Banned || ground.Version != a.Version || !ground.Leased {
 			t.Errorf("%s: %v by %+v", name, ruling, ground)
 		}
 	}
 	waitFor(t, "told", func() bool { return <-notified >= a.Version })
 	r, err := nodes["a"].Report(t.Context())
-	if err != nil || len(r.History) < 2 || r.Keepers == nil || len(r.Document.Bans) != 1 {
+	if err != nil || len(r.History) < 2 || r.Voters == nil || len(r.Document.Bans) != 1 {
 		t.Errorf("%+v, %v", r, err)
 	}
 	// One that hands over acts on what it knows until its end, and repeats nothing.
 	nodes["d"].Close(true)
-	if ruling, _ := nodes["d"].Rule(rules.Send{Server: "node-01", Again: true}); ruling != rules.NoRepeat || nodes["d"].Mode() != accord.Alone {
+	if ruling, _ := nodes["d"].Decide(rules.Send{Server: "node-01", MayHaveRun: true}); ruling != rules.NoRepeat || nodes["d"].Mode() != accord.Alone {
 		t.Errorf("after it has handed over: %v, %v", ruling, nodes["d"].Mode())
 	}
 	for _, name := range []string{"a", "b", "c"} {
@@ -121,7 +121,7 @@
 	}
 	restarted := w.open(t, "d", folders["d"])
 	waitFor(t, "alone", func() bool { return restarted.Mode() == accord.Alone })
-	if ruling, _ := restarted.Rule(rules.Send{Server: "node-00"}); ruling != rules.Banned {
+	if ruling, _ := restarted.Decide(rules.Send{Server: "node-00"}); ruling != rules.Banned {
 		t.Errorf("from the folder alone: %v", ruling)
 	}
 }
@@ -142,7 +142,7 @@
 	}
 	n.onPayload([]byte("no message"))
 	r, err := n.Report(t.Context())
-	if err != nil || fmt.Sprint(r.Keepers) != "map[]" {
+	if err != nil || fmt.Sprint(r.Voters) != "map[]" {
 		t.Errorf("%+v, %v", r, err)
 	}
 }
@@ -166,9 +166,9 @@
 		to string
 		m  accord.Message
 	}{
-		{"a", accord.Message{Kind: accord.Grant, From: "l", To: "a"}}, {"a", accord.Message{Kind: accord.Tell, From: "l", To: "a"}},
+		{"a", accord.Message{Kind: accord.Grant, From: "l", To: "a"}}, {"a", accord.Message{Kind: accord.Update, From: "l", To: "a"}},
 		{"b", accord.Message{Kind: accord.Grant, From: "l", To: "a", Path: []string{"b"}}}, {"a", accord.Message{Kind: accord.Raft, From: "l", To: "a"}},
-		{"gone", accord.Message{Kind: accord.Tell, From: "l", To: "gone"}},
+		{"gone", accord.Message{Kind: accord.Update, From: "l", To: "gone"}},
 	} {
 		host{n}.Send(m.to, &m.m)
 	}
@@ -214,7 +214,7 @@
 	var leader *Node
 	waitFor(t, "led by one that three vote for", func() bool {
 		for _, n := range nodes {
-			if r, err := n.Report(t.Context()); err == nil && r.Leads && len(r.Keepers) == 3 {
+			if r, err := n.Report(t.Context()); err == nil && r.IsLeader && len(r.Voters) == 3 {
 				leader = n
 			}
 		}
@@ -237,8 +237,8 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 			defer cancel()
 			c := rules.Change{ID: fmt.Sprint("ban-", i), Kind: rules.Suspend, Server: fmt.Sprint("node-", i)}
-			if a, err := nodes["d"].Propose(ctx, c); err != nil || a.No != "" {
-				t.Errorf("change %d: %q, %v", i, a.No, err)
+			if a, err := nodes["d"].Propose(ctx, c); err != nil || a.Rejection != "" {
+				t.Errorf("change %d: %q, %v", i, a.Rejection, err)
 			}
 		})
 	}
@@ -265,8 +265,8 @@
 	for range 3 {
 		n.onPayload(body)
 	}
-	if n.Late() != 2 || len(n.messages) != 1 {
-		t.Errorf("%d were dropped, %d wait", n.Late(), len(n.messages))
+	if n.DroppedMessages() != 2 || len(n.messages) != 1 {
+		t.Errorf("%d were dropped, %d wait", n.DroppedMessages(), len(n.messages))
 	}
 	if text := string(n.Figures(nil)); !strings.Contains(text, "rules_late:2|c") {
 		t.Errorf("figures: %q", text)
--- a/internal/cluster/agreement/report.go
+++ b/internal/cluster/agreement/report.go
@@ -18,31 +18,31 @@
 
 // Report is how a proxy stands in the agreement, as operators read it.
 type Report struct {
-	Name     string          `json:"name"`
-	Mode     string          `json:"mode"`
-	Version  uint64          `json:"version"` // in force
-	Last     uint64          `json:"last"`    // the newest known here
-	Log      string          `json:"log"`
-	Document rules.Document  `json:"document"` // what is acted on with a lease
-	Pending  []rules.Version `json:"pending,omitempty"`
-	Leader   string          `json:"leader"`
-	Leads    bool            `json:"leads,omitempty"`
-	Halted   bool            `json:"halted,omitempty"`
-	Keepers  map[string]bool `json:"keepers,omitempty"` // by name, whether it votes
-	Holders  []Holder        `json:"holders,omitempty"` // at the leader
-	History  []rules.Version `json:"history,omitempty"` // at a keeper
-	BoundS   float64         `json:"bound_s"`
+	Name              string          `json:"name"`
+	Mode              string          `json:"mode"`
+	Version           uint64          `json:"version"` // in force
+	Last              uint64          `json:"last"`    // the newest known here
+	Log               string          `json:"log"`
+	Document          rules.Document  `json:"document"` // what is acted on with a lease
+	Pending           []rules.Version `json:"pending,omitempty"`
+	Leader            string          `json:"leader"`
+	IsLeader          bool            `json:"leads,omitempty"`
+	Halted            bool            `json:"halted,omitempty"`
+	Voters            map[string]bool `json:"keepers,omitempty"` // by name, whether it votes
+	Holders           []Holder        `json:"holders,omitempty"` // at the leader
+	History           []rules.Version `json:"history,omitempty"` // at a keeper
+	ConvergenceBoundS float64         `json:"bound_s"`
 	// Held are backends that this proxy goes on with though the newest list leaves them out.
-	Held    []string `json:"held,omitempty"`
-	Trouble []string `json:"trouble,omitempty"`
+	HeldBackends []string `json:"held,omitempty"`
+	Problems     []string `json:"trouble,omitempty"`
 }
 
 // Holder is a proxy with a lease, as the leader sees it.
 type Holder struct {
-	Name    string  `json:"name"`
-	Version uint64  `json:"version"`
-	Last    uint64  `json:"last"`
-	LeftS   float64 `json:"left_s"`
+	Name       string  `json:"name"`
+	Version    uint64  `json:"version"`
+	Last       uint64  `json:"last"`
+	LeaseLeftS float64 `json:"left_s"`
 }
 
 // Report returns how this proxy stands now.
@@ -53,35 +53,35 @@
 	}
 	times := n.config.Options.Times()
 	r := &Report{
-		Name: n.config.Name, Mode: n.Mode().String(), Version: a.Standing.InForce.Number, Last: a.Standing.Last(), Log: fmt.Sprintf("%x", a.Standing.Log),
-		Document: *a.Standing.Meet(), Pending: a.Standing.Pending, Leader: a.Leader, Leads: a.Leads, Halted: a.Halted, Keepers: a.Keepers,
-		History: a.History, BoundS: times.Bound().Seconds(),
+		Name: n.config.Name, Mode: n.Mode().String(), Version: a.Status.InForce.Number, Last: a.Status.Last(), Log: fmt.Sprintf("%x", a.Status.Log),
+		Document: *a.Status.Meet(), Pending: a.Status.Pending, Leader: a.Leader, IsLeader: a.IsLeader, Halted: a.Halted, Voters: a.Voters,
+		History: a.History, ConvergenceBoundS: times.ConvergenceBound().Seconds(),
 	}
 	for _, h := range a.Holders {
-		r.Holders = append(r.Holders, Holder{Name: h.Name, Version: h.Holds.InForce, Last: h.Holds.Last, LeftS: h.Left.Round(time.Millisecond).Seconds()})
+		r.Holders = append(r.Holders, Holder{Name: h.Name, Version: h.Held.InForce, Last: h.Held.Last, LeaseLeftS: h.LeaseLeft.Round(time.Millisecond).Seconds()})
 	}
 	if held := n.heldBackends.Load(); held != nil && len(*held) > 0 {
-		r.Held = *held
-		r.Trouble = append(r.Trouble, fmt.Sprintf("a list is held back: it leaves out %d backends at once, and they are gone on with (%s). If they are gone: brasswell ctl rules drop --why REASON; if not, mend the list",
-			len(r.Held), abbreviate(r.Held)))
+		r.HeldBackends = *held
+		r.Problems = append(r.Problems, fmt.Sprintf("a list is held back: it leaves out %d backends at once, and they are gone on with (%s). If they are gone: brasswell ctl rules drop --why REASON; if not, mend the list",
+			len(r.HeldBackends), abbreviate(r.HeldBackends)))
 	}
 	if r.Halted {
-		r.Trouble = append(r.Trouble, "this keeper keeps nothing: its folder cannot be written, or its log is of a newer version; see the log, mend it and restart it")
+		r.Problems = append(r.Problems, "this keeper keeps nothing: its folder cannot be written, or its log is of a newer version; see the log, mend it and restart it")
 	}
 	switch n.Mode() {
 	case accord.Alone:
-		r.Trouble = append(r.Trouble, "no keeper vouches for these rules: they may be old. A majority of keepers is gone or cut off from here")
-	case accord.Away:
-		r.Trouble = append(r.Trouble, "no lease, and everything is refused: this process has just started or was paused, or without_lease is refuse")
+		r.Problems = append(r.Problems, "no keeper vouches for these rules: they may be old. A majority of keepers is gone or cut off from here")
+	case accord.Inactive:
+		r.Problems = append(r.Problems, "no lease, and everything is refused: this process has just started or was paused, or without_lease is refuse")
 	}
 	voters := 0
-	for _, votes := range a.Keepers {
+	for _, votes := range a.Voters {
 		if votes {
 			voters++
 		}
 	}
-	if a.Keepers != nil && voters < len(n.config.Options.Keepers) {
-		r.Trouble = append(r.Trouble, fmt.Sprintf("%d of %d keepers vote: all must have been there together once, and one that lost its folder is taken in again within seconds", voters, len(n.config.Options.Keepers)))
+	if a.Voters != nil && voters < len(n.config.Options.Voters) {
+		r.Problems = append(r.Problems, fmt.Sprintf("%d of %d keepers vote: all must have been there together once, and one that lost its folder is taken in again within seconds", voters, len(n.config.Options.Voters)))
 	}
 	return r, nil
 }
@@ -110,7 +110,7 @@
 	text = figures.AppendLine(text, "rules_version", int64(b.Version), 'g')
 	text = figures.AppendLine(text, "rules_pending", int64(b.Last-b.Version), 'g')
 	text = figures.AppendLine(text, "rules_mode", int64(n.Mode()), 'g')
-	return figures.AppendLine(text, "rules_late", n.Late(), 'c')
+	return figures.AppendLine(text, "rules_late", n.DroppedMessages(), 'c')
 }
 
 // ReadReport reads a report as a console writes it.
@@ -133,21 +133,21 @@
 	if leader == "" {
 		leader = "none known"
 	}
-	fmt.Fprintf(&b, "; leader %s; changes reach all within %.2f s\n", leader, r.BoundS)
-	for _, t := range r.Trouble {
+	fmt.Fprintf(&b, "; leader %s; changes reach all within %.2f s\n", leader, r.ConvergenceBoundS)
+	for _, t := range r.Problems {
 		fmt.Fprintf(&b, "TROUBLE: %s\n", t)
 	}
 	for _, line := range rules.Diff(&rules.Document{}, &r.Document) {
 		fmt.Fprintf(&b, "  %s\n", line)
 	}
 	for _, v := range r.Pending {
-		fmt.Fprintf(&b, "on the way: %s\n", Line(v))
+		fmt.Fprintf(&b, "on the way: %s\n", FormatVersion(v))
 	}
-	if r.Keepers != nil {
+	if r.Voters != nil {
 		b.WriteString("keepers:")
-		for _, name := range slices.Sorted(maps.Keys(r.Keepers)) {
+		for _, name := range slices.Sorted(maps.Keys(r.Voters)) {
 			state := "votes"
-			if !r.Keepers[name] {
+			if !r.Voters[name] {
 				state = "learns"
 			}
 			fmt.Fprintf(&b, " %s %s", name, state)
@@ -159,21 +159,21 @@
 		if h.Last < r.Last {
 			mark = "  LATE"
 		}
-		fmt.Fprintf(&b, "  %-20s acts on %d to %d, lease for %.2f s%s\n", h.Name, h.Version, h.Last, h.LeftS, mark)
+		fmt.Fprintf(&b, "  %-20s acts on %d to %d, lease for %.2f s%s\n", h.Name, h.Version, h.Last, h.LeaseLeftS, mark)
 	}
 	return b.String()
 }
 
 // Line is a version in a line.
-func Line(v rules.Version) string {
+func FormatVersion(v rules.Version) string {
 	c := &v.Change
 	at := ""
 	if c.At > 0 {
 		at = clock.FromWall(c.At).Format(time.DateTime)
 	}
 	what := map[rules.Kind]string{
-		rules.Suspend: "suspend " + c.Server, rules.Resume: "resume " + c.Server, rules.Configure: "settings", rules.GoBack: fmt.Sprintf("back to %d", c.To),
-		rules.Number: "numbers", rules.Drop: "lists may drop",
+		rules.Suspend: "suspend " + c.Server, rules.Resume: "resume " + c.Server, rules.Configure: "settings", rules.Rollback: fmt.Sprintf("back to %d", c.ToVersion),
+		rules.Renumber: "numbers", rules.AllowDrop: "lists may drop",
 	}[c.Kind]
 	if what == "" {
 		what = "the first"
--- a/internal/cluster/numbering/numbering.go
+++ b/internal/cluster/numbering/numbering.go
@@ -29,7 +29,7 @@
 
 // DefaultSettings fit restarts of some seconds.
 func DefaultSettings() Settings {
-	return Settings{Settle: 10 * time.Second, Again: 10 * time.Second, Most: rules.MostMembers}
+	return Settings{Settle: 10 * time.Second, Again: 10 * time.Second, Most: rules.MaxMembers}
 }
 
 // Planner plans numbers at one proxy, the leader. It is not safe for concurrent use.
--- a/internal/cluster/revival/beliefs.go
+++ b/internal/cluster/revival/beliefs.go
@@ -128,7 +128,7 @@
 
 // Revive returns what a proxy begins with, from what it knew. now is of the clock that backends' starts are told in, and lost the
 // moment before which no start of a backend is believed, in the same clock: 0 for a Restart. instances is how many proxies there are.
-func Revive(k Kind, age state.Age, bans []string, was *state.Learned, now time.Duration, instances int) (begin handover.Knowledge, lost time.Duration) {
+func Revive(k Kind, age state.Age, bans []string, was *state.Learned, now time.Duration, instances int) (begin handover.State, lost time.Duration) {
 	begin.Seq = -1 // the whole list is asked for: versions may be counted anew
 	begin.Balancer.Banned, begin.Balancer.ServedAt = bans, now
 	defer func() {
@@ -143,7 +143,7 @@
 	}
 	old := &was.Knowledge
 	begin.Addresses = old.Addresses
-	begin.Longest, begin.Usual = old.Longest, old.Usual
+	begin.LongestDeadline, begin.LatencyP95 = old.LongestDeadline, old.LatencyP95
 	b := &begin.Balancer
 	b.Slots, b.Seen = old.Balancer.Slots, old.Balancer.Seen
 	healthy, warm := Judge(k, age, Health) == UntilTested, Judge(k, age, Boots) == UntilTested
--- a/internal/cluster/revival/revival_test.go
+++ b/internal/cluster/revival/revival_test.go
@@ -353,8 +353,8 @@
 // TestWhatIsBelieved holds Revive to the table of Judge.
 func TestWhatIsBelieved(t *testing.T) {
 	now := 1000 * time.Hour
-	was := &state.Learned{Knowledge: handover.Knowledge{
-		Addresses: map[string]string{"a": "127.0.0.1:1"}, Longest: 3 * sec,
+	was := &state.Learned{Knowledge: handover.State{
+		Addresses: map[string]string{"a": "127.0.0.1:1"}, LongestDeadline: 3 * sec,
 		Balancer: balance.Snapshot{
 			Servers: []balance.ServerSnapshot{
 				{Entry: balance.Entry{ID: "a", Boot: now - time.Hour}, Ejected: now + 1000*time.Hour, FailRun: 5, ColdTokens: 9, Resumed: now + 50*time.Hour},
--- a/internal/cluster/rules/delta.go
+++ b/internal/cluster/rules/delta.go
@@ -15,30 +15,30 @@
 }
 
 // Position returns the position of the status.
-func (s *Standing) Position() Position {
+func (s *Status) Position() Position {
 	return Position{Log: s.Log, InForce: s.InForce.Number, Last: s.Last()}
 }
 
 // Difference turns one version into another: it lists the entries to set and to remove. All other entries are unchanged.
 type Difference struct {
-	Number         uint64           `cbor:"1,keyasint"`
-	Change         Change           `cbor:"2,keyasint"`
-	Bans           map[string]Ban   `cbor:"3,keyasint,omitempty"`
-	RemovedBans    []string         `cbor:"4,keyasint,omitempty"`
-	Classes        map[string]Class `cbor:"5,keyasint,omitempty"`
-	RemovedClasses []string         `cbor:"6,keyasint,omitempty"`
-	Quota          *float64         `cbor:"7,keyasint,omitempty"`
-	Numbers        map[string]int   `cbor:"8,keyasint,omitempty"`
-	RemovedNumbers []string         `cbor:"9,keyasint,omitempty"`
-	Dropped        []string         `cbor:"10,keyasint,omitempty"`
-	RemovedDropped []string         `cbor:"11,keyasint,omitempty"`
+	Number           uint64           `cbor:"1,keyasint"`
+	Change           Change           `cbor:"2,keyasint"`
+	Bans             map[string]Ban   `cbor:"3,keyasint,omitempty"`
+	RemovedBans      []string         `cbor:"4,keyasint,omitempty"`
+	Classes          map[string]Class `cbor:"5,keyasint,omitempty"`
+	RemovedClasses   []string         `cbor:"6,keyasint,omitempty"`
+	Quota            *float64         `cbor:"7,keyasint,omitempty"`
+	Numbers          map[string]int   `cbor:"8,keyasint,omitempty"`
+	RemovedNumbers   []string         `cbor:"9,keyasint,omitempty"`
+	Droppable        []string         `cbor:"10,keyasint,omitempty"`
+	RemovedDroppable []string         `cbor:"11,keyasint,omitempty"`
 }
 
 // Delta turns a status that the receiver has into a newer one.
 type Delta struct {
-	Log   uint64 `cbor:"1,keyasint"`
-	Reign uint64 `cbor:"2,keyasint,omitempty"`
-	Form  uint8  `cbor:"3,keyasint,omitempty"`
+	Log  uint64 `cbor:"1,keyasint"`
+	Term uint64 `cbor:"2,keyasint,omitempty"`
+	Form uint8  `cbor:"3,keyasint,omitempty"`
 	// Base is the version that the first difference applies to; each further difference applies to the result of the previous one.
 	Base        uint64       `cbor:"4,keyasint"`
 	InForce     uint64       `cbor:"5,keyasint"` // the version in force
@@ -61,7 +61,7 @@
 }
 
 // CacheEncoding encodes the delta once for all its receivers. The delta must not be changed afterwards.
-func (d *Delta) Freeze() error {
+func (d *Delta) CacheEncoding() error {
 	data, err := cbor.Marshal((*plainDelta)(d))
 	d.encoded = data
 	return err
@@ -69,12 +69,12 @@
 
 // Errors of Apply that mean that the receiver has to request the whole status.
 var (
-	ErrBase   = errors.New("delta: the base version is not known here")
-	ErrDigest = errors.New("delta: the result has a different digest")
+	ErrUnknownBase    = errors.New("delta: the base version is not known here")
+	ErrDigestMismatch = errors.New("delta: the result has a different digest")
 )
 
 // EncodedSize returns the size in bytes of the encoding that CacheEncoding stored.
-func (d *Delta) Size() int { return len(d.encoded) }
+func (d *Delta) EncodedSize() int { return len(d.encoded) }
 
 // Last returns the number of the newest version after the delta is applied.
 func (d *Delta) Last() uint64 {
@@ -88,14 +88,14 @@
 func (d *Delta) Position() Position { return Position{Log: d.Log, InForce: d.InForce, Last: d.Last()} }
 
 // NewerThan reports whether the resulting status is newer than a status of the same log; see Status.NewerThan.
-func (d *Delta) NewerThan(s *Standing) bool {
+func (d *Delta) NewerThan(s *Status) bool {
 	return d.Last() > s.Last() || d.Last() == s.Last() && d.InForce > s.InForce.Number
 }
 
 // Validate checks a received delta, as far as this is possible without its base.
-func (d *Delta) Sound() error {
-	if len(d.Differences) > MostPending+1 {
-		return fmt.Errorf("delta: %d versions; %d at most", len(d.Differences), MostPending+1)
+func (d *Delta) Validate() error {
+	if len(d.Differences) > MaxPending+1 {
+		return fmt.Errorf("delta: %d versions; %d at most", len(d.Differences), MaxPending+1)
 	}
 	before := d.Base
 	for i := range d.Differences {
@@ -113,7 +113,7 @@
 
 // DeltaFrom returns the delta that a proxy at the given position needs. ok is false if the position belongs to another log, is ahead
 // of the state, or is so old that the history no longer contains its newest version: the proxy needs the whole status then.
-func Between(s *State, from Position) (d *Delta, ok bool) {
+func DeltaFrom(s *State, from Position) (d *Delta, ok bool) {
 	if from.Log != s.Log || from.Last > s.Last() || from.InForce > s.InForce.Number {
 		return nil, false
 	}
@@ -121,7 +121,7 @@
 	if !found {
 		return nil, false
 	}
-	d = &Delta{Log: s.Log, Reign: s.Reign, Form: s.Form, Base: base.Number, InForce: s.InForce.Number, Digest: s.Standing.Digest()}
+	d = &Delta{Log: s.Log, Term: s.Term, Form: s.Form, Base: base.Number, InForce: s.InForce.Number, Digest: s.Status.Digest()}
 	for _, v := range s.versions() {
 		if v.Number > base.Number {
 			d.Differences = append(d.Differences, difference(&base, &v))
@@ -132,7 +132,7 @@
 }
 
 // versions returns all versions of the status, the one in force first.
-func (s *Standing) versions() []Version {
+func (s *Status) versions() []Version {
 	return append([]Version{s.InForce}, s.Pending...)
 }
 
@@ -142,7 +142,7 @@
 	d.Bans, d.RemovedBans = diffMaps(from.Doc.Bans, to.Doc.Bans)
 	d.Classes, d.RemovedClasses = diffMaps(from.Doc.Classes, to.Doc.Classes)
 	d.Numbers, d.RemovedNumbers = diffMaps(from.Doc.Numbers, to.Doc.Numbers)
-	d.Dropped, d.RemovedDropped = diffSorted(from.Doc.Dropped, to.Doc.Dropped)
+	d.Droppable, d.RemovedDroppable = diffSorted(from.Doc.Droppable, to.Doc.Droppable)
 	if quota := to.Doc.Quota; quota != from.Doc.Quota {
 		d.Quota = &quota
 	}
@@ -225,7 +225,7 @@
 	doc.Bans = patchMap(doc.Bans, d.Bans, d.RemovedBans)
 	doc.Classes = patchMap(doc.Classes, d.Classes, d.RemovedClasses)
 	doc.Numbers = patchMap(doc.Numbers, d.Numbers, d.RemovedNumbers)
-	doc.Dropped = patchSorted(doc.Dropped, d.Dropped, d.RemovedDropped)
+	doc.Droppable = patchSorted(doc.Droppable, d.Droppable, d.RemovedDroppable)
 	if d.Quota != nil {
 		doc.Quota = *d.Quota
 	}
@@ -236,7 +236,7 @@
 
 // start returns the versions of a status that the delta builds on and the differences that remain to be applied. The receiver may
 // have advanced since the delta was made, so the last of these versions is the newest one that the delta knows: its base or a later one.
-func (d *Delta) startFrom(s *Standing) (versions []Version, remaining []Difference) {
+func (d *Delta) startFrom(s *Status) (versions []Version, remaining []Difference) {
 	versions = s.versions()
 	for n := len(versions); n > 0; n-- {
 		number := versions[n-1].Number
@@ -254,13 +254,13 @@
 // that one is.
 //
 // With ErrDigestMismatch, Apply returns the result too. It must not be acted on; it exists for a checker that disables the digest check.
-func Apply(s *Standing, d *Delta) (*Standing, error) {
-	if err := d.Sound(); err != nil {
+func Apply(s *Status, d *Delta) (*Status, error) {
+	if err := d.Validate(); err != nil {
 		return nil, err
 	}
 	versions, remaining := d.startFrom(s)
 	if len(versions) == 0 || s.Log != d.Log {
-		return nil, ErrBase
+		return nil, ErrUnknownBase
 	}
 	for i := range remaining {
 		base := versions[len(versions)-1]
@@ -272,14 +272,14 @@
 	}
 	inForce := slices.IndexFunc(versions, func(v Version) bool { return v.Number == d.InForce })
 	if inForce < 0 {
-		return nil, ErrBase
+		return nil, ErrUnknownBase
 	}
-	next := &Standing{Log: d.Log, Reign: d.Reign, Form: d.Form, InForce: versions[inForce], Pending: slices.Clone(versions[inForce+1:])}
+	next := &Status{Log: d.Log, Term: d.Term, Form: d.Form, InForce: versions[inForce], Pending: slices.Clone(versions[inForce+1:])}
 	if err := next.validateNumbers(); err != nil {
 		return nil, err
 	}
 	if next.Digest() != d.Digest {
-		return next, ErrDigest
+		return next, ErrDigestMismatch
 	}
 	return next, nil
 }
--- a/internal/cluster/rules/delta_test.go
+++ b/internal/cluster/rules/delta_test.go
@@ -30,8 +30,8 @@
 }
 
 // wired returns a copy that shares nothing and caches no digests, like a status read from disk or received from a peer.
-func decodedCopy(t interface{ Fatal(...any) }, s *Standing) *Standing {
-	back := &Standing{}
+func decodedCopy(t interface{ Fatal(...any) }, s *Status) *Status {
+	back := &Status{}
 	if err := cbor.Unmarshal(encode(t, s), back); err != nil {
 		t.Fatal(err)
 	}
@@ -41,18 +41,18 @@
 // drawChange draws a change that is usually applicable to the state.
 func drawChange(t *rapid.T, s *State, id string) *Change {
 	c := &Change{ID: id, Who: "ops", Why: rapid.SampledFrom([]string{"", "disk", "heat"}).Draw(t, "why")}
-	c.Kind = Kind(rapid.IntRange(int(Suspend), int(Drop)).Draw(t, "kind"))
+	c.Kind = Kind(rapid.IntRange(int(Suspend), int(AllowDrop)).Draw(t, "kind"))
 	c.Server = rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "server")
 	other := drawDocument.Draw(t, "document")
 	switch c.Kind {
 	case Configure:
 		c.Settings = &other.Settings
-	case Number:
+	case Renumber:
 		c.Numbers = other.Numbers
-	case Drop:
-		c.Servers = other.Dropped
-	case GoBack:
-		c.To = uint64(rapid.IntRange(1, int(s.Last())).Draw(t, "to"))
+	case AllowDrop:
+		c.Servers = other.Droppable
+	case Rollback:
+		c.ToVersion = uint64(rapid.IntRange(1, int(s.Last())).Draw(t, "to"))
 	}
 	if rapid.IntRange(0, 9).Draw(t, "later form") == 0 {
 		c.Form = 2
@@ -61,17 +61,17 @@
 }
 
 // drawHistory draws a state after some changes, and returns also each earlier status that a proxy may still have.
-func drawHistory(t *rapid.T) (s *State, kept []*Standing) {
+func drawHistory(t *rapid.T) (s *State, kept []*Status) {
 	s = NewState()
 	s.Log = 7
-	kept = append(kept, s.Share())
+	kept = append(kept, s.Copy())
 	for i := range rapid.IntRange(1, 30).Draw(t, "steps") {
 		if rapid.Bool().Draw(t, "propose") || len(s.Pending) == 0 {
 			s.Propose(drawChange(t, s, fmt.Sprint("change-", i)))
 		} else {
 			s.Enforce(s.Pending[rapid.IntRange(0, len(s.Pending)-1).Draw(t, "enforce")].Number)
 		}
-		kept = append(kept, s.Share())
+		kept = append(kept, s.Copy())
 	}
 	return s, kept
 }
@@ -81,9 +81,9 @@
 func TestDeltasReachTheSameStatus(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, kept := drawHistory(t)
-		want := encode(t, s.Share())
+		want := encode(t, s.Copy())
 		for _, has := range kept {
-			d, ok := Between(s, has.Position())
+			d, ok := DeltaFrom(s, has.Position())
 			if !ok {
 				t.Fatalf("no delta from position %+v", has.Position())
 			}
@@ -94,19 +94,19 @@
 			if back.Position() != s.Position() {
 				t.Fatalf("the delta leads to %+v; wanted %+v", back.Position(), s.Position())
 			}
-			for _, base := range []*Standing{has, decodedCopy(t, has)} {
+			for _, base := range []*Status{has, decodedCopy(t, has)} {
 				before := encode(t, base)
 				got, err := Apply(base, back)
 				if err != nil {
 					t.Fatalf("from %+v: %v", has.Position(), err)
 				}
-				if !bytes.Equal(encode(t, got), want) || got.Digest() != s.Standing.Digest() {
+				if !bytes.Equal(encode(t, got), want) || got.Digest() != s.Status.Digest() {
 					t.Fatalf("from %+v: %q", has.Position(), Diff(got.Meet(), s.Meet()))
 				}
 				if got.Digest() != decodedCopy(t, got).Digest() {
 					t.Fatal("a cached digest differs from the computed one")
 				}
-				if err := got.Sound(); err != nil {
+				if err := got.Validate(); err != nil {
 					t.Fatal(err)
 				}
 				if !bytes.Equal(encode(t, base), before) {
@@ -124,17 +124,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s, kept := drawHistory(t)
 		from := rapid.IntRange(0, len(kept)-1).Draw(t, "from")
-		d, ok := Between(s, kept[from].Position())
+		d, ok := DeltaFrom(s, kept[from].Position())
 		if !ok {
 			t.Fatal("no delta")
 		}
 		moved := kept[rapid.IntRange(from, len(kept)-1).Draw(t, "moved")]
 		got, err := Apply(moved, d)
 		switch {
-		case errors.Is(err, ErrBase):
+		case errors.Is(err, ErrUnknownBase):
 		case err != nil:
 			t.Fatal(err)
-		case !bytes.Equal(encode(t, got), encode(t, s.Share())):
+		case !bytes.Equal(encode(t, got), encode(t, s.Copy())):
 			t.Fatalf("the result differs: %q", Diff(got.Meet(), s.Meet()))
 		case moved.Position() != kept[from].Position():
 			crossed++
@@ -167,7 +167,7 @@
 		}
 		doc.Numbers["tampered"] = 99
 	case 3:
-		doc.Dropped = append(slices.Clone(doc.Dropped), "tampered")
+		doc.Droppable = append(slices.Clone(doc.Droppable), "tampered")
 	case 4:
 		doc.Quota = 0.125
 	}
@@ -185,17 +185,17 @@
 		} else {
 			tamper(t, &has.InForce.Doc)
 		}
-		d, ok := Between(s, has.Position())
+		d, ok := DeltaFrom(s, has.Position())
 		if !ok {
 			t.Fatal("no delta")
 		}
 		got, err := Apply(has, d)
 		switch {
-		case errors.Is(err, ErrDigest):
+		case errors.Is(err, ErrDigestMismatch):
 			found++
 		case err != nil:
 			t.Fatal(err)
-		case !bytes.Equal(encode(t, got), encode(t, s.Share())):
+		case !bytes.Equal(encode(t, got), encode(t, s.Copy())):
 			t.Fatal("a tampered base leads to a different status, and the digest does not detect it")
 		}
 	})
@@ -209,7 +209,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s, kept := drawHistory(t)
 		has := kept[rapid.IntRange(0, len(kept)-1).Draw(t, "kept")]
-		d, ok := Between(s, has.Position())
+		d, ok := DeltaFrom(s, has.Position())
 		if !ok {
 			t.Fatal("no delta")
 		}
@@ -229,9 +229,9 @@
 				one.RemovedClasses, one.Classes = nil, map[string]Class{"tampered": {Closed: true}}
 			}
 		}
-		if got, err := Apply(has, d); err == nil && !bytes.Equal(encode(t, got), encode(t, s.Share())) {
+		if got, err := Apply(has, d); err == nil && !bytes.Equal(encode(t, got), encode(t, s.Copy())) {
 			t.Fatal("a tampered delta is applied")
-		} else if err == nil && d.Digest != s.Standing.Digest() {
+		} else if err == nil && d.Digest != s.Status.Digest() {
 			t.Fatal("a delta with a wrong digest is applied")
 		}
 	})
@@ -244,11 +244,11 @@
 	for i := range 1000 {
 		numbers[fmt.Sprintf("proxy-%04d", i)] = i
 	}
-	s.Propose(&Change{ID: "1", Kind: Number, Numbers: numbers})
+	s.Propose(&Change{ID: "1", Kind: Renumber, Numbers: numbers})
 	s.Enforce(2)
-	has := decodedCopy(t, s.Share())
+	has := decodedCopy(t, s.Copy())
 	s.Propose(&Change{ID: "2", Kind: Suspend, Server: "a"})
-	d, ok := Between(s, has.Position())
+	d, ok := DeltaFrom(s, has.Position())
 	if !ok {
 		t.Fatal("no delta")
 	}
@@ -262,7 +262,7 @@
 	if !sameMap(got.Pending[0].Doc.Numbers, has.InForce.Doc.Numbers) || !sameMap(got.Meet().Numbers, has.InForce.Doc.Numbers) {
 		t.Error("unchanged numbers are copied")
 	}
-	whole := decodedCopy(t, s.Share())
+	whole := decodedCopy(t, s.Copy())
 	whole.Compact()
 	if !sameMap(whole.InForce.Doc.Numbers, whole.Pending[0].Doc.Numbers) {
 		t.Error("equal numbers of a whole status are stored twice")
@@ -274,9 +274,9 @@
 func TestNoDelta(t *testing.T) {
 	s := NewState()
 	s.Log = 7
-	first := s.Share()
+	first := s.Copy()
 	for i := range maxHistory + 10 {
-		s.Propose(&Change{ID: fmt.Sprint(i), Kind: Drop, Servers: []string{fmt.Sprint("node", i)}})
+		s.Propose(&Change{ID: fmt.Sprint(i), Kind: AllowDrop, Servers: []string{fmt.Sprint("node", i)}})
 		s.Enforce(s.Last())
 	}
 	last := s.Last()
@@ -284,30 +284,30 @@
 		"no longer kept": first.Position(), "another log": {Log: 8, InForce: last, Last: last}, "ahead": {Log: 7, InForce: last, Last: last + 1},
 		"more in force": {Log: 7, InForce: last + 1, Last: last},
 	} {
-		if _, ok := Between(s, has); ok {
+		if _, ok := DeltaFrom(s, has); ok {
 			t.Errorf("%s: there is a delta", name)
 		}
 	}
-	d, ok := Between(s, Position{Log: 7, InForce: last - 1, Last: last - 1})
+	d, ok := DeltaFrom(s, Position{Log: 7, InForce: last - 1, Last: last - 1})
 	if !ok {
 		t.Fatal("no delta from the version before")
 	}
-	if _, err := Apply(first, d); !errors.Is(err, ErrBase) {
+	if _, err := Apply(first, d); !errors.Is(err, ErrUnknownBase) {
 		t.Errorf("a delta applied to an older status than its base: %v", err)
 	}
-	long := Delta{Base: 1, InForce: 1, Differences: make([]Difference, MostPending+2)}
+	long := Delta{Base: 1, InForce: 1, Differences: make([]Difference, MaxPending+2)}
 	for i := range long.Differences {
 		long.Differences[i].Number = uint64(i + 2)
 	}
 	gap := Delta{Base: 1, InForce: 1, Differences: []Difference{{Number: 2}, {Number: 4}}}
 	ahead := Delta{Base: 1, InForce: 3, Differences: []Difference{{Number: 2}}}
 	for name, d := range map[string]*Delta{"too many": &long, "a gap": &gap, "in force and not there": &ahead} {
-		if d.Sound() == nil {
+		if d.Validate() == nil {
 			t.Errorf("%s: the delta is valid", name)
 		}
 	}
 	bad := Delta{Log: 7, Base: 1, InForce: 1, Differences: []Difference{{Number: 2, Numbers: map[string]int{"a": 1, "b": 1}}}}
-	if _, err := Apply(first, &bad); err == nil || errors.Is(err, ErrDigest) {
+	if _, err := Apply(first, &bad); err == nil || errors.Is(err, ErrDigestMismatch) {
 		t.Errorf("two proxies with one number: %v", err)
 	}
 }
@@ -316,12 +316,12 @@
 func FuzzDelta(f *testing.F) {
 	s := NewState()
 	s.Propose(&Change{ID: "1", Kind: Configure, Settings: &Settings{Quota: 0.5, Numbers: map[string]int{"a": 0, "b": 1}}})
-	has := s.Share()
+	has := s.Copy()
 	s.Propose(&Change{ID: "2", Kind: Suspend, Server: "x"})
 	s.Enforce(2)
-	s.Propose(&Change{ID: "3", Kind: Drop, Servers: []string{"x", "y"}})
+	s.Propose(&Change{ID: "3", Kind: AllowDrop, Servers: []string{"x", "y"}})
 	for _, position := range []Position{has.Position(), NewState().Position(), s.Position()} {
-		d, ok := Between(s, position)
+		d, ok := DeltaFrom(s, position)
 		if !ok {
 			f.Fatal("no delta")
 		}
@@ -334,8 +334,8 @@
 		}
 		before := encode(t, has)
 		got, err := Apply(has, d)
-		if err == nil && got.Sound() != nil || errors.Is(err, ErrDigest) && got.Sound() != nil {
-			t.Errorf("the result is not valid: %v", got.Sound())
+		if err == nil && got.Validate() != nil || errors.Is(err, ErrDigestMismatch) && got.Validate() != nil {
+			t.Errorf("the result is not valid: %v", got.Validate())
 		}
 		if !bytes.Equal(before, encode(t, has)) {
 			t.Error("the base was written to")
@@ -364,14 +364,14 @@
 		change Change
 		needs  uint8
 	}{
-		"1,000 numbers":           {Change{Kind: Number, Numbers: numbers(form1Members)}, 1},
-		"1,001 numbers":           {Change{Kind: Number, Numbers: numbers(form1Members + 1)}, 2},
+		"1,000 numbers":           {Change{Kind: Renumber, Numbers: numbers(form1Members)}, 1},
+		"1,001 numbers":           {Change{Kind: Renumber, Numbers: numbers(form1Members + 1)}, 2},
 		"64 classes":              {Change{Kind: Configure, Settings: &Settings{Classes: classes(form1Classes)}}, 1},
 		"65 classes":              {Change{Kind: Configure, Settings: &Settings{Classes: classes(form1Classes + 1)}}, 2},
 		"1,001 numbers in a file": {Change{Kind: Configure, Settings: &Settings{Numbers: numbers(form1Members + 1)}}, 2},
-		"all that there may be":   {Change{Kind: Number, Numbers: numbers(MostMembers)}, 2},
+		"all that there may be":   {Change{Kind: Renumber, Numbers: numbers(MaxMembers)}, 2},
 	} {
-		if got := c.change.Needs(); got != c.needs {
+		if got := c.change.RequiredForm(); got != c.needs {
 			t.Errorf("%s: form %d; wanted %d", name, got, c.needs)
 		}
 		s := NewState()
@@ -384,16 +384,16 @@
 		if a := s.Propose(&c.change); a.Version == 0 || s.Form != c.needs {
 			t.Errorf("%s: %+v, form %d", name, a, s.Form)
 		}
-		if err := s.Sound(); err != nil {
+		if err := s.Validate(); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if err := (&Change{ID: "1", Kind: Number, Numbers: numbers(MostMembers + 1)}).Check(); err == nil {
+	if err := (&Change{ID: "1", Kind: Renumber, Numbers: numbers(MaxMembers + 1)}).Validate(); err == nil {
 		t.Error("more numbers than MaxMembers are valid")
 	}
 	// The size bound of form 1 applies until a change requires form 2.
-	long := &Change{ID: "1", Kind: Drop}
-	for i := range MostDropped {
+	long := &Change{ID: "1", Kind: AllowDrop}
+	for i := range MaxDroppable {
 		long.Servers = append(long.Servers, fmt.Sprintf("%0200d", i))
 	}
 	s := NewState()
@@ -407,6 +407,6 @@
 	s.Propose(&Change{ID: "3", Kind: Suspend, Server: "a", Form: 2})
 	long.ID = "4"
 	if a := s.Propose(long); a.Version == 0 {
-		t.Errorf("a document of 126 KiB is rejected under form 2: %s", a.No)
+		t.Errorf("a document of 126 KiB is rejected under form 2: %s", a.Rejection)
 	}
 }
--- a/internal/cluster/rules/digest.go
+++ b/internal/cluster/rules/digest.go
@@ -81,11 +81,11 @@
 	c.appendText(change.ID)
 	c.appendUint(uint64(change.Kind))
 	c.appendText(change.Server)
-	c.appendUint(change.To)
+	c.appendUint(change.ToVersion)
 	c.appendText(change.Who)
 	c.appendText(change.Why)
 	c.appendUint(uint64(change.At))
-	c.appendUint(change.On)
+	c.appendUint(change.BaseVersion)
 	c.appendUint(uint64(change.Form))
 }
 
@@ -108,7 +108,7 @@
 	if sameMap(v.Doc.Numbers, base.Doc.Numbers) {
 		digests.numbers = baseDigests.numbers
 	}
-	if sameSlice(v.Doc.Dropped, base.Doc.Dropped) {
+	if sameSlice(v.Doc.Droppable, base.Doc.Droppable) {
 		digests.dropped = baseDigests.dropped
 	}
 	if digests.bans == 0 {
@@ -121,7 +121,7 @@
 		digests.numbers = digestMap(v.Doc.Numbers, writeNumber)
 	}
 	if digests.dropped == 0 {
-		digests.dropped = digestDropped(v.Doc.Dropped)
+		digests.dropped = digestDropped(v.Doc.Droppable)
 	}
 	var c canonical
 	c.appendUint(v.Number)
@@ -145,10 +145,10 @@
 }
 
 // Digest returns the digest of the status: of its log, term, form and versions, with the version in force first.
-func (s *Standing) Digest() Digest {
+func (s *Status) Digest() Digest {
 	var c canonical
 	c.appendUint(s.Log)
-	c.appendUint(s.Reign)
+	c.appendUint(s.Term)
 	c.appendUint(uint64(max(s.Form, 1)))
 	c.appendUint(uint64(s.InForce.Digest()))
 	for i := range s.Pending {
@@ -159,7 +159,7 @@
 
 // Compact makes successive versions share their equal parts and computes the digests. It is called once for a status that was
 // received or read from disk, before any other goroutine reads it.
-func (s *Standing) Compact() { compactVersions(&s.InForce, s.Pending) }
+func (s *Status) Compact() { compactVersions(&s.InForce, s.Pending) }
 
 // Compact does the same as Status.Compact for the whole state, including the history.
 func (s *State) Compact() {
@@ -169,7 +169,7 @@
 		shareParts(&s.InForce, newest)
 		s.InForce.computeDigests(newest)
 	}
-	s.Standing.Compact()
+	s.Status.Compact()
 }
 
 func compactVersions(first *Version, rest []Version) {
@@ -194,8 +194,8 @@
 	if maps.Equal(v.Doc.Numbers, other.Doc.Numbers) {
 		v.Doc.Numbers = other.Doc.Numbers
 	}
-	if slices.Equal(v.Doc.Dropped, other.Doc.Dropped) {
-		v.Doc.Dropped = other.Doc.Dropped
+	if slices.Equal(v.Doc.Droppable, other.Doc.Droppable) {
+		v.Doc.Droppable = other.Doc.Droppable
 	}
 }
 
