--- a/internal/cluster/rules/rules.go
+++ b/internal/cluster/rules/rules.go
@@ -20,19 +20,19 @@
 
 // Bounds of a document and of a change. A change that exceeds them is rejected.
 const (
-	MostBans    = 1000
-	MostClasses = 512  // under form 2
-	MostMembers = 4096 // under form 2; the default bound of a view of the fleet
-	MostDropped = 1000 // servers that discovery lists may omit
-	MostID      = 256  // of a backend's ID, a class name or a member name
-	MostWhy     = 200  // of a reason
+	MaxBans        = 1000
+	MaxClasses     = 512  // under form 2
+	MaxMembers     = 4096 // under form 2; the default bound of a view of the fleet
+	MaxDroppable   = 1000 // servers that discovery lists may omit
+	MaxIDBytes     = 256  // of a backend's ID, a class name or a member name
+	MaxReasonBytes = 200  // of a reason
 	// MostDocument bounds the texts in a document, under form 2. A status with 17 such documents and a history fits into a message of
 	// 4 MiB, and 4,096 numbers for names of 24 bytes fit into a document.
-	MostDocument    = 160 << 10
-	MostPending     = 16      // changes pending at one time
-	maxHistory      = 64      // versions that a rollback can restore
-	maxHistoryBytes = 1 << 20 // of the texts in the history
-	maxAnswers      = 256     // proposals whose answers are kept, to recognize repeated proposals
+	MaxDocumentBytes = 160 << 10
+	MaxPending       = 16      // changes pending at one time
+	maxHistory       = 64      // versions that a rollback can restore
+	maxHistoryBytes  = 1 << 20 // of the texts in the history
+	maxAnswers       = 256     // proposals whose answers are kept, to recognize repeated proposals
 )
 
 // The bounds of documents of form 1.
@@ -57,7 +57,7 @@
 }
 
 // Every applies to all classes; the entry of a single class cannot allow what it forbids.
-const Every = "*"
+const AllClasses = "*"
 
 // Settings is the part of a document that a Configure change replaces as a whole.
 type Settings struct {
@@ -74,7 +74,7 @@
 	Settings `cbor:"2,keyasint"`
 	// Droppable holds, sorted, the servers that lists may omit because an operator allowed it. A proxy that still uses such a
 	// server, although a list held for confirmation omits it, stops using it.
-	Dropped []string `cbor:"3,keyasint,omitempty" json:"dropped,omitempty"`
+	Droppable []string `cbor:"3,keyasint,omitempty" json:"dropped,omitempty"`
 }
 
 // size returns the approximate encoded size of the document in bytes.
@@ -89,51 +89,51 @@
 	for name := range d.Numbers {
 		n += len(name) + each
 	}
-	for _, id := range d.Dropped {
+	for _, id := range d.Droppable {
 		n += len(id) + each
 	}
 	return n
 }
 
 // Decision is the result of checking one send against a document or a proxy's lease.
-type Ruling uint8
+type Decision uint8
 
 // The possible decisions.
 const (
-	Allowed  Ruling = iota
-	Banned          // the backend is banned
-	NoRepeat        // the request may have run
-	Closed          // the class is closed to requests
-	NoLease         // no voter has confirmed these rules since the process started or was paused
+	Allowed  Decision = iota
+	Banned            // the backend is banned
+	NoRepeat          // the request may have run
+	Closed            // the class is closed to requests
+	NoLease           // no voter has confirmed these rules since the process started or was paused
 )
 
-func (r Ruling) String() string {
+func (r Decision) String() string {
 	return [...]string{"allowed", "banned", "no repeat", "closed", "no lease"}[r]
 }
 
 // Send describes the action that rules apply to: sending one request to one backend.
 type Send struct {
 	Server, Class string
-	Again         bool // an earlier attempt of the request may have run
-	Held          bool // the newest list omits the backend and is held for confirmation (package lists)
+	MayHaveRun    bool // an earlier attempt of the request may have run
+	DropHeld      bool // the newest list omits the backend and is held for confirmation (package lists)
 }
 
 // DecisionBasis says which rules a decision is based on.
-type Ground struct {
+type DecisionBasis struct {
 	Version uint64 // the newest known version
 	Leased  bool   // the proxy held a lease from the voters
 }
 
 // Decide reports whether a send is allowed.
-func (d *Document) Rule(s Send) Ruling {
-	if _, out := d.Bans[s.Server]; out || s.Held && d.MayDrop(s.Server) {
+func (d *Document) Decide(s Send) Decision {
+	if _, out := d.Bans[s.Server]; out || s.DropHeld && d.MayDrop(s.Server) {
 		return Banned
 	}
-	class, all := d.Classes[s.Class], d.Classes[Every]
+	class, all := d.Classes[s.Class], d.Classes[AllClasses]
 	switch {
 	case class.Closed || all.Closed:
 		return Closed
-	case s.Again && (class.NoRepeat || all.NoRepeat):
+	case s.MayHaveRun && (class.NoRepeat || all.NoRepeat):
 		return NoRepeat
 	}
 	return Allowed
@@ -141,12 +141,12 @@
 
 // MayDrop reports whether a list may omit a server.
 func (d *Document) MayDrop(id string) bool {
-	_, found := slices.BinarySearch(d.Dropped, id)
+	_, found := slices.BinarySearch(d.Droppable, id)
 	return found
 }
 
 // QuotaShare returns the share of their configured quotas that tenants get.
-func (s *Settings) Share() float64 {
+func (s *Settings) QuotaShare() float64 {
 	if s.Quota == 0 {
 		return 1
 	}
@@ -160,14 +160,14 @@
 	if a == b {
 		return a
 	}
-	m := &Document{Bans: meetBans(a.Bans, b.Bans), Dropped: meetDropped(a.Dropped, b.Dropped)}
+	m := &Document{Bans: meetBans(a.Bans, b.Bans), Droppable: meetDropped(a.Droppable, b.Droppable)}
 	m.Classes, m.Numbers, m.Quota = meetClasses(a.Classes, b.Classes), meetNumbers(a.Numbers, b.Numbers), meetQuota(a, b)
 	return m
 }
 
 // meetQuota returns the smaller quota share, with 0 for 1.
 func meetQuota(a, b *Document) float64 {
-	if q := min(a.Share(), b.Share()); q < 1 {
+	if q := min(a.QuotaShare(), b.QuotaShare()); q < 1 {
 		return q
 	}
 	return 0
@@ -234,8 +234,8 @@
 
 // Unleased returns the rules for a proxy without a lease, which may not know the newest document: the rules that it knows, with
 // no repeated sends, because a newer document may forbid them for any class.
-func Unknowing(d *Document) *Document {
-	return Meet(d, &Document{Settings: Settings{Classes: map[string]Class{Every: {NoRepeat: true}}}})
+func Unleased(d *Document) *Document {
+	return Meet(d, &Document{Settings: Settings{Classes: map[string]Class{AllClasses: {NoRepeat: true}}}})
 }
 
 // Breaches describes the actions that one document allows and the other forbids; there are none if the first is at least as
@@ -247,12 +247,12 @@
 			found = append(found, "sends to "+id)
 		}
 	}
-	for _, id := range forbids.Dropped {
+	for _, id := range forbids.Droppable {
 		if _, out := acts.Bans[id]; !out && !acts.MayDrop(id) {
 			found = append(found, "holds "+id)
 		}
 	}
-	all, strict := acts.Classes[Every], forbids.Classes[Every]
+	all, strict := acts.Classes[AllClasses], forbids.Classes[AllClasses]
 	if all.Closed {
 		return found[:0] // the proxy sends nothing
 	}
@@ -264,7 +264,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(forbids.Classes)) {
 		a, f := acts.Classes[name], forbids.Classes[name]
-		if name == Every || a.Closed {
+		if name == AllClasses || a.Closed {
 			continue
 		}
 		if f.NoRepeat && !a.NoRepeat && !all.NoRepeat {
@@ -274,8 +274,8 @@
 			found = append(found, "serves "+name)
 		}
 	}
-	if acts.Share() > forbids.Share() {
-		found = append(found, fmt.Sprintf("gives quotas of %v", acts.Share()))
+	if acts.QuotaShare() > forbids.QuotaShare() {
+		found = append(found, fmt.Sprintf("gives quotas of %v", acts.QuotaShare()))
 	}
 	holders := map[int]string{}
 	for name, n := range forbids.Numbers {
@@ -302,12 +302,12 @@
 			d = append(d, "- "+id+" is out")
 		}
 	}
-	for _, id := range b.Dropped {
+	for _, id := range b.Droppable {
 		if !a.MayDrop(id) {
 			d = append(d, "+ lists may drop "+id)
 		}
 	}
-	for _, id := range a.Dropped {
+	for _, id := range a.Droppable {
 		if !b.MayDrop(id) {
 			d = append(d, "- lists may drop "+id)
 		}
@@ -322,8 +322,8 @@
 			d = append(d, fmt.Sprintf("~ class %s: %s, was %s", name, is, was))
 		}
 	}
-	if a.Share() != b.Share() {
-		d = append(d, fmt.Sprintf("~ quota: %v, was %v", b.Share(), a.Share()))
+	if a.QuotaShare() != b.QuotaShare() {
+		d = append(d, fmt.Sprintf("~ quota: %v, was %v", b.QuotaShare(), a.QuotaShare()))
 	}
 	numbers := maps.Clone(a.Numbers)
 	if numbers == nil {
@@ -356,14 +356,14 @@
 }
 
 // Validate returns all errors in the settings. Each error names the faulty entry and the allowed values.
-func (s *Settings) Check() error {
+func (s *Settings) Validate() error {
 	var errs []error
 	bad := func(format string, a ...any) { errs = append(errs, fmt.Errorf(format, a...)) }
-	if len(s.Classes) > MostClasses {
-		bad("class: %d of them; %d at most", len(s.Classes), MostClasses)
+	if len(s.Classes) > MaxClasses {
+		bad("class: %d of them; %d at most", len(s.Classes), MaxClasses)
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Classes)) {
-		if err := checkText(name, MostID, false); err != nil {
+		if err := checkText(name, MaxIDBytes, false); err != nil {
 			bad("class %.40q: %w", name, err)
 		}
 	}
@@ -380,8 +380,8 @@
 func checkNumbers(numbers map[string]int) error {
 	var errs []error
 	bad := func(format string, a ...any) { errs = append(errs, fmt.Errorf(format, a...)) }
-	if len(numbers) > MostMembers {
-		bad("number: %d of them; %d at most", len(numbers), MostMembers)
+	if len(numbers) > MaxMembers {
+		bad("number: %d of them; %d at most", len(numbers), MaxMembers)
 	}
 	holder := make(map[int]string, len(numbers)) // by number; the first name in alphabetical order
 	for name, n := range numbers {
@@ -391,14 +391,14 @@
 	}
 	var faulty []string // usually empty, so only the faulty names are sorted
 	for name, n := range numbers {
-		if n < 0 || holder[n] != name || checkText(name, MostID, false) != nil {
+		if n < 0 || holder[n] != name || checkText(name, MaxIDBytes, false) != nil {
 			faulty = append(faulty, name)
 		}
 	}
 	slices.Sort(faulty)
 	for _, name := range faulty {
 		n := numbers[name]
-		if err := checkText(name, MostID, false); err != nil {
+		if err := checkText(name, MaxIDBytes, false); err != nil {
 			bad("number of %.40q: %w", name, err)
 		}
 		if n < 0 {
--- a/internal/cluster/rules/rules_test.go
+++ b/internal/cluster/rules/rules_test.go
@@ -16,12 +16,12 @@
 	for _, id := range rapid.SliceOfDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), rapid.ID).Draw(t, "bans") {
 		d.Bans[id] = Ban{Why: "drawn"}
 	}
-	d.Classes = rapid.MapOf(rapid.SampledFrom([]string{"hold", "search", Every}), rapid.Custom(func(t *rapid.T) Class {
+	d.Classes = rapid.MapOf(rapid.SampledFrom([]string{"hold", "search", AllClasses}), rapid.Custom(func(t *rapid.T) Class {
 		return Class{NoRepeat: rapid.Bool().Draw(t, "no repeat"), Closed: rapid.Bool().Draw(t, "closed")}
 	})).Draw(t, "classes")
 	d.Quota = rapid.SampledFrom([]float64{0, 0.5, 1}).Draw(t, "quota")
 	d.Numbers = rapid.MapOfNValues(rapid.SampledFrom([]int{0, 1, 2}), 0, 3, func(n int) string { return fmt.Sprint("n", n%2) }).Draw(t, "numbers")
-	d.Dropped = rapid.SampledFrom([][]string{nil, {"a"}, {"b", "d"}}).Draw(t, "dropped")
+	d.Droppable = rapid.SampledFrom([][]string{nil, {"a"}, {"b", "d"}}).Draw(t, "dropped")
 	return d
 })
 
@@ -39,14 +39,14 @@
 		for _, server := range []string{"a", "b", "c", "d"} {
 			for _, class := range []string{"hold", "search", "other"} {
 				for n := range 4 {
-					s := Send{Server: server, Class: class, Again: n&1 > 0, Held: n&2 > 0}
-					if both := a.Rule(s) == Allowed && b.Rule(s) == Allowed; both != (m.Rule(s) == Allowed) {
-						t.Fatalf("%+v: %v and %v, but %v under the meet", s, a.Rule(s), b.Rule(s), m.Rule(s))
+					s := Send{Server: server, Class: class, MayHaveRun: n&1 > 0, DropHeld: n&2 > 0}
+					if both := a.Decide(s) == Allowed && b.Decide(s) == Allowed; both != (m.Decide(s) == Allowed) {
+						t.Fatalf("%+v: %v and %v, but %v under the meet", s, a.Decide(s), b.Decide(s), m.Decide(s))
 					}
 				}
 			}
 		}
-		if v := Unknowing(a); v.Rule(Send{Server: "d", Class: "other", Again: true}) != NoRepeat && v.Rule(Send{Server: "d", Class: "other", Again: true}) != Closed {
+		if v := Unleased(a); v.Decide(Send{Server: "d", Class: "other", MayHaveRun: true}) != NoRepeat && v.Decide(Send{Server: "d", Class: "other", MayHaveRun: true}) != Closed {
 			t.Fatal("a proxy without a lease may repeat a send")
 		}
 	})
@@ -62,7 +62,7 @@
 			want = Meet(want, &s.Pending[i].Doc)
 		}
 		got := s.Meet()
-		if d := Diff(want, got); len(d) > 0 || got.Share() != want.Share() {
+		if d := Diff(want, got); len(d) > 0 || got.QuotaShare() != want.QuotaShare() {
 			t.Fatalf("the meets differ: %q", d)
 		}
 		for _, v := range s.versions() {
@@ -96,16 +96,16 @@
 	suspend := func(id, server string) *Change {
 		return &Change{ID: id, Kind: Suspend, Server: server, Who: "ops", Why: "disk"}
 	}
-	if a := s.Propose(suspend("1", "a")); a.Version != 2 || a.No != "" {
+	if a := s.Propose(suspend("1", "a")); a.Version != 2 || a.Rejection != "" {
 		t.Fatalf("%+v", a)
 	}
 	if a := s.Propose(suspend("1", "a")); a.Version != 2 || len(s.Pending) != 1 {
 		t.Errorf("the same change twice: %+v, %d pending", a, len(s.Pending))
 	}
-	if a := s.Propose(&Change{ID: "2", Kind: Resume, Server: "b"}); a.Version != 0 || !strings.Contains(a.No, "is not out") {
+	if a := s.Propose(&Change{ID: "2", Kind: Resume, Server: "b"}); a.Version != 0 || !strings.Contains(a.Rejection, "is not out") {
 		t.Errorf("%+v", a)
 	}
-	if a := s.Propose(&Change{ID: "3", Kind: Suspend, Server: "b", On: 1}); a.Version != 0 || !strings.Contains(a.No, "the newest is 2") {
+	if a := s.Propose(&Change{ID: "3", Kind: Suspend, Server: "b", BaseVersion: 1}); a.Version != 0 || !strings.Contains(a.Rejection, "the newest is 2") {
 		t.Errorf("a change for an older version: %+v", a)
 	}
 	s.Propose(suspend("4", "b"))
@@ -116,7 +116,7 @@
 		t.Errorf("version %d in force, %d pending", s.InForce.Number, len(s.Pending))
 	}
 	s.Enforce(3)
-	if a := s.Propose(&Change{ID: "5", Kind: GoBack, To: 2}); a.Version != 4 {
+	if a := s.Propose(&Change{ID: "5", Kind: Rollback, ToVersion: 2}); a.Version != 4 {
 		t.Fatalf("%+v", a)
 	}
 	s.Enforce(4)
@@ -124,28 +124,28 @@
 		t.Errorf("bans after a rollback: %q", got)
 	}
 	numbers := map[string]int{"n1": 0, "n2": 1}
-	s.Propose(&Change{ID: "7", Kind: Number, Numbers: numbers})
-	s.Propose(&Change{ID: "8", Kind: Drop, Servers: []string{"z", "a", "z"}})
+	s.Propose(&Change{ID: "7", Kind: Renumber, Numbers: numbers})
+	s.Propose(&Change{ID: "8", Kind: AllowDrop, Servers: []string{"z", "a", "z"}})
 	s.Propose(&Change{ID: "9", Kind: Configure, Settings: &Settings{Quota: 0.5}})
 	s.Enforce(s.Last())
-	if d := &s.InForce.Doc; !maps.Equal(d.Numbers, numbers) || !slices.Equal(d.Dropped, []string{"a", "z"}) || d.Quota != 0.5 {
+	if d := &s.InForce.Doc; !maps.Equal(d.Numbers, numbers) || !slices.Equal(d.Droppable, []string{"a", "z"}) || d.Quota != 0.5 {
 		t.Errorf("after settings without numbers: %+v", d)
 	}
-	for _, c := range []*Change{{ID: "10", Kind: Number, Numbers: numbers}, {ID: "11", Kind: Drop, Servers: []string{"z", "a"}}} {
+	for _, c := range []*Change{{ID: "10", Kind: Renumber, Numbers: numbers}, {ID: "11", Kind: AllowDrop, Servers: []string{"z", "a"}}} {
 		if a := s.Propose(c); a.Version != 0 {
 			t.Errorf("a change without effect is accepted: %+v", a)
 		}
 	}
-	if a := s.Propose(&Change{ID: "6", Kind: GoBack, To: 99}); !strings.Contains(a.No, "is not kept") {
+	if a := s.Propose(&Change{ID: "6", Kind: Rollback, ToVersion: 99}); !strings.Contains(a.Rejection, "is not kept") {
 		t.Errorf("%+v", a)
 	}
-	for i := range MostPending + 1 {
+	for i := range MaxPending + 1 {
 		s.Propose(suspend(fmt.Sprint("many", i), fmt.Sprint("node", i)))
 	}
-	if len(s.Pending) != MostPending {
+	if len(s.Pending) != MaxPending {
 		t.Errorf("%d pending", len(s.Pending))
 	}
-	if err := s.Sound(); err != nil {
+	if err := s.Validate(); err != nil {
 		t.Error(err)
 	}
 }
@@ -157,13 +157,13 @@
 		"not plain text":          {ID: "1", Kind: Suspend, Server: "a\n"},
 		"no settings":             {ID: "1", Kind: Configure},
 		"no kind 9":               {ID: "1", Kind: 9},
-		"no version to go back":   {ID: "1", Kind: GoBack},
+		"no version to go back":   {ID: "1", Kind: Rollback},
 		"above 0 and up to 1":     {ID: "1", Kind: Configure, Settings: &Settings{Quota: 2}},
 		"is n1's; no two may":     {ID: "1", Kind: Configure, Settings: &Settings{Numbers: map[string]int{"n1": 4, "n2": 4}}},
 		"number of n1: -1 is bel": {ID: "1", Kind: Configure, Settings: &Settings{Numbers: map[string]int{"n1": -1}}},
 		"over 200 bytes":          {ID: "1", Kind: Suspend, Server: "a", Why: strings.Repeat("x", 201)},
 	} {
-		if err := c.Check(); err == nil || !strings.Contains(err.Error(), want) {
+		if err := c.Validate(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v; wanted %q", err, want)
 		}
 	}
@@ -176,7 +176,7 @@
 	for i := range 1400 {
 		numbers[fmt.Sprintf("proxy-%04d", i)] = i
 	}
-	s.Propose(&Change{ID: "numbers", Kind: Number, Numbers: numbers, Form: 2})
+	s.Propose(&Change{ID: "numbers", Kind: Renumber, Numbers: numbers, Form: 2})
 	s.Enforce(s.Last())
 	for i := range maxHistory {
 		s.Propose(&Change{ID: fmt.Sprint(i), Kind: Suspend, Server: fmt.Sprint("node-", i)})
@@ -194,14 +194,14 @@
 func TestStateSizeBounds(t *testing.T) {
 	s := NewState()
 	refused := 0
-	for i := range MostBans + 200 {
-		c := &Change{ID: fmt.Sprint(i), Kind: Suspend, Server: fmt.Sprintf("node-%04d", i), Why: strings.Repeat("x", MostWhy)}
+	for i := range MaxBans + 200 {
+		c := &Change{ID: fmt.Sprint(i), Kind: Suspend, Server: fmt.Sprintf("node-%04d", i), Why: strings.Repeat("x", MaxReasonBytes)}
 		if a := s.Propose(c); a.Version == 0 {
 			refused++
 		}
 		s.Enforce(s.Last())
 	}
-	if n := s.InForce.Doc.size(); n > MostDocument || refused == 0 {
+	if n := s.InForce.Doc.size(); n > MaxDocumentBytes || refused == 0 {
 		t.Errorf("a document of %d bytes, %d changes rejected", n, refused)
 	}
 	text, err := cbor.Marshal(s)
--- a/internal/cluster/rules/state.go
+++ b/internal/cluster/rules/state.go
@@ -16,39 +16,39 @@
 	Suspend   Kind = iota + 1 // bans Server
 	Resume                    // lifts the ban of Server
 	Configure                 // replaces the settings; the numbers only if it has any
-	GoBack                    // restores the document of version ToVersion
-	Number                    // replaces only the proxies' assigned numbers
-	Drop                      // allows lists to omit exactly the servers in Servers
+	Rollback                  // restores the document of version ToVersion
+	Renumber                  // replaces only the proxies' assigned numbers
+	AllowDrop                 // allows lists to omit exactly the servers in Servers
 )
 
 // Change is a proposed change of the document.
 type Change struct {
 	// ID is drawn at random by the proposer. Two proposals with the same ID are the same change.
-	ID       string        `cbor:"1,keyasint" json:"id"`
-	Kind     Kind          `cbor:"2,keyasint" json:"kind"`
-	Server   string        `cbor:"3,keyasint,omitempty" json:"server,omitempty"`
-	Settings *Settings     `cbor:"4,keyasint,omitempty" json:"settings,omitempty"`
-	To       uint64        `cbor:"5,keyasint,omitempty" json:"to,omitempty"`
-	Who      string        `cbor:"6,keyasint,omitempty" json:"who"`
-	Why      string        `cbor:"7,keyasint,omitempty" json:"why"`
-	At       time.Duration `cbor:"8,keyasint,omitempty" json:"at"` // Unix time on the proposer's clock; informational only
+	ID        string        `cbor:"1,keyasint" json:"id"`
+	Kind      Kind          `cbor:"2,keyasint" json:"kind"`
+	Server    string        `cbor:"3,keyasint,omitempty" json:"server,omitempty"`
+	Settings  *Settings     `cbor:"4,keyasint,omitempty" json:"settings,omitempty"`
+	ToVersion uint64        `cbor:"5,keyasint,omitempty" json:"to,omitempty"`
+	Who       string        `cbor:"6,keyasint,omitempty" json:"who"`
+	Why       string        `cbor:"7,keyasint,omitempty" json:"why"`
+	At        time.Duration `cbor:"8,keyasint,omitempty" json:"at"` // Unix time on the proposer's clock; informational only
 	// Numbers belongs to a Renumber change, Servers to an AllowDrop change.
 	Numbers map[string]int `cbor:"10,keyasint,omitempty" json:"numbers,omitempty"`
 	Servers []string       `cbor:"11,keyasint,omitempty" json:"servers,omitempty"`
 	// Form is the document form that a proxy must support to understand the change; 0 means 1. See CurrentForm.
 	Form uint8 `cbor:"12,keyasint,omitempty" json:"form,omitempty"`
 	// BaseVersion is the version that the change was made for; 0 for any. The change is rejected if it is no longer the newest.
-	On uint64 `cbor:"9,keyasint,omitempty" json:"on,omitempty"`
+	BaseVersion uint64 `cbor:"9,keyasint,omitempty" json:"on,omitempty"`
 }
 
 // CurrentForm is the latest document form that this version of the program supports. A proxy doesn't act on a document of a later
 // form, because the part that it doesn't understand forbids something. The form increases with each new kind of change, each new
 // part of a document and each raised bound, as a replica must not reject what others accept. Form 2 has higher bounds than form 1.
-const Form = 2
+const CurrentForm = 2
 
 // RequiredForm returns the form that is needed to understand the change: the form that its proposer states, or at least form 2 if the
 // change exceeds the bounds of form 1.
-func (c *Change) Needs() uint8 {
+func (c *Change) RequiredForm() uint8 {
 	numbers, classes := len(c.Numbers), 0
 	if c.Settings != nil {
 		numbers, classes = max(numbers, len(c.Settings.Numbers)), len(c.Settings.Classes)
@@ -64,44 +64,44 @@
 	if form < 2 {
 		return form1Document
 	}
-	return MostDocument
+	return MaxDocumentBytes
 }
 
 // Validate checks a change on its own, without the state that it applies to.
-func (c *Change) Check() error {
+func (c *Change) Validate() error {
 	if err := checkText(c.ID, 64, false); err != nil {
 		return fmt.Errorf("change: id: %w", err)
 	}
-	if err := checkText(c.Who, MostID, true); err != nil {
+	if err := checkText(c.Who, MaxIDBytes, true); err != nil {
 		return fmt.Errorf("change: who: %w", err)
 	}
-	if err := checkText(c.Why, MostWhy, true); err != nil {
+	if err := checkText(c.Why, MaxReasonBytes, true); err != nil {
 		return fmt.Errorf("change: why: %w", err)
 	}
 	switch c.Kind {
 	case Suspend, Resume:
-		if err := checkText(c.Server, MostID, false); err != nil {
+		if err := checkText(c.Server, MaxIDBytes, false); err != nil {
 			return fmt.Errorf("change: backend: %w", err)
 		}
 	case Configure:
 		if c.Settings == nil {
 			return errors.New("change: no settings")
 		}
-		return c.Settings.Check()
-	case GoBack:
-		if c.To == 0 {
+		return c.Settings.Validate()
+	case Rollback:
+		if c.ToVersion == 0 {
 			return errors.New("change: no version to go back to")
 		}
-	case Number:
+	case Renumber:
 		if err := checkNumbers(c.Numbers); err != nil {
 			return fmt.Errorf("change: %w", err)
 		}
-	case Drop:
-		if len(c.Servers) > MostDropped {
-			return fmt.Errorf("change: %d servers; %d at most: let go of them in parts, each once the one before is in force", len(c.Servers), MostDropped)
+	case AllowDrop:
+		if len(c.Servers) > MaxDroppable {
+			return fmt.Errorf("change: %d servers; %d at most: let go of them in parts, each once the one before is in force", len(c.Servers), MaxDroppable)
 		}
 		for _, id := range c.Servers {
-			if err := checkText(id, MostID, false); err != nil {
+			if err := checkText(id, MaxIDBytes, false); err != nil {
 				return fmt.Errorf("change: backend %.40q: %w", id, err)
 			}
 		}
@@ -130,11 +130,11 @@
 }
 
 // Status holds the versions that a proxy acts on: the version in force and the pending ones, each based on its predecessor.
-type Standing struct {
+type Status struct {
 	// Log is an ID drawn at random when the voters' log is created. Versions of different logs are unrelated.
 	Log uint64 `cbor:"5,keyasint,omitempty" json:"log"`
 	// Term counts how often an operator had a single voter refound the log because the majority was permanently lost.
-	Reign uint64 `cbor:"6,keyasint,omitempty" json:"reign,omitempty"`
+	Term uint64 `cbor:"6,keyasint,omitempty" json:"reign,omitempty"`
 	// Form is the highest form that any change so far has required; 0 means 1.
 	Form    uint8     `cbor:"7,keyasint,omitempty" json:"form,omitempty"`
 	InForce Version   `cbor:"1,keyasint" json:"in_force"`
@@ -142,10 +142,10 @@
 }
 
 // Last returns the number of the newest version.
-func (s *Standing) Last() uint64 { return s.newest().Number }
+func (s *Status) Last() uint64 { return s.newest().Number }
 
 // newest returns the newest version.
-func (s *Standing) newest() *Version {
+func (s *Status) newest() *Version {
 	if n := len(s.Pending); n > 0 {
 		return &s.Pending[n-1]
 	}
@@ -154,17 +154,17 @@
 
 // NewerThan reports whether the status is newer than another of the same log: its newest version is later, or that is equal and
 // a later version is in force.
-func (s *Standing) NewerThan(o *Standing) bool {
+func (s *Status) NewerThan(o *Status) bool {
 	return (s.Log == o.Log || o.Log == 0) && (s.Last() > o.Last() || s.Last() == o.Last() && s.InForce.Number > o.InForce.Number)
 }
 
 // Copy returns a copy that may be passed on. The copy shares the documents, which are immutable.
-func (s *Standing) Share() *Standing {
-	return &Standing{Log: s.Log, Reign: s.Reign, Form: s.Form, InForce: s.InForce, Pending: slices.Clone(s.Pending)}
+func (s *Status) Copy() *Status {
+	return &Status{Log: s.Log, Term: s.Term, Form: s.Form, InForce: s.InForce, Pending: slices.Clone(s.Pending)}
 }
 
 // Meet returns the meet of the version in force and all pending versions.
-func (s *Standing) Meet() *Document {
+func (s *Status) Meet() *Document {
 	met := s.InForce.Doc // a copy, as the status itself may change later
 	before := &s.InForce.Doc
 	for i := range s.Pending {
@@ -187,14 +187,14 @@
 	if !sameMap(other.Numbers, before.Numbers) {
 		d.Numbers = meetNumbers(d.Numbers, other.Numbers)
 	}
-	if !sameSlice(other.Dropped, before.Dropped) {
-		d.Dropped = meetDropped(d.Dropped, other.Dropped)
+	if !sameSlice(other.Droppable, before.Droppable) {
+		d.Droppable = meetDropped(d.Droppable, other.Droppable)
 	}
 	d.Quota = meetQuota(d, other)
 }
 
 // Validate checks a status that was received from another process or read from disk.
-func (s *Standing) Sound() error {
+func (s *Status) Validate() error {
 	if err := s.validateNumbers(); err != nil {
 		return err
 	}
@@ -213,9 +213,9 @@
 }
 
 // soundNumbers checks the order and the number of the versions.
-func (s *Standing) validateNumbers() error {
-	if len(s.Pending) > MostPending {
-		return fmt.Errorf("status: %d pending versions; %d at most", len(s.Pending), MostPending)
+func (s *Status) validateNumbers() error {
+	if len(s.Pending) > MaxPending {
+		return fmt.Errorf("status: %d pending versions; %d at most", len(s.Pending), MaxPending)
 	}
 	before := s.InForce.Number
 	for i := range s.Pending {
@@ -229,17 +229,17 @@
 
 // sound checks a version. Numbers that it shares with another version, which is valid, are not checked again.
 func (v *Version) validate(other *Version) error {
-	if len(v.Doc.Bans) > MostBans || len(v.Doc.Dropped) > MostDropped {
-		return fmt.Errorf("version %d: %d bans and %d droppable servers; %d and %d at most", v.Number, len(v.Doc.Bans), len(v.Doc.Dropped), MostBans, MostDropped)
+	if len(v.Doc.Bans) > MaxBans || len(v.Doc.Droppable) > MaxDroppable {
+		return fmt.Errorf("version %d: %d bans and %d droppable servers; %d and %d at most", v.Number, len(v.Doc.Bans), len(v.Doc.Droppable), MaxBans, MaxDroppable)
 	}
-	if !slices.IsSorted(v.Doc.Dropped) {
+	if !slices.IsSorted(v.Doc.Droppable) {
 		return fmt.Errorf("version %d: the droppable servers are not sorted", v.Number)
 	}
 	settings := v.Doc.Settings
 	if sameMap(settings.Numbers, other.Doc.Numbers) {
 		settings.Numbers = nil
 	}
-	if err := settings.Check(); err != nil {
+	if err := settings.Validate(); err != nil {
 		return fmt.Errorf("version %d: %w", v.Number, err)
 	}
 	return nil
@@ -247,15 +247,15 @@
 
 // Answer is the outcome of a proposal.
 type Answer struct {
-	ID      string `cbor:"1,keyasint" json:"id"`
-	Version uint64 `cbor:"2,keyasint,omitempty" json:"version,omitempty"` // 0 if the proposal was rejected
-	No      string `cbor:"3,keyasint,omitempty" json:"no,omitempty"`      // the reason for a rejection
+	ID        string `cbor:"1,keyasint" json:"id"`
+	Version   uint64 `cbor:"2,keyasint,omitempty" json:"version,omitempty"` // 0 if the proposal was rejected
+	Rejection string `cbor:"3,keyasint,omitempty" json:"no,omitempty"`      // the reason for a rejection
 }
 
 // State is the replicated state machine of the voters: it is the same at each voter at the same index of their log. Only Propose
 // and Enforce change it.
 type State struct {
-	Standing
+	Status
 	// History holds the latest versions that were in force, the oldest first, including the version in force now.
 	History []Version `cbor:"3,keyasint,omitempty"`
 	Answers []Answer  `cbor:"4,keyasint,omitempty"` // the latest ones, the oldest first
@@ -265,7 +265,7 @@
 func NewState() *State {
 	first := Version{Number: 1}
 	first.computeDigests(nil)
-	return &State{Standing: Standing{InForce: first}, History: []Version{first}}
+	return &State{Status: Status{InForce: first}, History: []Version{first}}
 }
 
 // Clone returns a copy that may be changed. The copy shares the documents, which are immutable.
@@ -285,7 +285,7 @@
 	a := Answer{ID: c.ID}
 	doc, err := s.apply(c)
 	if err != nil {
-		a.No = err.Error()
+		a.Rejection = err.Error()
 	} else {
 		v := Version{Number: s.Last() + 1, Doc: *doc, Change: *c}
 		v.Change.Settings, v.Change.Numbers, v.Change.Servers = nil, nil, nil // the document holds them
@@ -304,25 +304,25 @@
 //
 // Its error texts, including those of Change.Validate, become part of the replicated state and must be the same at all voters.
 func (s *State) apply(c *Change) (*Document, error) {
-	if err := c.Check(); err != nil {
+	if err := c.Validate(); err != nil {
 		return nil, err
 	}
-	if len(s.Pending) >= MostPending {
+	if len(s.Pending) >= MaxPending {
 		return nil, fmt.Errorf("%d changes are on their way; wait for them", len(s.Pending))
 	}
-	if c.Needs() > max(c.Form, 1) {
+	if c.RequiredForm() > max(c.Form, 1) {
 		// An older replica rejects the change because of its bounds, and all replicas must reach the same result.
-		return nil, fmt.Errorf("the change needs form %d of documents, and says that %d is enough", c.Needs(), max(c.Form, 1))
+		return nil, fmt.Errorf("the change needs form %d of documents, and says that %d is enough", c.RequiredForm(), max(c.Form, 1))
 	}
-	if c.On != 0 && c.On != s.Last() {
-		return nil, fmt.Errorf("made for version %d, and the newest is %d; look at it and propose again", c.On, s.Last())
+	if c.BaseVersion != 0 && c.BaseVersion != s.Last() {
+		return nil, fmt.Errorf("made for version %d, and the newest is %d; look at it and propose again", c.BaseVersion, s.Last())
 	}
 	was := s.newest().Doc
 	doc := was
 	_, out := was.Bans[c.Server]
 	switch c.Kind {
 	case Suspend:
-		if !out && len(was.Bans) >= MostBans {
+		if !out && len(was.Bans) >= MaxBans {
 			return nil, fmt.Errorf("%d backends are out; no more can be", len(was.Bans))
 		}
 		doc.Bans = maps.Clone(was.Bans)
@@ -341,21 +341,21 @@
 		if doc.Numbers == nil {
 			doc.Numbers = was.Numbers // settings without numbers leave the numbers unchanged
 		}
-	case Number:
+	case Renumber:
 		if maps.Equal(was.Numbers, c.Numbers) {
 			return nil, errors.New("these are the numbers already")
 		}
 		doc.Numbers = maps.Clone(c.Numbers)
-	case Drop:
+	case AllowDrop:
 		dropped := slices.Compact(slices.Sorted(slices.Values(c.Servers)))
-		if slices.Equal(dropped, was.Dropped) {
+		if slices.Equal(dropped, was.Droppable) {
 			return nil, errors.New("lists may drop just these already")
 		}
-		doc.Dropped = dropped
-	case GoBack:
-		old, found := s.Version(c.To)
+		doc.Droppable = dropped
+	case Rollback:
+		old, found := s.Version(c.ToVersion)
 		if !found {
-			return nil, fmt.Errorf("version %d is not kept; the oldest is %d", c.To, s.History[0].Number)
+			return nil, fmt.Errorf("version %d is not kept; the oldest is %d", c.ToVersion, s.History[0].Number)
 		}
 		doc = old.Doc
 	}
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -139,7 +139,7 @@
 		return proxy.Config{}, fmt.Errorf("settings: %w", err)
 	}
 	return proxy.Config{
-		Listen: c.Listen, Console: c.Console, Discovery: c.Discovery, Seed: c.SeedNumber, Settings: s, Known: c.Known,
+		Listen: c.Listen, Console: c.Console, Discovery: c.Discovery, Seed: c.SeedNumber, Settings: s, CachedList: c.Known,
 		Memory: int64(c.Limits.MemoryMB * (1 << 20)), Sockets: c.Limits.Sockets, Options: o, Log: log,
 	}, nil
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -126,7 +126,7 @@
 	if err != nil {
 		return nil, err
 	}
-	f.OnHand = func(id string, out bool) error { return p.ByHand(ctx, id, out) }
+	f.OnHand = func(id string, out bool) error { return p.SetBanned(ctx, id, out) }
 	serving, stop := context.WithCancel(context.Background())
 	served := make(chan error, 1)
 	go func() { served <- p.Serve(serving) }()
--- a/internal/figures/figures.go
+++ b/internal/figures/figures.go
@@ -28,37 +28,37 @@
 
 // Book is the counts of one proxy, from 0 at its start. All methods may be called at any time; each is one atomic
 // addition. The counts are read one by one, so that two of them may differ by the requests that end meanwhile.
-type Book struct {
+type Counters struct {
 	names  []string
 	class  []class
 	active atomic.Int64
 }
 
 // NewBook returns a book for classes by their numbers.
-func NewBook(classes []string) *Book {
-	return &Book{names: classes, class: make([]class, len(classes))}
+func NewCounters(classes []string) *Counters {
+	return &Counters{names: classes, class: make([]class, len(classes))}
 }
 
 // Taken notes a request that is taken on; Ended must follow.
-func (b *Book) Taken() { b.active.Add(1) }
+func (b *Counters) RequestStarted() { b.active.Add(1) }
 
 // Ended notes that a request which was taken on has ended.
-func (b *Book) Ended() { b.active.Add(-1) }
+func (b *Counters) RequestEnded() { b.active.Add(-1) }
 
 // Count notes a request's one outcome, taken on or turned away at the door.
-func (b *Book) Count(class int, o Outcome) { b.class[class].ended[o].Add(1) }
+func (b *Counters) CountOutcome(class int, o Outcome) { b.class[class].ended[o].Add(1) }
 
 // Try notes an attempt that has been written whole to a backend.
-func (b *Book) Try(class int) { b.class[class].tries.Add(1) }
+func (b *Counters) CountTry(class int) { b.class[class].tries.Add(1) }
 
 // Active is how many requests are taken on and have not ended.
-func (b *Book) Active() int64 { return b.active.Load() }
+func (b *Counters) Active() int64 { return b.active.Load() }
 
 // Counts is one class's counts.
 type Counts struct{ OK, Shed, Errors, Tries int64 }
 
 // Class is the counts of a class.
-func (b *Book) Class(n int) Counts {
+func (b *Counters) Class(n int) Counts {
 	c := &b.class[n]
 	return Counts{c.ended[Served].Load(), c.ended[Refused].Load(), c.ended[Failed].Load(), c.tries.Load()}
 }
@@ -83,7 +83,7 @@
 }
 
 // Append writes all figures to text, one a line. Classes are in it from the start.
-func (b *Book) Append(text []byte, p Pool) []byte {
+func (b *Counters) Append(text []byte, p Pool) []byte {
 	line := func(name string, value int64, kind byte) {
 		text = AppendLine(text, name, value, kind)
 	}
--- a/internal/figures/figures_test.go
+++ b/internal/figures/figures_test.go
@@ -7,12 +7,12 @@
 )
 
 func TestFormAndClassesFromTheStart(t *testing.T) {
-	b := NewBook([]string{"search", "odd:name|x"})
-	b.Taken()
-	b.Count(0, Served)
-	b.Count(0, Refused)
-	b.Count(0, Refused)
-	b.Try(0)
+	b := NewCounters([]string{"search", "odd:name|x"})
+	b.RequestStarted()
+	b.CountOutcome(0, Served)
+	b.CountOutcome(0, Refused)
+	b.CountOutcome(0, Refused)
+	b.CountTry(0)
 	want := `edge_relay.ok.search:1|c
 edge_relay.shed.search:2|c
 edge_relay.errors.search:0|c
@@ -31,16 +31,16 @@
 }
 
 func TestCountsFromManyGoroutines(t *testing.T) {
-	b := NewBook([]string{"a", "b"})
+	b := NewCounters([]string{"a", "b"})
 	var all sync.WaitGroup
 	for n := range 8 {
 		all.Go(func() {
 			for range 1000 {
-				b.Taken()
-				b.Try(n % 2)
-				b.Count(n%2, Outcome(n)%outcomes)
+				b.RequestStarted()
+				b.CountTry(n % 2)
+				b.CountOutcome(n%2, Outcome(n)%outcomes)
 				b.Append(nil, Pool{})
-				b.Ended()
+				b.RequestEnded()
 			}
 		})
 	}
@@ -56,7 +56,7 @@
 }
 
 func BenchmarkAppend(b *testing.B) {
-	book := NewBook(strings.Fields("search hold record-add"))
+	book := NewCounters(strings.Fields("search hold record-add"))
 	var text []byte
 	for b.Loop() {
 		text = book.Append(text[:0], Pool{20, 1})
--- a/internal/framing/framing.go
+++ b/internal/framing/framing.go
@@ -16,7 +16,7 @@
 // net/http: it follows no further than the first message with a transfer coding, and what it has not plainly
 // seen to be framed by chunks alone is not taken as such. It might turn away a sound chunked message whose
 // head is written in a way that net/http reads and this does not.
-type Follower struct {
+type Tracker struct {
 	line   [64]byte // how the line at hand begins
 	filled int
 	start  bool // the start line has been read
@@ -38,7 +38,7 @@
 )
 
 // Feed takes in the bytes that came next.
-func (f *Follower) Feed(b []byte) {
+func (f *Tracker) Feed(b []byte) {
 	for len(b) > 0 && !f.lost {
 		if f.skip > 0 {
 			n := min(f.skip, int64(len(b)))
@@ -61,7 +61,7 @@
 	}
 }
 
-func (f *Follower) endLine(line []byte) {
+func (f *Tracker) endLine(line []byte) {
 	if len(line) == 0 {
 		if f.start { // net/http turns away an empty line ahead of a head
 			f.endHead()
@@ -89,7 +89,7 @@
 	}
 }
 
-func (f *Follower) endHead() {
+func (f *Tracker) endHead() {
 	if f.afterInterim = f.next; f.next {
 		f.interim++
 	}
@@ -102,18 +102,20 @@
 }
 
 // Interim is how many heads with a 1xx status have come.
-func (f *Follower) Interim() int { return f.interim }
+func (f *Tracker) InterimCount() int { return f.interim }
 
 // AfterInterim says whether a head with a 1xx status has ended and nothing has come behind it yet.
-func (f *Follower) AfterInterim() bool { return f.afterInterim && !f.start && f.filled == 0 && !f.lost }
+func (f *Tracker) AfterInterim() bool { return f.afterInterim && !f.start && f.filled == 0 && !f.lost }
 
 // Chunked says whether the message with which it stopped is framed by chunks and no length.
-func (f *Follower) Chunked() bool { return f.chunked }
+func (f *Tracker) Chunked() bool { return f.chunked }
 
 // Folded says whether a field of any head so far went on in the line behind (RFC 9112, section 5.2, obsolete). net/http
 // joins such lines; whoever does not reads a field of its own there, maybe one that says where the message ends.
-func (f *Follower) Folded() bool { return f.folded }
+func (f *Tracker) Folded() bool { return f.folded }
 
 // Between says whether nothing of a further message has come behind the last. Of messages that it does not follow it
 // cannot be told, and then this is false.
-func (f *Follower) Between() bool { return !f.start && f.filled == 0 && f.skip == 0 && !f.lost }
+func (f *Tracker) AtMessageBoundary() bool {
+	return !f.start && f.filled == 0 && f.skip == 0 && !f.lost
+}
--- a/internal/framing/framing_test.go
+++ b/internal/framing/framing_test.go
@@ -19,7 +19,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for step := 1; step <= len(c.text); step++ {
-				var f Follower
+				var f Tracker
 				for b := []byte(c.text); len(b) > 0; b = b[min(step, len(b)):] {
 					f.Feed(b[:min(step, len(b))])
 				}
@@ -45,10 +45,10 @@
 		"then the answer":     {interim + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", 1, false},
 		"a head not ended":    {"HTTP/1.1 103 Early Hints\r\n", 0, false},
 	} {
-		var f Follower
+		var f Tracker
 		f.Feed([]byte(c.text))
-		if f.Interim() != c.count || f.AfterInterim() != c.after {
-			t.Errorf("%s: %d, after %t; want %d, %t", name, f.Interim(), f.AfterInterim(), c.count, c.after)
+		if f.InterimCount() != c.count || f.AfterInterim() != c.after {
+			t.Errorf("%s: %d, after %t; want %d, %t", name, f.InterimCount(), f.AfterInterim(), c.count, c.after)
 		}
 	}
 }
--- a/internal/framing/fuzz_test.go
+++ b/internal/framing/fuzz_test.go
@@ -8,7 +8,7 @@
 	f.Add([]byte("HTTP/1.1 103 x\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"), uint8(1))
 	f.Add([]byte("GET / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n"), uint8(7))
 	f.Fuzz(func(t *testing.T, text []byte, step uint8) {
-		var whole, parts Follower
+		var whole, parts Tracker
 		whole.Feed(text)
 		n := int(step)%7 + 1
 		for b := text; len(b) > 0; b = b[min(n, len(b)):] {
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -16,9 +16,9 @@
 	switch {
 	case a.class < 0: // no class to count it under
 	case status == http.StatusServiceUnavailable:
-		s.figures.Count(a.class, figures.Refused)
+		s.figures.CountOutcome(a.class, figures.Refused)
 	default:
-		s.figures.Count(a.class, figures.Failed)
+		s.figures.CountOutcome(a.class, figures.Failed)
 	}
 	control := http.NewResponseController(w)
 	control.SetReadDeadline(time.Now().Add(leftoverWait))
@@ -29,11 +29,11 @@
 
 // answer writes the one final answer, and counts it.
 func (s *Front) answer(w http.ResponseWriter, a ask, f host.Final) {
-	if f.Verdict == host.Served && f.Reply.Rest != nil {
+	if f.Verdict == host.Served && f.Reply.Remainder != nil {
 		s.passOn(w, a, f.Reply)
 		return
 	}
-	s.figures.Count(a.class, outcomes[f.Verdict])
+	s.figures.CountOutcome(a.class, outcomes[f.Verdict])
 	control := http.NewResponseController(w)
 	control.SetWriteDeadline(time.Now().Add(s.options.Load().WriteTimeout))
 	header := w.Header()
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -38,7 +38,7 @@
 	class    []balance.Class
 	restart  *restart.Restart
 	options  atomic.Pointer[Options]
-	figures  *figures.Book
+	figures  *figures.Counters
 	channels *channel.Table // nil where there are none
 
 	mu   sync.Mutex
@@ -48,7 +48,7 @@
 }
 
 // New returns a front that hands requests to i. bodies and callers may be shared with other fronts.
-func New(s *settings.Settings, i *host.Instance, bodies *body.Budget, callers *callers.Set, r *restart.Restart, book *figures.Book, o Options) *Front {
+func New(s *settings.Settings, i *host.Instance, bodies *body.Budget, callers *callers.Set, r *restart.Restart, book *figures.Counters, o Options) *Front {
 	srv := &Front{
 		instance: i, bodies: bodies, callers: callers, restart: r, figures: book,
 		classes: map[string]int{}, tenants: map[string]int{}, class: s.Balancer.Classes,
@@ -107,7 +107,7 @@
 	switch {
 	case errors.Is(err, body.ErrTooLarge):
 		return http.StatusRequestEntityTooLarge
-	case errors.Is(err, body.ErrNoRoom):
+	case errors.Is(err, body.ErrNoMemory):
 		return http.StatusServiceUnavailable
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return http.StatusRequestTimeout
@@ -120,11 +120,11 @@
 		w.Header().Set("Connection", "close") // framing does not follow it past the chunks
 	}
 	taken := time.Now()
-	s.figures.Taken()
-	defer s.figures.Ended()
+	s.figures.RequestStarted()
+	defer s.figures.RequestEnded()
 	f := s.await(r, s.submit(r, ask, kept))
 	if f.Verdict == host.Served {
-		s.restart.Answered(time.Since(taken))
+		s.restart.ObserveLatency(time.Since(taken))
 	}
 	s.answer(w, ask, f)
 }
@@ -135,7 +135,7 @@
 	case f := <-q.Final():
 		return f
 	case <-r.Context().Done():
-	case <-s.restart.Over():
+	case <-s.restart.Expired():
 	}
 	s.instance.Drop(q)
 	return <-q.Final()
@@ -147,7 +147,7 @@
 	if c := callers.ConnOf(r); c != nil && kept.Stream() == nil {
 		left -= c.SinceLastData()
 	}
-	return s.instance.Submit(callerOf(r), newMessage(r, a.class, kept), a.class, a.tenant, left, s.restart.Cap(left))
+	return s.instance.Submit(callerOf(r), newMessage(r, a.class, kept), a.class, a.tenant, left, s.restart.RequestTimeCap(left))
 }
 
 // callerOf is who waits for a request's answer; nil where the server does not track its connections.
--- a/internal/front/options.go
+++ b/internal/front/options.go
@@ -87,10 +87,10 @@
 // streamGrace is what a slow caller may take beyond what StreamRate allows.
 const streamGrace = 10 * time.Second
 
-func (o *Options) bodyPace() body.Pace {
-	return body.Pace{Silence: o.BodyTimeout, Grace: o.BodyGrace, Rate: o.BodyRate}
+func (o *Options) bodyPace() body.MinDataRate {
+	return body.MinDataRate{IdleTimeout: o.BodyTimeout, GracePeriod: o.BodyGrace, BytesPerSecond: o.BodyRate}
 }
 
-func (o *Options) streamPace() body.Pace {
-	return body.Pace{Silence: o.StreamTimeout, Grace: streamGrace, Rate: o.StreamRate}
+func (o *Options) streamPace() body.MinDataRate {
+	return body.MinDataRate{IdleTimeout: o.StreamTimeout, GracePeriod: streamGrace, BytesPerSecond: o.StreamRate}
 }
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -25,7 +25,7 @@
 	waited   time.Duration
 }
 
-func newClock(p body.Pace) clock { return clock{transfer: p.Begin(0)} }
+func newClock(p body.MinDataRate) clock { return clock{transfer: p.Begin(0)} }
 
 // deadline is by when the peer must move if it is waited for from now on.
 func (c *clock) deadline(now time.Time) time.Time { return now.Add(c.transfer.Deadline() - c.waited) }
@@ -33,7 +33,7 @@
 // moved takes in that the peer was waited for since begun, and moved n bytes.
 func (c *clock) moved(begun time.Time, n int) {
 	c.waited += time.Since(begun)
-	c.transfer.Moved(c.waited, n)
+	c.transfer.AddBytes(c.waited, n)
 }
 
 // pacedReader reads a caller's body, and gives up on a caller that is silent or far too slow.
@@ -46,7 +46,7 @@
 	stopped bool
 }
 
-func newPacedReader(from io.Reader, control *http.ResponseController, p body.Pace) *pacedReader {
+func newPacedReader(from io.Reader, control *http.ResponseController, p body.MinDataRate) *pacedReader {
 	return &pacedReader{from: from, control: control, clock: newClock(p)}
 }
 
@@ -85,8 +85,8 @@
 func (s *Front) serveStream(w http.ResponseWriter, r *http.Request, a ask, kept *body.Body, rest io.Reader) {
 	control := http.NewResponseController(w)
 	control.EnableFullDuplex()
-	s.figures.Taken()
-	defer s.figures.Ended()
+	s.figures.RequestStarted()
+	defer s.figures.RequestEnded()
 	q := s.submit(r, a, kept)
 	paced := newPacedReader(rest, control, s.options.Load().bodyPace())
 	filled := make(chan error, 1)
@@ -94,7 +94,7 @@
 	filling.Go(func() { filled <- s.fill(kept.Stream(), paced) })
 	defer func() {
 		if filled != nil {
-			kept.Stream().End(body.ErrEnded)
+			kept.Stream().CloseWithError(body.ErrStreamClosed)
 			paced.stop()
 		}
 		filling.Wait()
@@ -122,7 +122,7 @@
 		case <-gone:
 			s.instance.Drop(q)
 			gone = nil
-		case <-s.restart.Over():
+		case <-s.restart.Expired():
 			s.instance.Drop(q)
 			f = <-q.Final()
 			open = false
@@ -132,11 +132,11 @@
 		w.Header().Set("Connection", "close") // where the next request begins is not known, or not followed
 	}
 	if f.Verdict != host.Served {
-		kept.Stream().End(body.ErrEnded) // no attempt wants the rest
+		kept.Stream().CloseWithError(body.ErrStreamClosed) // no attempt wants the rest
 	}
 	s.answer(w, a, f)
 	if filled != nil {
-		kept.Stream().End(body.ErrEnded)
+		kept.Stream().CloseWithError(body.ErrStreamClosed)
 		control.Flush()
 		<-filled // the answer is out; the caller goes on writing
 	}
@@ -145,7 +145,7 @@
 // fill fills a stream from a caller, and goes on reading when nobody wants the body any more.
 func (s *Front) fill(stream *body.Stream, from io.Reader) error {
 	err := stream.Fill(from)
-	if !errors.Is(err, body.ErrEnded) {
+	if !errors.Is(err, body.ErrStreamClosed) {
 		return err
 	}
 	_, err = io.Copy(io.Discard, io.LimitReader(from, body.MaxBytes))
@@ -155,12 +155,12 @@
 // passOn passes an answer on while it comes. One that breaks must not pass for whole: the connection ends within it.
 func (s *Front) passOn(w http.ResponseWriter, a ask, r *backends.Reply) {
 	err := s.copyAnswer(w, r)
-	r.Rest.Close(err)
+	r.Remainder.Close(err)
 	if err == nil {
-		s.figures.Count(a.class, figures.Served)
+		s.figures.CountOutcome(a.class, figures.Served)
 		return
 	}
-	s.figures.Count(a.class, figures.Failed)
+	s.figures.CountOutcome(a.class, figures.Failed)
 	panic(http.ErrAbortHandler)
 }
 
@@ -183,7 +183,7 @@
 		}
 		clock.moved(begun, n)
 		if err != nil {
-			return backends.ErrLeft
+			return backends.ErrCallerLeft
 		}
 		return nil
 	}
@@ -198,7 +198,7 @@
 	piece := pieces.Get().(*[pieceBytes]byte)
 	defer pieces.Put(piece)
 	for {
-		n, err := r.Rest.Read(piece[:])
+		n, err := r.Remainder.Read(piece[:])
 		if n > 0 {
 			if err := write(piece[:n]); err != nil {
 				return err
--- a/internal/front/upgrade.go
+++ b/internal/front/upgrade.go
@@ -46,11 +46,11 @@
 		s.sendAway(w, a, admission)
 		return
 	}
-	s.figures.Taken()
-	defer s.figures.Ended()
+	s.figures.RequestStarted()
+	defer s.figures.RequestEnded()
 	m := newMessage(r, a.class, nil)
 	m.Offer = offer
-	f := s.await(r, s.instance.Submit(callerOf(r), m, a.class, a.tenant, a.left, s.restart.Cap(a.left)))
+	f := s.await(r, s.instance.Submit(callerOf(r), m, a.class, a.tenant, a.left, s.restart.RequestTimeCap(a.left)))
 	if f.Verdict != host.Served {
 		s.channels.OpenFailed(admission)
 		if f.Verdict == host.Refused {
@@ -64,10 +64,10 @@
 	if err := s.change(w, f.Reply.Channel, admission); err != nil {
 		s.channels.OpenFailed(admission)
 		f.Reply.Channel.Conn.Close()
-		s.figures.Count(a.class, figures.Failed)
+		s.figures.CountOutcome(a.class, figures.Failed)
 		return
 	}
-	s.figures.Count(a.class, figures.Served)
+	s.figures.CountOutcome(a.class, figures.Served)
 }
 
 // shown is the ticket that a client brings back.
@@ -132,6 +132,6 @@
 		return err
 	}
 	conn.SetDeadline(time.Time{})
-	s.channels.Open(admission, c.Server, channel.Conns{Client: tcp, Server: c.Conn, Buffered: c.Behind}, c.Agreed)
+	s.channels.Open(admission, c.Server, channel.Conns{Client: tcp, Server: c.Conn, Buffered: c.Buffered}, c.Agreement)
 	return nil
 }
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -24,23 +24,23 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func knowledge() *Knowledge {
-	return &Knowledge{
+func knowledge() *State {
+	return &State{
 		Balancer: balance.Snapshot{
 			Servers: []balance.ServerSnapshot{{Entry: balance.Entry{ID: "s1", Zone: 1, Boot: time.Hour}, Slow: 0.25, Ejections: 2}},
 			Slots:   []string{"s1"}, Banned: []string{"s1", "s9"}, Seen: []string{"s1", "s9"}, Limit: 40, Quota: []float64{1.5},
 			Classes: []balance.ClassSnapshot{{Cost: 0.01, TailSeen: 12, Patience: time.Second, Votes: 3}},
 		},
-		Addresses: map[string]string{"s1": "127.0.0.1:7070"}, Seq: 41, Open: []string{"a", "b"}, Callers: 12,
-		Longest: 2 * time.Second, Usual: 80 * time.Millisecond,
+		Addresses: map[string]string{"s1": "127.0.0.1:7070"}, Seq: 41, OpenIDs: []string{"a", "b"}, CallerConns: 12,
+		LongestDeadline: 2 * time.Second, LatencyP95: 80 * time.Millisecond,
 		Lists: lists.Carried{Held: []string{"s1"}, LetGo: []time.Duration{time.Second}},
 	}
 }
 
 func TestMessagesGoThroughWhole(t *testing.T) {
 	for _, m := range []Message{
-		{Kind: Hello}, {Kind: Ready, Number: 7}, {Kind: Ban, Number: 1 << 40, Server: "s/1 é", Out: true},
-		{Kind: Done, Number: 3, Known: true}, {Kind: Snapshot, Snapshot: knowledge()},
+		{Kind: Hello}, {Kind: Ready, Number: 7}, {Kind: Ban, Number: 1 << 40, Server: "s/1 é", Banned: true},
+		{Kind: Done, Number: 3, Known: true}, {Kind: StateReply, State: knowledge()},
 	} {
 		var b bytes.Buffer
 		if err := Write(&b, m); err != nil {
@@ -57,7 +57,7 @@
 // TestDamagedMessagesAreToldFromSound flips each bit of a message, and cuts it at each place.
 func TestDamagedMessagesAreToldFromSound(t *testing.T) {
 	var b bytes.Buffer
-	if err := Write(&b, Message{Kind: Snapshot, Snapshot: knowledge()}); err != nil {
+	if err := Write(&b, Message{Kind: StateReply, State: knowledge()}); err != nil {
 		t.Fatal(err)
 	}
 	sound := b.Bytes()
@@ -77,7 +77,7 @@
 
 func FuzzRead(f *testing.F) {
 	var b bytes.Buffer
-	Write(&b, Message{Kind: Snapshot, Snapshot: knowledge()})
+	Write(&b, Message{Kind: StateReply, State: knowledge()})
 	f.Add(b.Bytes())
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -121,7 +121,7 @@
 	other := func(kind Kind, version int) func(net.Conn) {
 		return func(c net.Conn) {
 			var b bytes.Buffer
-			Write(&b, Message{Kind: kind, Snapshot: knowledge()})
+			Write(&b, Message{Kind: kind, State: knowledge()})
 			if version != 1 {
 				// The version is the first field: key 1, and a small number as itself.
 				text := b.Bytes()[sealed.HeadBytes:]
@@ -140,26 +140,26 @@
 		"silent":             func(c net.Conn) { io.Copy(io.Discard, c) },
 		"half a message": func(c net.Conn) {
 			var b bytes.Buffer
-			Write(&b, Message{Kind: Snapshot, Snapshot: knowledge()})
+			Write(&b, Message{Kind: StateReply, State: knowledge()})
 			c.Write(b.Bytes()[:b.Len()/2])
 		},
 		"a wrong checksum": func(c net.Conn) {
 			var b bytes.Buffer
-			Write(&b, Message{Kind: Snapshot, Snapshot: knowledge()})
+			Write(&b, Message{Kind: StateReply, State: knowledge()})
 			b.Bytes()[5] ^= 1
 			c.Write(b.Bytes())
 		},
 		"endless":          func(c net.Conn) { c.Write([]byte{0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0}); io.Copy(io.Discard, c) },
 		"something else":   other(Ready, 1),
-		"an older version": other(Snapshot, 0),
-		"a newer version":  other(Snapshot, 2),
+		"an older version": other(StateReply, 0),
+		"a newer version":  other(StateReply, 2),
 		"no such language": func(c net.Conn) { io.WriteString(c, "HTTP/1.1 400 Bad Request\r\n\r\n") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
 			elder(t, dir, reply)
-			peer, k, err := Meet(dir, "n1")
+			peer, k, err := Connect(dir, "n1")
 			if peer != nil || k != nil {
 				peer.Close()
 				t.Fatal("taken over")
@@ -180,7 +180,7 @@
 
 func TestNobodyThereIsNoTrouble(t *testing.T) {
 	dir := t.TempDir()
-	if peer, _, err := Meet(dir, "n1"); peer != nil || err != nil {
+	if peer, _, err := Connect(dir, "n1"); peer != nil || err != nil {
 		t.Errorf("%v, %v", peer, err)
 	}
 	l, err := Listen(dir, "n1")
@@ -191,7 +191,7 @@
 	if _, err := os.Stat(filepath.Join(dir, "brasswell-n1.sock")); err != nil {
 		t.Fatal(err)
 	}
-	if peer, _, err := Meet(dir, "n1"); peer != nil || err != nil {
+	if peer, _, err := Connect(dir, "n1"); peer != nil || err != nil {
 		t.Errorf("at a socket left behind: %v, %v", peer, err)
 	}
 	if l, err = Listen(dir, "n1"); err != nil {
@@ -212,10 +212,10 @@
 	second.Seq = 99
 	elder(t, dir, func(c net.Conn) {
 		Read(c)
-		Write(c, Message{Kind: Snapshot, Snapshot: second})
+		Write(c, Message{Kind: StateReply, State: second})
 		io.Copy(io.Discard, c)
 	})
-	peer, k, err := Meet(dir, "n1")
+	peer, k, err := Connect(dir, "n1")
 	if err != nil || k == nil || k.Seq != 99 {
 		t.Fatalf("%+v, %v", k, err)
 	}
@@ -232,15 +232,15 @@
 func TestAskIsAnsweredByItsOwnDone(t *testing.T) {
 	a, b := pair(t)
 	var following sync.WaitGroup
-	following.Go(func() { a.Follow(func(Message) {}) })
+	following.Go(func() { a.Serve(func(Message) {}) })
 	following.Go(func() {
-		b.Follow(func(m Message) { b.Tell(Message{Kind: Done, Number: m.Number, Known: m.Server == "s1"}) })
+		b.Serve(func(m Message) { b.Send(Message{Kind: Done, Number: m.Number, Known: m.Server == "s1"}) })
 	})
 	var asking sync.WaitGroup
 	for i := range 20 {
 		asking.Go(func() {
 			server := []string{"s1", "s2"}[i%2]
-			d, err := a.Ask(context.Background(), Message{Kind: Ban, Server: server})
+			d, err := a.Request(context.Background(), Message{Kind: Ban, Server: server})
 			if err != nil || d.Known != (server == "s1") {
 				t.Errorf("%s: %+v, %v", server, d, err)
 			}
@@ -253,7 +253,7 @@
 	if len(a.waiting) != 0 {
 		t.Errorf("%d are still waited for", len(a.waiting))
 	}
-	if _, err := a.Ask(context.Background(), Message{Kind: Ban}); !errors.Is(err, net.ErrClosed) {
+	if _, err := a.Request(context.Background(), Message{Kind: Ban}); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("asked one that has gone: %v", err)
 	}
 }
@@ -262,17 +262,17 @@
 func TestAskEndsWithItsPeer(t *testing.T) {
 	a, b := pair(t)
 	var following sync.WaitGroup
-	following.Go(func() { a.Follow(func(Message) {}) })
-	following.Go(func() { b.Follow(func(Message) { b.Close() }) })
-	if _, err := a.Ask(context.Background(), Message{Kind: Ready}); err == nil {
+	following.Go(func() { a.Serve(func(Message) {}) })
+	following.Go(func() { b.Serve(func(Message) { b.Close() }) })
+	if _, err := a.Request(context.Background(), Message{Kind: Ready}); err == nil {
 		t.Error("an answer from the dead")
 	}
 	following.Wait()
 
 	a, b = pair(t)
-	following.Go(func() { a.Follow(func(Message) {}) })
-	following.Go(func() { b.Follow(func(Message) {}) })
-	if _, err := a.Ask(context.Background(), Message{Kind: Ready}); !errors.Is(err, context.DeadlineExceeded) {
+	following.Go(func() { a.Serve(func(Message) {}) })
+	following.Go(func() { b.Serve(func(Message) {}) })
+	if _, err := a.Request(context.Background(), Message{Kind: Ready}); !errors.Is(err, context.DeadlineExceeded) {
 		t.Errorf("of a silent one: %v", err)
 	}
 	a.Close()
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -38,7 +38,7 @@
 }
 
 // Tell sends a message that nobody answers.
-func (p *Peer) Tell(m Message) error {
+func (p *Peer) Send(m Message) error {
 	p.writing.Lock()
 	defer p.writing.Unlock()
 	p.conn.SetWriteDeadline(time.Now().Add(writeTime))
@@ -46,7 +46,7 @@
 }
 
 // Ask sends a message and waits for its Done, for doneTime at most.
-func (p *Peer) Ask(ctx context.Context, m Message) (Message, error) {
+func (p *Peer) Request(ctx context.Context, m Message) (Message, error) {
 	done := make(chan Message, 1)
 	p.mu.Lock()
 	if p.gone {
@@ -62,7 +62,7 @@
 		defer p.mu.Unlock()
 		delete(p.waiting, m.Number)
 	}()
-	if err := p.Tell(m); err != nil {
+	if err := p.Send(m); err != nil {
 		return Message{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, doneTime)
@@ -79,7 +79,7 @@
 }
 
 // Follow reads messages until the peer has gone; handle gets all but Done. It returns why it ended.
-func (p *Peer) Follow(handle func(Message)) error {
+func (p *Peer) Serve(handle func(Message)) error {
 	defer func() {
 		p.conn.Close()
 		p.mu.Lock()
@@ -116,7 +116,7 @@
 func path(dir, name string) string { return filepath.Join(dir, "brasswell-"+name+".sock") }
 
 // Meet looks for a running process of the proxy and gets what it knows. It returns nil and no error if there is none.
-func Meet(dir, name string) (*Peer, *Knowledge, error) {
+func Connect(dir, name string) (*Peer, *State, error) {
 	until := time.Now().Add(meetTime)
 	conn, err := net.DialTimeout("unix", path(dir, name), meetTime)
 	if err != nil {
@@ -125,12 +125,12 @@
 	conn.SetDeadline(until)
 	if err = Write(conn, Message{Kind: Hello}); err == nil {
 		var m Message
-		if m, err = Read(conn); err == nil && (m.Kind != Snapshot || m.Snapshot == nil) {
+		if m, err = Read(conn); err == nil && (m.Kind != StateReply || m.State == nil) {
 			err = errors.New("handover: something else where a snapshot was due")
 		}
 		if err == nil {
 			conn.SetDeadline(time.Time{})
-			return NewPeer(conn), m.Snapshot, nil
+			return NewPeer(conn), m.State, nil
 		}
 	}
 	conn.Close()
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -28,37 +28,37 @@
 
 // The kinds of message.
 const (
-	Hello    Kind = iota + 1 // from the new process: who is there?
-	Snapshot                 // the answer: all that the old one knows
-	Ready                    // from the new process: it takes clients
-	Ban                      // from either: a server was taken out or put back by hand
-	Done                     // the other has done what Ready or Ban asked for
-	Leaving                  // from the old process: it takes no clients any more
+	Hello        Kind = iota + 1 // from the new process: who is there?
+	StateReply                   // the answer: all that the old one knows
+	Ready                        // from the new process: it takes clients
+	Ban                          // from either: a server was taken out or put back by hand
+	Done                         // the other has done what Ready or Ban asked for
+	ShuttingDown                 // from the old process: it takes no clients any more
 )
 
 // Message is what two processes tell each other.
 type Message struct {
-	Version  int        `cbor:"1,keyasint"`
-	Kind     Kind       `cbor:"2,keyasint"`
-	Number   uint64     `cbor:"3,keyasint,omitempty"` // of a Ready or Ban, and of the Done that answers it
-	Server   string     `cbor:"4,keyasint,omitempty"` // of a Ban
-	Out      bool       `cbor:"5,keyasint,omitempty"` // of a Ban: taken out, and not put back
-	Known    bool       `cbor:"6,keyasint,omitempty"` // of a Done: a list has named the server
-	Snapshot *Knowledge `cbor:"7,keyasint,omitempty"`
+	Version int    `cbor:"1,keyasint"`
+	Kind    Kind   `cbor:"2,keyasint"`
+	Number  uint64 `cbor:"3,keyasint,omitempty"` // of a Ready or Ban, and of the Done that answers it
+	Server  string `cbor:"4,keyasint,omitempty"` // of a Ban
+	Banned  bool   `cbor:"5,keyasint,omitempty"` // of a Ban: taken out, and not put back
+	Known   bool   `cbor:"6,keyasint,omitempty"` // of a Done: a list has named the server
+	State   *State `cbor:"7,keyasint,omitempty"`
 }
 
 // Knowledge is what the old process knows.
-type Knowledge struct {
-	Balancer  balance.Snapshot  `cbor:"1,keyasint"`
-	Addresses map[string]string `cbor:"2,keyasint"` // where to dial the servers that are in service
-	Seq       int64             `cbor:"3,keyasint"` // of the list, as discovery counts
-	Open      []string          `cbor:"4,keyasint"` // ids of callers' requests that are not answered yet
-	Callers   int               `cbor:"5,keyasint"` // connections held
-	Longest   time.Duration     `cbor:"6,keyasint"` // the longest that a caller was ready to wait
-	Usual     time.Duration     `cbor:"7,keyasint"` // what nearly all answers take
+type State struct {
+	Balancer        balance.Snapshot  `cbor:"1,keyasint"`
+	Addresses       map[string]string `cbor:"2,keyasint"` // where to dial the servers that are in service
+	Seq             int64             `cbor:"3,keyasint"` // of the list, as discovery counts
+	OpenIDs         []string          `cbor:"4,keyasint"` // ids of callers' requests that are not answered yet
+	CallerConns     int               `cbor:"5,keyasint"` // connections held
+	LongestDeadline time.Duration     `cbor:"6,keyasint"` // the longest that a caller was ready to wait
+	LatencyP95      time.Duration     `cbor:"7,keyasint"` // what nearly all answers take
 	// ByHand are the servers of Balancer.Banned that were taken out by hand, and not by agreement alone. An earlier version does not
 	// say, and has no agreement: nil stands for all.
-	ByHand []string `cbor:"8,keyasint"`
+	BannedByOperator []string `cbor:"8,keyasint"`
 	// Clock is a reading of the clock that times are of. An earlier version does not say.
 	Clock clock.Reading `cbor:"9,keyasint"`
 	// Lists are the servers of Balancer that the newest list leaves out and that are held. An earlier version does not say.
--- a/internal/host/attempt.go
+++ b/internal/host/attempt.go
@@ -16,12 +16,12 @@
 	number   int
 	to       backends.Endpoint
 	sent     time.Duration
-	from     time.Duration // when the backend can have begun: sent, or when the request had all come
-	begun    bool          // it was about to be written, so the backend may have it
-	unrun    bool          // its outcome proves that it never ran
-	asked    time.Duration // when the agreed rules let it go
-	ground   rules.Ground  // what that rested on
-	end      time.Duration // when the proxy stops waiting
+	from     time.Duration       // when the backend can have begun: sent, or when the request had all come
+	begun    bool                // it was about to be written, so the backend may have it
+	unrun    bool                // its outcome proves that it never ran
+	asked    time.Duration       // when the agreed rules let it go
+	ground   rules.DecisionBasis // what that rested on
+	end      time.Duration       // when the proxy stops waiting
 	ctx      context.Context
 	cancel   context.CancelCauseFunc
 	timer    *time.Timer
@@ -122,7 +122,7 @@
 // they forbid at any server is given up at once; mu is held.
 func (i *Instance) allowed(a *attempt) bool {
 	again, _ := a.others()
-	var ruling rules.Ruling
+	var ruling rules.Decision
 	ruling, a.ground = i.gate.Rule(a.to.Server, a.request.message.Class, again)
 	a.asked = i.now()
 	switch ruling {
--- a/internal/host/carry.go
+++ b/internal/host/carry.go
@@ -70,7 +70,7 @@
 func (i *Instance) adopt(c balance.Snapshot, addresses map[string]string) {
 	for _, s := range c.Servers {
 		if address := addresses[s.Entry.ID]; s.Entry.State == balance.InService && address != "" {
-			i.address[s.Entry.ID] = backends.Endpoint{Server: s.Entry.ID, Address: address, Boot: s.Entry.Boot}
+			i.address[s.Entry.ID] = backends.Endpoint{Server: s.Entry.ID, Address: address, StartTime: s.Entry.Boot}
 		}
 	}
 	i.balancer.Restore(i.now(), c)
@@ -94,7 +94,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for _, to := range i.address {
-		births = append(births, to.Boot)
+		births = append(births, to.StartTime)
 	}
 	return births
 }
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -67,7 +67,7 @@
 	// Open says whether requests of a class are taken now.
 	Open(class int) bool
 	// Rule says whether an attempt may be sent now, and on what that rests. again: an earlier one may have run.
-	Rule(server string, class int, again bool) (rules.Ruling, rules.Ground)
+	Rule(server string, class int, again bool) (rules.Decision, rules.DecisionBasis)
 }
 
 // Caller is who waits for a request's answer. Gone is asked while the instance is locked, so it may not block.
@@ -137,7 +137,7 @@
 	}
 	nodes := make([]plan.Node, 0, len(i.address))
 	for id, to := range i.address {
-		nodes = append(nodes, plan.Node{ID: id, StartTime: to.Boot, Usable: i.balancer.MaySend(id), InRoundRobin: i.balancer.InRoundRobin(id)})
+		nodes = append(nodes, plan.Node{ID: id, StartTime: to.StartTime, Usable: i.balancer.MaySend(id), InRoundRobin: i.balancer.InRoundRobin(id)})
 	}
 	i.channels.SetNodes(nodes)
 }
--- a/internal/host/list.go
+++ b/internal/host/list.go
@@ -26,7 +26,7 @@
 	}
 	for _, e := range entries {
 		if address := addresses[e.ID]; e.State == balance.InService && address != "" {
-			i.address[e.ID] = backends.Endpoint{Server: e.ID, Address: address, Boot: e.Boot}
+			i.address[e.ID] = backends.Endpoint{Server: e.ID, Address: address, StartTime: e.Boot}
 		} else {
 			delete(i.address, e.ID)
 		}
@@ -49,7 +49,7 @@
 			wanted[to] = true
 		}
 	}
-	i.backends.Keep(wanted)
+	i.backends.SetWanted(wanted)
 	i.tellChannels()
 }
 
--- a/internal/idle/idle_test.go
+++ b/internal/idle/idle_test.go
@@ -14,31 +14,31 @@
 func TestPace(t *testing.T) {
 	now := time.Now()
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
-	p := Pace{After: time.Second, Timeout: 10 * time.Second}
+	p := Policy{ParkAfter: time.Second, Timeout: 10 * time.Second}
 	for _, c := range []struct {
 		since       time.Duration
 		hold, close bool
 	}{{0, false, false}, {time.Second - 1, false, false}, {time.Second, true, false}, {10*time.Second - 1, true, false}, {10 * time.Second, true, true}} {
-		if got := p.Hold(ago(c.since), now); got != c.hold {
+		if got := p.ShouldPark(ago(c.since), now); got != c.hold {
 			t.Errorf("idle for %v: held %v", c.since, got)
 		}
-		if got := p.Close(ago(c.since), now); got != c.close {
+		if got := p.ShouldClose(ago(c.since), now); got != c.close {
 			t.Errorf("idle for %v: closed %v", c.since, got)
 		}
 	}
-	if (Pace{Timeout: time.Second}).Hold(ago(time.Hour), now) {
+	if (Policy{Timeout: time.Second}).ShouldPark(ago(time.Hour), now) {
 		t.Error("held where nothing is to be")
 	}
 	// 200,000 that are due at once go within half a minute, and no step is over a hundredth of them.
 	steps := 0
 	for left := 200_000; left > 0; steps++ {
-		n := p.Batch(left)
+		n := p.BatchSize(left)
 		if n > 2000 {
 			t.Fatalf("%d in one step", n)
 		}
 		left -= min(n, left)
 	}
-	if took := time.Duration(steps) * p.Every(); took > 30*time.Second {
+	if took := time.Duration(steps) * p.CheckInterval(); took > 30*time.Second {
 		t.Errorf("all are closed after %v", took)
 	}
 }
@@ -46,7 +46,7 @@
 // waiter counts how often it is told.
 type waiter struct{ told chan struct{} }
 
-func (w waiter) Woken() { w.told <- struct{}{} }
+func (w waiter) SocketReady() { w.told <- struct{}{} }
 
 // socketPair is both ends of a TCP connection.
 func socketPair(t *testing.T) (ours *net.TCPConn, theirs net.Conn) {
@@ -67,9 +67,9 @@
 	return c.(*net.TCPConn), theirs
 }
 
-func running(t *testing.T) *Lot {
+func running(t *testing.T) *Poller {
 	t.Helper()
-	l, err := NewLot()
+	l, err := NewPoller()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -92,7 +92,7 @@
 		if round%2 == 0 { // before it is held, or after
 			theirs.Write([]byte("hold"))
 		}
-		key, err := l.Hold(ours, w)
+		key, err := l.Park(ours, w)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -100,7 +100,7 @@
 			theirs.Write([]byte("hold"))
 		}
 		<-w.told
-		if ours, err = l.Take(key); err != nil {
+		if ours, err = l.Unpark(key); err != nil {
 			t.Fatal(err)
 		}
 		b := make([]byte, 10)
@@ -118,7 +118,7 @@
 	l := running(t)
 	w := waiter{make(chan struct{}, 10)}
 	ours, theirs := socketPair(t)
-	key, err := l.Hold(ours, w)
+	key, err := l.Park(ours, w)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -126,11 +126,11 @@
 	<-w.told
 	l.Drop(key)
 	l.Drop(key)
-	if _, err := l.Take(key); err == nil {
+	if _, err := l.Unpark(key); err == nil {
 		t.Error("a socket that was dropped was given back")
 	}
 	ours, theirs = socketPair(t)
-	if _, err = l.Hold(ours, w); err != nil {
+	if _, err = l.Park(ours, w); err != nil {
 		t.Fatal(err)
 	}
 	l.Close()
@@ -139,7 +139,7 @@
 		t.Error("a held socket outlived its lot")
 	}
 	ours, theirs = socketPair(t)
-	if _, err = l.Hold(ours, w); err == nil {
+	if _, err = l.Park(ours, w); err == nil {
 		t.Error("a closed lot holds a socket")
 	}
 	if _, err := theirs.Read(make([]byte, 1)); err == nil {
--- a/internal/idle/lot.go
+++ b/internal/idle/lot.go
@@ -13,21 +13,21 @@
 
 // Waiter is who is told that a socket of its has bytes, or is over. It is called by Run, one call at a time, and must not
 // wait long.
-type Waiter interface{ Woken() }
+type Handler interface{ SocketReady() }
 
 // Lot is a set of sockets that do nothing. It is safe for concurrent use.
-type Lot struct {
+type Poller struct {
 	set *os.File // the epoll set, itself in the runtime's poller: no thread waits in it
 	raw syscall.RawConn
 	fd  int
 
 	mu     sync.Mutex
-	held   map[int32]Waiter // by descriptor
+	held   map[int32]Handler // by descriptor
 	closed bool
 }
 
 // NewLot returns an empty lot. Run must be called, and Close ends it.
-func NewLot() (*Lot, error) {
+func NewPoller() (*Poller, error) {
 	fd, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("idle connections: %w", os.NewSyscallError("epoll_create1", err))
@@ -36,7 +36,7 @@
 		unix.Close(fd)
 		return nil, fmt.Errorf("idle connections: %w", os.NewSyscallError("fcntl", err))
 	}
-	l := &Lot{set: os.NewFile(uintptr(fd), "epoll"), fd: fd, held: map[int32]Waiter{}}
+	l := &Poller{set: os.NewFile(uintptr(fd), "epoll"), fd: fd, held: map[int32]Handler{}}
 	if l.raw, err = l.set.SyscallConn(); err != nil {
 		l.set.Close()
 		return nil, fmt.Errorf("idle connections: %w", err)
@@ -48,7 +48,7 @@
 
 // Hold takes a socket over and returns what it is known by until Take or Drop; c is closed in any case. After an error
 // the socket is closed, too.
-func (l *Lot) Hold(c *net.TCPConn, w Waiter) (key int32, err error) {
+func (l *Poller) Park(c *net.TCPConn, w Handler) (key int32, err error) {
 	defer c.Close()
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -79,7 +79,7 @@
 }
 
 // Take gives a held socket back.
-func (l *Lot) Take(key int32) (*net.TCPConn, error) {
+func (l *Poller) Unpark(key int32) (*net.TCPConn, error) {
 	l.mu.Lock()
 	_, held := l.held[key]
 	delete(l.held, key)
@@ -100,7 +100,7 @@
 }
 
 // Drop closes a held socket.
-func (l *Lot) Drop(key int32) {
+func (l *Poller) Drop(key int32) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, held := l.held[key]; held {
@@ -110,14 +110,14 @@
 }
 
 // Len is how many sockets are held.
-func (l *Lot) Len() int {
+func (l *Poller) Len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.held)
 }
 
 // Run tells those whose sockets have bytes, or are over, until Close. Each is told once for each Hold.
-func (l *Lot) Run() error {
+func (l *Poller) Run() error {
 	events := make([]unix.EpollEvent, 128)
 	for {
 		n := 0
@@ -142,20 +142,20 @@
 			w := l.held[e.Fd]
 			l.mu.Unlock()
 			if w != nil { // else it has been dropped meanwhile
-				w.Woken()
+				w.SocketReady()
 			}
 		}
 	}
 }
 
-func (l *Lot) over() bool {
+func (l *Poller) over() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.closed
 }
 
 // Close closes every held socket and ends Run.
-func (l *Lot) Close() {
+func (l *Poller) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
--- a/internal/proxy/begin_test.go
+++ b/internal/proxy/begin_test.go
@@ -12,7 +12,7 @@
 // start. What that watch has told is newer than the disk, and is not told again.
 func TestWhatTheDiskKnowsDoesNotReplaceWhatDiscoveryHasTold(t *testing.T) {
 	g := newRig(t, nil, entry("s1", "127.0.0.1:1", "up"), entry("s2", "127.0.0.1:2", "up"))
-	disk := handover.Knowledge{}
+	disk := handover.State{}
 	disk.Balancer, disk.Addresses = g.host.Snapshot()
 	g.registry.lists <- list(2, false, entry("s1", "127.0.0.1:1", "draining"))
 	for end := time.Now().Add(patient); g.host.State().InRoundRobin != 1; time.Sleep(time.Millisecond) {
--- a/internal/proxy/clients.go
+++ b/internal/proxy/clients.go
@@ -39,7 +39,7 @@
 
 // startParking makes a place for idle connections, which park serves.
 func (c *clientSide) startParking(o *front.Options) (err error) {
-	pace := idle.Pace{After: o.ParkAfter, Timeout: o.IdleTimeout}
+	pace := idle.Policy{ParkAfter: o.ParkAfter, Timeout: o.IdleTimeout}
 	c.parking, err = c.callers.Park(pace, c.listener.Addr())
 	return err
 }
--- a/internal/proxy/config.go
+++ b/internal/proxy/config.go
@@ -21,20 +21,20 @@
 	Console   string // where operators call; "" for nowhere
 	// Name and MeetIn are where a second process of this proxy is met, which goes on where this one is; "" for
 	// nowhere. It needs an Inherited socket.
-	Name, MeetIn string
+	Name, HandoverDir string
 	// OnPart is called when the part of the process's memory that is this proxy's own changes; may be nil.
-	OnPart    func(part float64)
-	Discovery string
-	Seed      uint64
-	Settings  *settings.Settings
-	Known     json.RawMessage // the server list as last had, in discovery's form; may be absent
-	Memory    int64           // bytes
-	Sockets   int
-	Options   Options
-	Fleet     Fleet          // nil where it talks to no other proxy
-	Rules     Rules          // nil where it agrees on none with others
-	Recovery  *recovery.Node // nil where nothing lasts
-	Log       *slog.Logger
+	OnMemoryShare func(part float64)
+	Discovery     string
+	Seed          uint64
+	Settings      *settings.Settings
+	CachedList    json.RawMessage // the server list as last had, in discovery's form; may be absent
+	Memory        int64           // bytes
+	Sockets       int
+	Options       Options
+	Fleet         Fleet          // nil where it talks to no other proxy
+	Rules         Rules          // nil where it agrees on none with others
+	Recovery      *recovery.Node // nil where nothing lasts
+	Log           *slog.Logger
 }
 
 // Fleet is this process's part in its fleet. Its methods may be called at any time.
@@ -51,17 +51,17 @@
 // Rules are what this process's fleet agrees on. Its methods may be called at any time.
 type Rules interface {
 	// Rule says whether an act is allowed now, and on what that rests.
-	Rule(s rules.Send) (rules.Ruling, rules.Ground)
+	Decide(s rules.Send) (rules.Decision, rules.DecisionBasis)
 	// Mode is on what this process acts.
 	Mode() accord.Mode
 	// Follow tells f on what acts rest, now and after every change of the rules. f must not block.
 	Follow(f func(*accord.Basis))
 	// Number is this proxy's agreed own number, of how many; ok is false where there is none.
-	Number(b *accord.Basis) (self, of int, ok bool)
+	AgreedNumber(b *accord.Basis) (self, of int, ok bool)
 	// ListDrop is the share of the backends that lists may leave out at once; 1 for any.
-	ListDrop() float64
+	MaxListDrop() float64
 	// Hold takes in which backends are gone on with though the newest list leaves them out, for people.
-	Hold(ids []string)
+	SetHeldBackends(ids []string)
 	// Status says how this process stands in the agreement, as JSON.
 	Status(ctx context.Context) ([]byte, error)
 	// Figures appends its figures to text.
--- a/internal/proxy/desk.go
+++ b/internal/proxy/desk.go
@@ -16,7 +16,7 @@
 // Ready says whether this process takes clients: its listener is served, there is a server to send to, and no
 // restart has begun.
 func (d desk) Ready() bool {
-	return d.accepting.Load() && !d.restart.Begun() && d.host.Ready() && (d.rules == nil || d.rules.Mode() != accord.Away)
+	return d.accepting.Load() && !d.restart.Begun() && d.host.Ready() && (d.rules == nil || d.rules.Mode() != accord.Inactive)
 }
 
 func (d desk) Figures(text []byte) []byte {
@@ -54,13 +54,13 @@
 	return d.fleet.Status(ctx)
 }
 
-func (d desk) Suspend(ctx context.Context, id string) error { return d.ByHand(ctx, id, true) }
+func (d desk) Suspend(ctx context.Context, id string) error { return d.SetBanned(ctx, id, true) }
 
-func (d desk) Resume(ctx context.Context, id string) error { return d.ByHand(ctx, id, false) }
+func (d desk) Resume(ctx context.Context, id string) error { return d.SetBanned(ctx, id, false) }
 
 // ByHand takes a server out or puts it back, here and in the other process of this proxy, if there is one. Once it has
 // returned from taking one out, nothing new begins to go there.
-func (p *Proxy) ByHand(ctx context.Context, id string, out bool) error {
+func (p *Proxy) SetBanned(ctx context.Context, id string, out bool) error {
 	known := p.host.SetBanned(id, out)
 	joined := false
 	if p.upgrade != nil {
--- a/internal/proxy/discovery_test.go
+++ b/internal/proxy/discovery_test.go
@@ -33,7 +33,7 @@
 
 // TestVersionsThatStartAnew: a service that counts from elsewhere is asked for the whole list.
 func TestVersionsThatStartAnew(t *testing.T) {
-	g := newRig(t, func(c *Config) { c.Known = json.RawMessage(list(40, true)) })
+	g := newRig(t, func(c *Config) { c.CachedList = json.RawMessage(list(40, true)) })
 	await(t, "the watch", g.registry.calls)
 	g.registry.lists <- list(3, false)
 	if query := await(t, "the next call", g.registry.calls); query != "" {
--- a/internal/proxy/faults_test.go
+++ b/internal/proxy/faults_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	f.OnMove = p.MoveDiscovery
-	f.OnHand = func(id string, out bool) error { return p.ByHand(context.Background(), id, out) }
+	f.OnHand = func(id string, out bool) error { return p.SetBanned(context.Background(), id, out) }
 	return p.Addr().String(), serveProxy(t, p)
 }
 
--- a/internal/proxy/heldover_test.go
+++ b/internal/proxy/heldover_test.go
@@ -17,7 +17,7 @@
 		p.t.Fatal(err)
 	}
 	c := rigConfig(p.registry.address, json.RawMessage(list(1, true, p.hosts...)))
-	c.Inherited, c.Name, c.MeetIn, c.Rules = file, "n1", p.folder, a
+	c.Inherited, c.Name, c.HandoverDir, c.Rules = file, "n1", p.folder, a
 	proxy, err := New(c)
 	if err != nil {
 		p.t.Fatal(err)
@@ -48,7 +48,7 @@
 	}
 	first.upgrade.begin()
 	second := p.startHolding(after)
-	accepted := basisOf(&rules.Document{Dropped: lost}, time.Hour)
+	accepted := basisOf(&rules.Document{Droppable: lost}, time.Hour)
 	for name, process := range map[string]struct {
 		proxy *Proxy
 		rules *agreement
@@ -98,7 +98,7 @@
 	if listed, _ := second.host.CountServers(); listed != 5 {
 		t.Errorf("%d servers are gone on with; the list has two, and three are held", listed)
 	}
-	accepted := basisOf(&rules.Document{Dropped: lost}, time.Hour)
+	accepted := basisOf(&rules.Document{Droppable: lost}, time.Hour)
 	after.basis.Store(accepted)
 	after.follow(accepted)
 	if listed, _ := second.host.CountServers(); listed != 2 {
--- a/internal/proxy/limits.go
+++ b/internal/proxy/limits.go
@@ -65,7 +65,7 @@
 	}
 	return limits{
 		soft: int(callerShare * sockets), hard: int(crowdShare * sockets), backends: int(backendShare * sockets),
-		bodies: int64(bodyShare * float64(c.Memory)), onPart: c.OnPart,
+		bodies: int64(bodyShare * float64(c.Memory)), onPart: c.OnMemoryShare,
 	}, nil
 }
 
@@ -78,14 +78,14 @@
 }
 
 // setPart makes a part of the proxy's limits this process's own.
-func (p *Proxy) setPart(part handover.Part) {
+func (p *Proxy) setPart(part handover.Share) {
 	l := p.limits
 	share := func(part float64, of int) int { return max(int(math.Round(part*float64(of))), 1) }
 	p.callers.SetLimits(share(part.Callers, l.soft), share(part.Callers, l.hard))
-	memory := max(part.Rest, leastPart)
+	memory := max(part.Other, leastPart)
 	p.backends.SetLimit(share(memory, l.backends))
 	p.bodies.Resize(int64(memory * float64(l.bodies)))
-	p.host.SetUpgradeShare(part.Rest)
+	p.host.SetUpgradeShare(part.Other)
 	if l.onPart != nil {
 		l.onPart(memory)
 	}
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -17,8 +17,8 @@
 
 // The log's lines about lists that are held back.
 const (
-	LogHeld  = "list: held back"
-	LogLetGo = "list: let go"
+	LogListHeld     = "list: held back"
+	LogListReleased = "list: let go"
 )
 
 // askTraffic is between two looks at which of the backends that are held answer, while some are.
@@ -101,7 +101,7 @@
 		return
 	case len(ids) == 0:
 		k.held.Store(nil)
-		k.log.Info(LogLetGo, "held", 0)
+		k.log.Info(LogListReleased, "held", 0)
 	default:
 		held := make(map[string]bool, len(ids))
 		for _, id := range ids {
@@ -109,9 +109,9 @@
 		}
 		k.held.Store(&held)
 		if len(ids) > before {
-			k.log.Warn(LogHeld, "held", len(ids), "mend", "if they are gone, brasswell ctl rules drop; if not, mend the list")
+			k.log.Warn(LogListHeld, "held", len(ids), "mend", "if they are gone, brasswell ctl rules drop; if not, mend the list")
 		} else if len(ids) < before {
-			k.log.Info(LogLetGo, "held", len(ids))
+			k.log.Info(LogListReleased, "held", len(ids))
 		}
 		if !k.looking {
 			k.looking = true
@@ -140,7 +140,7 @@
 }
 
 // carry tells the next process what the balancer knows and what of that is held, as of one moment.
-func (k *keptLists) carry(to *handover.Knowledge) {
+func (k *keptLists) carry(to *handover.State) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	to.Balancer, to.Addresses = k.host.Snapshot()
@@ -148,7 +148,7 @@
 }
 
 // adopt goes on with what the process before holds; it is for one that has taken in no list yet.
-func (k *keptLists) adopt(from *handover.Knowledge) {
+func (k *keptLists) adopt(from *handover.State) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.judge.Adopt(k.now(), from.Lists, inService(from))
@@ -156,7 +156,7 @@
 }
 
 // inService are the servers that the process before has in service, as a list has told them.
-func inService(k *handover.Knowledge) (servers []lists.Server) {
+func inService(k *handover.State) (servers []lists.Server) {
 	for _, s := range k.Balancer.Servers {
 		if s.Entry.State == balance.InService {
 			entry := s.Entry
@@ -168,7 +168,7 @@
 }
 
 // carryLists tells the next process what the balancer knows, and what of that the newest list leaves out.
-func (p *Proxy) carryLists(to *handover.Knowledge) {
+func (p *Proxy) carryLists(to *handover.State) {
 	if p.lists != nil {
 		p.lists.carry(to)
 		return
@@ -178,7 +178,7 @@
 
 // adoptLists goes on with what the process before holds. Where nothing is held back any more, it is let go of: discovery does not say again that
 // it is gone.
-func (p *Proxy) adoptLists(from *handover.Knowledge) {
+func (p *Proxy) adoptLists(from *handover.State) {
 	if p.lists != nil {
 		p.lists.adopt(from)
 		return
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -43,7 +43,7 @@
 	fleet     Fleet           // nil for none
 	rules     Rules           // nil for none
 	recovery  *recovery.Node  // nil for none
-	figures   *figures.Book
+	figures   *figures.Counters
 	settings  *settings.Settings
 	limits    limits
 	log       *slog.Logger
@@ -92,15 +92,15 @@
 
 // newProxy puts together what needs no socket and knows no server.
 func newProxy(c *Config, most limits, buffers socketControl) *Proxy {
-	book := figures.NewBook(c.Settings.Classes)
+	book := figures.NewCounters(c.Settings.Classes)
 	return &Proxy{
 		clientSide: clientSide{callers: callers.NewSet(most.soft, most.hard, c.Options.Callers.OnceIdle), bodies: body.NewBudget(most.bodies)},
 		background: newBackground(),
-		restart:    restart.New(), recovery: c.Recovery, fileList: c.Known, log: c.Log, fleet: c.Fleet, rules: c.Rules, figures: book,
+		restart:    restart.New(), recovery: c.Recovery, fileList: c.CachedList, log: c.Log, fleet: c.Fleet, rules: c.Rules, figures: book,
 		settings: c.Settings, limits: most,
 		backends: backends.NewPool(backends.Limits{
 			Conns: most.backends, ConnectTimeout: c.Settings.ConnectTimeout, ConnIdle: c.Settings.ConnIdle,
-			Control: buffers, Written: book.Try, Options: c.Options.Backends,
+			Control: buffers, OnWritten: book.CountTry, Options: c.Options.Backends,
 		}),
 	}
 }
@@ -117,8 +117,8 @@
 		wait = min(closedWait, s.Balancer.MaxRetryAfter)
 	}
 	if p.rules != nil {
-		if share := p.rules.ListDrop(); share < 1 {
-			p.lists = newKeptLists(p.ctx, &p.running, share, p.host, p.rules.Hold, c.Log)
+		if share := p.rules.MaxListDrop(); share < 1 {
+			p.lists = newKeptLists(p.ctx, &p.running, share, p.host, p.rules.SetHeldBackends, c.Log)
 			update = p.lists.update
 		}
 		p.host.SetAgreedRules(gate{p.rules, s.Classes, p.lists}, wait)
@@ -164,12 +164,12 @@
 		}
 		p.running.Go(func() { p.park(p.ctx, p.log) })
 	}
-	if c.Inherited != nil && c.MeetIn != "" {
-		p.upgrade = newUpgrade(p, c.MeetIn, c.Name)
+	if c.Inherited != nil && c.HandoverDir != "" {
+		p.upgrade = newUpgrade(p, c.HandoverDir, c.Name)
 	}
 	joined := p.upgrade != nil && p.upgrade.join()
 	if !joined && p.recovery == nil { // what a running process knows is newer than the file's list, and so is a folder
-		if err := p.known(c.Known); err != nil {
+		if err := p.known(c.CachedList); err != nil {
 			return err
 		}
 	}
--- a/internal/proxy/proxy_test.go
+++ b/internal/proxy/proxy_test.go
@@ -168,7 +168,7 @@
 func rigConfig(discovery string, known json.RawMessage) Config {
 	return Config{
 		Listen: "127.0.0.1:0", Discovery: discovery, Seed: 1, Memory: 64 << 20, Sockets: 256,
-		Known: known, Log: slog.New(slog.DiscardHandler), Options: DefaultOptions(),
+		CachedList: known, Log: slog.New(slog.DiscardHandler), Options: DefaultOptions(),
 		Settings: &settings.Settings{
 			Balancer: balance.Settings{
 				Instances: 1, MaxAttempts: 3, CanCancel: true,
--- a/internal/proxy/recovery.go
+++ b/internal/proxy/recovery.go
@@ -17,7 +17,7 @@
 var _ recovery.Side = side{}
 
 // Begin takes up what is known, and begins to follow discovery. Where that is followed already, its list is newer: only the bans are taken up.
-func (s side) Begin(k handover.Knowledge, lost time.Duration) {
+func (s side) Begin(k handover.State, lost time.Duration) {
 	if s.following.hasBegun() {
 		s.log.Error("recovery: the server list is followed already; of what was known before this start only bans by hand are used")
 		s.host.BanAll(k.Balancer.Banned)
@@ -29,16 +29,16 @@
 			s.log.Error("the platform's list is not used", "error", err)
 		}
 	}
-	if k.Longest > 0 {
-		s.restart.Resume(k.Longest, k.Usual)
+	if k.LongestDeadline > 0 {
+		s.restart.Restore(k.LongestDeadline, k.LatencyP95)
 	}
 	s.follow()
 }
 
 func (s side) Now() time.Duration { return s.host.Now() }
 
-func (s side) Known() handover.Knowledge {
-	k := handover.Knowledge{Seq: s.discovery.Seq(), Longest: s.restart.Longest(), Usual: s.restart.Usual()}
+func (s side) Known() handover.State {
+	k := handover.State{Seq: s.discovery.Seq(), LongestDeadline: s.restart.LongestDeadline(), LatencyP95: s.restart.LatencyP95()}
 	k.Balancer, k.Addresses = s.host.SnapshotInBatches()
 	return k
 }
--- a/internal/proxy/rules.go
+++ b/internal/proxy/rules.go
@@ -28,18 +28,18 @@
 
 // Open says whether requests of a class are taken now: what nothing may be sent for is refused before anything is done.
 func (g gate) Open(class int) bool {
-	ruling, _ := g.rules.Rule(rules.Send{Class: g.class(class)})
+	ruling, _ := g.rules.Decide(rules.Send{Class: g.class(class)})
 	return ruling == rules.Allowed
 }
 
-func (g gate) Rule(server string, class int, again bool) (rules.Ruling, rules.Ground) {
-	return g.rules.Rule(rules.Send{Server: server, Class: g.class(class), Again: again, Held: g.lists.holds(server)})
+func (g gate) Rule(server string, class int, again bool) (rules.Decision, rules.DecisionBasis) {
+	return g.rules.Decide(rules.Send{Server: server, Class: g.class(class), MayHaveRun: again, DropHeld: g.lists.holds(server)})
 }
 
 // agreed takes in on what acts rest.
 func (p *Proxy) agreed(b *accord.Basis) {
-	p.host.ApplyAgreed(b.Doc.Bans, b.Doc.Share())
-	if self, of, ok := p.rules.Number(b); ok {
+	p.host.ApplyAgreed(b.Doc.Bans, b.Doc.QuotaShare())
+	if self, of, ok := p.rules.AgreedNumber(b); ok {
 		p.host.Renumber(self, of)
 	}
 	p.lists.agreed(b.Doc)
@@ -73,7 +73,7 @@
 	if c.ID == "" {
 		return nil, fmt.Errorf("%w: a change needs an id of its own, so that asking twice is no second change", console.ErrBad)
 	}
-	if err := c.Check(); err != nil {
+	if err := c.Validate(); err != nil {
 		return nil, fmt.Errorf("%w: %w", console.ErrBad, err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, rulesTime)
@@ -82,8 +82,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if a.No != "" {
-		return nil, errors.Join(console.ErrRefused, errors.New(a.No))
+	if a.Rejection != "" {
+		return nil, errors.Join(console.ErrRefused, errors.New(a.Rejection))
 	}
 	return json.Marshal(a)
 }
--- a/internal/proxy/rules_test.go
+++ b/internal/proxy/rules_test.go
@@ -29,21 +29,21 @@
 
 // basisOf is a lease until a moment; the clock stands at 1 s.
 func basisOf(d *rules.Document, until time.Duration) *accord.Basis {
-	return &accord.Basis{Version: 2, Last: 2, Doc: d, Vague: rules.Unknowing(d), Until: until, Tested: -1}
+	return &accord.Basis{Version: 2, Last: 2, Doc: d, Unleased: rules.Unleased(d), Until: until, LastUnanswered: -1}
 }
 
-func (a *agreement) Rule(s rules.Send) (rules.Ruling, rules.Ground) {
+func (a *agreement) Decide(s rules.Send) (rules.Decision, rules.DecisionBasis) {
 	b := a.basis.Load()
-	return b.Rule(time.Second, s), rules.Ground{Version: b.Last, Leased: b.Mode(time.Second) == accord.Leased}
+	return b.Decide(time.Second, s), rules.DecisionBasis{Version: b.Last, Leased: b.Mode(time.Second) == accord.Leased}
 }
-func (a *agreement) Number(*accord.Basis) (int, int, bool)  { return 0, 0, false }
-func (a *agreement) ListDrop() float64                      { return cmp.Or(a.drop, 1) }
-func (a *agreement) Hold(ids []string)                      { a.held.Store(&ids) }
-func (a *agreement) Mode() accord.Mode                      { return a.basis.Load().Mode(time.Second) }
-func (a *agreement) Follow(f func(*accord.Basis))           { a.follow = f; f(a.basis.Load()) }
-func (a *agreement) Status(context.Context) ([]byte, error) { return []byte("{}"), nil }
-func (a *agreement) Figures(text []byte) []byte             { return text }
-func (a *agreement) Refound(context.Context) error          { return nil }
+func (a *agreement) AgreedNumber(*accord.Basis) (int, int, bool) { return 0, 0, false }
+func (a *agreement) MaxListDrop() float64                        { return cmp.Or(a.drop, 1) }
+func (a *agreement) SetHeldBackends(ids []string)                { a.held.Store(&ids) }
+func (a *agreement) Mode() accord.Mode                           { return a.basis.Load().Mode(time.Second) }
+func (a *agreement) Follow(f func(*accord.Basis))                { a.follow = f; f(a.basis.Load()) }
+func (a *agreement) Status(context.Context) ([]byte, error)      { return []byte("{}"), nil }
+func (a *agreement) Figures(text []byte) []byte                  { return text }
+func (a *agreement) Refound(context.Context) error               { return nil }
 func (a *agreement) Propose(context.Context, rules.Change) (rules.Answer, error) {
 	return rules.Answer{}, nil
 }
@@ -63,7 +63,7 @@
 	if n := len(one.requests); n > 0 {
 		t.Errorf("%d requests to a server that is out", n)
 	}
-	if err := g.ByHand(t.Context(), "s1", false); err != nil {
+	if err := g.SetBanned(t.Context(), "s1", false); err != nil {
 		t.Error(err)
 	}
 	c.send(head("a")).answer()
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -14,13 +14,13 @@
 	h := d.host.State()
 	listed, _ := d.host.CountServers()
 	s := status.Status{
-		Ready: d.Ready(), Leaving: d.restart.Begun(), Listed: listed, InTurns: h.InRoundRobin, Limit: h.Snapshot.Limit, Open: map[string]int{},
-		Avoided: status.Servers(h.Now, d.settings.Balancer.WarmUp, h.Snapshot, h.Since),
-		Callers: d.callers.States(), Backends: d.backends.States(),
+		Ready: d.Ready(), ShuttingDown: d.restart.Begun(), Listed: listed, InRoundRobin: h.InRoundRobin, Limit: h.Snapshot.Limit, OpenRequests: map[string]int{},
+		Avoided: status.AvoidedServers(h.Now, d.settings.Balancer.WarmUp, h.Snapshot, h.Since),
+		Callers: d.callers.States(), Backends: d.backends.ConnCounts(),
 		MemoryMB: memoryMB(), Descriptors: descriptors(),
 	}
 	for n, name := range d.settings.Classes {
-		s.Open[name] = h.Unanswered[n]
+		s.OpenRequests[name] = h.Unanswered[n]
 	}
 	if d.channels != nil {
 		s.Channels = d.channels.Len()
--- a/internal/proxy/status_test.go
+++ b/internal/proxy/status_test.go
@@ -26,13 +26,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, err := status.Read(string(text))
+		s, err := status.Parse(string(text))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return s
 	}
-	if s := read(); len(s.Avoided) != 0 || s.Listed != 3 || s.InTurns != 3 || s.Open["search"] != 0 || s.MemoryMB <= 0 || s.Descriptors <= 0 {
+	if s := read(); len(s.Avoided) != 0 || s.Listed != 3 || s.InRoundRobin != 3 || s.OpenRequests["search"] != 0 || s.MemoryMB <= 0 || s.Descriptors <= 0 {
 		t.Errorf("%+v", s)
 	}
 	await(t, "the watch", g.registry.calls)
@@ -49,7 +49,7 @@
 		t.Errorf("avoided %s", got)
 	}
 	// Connections come to rest a little after their answer is out.
-	for end := time.Now().Add(patient); s.Open["search"] != 1 || s.Callers["busy"] != 1 || s.Callers["once"] != 1 || s.Backends["busy"] != 1; s = read() {
+	for end := time.Now().Add(patient); s.OpenRequests["search"] != 1 || s.Callers["busy"] != 1 || s.Callers["once"] != 1 || s.Backends["busy"] != 1; s = read() {
 		if time.Now().After(end) {
 			t.Fatalf("%+v", s)
 		}
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -85,7 +85,7 @@
 func get(id, path string) string { return strings.Replace(head(id), "/api", path, 1) }
 
 func TestLongBodiesGoThroughUnchanged(t *testing.T) {
-	for _, size := range []int{body.WholeBytes, body.WholeBytes + 1, 1 << 20, 5 << 20, body.MaxBytes} {
+	for _, size := range []int{body.MaxBufferedBytes, body.MaxBufferedBytes + 1, 1 << 20, 5 << 20, body.MaxBytes} {
 		for _, how := range []string{"length", "chunks"} {
 			t.Run(fmt.Sprint(how, " ", size), func(t *testing.T) {
 				t.Parallel()
@@ -126,7 +126,7 @@
 		e := newEcho(t)
 		e.gate = make(chan struct{})
 		c := newRig(t, nil, entry("s1", e.address, "up")).dial()
-		const size = 4 * body.WholeBytes
+		const size = 4 * body.MaxBufferedBytes
 		c.send(get("a", "/bytes/"+strconv.Itoa(size)+query))
 		resp, err := http.ReadResponse(c.r, nil)
 		if err != nil {
--- a/internal/proxy/upgrade.go
+++ b/internal/proxy/upgrade.go
@@ -20,8 +20,8 @@
 	ended     sync.Once
 
 	mu       sync.Mutex
-	elder    handover.Elder
-	part     handover.Part
+	elder    handover.OldProcess
+	part     handover.Share
 	older    *handover.Peer // nil once that has gone
 	younger  *handover.Peer
 	listener *net.UnixListener
@@ -29,13 +29,13 @@
 }
 
 func newUpgrade(p *Proxy, dir, name string) *upgrade {
-	return &upgrade{proxy: p, dir: dir, name: name, part: handover.Alone}
+	return &upgrade{proxy: p, dir: dir, name: name, part: handover.FullShare}
 }
 
 // join takes over what the running process knows, and says whether there is one.
 func (u *upgrade) join() bool {
 	p := u.proxy
-	peer, k, err := handover.Meet(u.dir, u.name)
+	peer, k, err := handover.Connect(u.dir, u.name)
 	if err != nil {
 		p.log.Warn("upgrade: nothing taken over, starting plainly", "error", err)
 	}
@@ -44,22 +44,22 @@
 	}
 	p.host.Adopt(k.Balancer, k.Addresses, k.Clock)
 	p.adoptLists(k)
-	if k.ByHand == nil {
-		k.ByHand = k.Balancer.Banned
+	if k.BannedByOperator == nil {
+		k.BannedByOperator = k.Balancer.Banned
 	}
-	p.host.RecordBans(k.ByHand)
+	p.host.RecordBans(k.BannedByOperator)
 	p.discovery.Resume(k.Seq)
-	p.front.SetOpenElsewhere(k.Open)
-	p.restart.Resume(k.Longest, k.Usual)
+	p.front.SetOpenElsewhere(k.OpenIDs)
+	p.restart.Restore(k.LongestDeadline, k.LatencyP95)
 	p.log.Info("upgrade: going on where the running process is", "servers", len(k.Balancer.Servers),
-		"out_by_hand", len(k.Balancer.Banned), "open", len(k.Open))
+		"out_by_hand", len(k.Balancer.Banned), "open", len(k.OpenIDs))
 	u.older = peer
-	u.setPart(handover.Joined(k.Callers, p.limits.soft))
+	u.setPart(handover.NewProcessShare(k.CallerConns, p.limits.soft))
 	return true
 }
 
 // setPart must be called with mu held, or before begin.
-func (u *upgrade) setPart(part handover.Part) {
+func (u *upgrade) setPart(part handover.Share) {
 	u.part = part
 	u.proxy.setPart(part)
 }
@@ -80,20 +80,20 @@
 		return
 	}
 	u.running.Go(func() { u.follow(older) })
-	if _, err := older.Ask(context.Background(), handover.Message{Kind: handover.Ready}); err != nil {
+	if _, err := older.Request(context.Background(), handover.Message{Kind: handover.Ready}); err != nil {
 		u.proxy.log.Warn("upgrade: the process before does not know that this one takes clients", "error", err)
 	}
 }
 
 // follow hears the process before until it has gone.
 func (u *upgrade) follow(older *handover.Peer) {
-	err := older.Follow(func(m handover.Message) {
+	err := older.Serve(func(m handover.Message) {
 		switch m.Kind {
 		case handover.Ban:
 			u.ban(older, m)
-		case handover.Leaving:
+		case handover.ShuttingDown:
 			u.mu.Lock()
-			u.setPart(handover.Left(u.part))
+			u.setPart(handover.ShareAfterShutdown(u.part))
 			u.mu.Unlock()
 		}
 	})
@@ -104,19 +104,19 @@
 		return
 	}
 	u.proxy.front.SetOpenElsewhere(nil)
-	u.setPart(handover.Alone)
+	u.setPart(handover.FullShare)
 	u.proxy.log.Info("upgrade: the process before has gone", "last", err)
 }
 
 func (u *upgrade) ban(from *handover.Peer, m handover.Message) {
-	known := u.proxy.host.SetBanned(m.Server, m.Out)
+	known := u.proxy.host.SetBanned(m.Server, m.Banned)
 	if known {
-		if err := u.proxy.kept(context.Background(), m.Server, m.Out, true); err != nil {
+		if err := u.proxy.kept(context.Background(), m.Server, m.Banned, true); err != nil {
 			u.proxy.log.Error("by hand, at the other process: not on disk", "backend", m.Server, "error", err)
 		}
 	}
-	u.proxy.log.Info("by hand, at the other process", "backend", m.Server, "out", m.Out, "known", known)
-	from.Tell(handover.Message{Kind: handover.Done, Number: m.Number, Known: known})
+	u.proxy.log.Info("by hand, at the other process", "backend", m.Server, "out", m.Banned, "known", known)
+	from.Send(handover.Message{Kind: handover.Done, Number: m.Number, Known: known})
 }
 
 // accept serves the processes that come after this one, one at a time.
@@ -142,22 +142,22 @@
 	if !u.give(conn, peer) {
 		return
 	}
-	err = peer.Follow(func(m handover.Message) {
+	err = peer.Serve(func(m handover.Message) {
 		switch m.Kind {
 		case handover.Ban:
 			u.ban(peer, m)
 		case handover.Ready:
 			u.mu.Lock()
-			u.elder.Ready()
+			u.elder.SuccessorReady()
 			u.mu.Unlock()
 			u.proxy.log.Info("upgrade: the new process takes clients")
-			peer.Tell(handover.Message{Kind: handover.Done, Number: m.Number})
+			peer.Send(handover.Message{Kind: handover.Done, Number: m.Number})
 		}
 	})
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	u.younger = nil
-	part := u.elder.Gone()
+	part := u.elder.SuccessorGone()
 	if u.over {
 		return
 	}
@@ -174,20 +174,20 @@
 		return false
 	}
 	p := u.proxy
-	k := &handover.Knowledge{
-		Seq: p.discovery.Seq(), Open: p.front.OpenIDs(), Callers: p.callers.Len(),
-		Longest: p.restart.Longest(), Usual: p.restart.Usual(),
+	k := &handover.State{
+		Seq: p.discovery.Seq(), OpenIDs: p.front.OpenIDs(), CallerConns: p.callers.Len(),
+		LongestDeadline: p.restart.LongestDeadline(), LatencyP95: p.restart.LatencyP95(),
 	}
 	p.carryLists(k)
 	k.Clock = p.host.Clock()
-	k.ByHand = append([]string{}, p.host.Banned()...)
-	if err := peer.Tell(handover.Message{Kind: handover.Snapshot, Snapshot: k}); err != nil {
+	k.BannedByOperator = append([]string{}, p.host.Banned()...)
+	if err := peer.Send(handover.Message{Kind: handover.StateReply, State: k}); err != nil {
 		p.log.Warn("upgrade: the new process did not get what this one knows", "error", err)
 		return false
 	}
 	conn.SetDeadline(time.Time{})
 	u.younger = peer
-	u.setPart(u.elder.Asked(k.Callers, p.limits.soft))
+	u.setPart(u.elder.StateRequested(k.CallerConns, p.limits.soft))
 	return true
 }
 
@@ -195,11 +195,11 @@
 func (u *upgrade) leave() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if !u.elder.Leave() {
+	if !u.elder.Shutdown() {
 		return false
 	}
-	u.setPart(handover.Part{Callers: u.part.Callers})
-	if err := u.younger.Tell(handover.Message{Kind: handover.Leaving}); err != nil {
+	u.setPart(handover.Share{Callers: u.part.Callers})
+	if err := u.younger.Send(handover.Message{Kind: handover.ShuttingDown}); err != nil {
 		u.proxy.log.Warn("upgrade: the new process does not know that this one leaves", "error", err)
 	}
 	return true
@@ -214,7 +214,7 @@
 		if peer == nil {
 			continue
 		}
-		done, err := peer.Ask(ctx, handover.Message{Kind: handover.Ban, Server: server, Out: out})
+		done, err := peer.Request(ctx, handover.Message{Kind: handover.Ban, Server: server, Banned: out})
 		if err != nil {
 			u.proxy.log.Warn("by hand: the other process has not answered", "backend", server, "error", err)
 		}
--- a/internal/proxy/upgrade_test.go
+++ b/internal/proxy/upgrade_test.go
@@ -62,7 +62,7 @@
 		p.t.Fatal(err)
 	}
 	c := rigConfig(p.registry.address, json.RawMessage(list(1, true, p.hosts...)))
-	c.Inherited, c.Name, c.MeetIn, c.Console = file, "n1", p.folder, "127.0.0.1:0"
+	c.Inherited, c.Name, c.HandoverDir, c.Console = file, "n1", p.folder, "127.0.0.1:0"
 	proxy, err := New(c)
 	if err != nil {
 		p.t.Fatal(err)
@@ -315,7 +315,7 @@
 	old := p.start()
 	c := newCrowd(t, p.listener.Addr().String(), 4)
 	for range 3 {
-		peer, _, err := handover.Meet(p.folder, "n1") // asks, and dies before its yes
+		peer, _, err := handover.Connect(p.folder, "n1") // asks, and dies before its yes
 		if err != nil || peer == nil {
 			t.Fatalf("%v, %v", peer, err)
 		}
@@ -331,7 +331,7 @@
 		old.upgrade.mu.Lock()
 		part := old.upgrade.part
 		old.upgrade.mu.Unlock()
-		if part == handover.Alone {
+		if part == handover.FullShare {
 			break
 		}
 		if time.Now().After(end) {
--- a/internal/recovery/node.go
+++ b/internal/recovery/node.go
@@ -38,11 +38,11 @@
 // Side is the proxy's side. Its methods may be called at any time.
 type Side interface {
 	// Begin takes up what is known. No start of a backend before lost is believed from then on. It is called once.
-	Begin(k handover.Knowledge, lost time.Duration)
+	Begin(k handover.State, lost time.Duration)
 	// Now is the time of the clock that backends' starts are told in.
 	Now() time.Duration
 	// Known is what this proxy knows now. It may take its time.
-	Known() handover.Knowledge
+	Known() handover.State
 	// Outcomes are how many requests have come so far, by class, and how many of them were not served.
 	Outcomes() (asked, lost []int64)
 	// Births are when the backends in service were started.
--- a/internal/restart/restart.go
+++ b/internal/restart/restart.go
@@ -40,7 +40,7 @@
 func New() *Restart { return &Restart{over: make(chan struct{})} }
 
 // Over is closed when what is still open has to be answered.
-func (l *Restart) Over() <-chan struct{} { return l.over }
+func (l *Restart) Expired() <-chan struct{} { return l.over }
 
 // Begin starts the restart; a second call changes nothing.
 func (l *Restart) Begin() {
@@ -52,13 +52,13 @@
 func (l *Restart) HandOver() { l.handed.Store(true) }
 
 // Usual is what nearly all answers take.
-func (l *Restart) Usual() time.Duration { return l.usual.time() }
+func (l *Restart) LatencyP95() time.Duration { return l.usual.time() }
 
 // Longest is the longest that a caller was ready to wait.
-func (l *Restart) Longest() time.Duration { return time.Duration(l.longest.Load()) }
+func (l *Restart) LongestDeadline() time.Duration { return time.Duration(l.longest.Load()) }
 
 // Resume goes on from what another process has seen.
-func (l *Restart) Resume(longest, usual time.Duration) {
+func (l *Restart) Restore(longest, usual time.Duration) {
 	l.longest.Store(int64(longest))
 	l.usual.ns.Store(int64(usual))
 }
@@ -87,7 +87,7 @@
 
 // Cap is how long a request with so much time may take, so that its answer goes out before SIGKILL does; 0 if nothing
 // bounds it.
-func (l *Restart) Cap(left time.Duration) time.Duration {
+func (l *Restart) RequestTimeCap(left time.Duration) time.Duration {
 	if begun := l.begun.Load(); begun != nil {
 		return max(l.end()-time.Since(*begun), time.Millisecond)
 	}
@@ -99,7 +99,7 @@
 }
 
 // Answered takes in how long a request that was served took.
-func (l *Restart) Answered(took time.Duration) { l.usual.observe(took) }
+func (l *Restart) ObserveLatency(took time.Duration) { l.usual.observe(took) }
 
 // Run is a planned restart from its beginning to its end; left says whether no caller is there or coming, and before
 // that closes what is idle if it is told to. It reports whether all had left. http.Server.Shutdown would not do: it closes
--- a/internal/restart/restart_test.go
+++ b/internal/restart/restart_test.go
@@ -24,8 +24,8 @@
 	} {
 		l := New()
 		if c.longest > 0 {
-			l.Cap(c.longest)
-			l.Answered(c.took)
+			l.RequestTimeCap(c.longest)
+			l.ObserveLatency(c.took)
 		}
 		if got := l.serveOn(); got != c.want {
 			t.Errorf("%s: served on for %v, want %v", c.name, got, c.want)
@@ -57,14 +57,14 @@
 // TestTimeIsCappedOnceBegun: before, a request's time is its own; after, its answer must go out before the end.
 func TestTimeIsCappedOnceBegun(t *testing.T) {
 	l := New()
-	if got := l.Cap(2 * time.Second); got != 0 {
+	if got := l.RequestTimeCap(2 * time.Second); got != 0 {
 		t.Errorf("before the restart a request has %v of its 2 s", got)
 	}
 	l.Begin()
-	if got := l.Cap(10 * time.Second); got > l.end() {
+	if got := l.RequestTimeCap(10 * time.Second); got > l.end() {
 		t.Errorf("after it has begun a request has %v, past the end in %v", got, l.end())
 	}
-	if got := l.Cap(50 * ms); got <= 0 || got > l.end() {
+	if got := l.RequestTimeCap(50 * ms); got <= 0 || got > l.end() {
 		t.Errorf("a short request has %v of its 50 ms", got)
 	}
 }
@@ -75,7 +75,7 @@
 	const ownEnd = 50 * time.Millisecond
 	for _, longest := range []time.Duration{0, 20 * ms, 200 * ms, acceptMore, time.Second, 3 * time.Second, 10 * time.Second} {
 		l := New()
-		l.Cap(longest)
+		l.RequestTimeCap(longest)
 		kill := min(longest, 3*time.Second) + 700*ms
 		if last := l.end() + lastWords + ownEnd; last > kill {
 			t.Errorf("deadline %v: over after %v, SIGKILL after %v", longest, last, kill)
--- a/internal/rig/hollow/host.go
+++ b/internal/rig/hollow/host.go
@@ -219,7 +219,7 @@
 	case err != nil:
 		proposal.No = err.Error()
 	default:
-		proposal.Version, proposal.No = answer.Version, answer.No
+		proposal.Version, proposal.No = answer.Version, answer.Rejection
 	}
 	return proposal, nil
 }
--- a/internal/rig/hollow/member.go
+++ b/internal/rig/hollow/member.go
@@ -27,7 +27,7 @@
 		return nil, fmt.Errorf("%s: %w", s.Name, err)
 	}
 	m.rules, err = agreement.Open(agreement.Config{
-		Options: h.rulesOptions(s), Fleet: h.fleet.Name, Name: s.Name, Boot: s.Boot, Seed: h.fleet.Seed, Volatile: s.Folder == "", Log: log,
+		Options: h.rulesOptions(s), Fleet: h.fleet.Name, Name: s.Name, InstanceID: s.Boot, Seed: h.fleet.Seed, Volatile: s.Folder == "", Log: log,
 	}, m.node.Part(cluster.RulesPart))
 	if err != nil {
 		m.node.Close(false)
@@ -45,7 +45,7 @@
 
 func (h *Host) rulesOptions(s Spec) agreement.Options {
 	o := agreement.DefaultOptions()
-	o.On, o.Keepers, o.Folder, o.Lease, o.Numbers = true, h.fleet.Voters, s.Folder, h.fleet.Lease, h.fleet.Numbers
+	o.Enabled, o.Voters, o.Folder, o.Lease, o.AssignNumbers = true, h.fleet.Voters, s.Folder, h.fleet.Lease, h.fleet.Numbers
 	return o
 }
 
@@ -65,6 +65,6 @@
 	defer m.mu.Unlock()
 	return MemberUsage{
 		Name: m.spec.Name, Boot: m.spec.Boot, Leads: m.leads, Sent: c.Sent, SentBytes: c.SentBytes, Received: c.Received,
-		ReceivedBytes: c.ReceivedBytes, Dropped: c.Flood + c.Unsent + late + m.rules.Late(),
+		ReceivedBytes: c.ReceivedBytes, Dropped: c.Flood + c.Unsent + late + m.rules.DroppedMessages(),
 	}
 }
--- a/internal/rig/lists_test.go
+++ b/internal/rig/lists_test.go
@@ -22,20 +22,20 @@
 	all := a.story.Names()
 	restore := a.LeaveOut("node-00", "node-01")
 	for _, m := range all {
-		a.until(m, "with two held back", func(r *agreement.Report) bool { return slices.Equal(r.Held, []string{"node-00", "node-01"}) })
+		a.until(m, "with two held back", func(r *agreement.Report) bool { return slices.Equal(r.HeldBackends, []string{"node-00", "node-01"}) })
 	}
 	a.more("node-00", "node-01")
 	restore()
 	for _, m := range all {
-		a.until(m, "with none held back", func(r *agreement.Report) bool { return len(r.Held) == 0 })
+		a.until(m, "with none held back", func(r *agreement.Report) bool { return len(r.HeldBackends) == 0 })
 	}
 	a.LeaveOut("node-00", "node-01")
 	for _, m := range all {
-		a.until(m, "with two held back again", func(r *agreement.Report) bool { return len(r.Held) == 2 })
+		a.until(m, "with two held back again", func(r *agreement.Report) bool { return len(r.HeldBackends) == 2 })
 	}
-	a.inForce(a.propose("n5", rules.Change{Kind: rules.Drop, Servers: a.report("n4").Held}), all...)
+	a.inForce(a.propose("n5", rules.Change{Kind: rules.AllowDrop, Servers: a.report("n4").HeldBackends}), all...)
 	for _, m := range all {
-		a.until(m, "with none held back", func(r *agreement.Report) bool { return len(r.Held) == 0 })
+		a.until(m, "with none held back", func(r *agreement.Report) bool { return len(r.HeldBackends) == 0 })
 	}
 	before := a.quiet("node-00") + a.quiet("node-01")
 	time.Sleep(time.Second)
--- a/internal/rig/rules_test.go
+++ b/internal/rig/rules_test.go
@@ -68,7 +68,7 @@
 }
 
 func votes(r *agreement.Report) (n int) {
-	for _, v := range r.Keepers {
+	for _, v := range r.Voters {
 		if v {
 			n++
 		}
@@ -123,7 +123,7 @@
 	a.t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		for _, m := range a.story.Names()[:3] {
-			if r := a.report(m); r != nil && r.Leads {
+			if r := a.report(m); r != nil && r.IsLeader {
 				return m
 			}
 		}
@@ -260,7 +260,7 @@
 	before := a.quiet("node-00")
 	a.do(resume())
 	a.inForce(v, leader)
-	a.until(leader, "no leader any more", func(r *agreement.Report) bool { return !r.Leads })
+	a.until(leader, "no leader any more", func(r *agreement.Report) bool { return !r.IsLeader })
 	time.Sleep(500 * time.Millisecond)
 	if after := a.Sent("node-00"); after != before {
 		t.Errorf("%d requests to a backend that is out", after-before)
@@ -280,7 +280,7 @@
 		a.do(a.Kill(m))
 	}
 	for _, m := range []string{"n1", "n4", "n5"} {
-		a.until(m, "alone", func(r *agreement.Report) bool { return r.Mode == "alone" && len(r.Trouble) > 0 })
+		a.until(m, "alone", func(r *agreement.Report) bool { return r.Mode == "alone" && len(r.Problems) > 0 })
 	}
 	served := func() (n int64) {
 		for i := range 3 {
--- a/internal/rig/scale/config.go
+++ b/internal/rig/scale/config.go
@@ -129,10 +129,10 @@
 		return fmt.Errorf("--lease %v: 500ms to 1m is allowed, or 0 for one that fits the round trip", c.Lease)
 	case c.Period < 20*time.Millisecond || c.Period > time.Minute:
 		return fmt.Errorf("--period %v: 20ms to 1m is allowed", c.Period)
-	case c.Bans < 0 || c.Bans > rules.MostBans-ownBans:
-		return fmt.Errorf("--bans %d: 0 to %d are allowed (the run itself adds up to %d)", c.Bans, rules.MostBans-ownBans, ownBans)
-	case c.Classes < 0 || c.Classes > rules.MostClasses:
-		return fmt.Errorf("--classes %d: 0 to %d are allowed", c.Classes, rules.MostClasses)
+	case c.Bans < 0 || c.Bans > rules.MaxBans-ownBans:
+		return fmt.Errorf("--bans %d: 0 to %d are allowed (the run itself adds up to %d)", c.Bans, rules.MaxBans-ownBans, ownBans)
+	case c.Classes < 0 || c.Classes > rules.MaxClasses:
+		return fmt.Errorf("--classes %d: 0 to %d are allowed", c.Classes, rules.MaxClasses)
 	case c.Base != 0 && (c.Base < lowestBase || c.Base+c.Zones > highestBase+1):
 		return fmt.Errorf("--base %d: %d to %d is allowed with %d zones, or 0 to look for one that is free", c.Base, lowestBase, highestBase+1-c.Zones, c.Zones)
 	}
--- a/internal/rig/scale/document.go
+++ b/internal/rig/scale/document.go
@@ -66,8 +66,8 @@
 	if !r.config.Numbers {
 		return
 	}
-	if r.config.Members > rules.MostMembers {
-		r.trouble("%d members have no numbers: the program deals them out to %d at most", r.config.Members, rules.MostMembers)
+	if r.config.Members > rules.MaxMembers {
+		r.trouble("%d members have no numbers: the program deals them out to %d at most", r.config.Members, rules.MaxMembers)
 		return
 	}
 	numbered := func(*standing) bool {
--- a/internal/rig/scale/scale_test.go
+++ b/internal/rig/scale/scale_test.go
@@ -45,7 +45,7 @@
 		"no period":                {func(c *Config) { c.Period = 0 }, "--period 0s: 20ms to 1m"},
 		"bans below 0":             {func(c *Config) { c.Bans = -1 }, "--bans -1: 0 to"},
 		"too many bans":            {func(c *Config) { c.Bans = 10_000 }, "--bans 10000: 0 to"},
-		"too many classes":         {func(c *Config) { c.Classes = rules.MostClasses + 1 }, "--classes 513: 0 to 512"},
+		"too many classes":         {func(c *Config) { c.Classes = rules.MaxClasses + 1 }, "--classes 513: 0 to 512"},
 		"base of real networks":    {func(c *Config) { c.Base = 1 }, "--base 1: 64 to 240 is allowed with 11 zones"},
 		"base too high":            {func(c *Config) { c.Base = 241 }, "--base 241: 64 to 240"},
 	} {
--- a/internal/rig/scale/setup.go
+++ b/internal/rig/scale/setup.go
@@ -121,4 +121,4 @@
 }
 
 // numbers says whether the leader deals out the members' own numbers, which it does only to so many.
-func (r *run) numbers() bool { return r.config.Numbers && r.config.Members <= rules.MostMembers }
+func (r *run) numbers() bool { return r.config.Numbers && r.config.Members <= rules.MaxMembers }
--- a/internal/rig/trial/trial.go
+++ b/internal/rig/trial/trial.go
@@ -108,12 +108,12 @@
 // ruleDefences are those of an agreement's settings, for stories with keepers.
 var ruleDefences = map[string]func(*accord.Settings){
 	"lease-check": func(s *accord.Settings) { s.NoLeaseCheck = true },
-	"prepared":    func(s *accord.Settings) { s.NoPrepared = true },
-	"wait":        func(s *accord.Settings) { s.NoWait = true },
-	"confirm":     func(s *accord.Settings) { s.NoConfirm = true },
-	contentCheck:  func(s *accord.Settings) { s.NoDigest = true },
+	"prepared":    func(s *accord.Settings) { s.NoPreparePhase = true },
+	"wait":        func(s *accord.Settings) { s.NoLeaderWait = true },
+	"confirm":     func(s *accord.Settings) { s.NoQuorumCheck = true },
+	contentCheck:  func(s *accord.Settings) { s.NoDigestCheck = true },
 	// It counts where leases rest on what proxies have, which they do beside differences that are long.
-	"enforcing": func(s *accord.Settings) { s.NoEnforcing, s.MostShort = true, 1 },
+	"enforcing": func(s *accord.Settings) { s.NoEnforcingCheck, s.MaxInlineDelta = true, 1 },
 }
 
 // contentCheck is the comparison of what a proxy has with what the voters have by its digest. The view has one named "digest".
@@ -220,7 +220,7 @@
 
 // inAgreement plays a story of rules in the model of an agreement.
 func (c *Config) inAgreement(s *story.Story) (*Run, error) {
-	config := agreed.Config{Story: s, Drift: modelDrift, Crash: modelCrash, Set: func(set *accord.Settings) {
+	config := agreed.Config{Scenario: s, Drift: modelDrift, CrashRate: modelCrash, AdjustSettings: func(set *accord.Settings) {
 		for _, name := range c.Without {
 			if take := ruleDefences[name]; take != nil {
 				take(set)
@@ -228,20 +228,20 @@
 		}
 	}}
 	if slices.Contains(c.Without, contentCheck) {
-		config.Corrupt = modelCorrupt
+		config.CorruptRate = modelCorrupt
 	}
 	f, err := agreed.New(config)
 	if err != nil {
 		return nil, err
 	}
 	begun := time.Now()
-	f.Play(time.Duration(s.Length) + modelSettle)
-	f.Judge()
-	g := &f.Figures
+	f.Run(time.Duration(s.Length) + modelSettle)
+	f.Check()
+	g := &f.Results
 	run := &Run{Story: s, Datagrams: g.Messages, Bytes: g.Bytes, Events: g.Events, CPU: time.Since(begun)}
-	run.Agreed = ruling.Verdict{Acts: int(g.Events), Agreed: g.Agreed, Leased: g.Leased, Unleased: g.Alone, InForce: g.InForce, Lost: g.Wrong}
+	run.Agreed = ruling.Verdict{Acts: int(g.Events), Agreed: g.Agreed, Leased: g.LeasedBreach, Unleased: g.AloneBreach, InForce: g.InForce, Lost: g.Violations}
 	if !run.Agreed.Kept() {
-		run.Explain = fmt.Sprintf("with a lease against another for %v; %q", g.Leased, g.Wrong)
+		run.Explain = fmt.Sprintf("with a lease against another for %v; %q", g.LeasedBreach, g.Violations)
 	}
 	return run, nil
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -85,9 +85,9 @@
 
 // Learned is what a proxy knew at a moment: the same as what a process hands over to the next at an upgrade.
 type Learned struct {
-	Owner     Owner              `cbor:"1,keyasint"`
-	Written   Stamp              `cbor:"2,keyasint"`
-	Knowledge handover.Knowledge `cbor:"3,keyasint"`
+	Owner     Owner          `cbor:"1,keyasint"`
+	Written   Stamp          `cbor:"2,keyasint"`
+	Knowledge handover.State `cbor:"3,keyasint"`
 	// Demand is what callers asked for, in requests a second, by class name.
 	Demand map[string]float64 `cbor:"4,keyasint,omitempty"`
 }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -22,7 +22,7 @@
 )
 
 func learned(n int) *state.Learned {
-	l := &state.Learned{Knowledge: handover.Knowledge{Seq: int64(n), Addresses: map[string]string{}}}
+	l := &state.Learned{Knowledge: handover.State{Seq: int64(n), Addresses: map[string]string{}}}
 	for i := range 3 {
 		id := fmt.Sprint("s", i)
 		l.Knowledge.Addresses[id] = fmt.Sprintf("127.0.0.1:%d", n)
--- a/internal/status/status.go
+++ b/internal/status/status.go
@@ -15,62 +15,62 @@
 
 // Status is how a proxy stands at one moment.
 type Status struct {
-	Ready       bool           `json:"ready"`
-	Leaving     bool           `json:"leaving"`
-	Listed      int            `json:"listed"`   // servers
-	InTurns     int            `json:"in_turns"` // of these, those that turns go to
-	Avoided     []Avoided      `json:"avoided"`
-	Limit       float64        `json:"limit"` // requests admitted at one time
-	Open        map[string]int `json:"open"`  // requests, by class
-	Callers     map[string]int `json:"callers"`
-	Backends    map[string]int `json:"backends"`
-	Channels    int            `json:"channels"`
-	MemoryMB    float64        `json:"memory_mb"`
-	Descriptors int            `json:"descriptors"`
+	Ready        bool           `json:"ready"`
+	ShuttingDown bool           `json:"leaving"`
+	Listed       int            `json:"listed"`   // servers
+	InRoundRobin int            `json:"in_turns"` // of these, those that turns go to
+	Avoided      []Avoided      `json:"avoided"`
+	Limit        float64        `json:"limit"` // requests admitted at one time
+	OpenRequests map[string]int `json:"open"`  // requests, by class
+	Callers      map[string]int `json:"callers"`
+	Backends     map[string]int `json:"backends"`
+	Channels     int            `json:"channels"`
+	MemoryMB     float64        `json:"memory_mb"`
+	Descriptors  int            `json:"descriptors"`
 }
 
 // Why is why a server is avoided. One that is avoided for several reasons is told with the first of them.
-type Why string
+type Reason string
 
 // The reasons, the weightiest first.
 const (
-	ByHand   Why = "by hand"
-	Draining Why = "drains"
-	Failing  Why = "fails"
-	Cold     Why = "cold" // used, within its budget
+	ByOperator Reason = "by hand"
+	Draining   Reason = "drains"
+	Failing    Reason = "fails"
+	Cold       Reason = "cold" // used, within its budget
 )
 
 // Avoided is one server that gets nothing, or less than its turns.
 type Avoided struct {
-	ID   string `json:"id"`
-	Why  Why    `json:"why"`
-	ForS int    `json:"for_s"`            // so long already; -1 if that is not known
-	Left int    `json:"left_s,omitempty"` // until it is tried again, or warm
-	Note string `json:"note,omitempty"`   // what is known besides
+	ID          string `json:"id"`
+	Reason      Reason `json:"why"`
+	ForSeconds  int    `json:"for_s"`            // so long already; -1 if that is not known
+	SecondsLeft int    `json:"left_s,omitempty"` // until it is tried again, or warm
+	Note        string `json:"note,omitempty"`   // what is known besides
 }
 
 // Servers says which servers are avoided. now and the times in since are of the clock of c; since holds when a server
 // was taken out by hand or began to drain, as far as that was seen.
-func Servers(now, warmUp time.Duration, c balance.Snapshot, since map[string]time.Duration) []Avoided {
+func AvoidedServers(now, warmUp time.Duration, c balance.Snapshot, since map[string]time.Duration) []Avoided {
 	avoided := []Avoided{}
 	for _, s := range c.Servers {
-		a := Avoided{ID: s.Entry.ID, ForS: -1}
+		a := Avoided{ID: s.Entry.ID, ForSeconds: -1}
 		if at, known := since[a.ID]; known {
-			a.ForS = seconds(now - at)
+			a.ForSeconds = seconds(now - at)
 		}
 		boot := max(s.Entry.Boot, s.Resumed)
 		switch {
 		case slices.Contains(c.Banned, a.ID):
-			a.Why = ByHand
+			a.Reason = ByOperator
 		case s.Entry.State == balance.Gone:
 			continue // it is listed no more
 		case s.Entry.State == balance.Draining:
-			a.Why = Draining
+			a.Reason = Draining
 		case s.Ejected > 0:
-			a.Why, a.ForS, a.Left = Failing, -1, seconds(max(s.Ejected-now, 0))
+			a.Reason, a.ForSeconds, a.SecondsLeft = Failing, -1, seconds(max(s.Ejected-now, 0))
 			a.Note = fmt.Sprintf("%d times in a row; %.0f%% of its last answers failed", s.Ejections, 100*s.FailRate)
 		case boot > 0 && now-boot < warmUp:
-			a.Why, a.ForS, a.Left = Cold, seconds(now-boot), seconds(warmUp-(now-boot))
+			a.Reason, a.ForSeconds, a.SecondsLeft = Cold, seconds(now-boot), seconds(warmUp-(now-boot))
 		default:
 			continue
 		}
@@ -78,7 +78,7 @@
 	}
 	for _, id := range c.Banned {
 		if !slices.ContainsFunc(avoided, func(a Avoided) bool { return a.ID == id }) {
-			avoided = append(avoided, Avoided{ID: id, Why: ByHand, ForS: -1, Note: "not listed now"})
+			avoided = append(avoided, Avoided{ID: id, Reason: ByOperator, ForSeconds: -1, Note: "not listed now"})
 		}
 	}
 	slices.SortFunc(avoided, func(a, b Avoided) int { return strings.Compare(a.ID, b.ID) })
@@ -89,7 +89,7 @@
 func seconds(d time.Duration) int { return int((d + time.Second - 1) / time.Second) }
 
 // Read reads a status as a console writes it.
-func Read(text string) (*Status, error) {
+func Parse(text string) (*Status, error) {
 	s := &Status{}
 	if err := json.Unmarshal([]byte(text), s); err != nil {
 		return nil, fmt.Errorf("status: %w", err)
@@ -105,23 +105,23 @@
 	var b strings.Builder
 	state := "takes clients"
 	switch {
-	case s.Leaving:
+	case s.ShuttingDown:
 		state = "is leaving"
 	case !s.Ready:
 		state = "takes no clients"
 	}
-	fmt.Fprintf(&b, "%s; %d backends listed, %d in turns, %d avoided or cold\n", state, s.Listed, s.InTurns, len(s.Avoided))
+	fmt.Fprintf(&b, "%s; %d backends listed, %d in turns, %d avoided or cold\n", state, s.Listed, s.InRoundRobin, len(s.Avoided))
 	for i, a := range s.Avoided {
 		if i == mostShown {
 			fmt.Fprintf(&b, "  and %d more (--format json)\n", len(s.Avoided)-mostShown)
 			break
 		}
-		fmt.Fprintf(&b, "  %-24s %-8s", a.ID, a.Why)
-		if a.ForS >= 0 {
-			fmt.Fprintf(&b, " for %d s", a.ForS)
+		fmt.Fprintf(&b, "  %-24s %-8s", a.ID, a.Reason)
+		if a.ForSeconds >= 0 {
+			fmt.Fprintf(&b, " for %d s", a.ForSeconds)
 		}
-		if a.Left > 0 {
-			fmt.Fprintf(&b, ", %d s to go", a.Left)
+		if a.SecondsLeft > 0 {
+			fmt.Fprintf(&b, ", %d s to go", a.SecondsLeft)
 		}
 		if a.Note != "" {
 			fmt.Fprintf(&b, "; %s", a.Note)
@@ -136,7 +136,7 @@
 		}
 		b.WriteByte('\n')
 	}
-	line("open", s.Open)
+	line("open", s.OpenRequests)
 	line("callers", s.Callers)
 	line("backends", s.Backends)
 	if s.Channels > 0 {
--- a/internal/status/status_test.go
+++ b/internal/status/status_test.go
@@ -40,31 +40,31 @@
 	}
 	since := map[string]time.Duration{"hand": now - 90*time.Second, "drains": now - 1500*time.Millisecond}
 	want := []Avoided{
-		{ID: "cold", Why: Cold, ForS: 5, Left: 15},
-		{ID: "drains", Why: Draining, ForS: 2},
-		{ID: "due", Why: Failing, ForS: -1, Note: "1 times in a row; 0% of its last answers failed"},
-		{ID: "fails", Why: Failing, ForS: -1, Left: 4, Note: "2 times in a row; 75% of its last answers failed"},
-		{ID: "gone-by-hand", Why: ByHand, ForS: -1},
-		{ID: "hand", Why: ByHand, ForS: 90},
-		{ID: "hand-failing", Why: ByHand, ForS: -1},
-		{ID: "resumed", Why: Cold, ForS: 1, Left: 19},
-		{ID: "unlisted", Why: ByHand, ForS: -1, Note: "not listed now"},
+		{ID: "cold", Reason: Cold, ForSeconds: 5, SecondsLeft: 15},
+		{ID: "drains", Reason: Draining, ForSeconds: 2},
+		{ID: "due", Reason: Failing, ForSeconds: -1, Note: "1 times in a row; 0% of its last answers failed"},
+		{ID: "fails", Reason: Failing, ForSeconds: -1, SecondsLeft: 4, Note: "2 times in a row; 75% of its last answers failed"},
+		{ID: "gone-by-hand", Reason: ByOperator, ForSeconds: -1},
+		{ID: "hand", Reason: ByOperator, ForSeconds: 90},
+		{ID: "hand-failing", Reason: ByOperator, ForSeconds: -1},
+		{ID: "resumed", Reason: Cold, ForSeconds: 1, SecondsLeft: 19},
+		{ID: "unlisted", Reason: ByOperator, ForSeconds: -1, Note: "not listed now"},
 	}
-	if got := Servers(now, warmUp, c, since); !reflect.DeepEqual(got, want) {
+	if got := AvoidedServers(now, warmUp, c, since); !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v\nwant %+v", got, want)
 	}
 }
 
 func TestTextFitsAScreen(t *testing.T) {
-	s := &Status{Ready: true, Listed: 100, InTurns: 12, Limit: 63.6, Open: map[string]int{"search": 3, "hold": 1}, Callers: map[string]int{"busy": 4}, Descriptors: 40, MemoryMB: 12.25}
+	s := &Status{Ready: true, Listed: 100, InRoundRobin: 12, Limit: 63.6, OpenRequests: map[string]int{"search": 3, "hold": 1}, Callers: map[string]int{"busy": 4}, Descriptors: 40, MemoryMB: 12.25}
 	for i := range 100 {
-		s.Avoided = append(s.Avoided, Avoided{ID: fmt.Sprint("node-", i), Why: Failing, ForS: -1, Left: 3})
+		s.Avoided = append(s.Avoided, Avoided{ID: fmt.Sprint("node-", i), Reason: Failing, ForSeconds: -1, SecondsLeft: 3})
 	}
 	encoded, err := json.Marshal(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	back, err := Read(string(encoded))
+	back, err := Parse(string(encoded))
 	if err != nil || !reflect.DeepEqual(back.Avoided, s.Avoided) || back.Limit != s.Limit {
 		t.Errorf("%+v, %v", back, err)
 	}
@@ -77,7 +77,7 @@
 			t.Errorf("%q is missing in\n%s", want, text)
 		}
 	}
-	if _, err := Read("no status"); err == nil {
+	if _, err := Parse("no status"); err == nil {
 		t.Error("nonsense is read")
 	}
 }
