--- a/internal/cluster/agreement/node.go
+++ b/internal/cluster/agreement/node.go
@@ -1,6 +1,7 @@
-// Package agreement is a proxy's part in what its fleet agrees on: it puts the decisions (package accord), the disk and the
-// fleet's link together, and tells the rest of the process what it may act on. One goroutine owns the core; all others hand it
-// events. Serving never waits for it: what acts rest on is read with one atomic load.
+// Package agreement runs a proxy's part of the fleet's consensus on rules. It connects the protocol (package accord),
+// the disk and the fleet's network link, and provides the rules in effect to the rest of the process. One goroutine
+// owns the core, and all others send it events. Request handling never waits for that goroutine: it reads the rules
+// with one atomic load.
 package agreement
 
 import (
@@ -27,65 +28,68 @@
 	"brasswell/internal/cluster/view"
 )
 
-// The log's lines about rules, which package rig reads back.
+// The messages of log lines about rules, which package rig reads back.
 const (
-	LogRules = "rules: acted on" // another standing
-	LogMode  = "rules: lease"    // on what this proxy acts has changed
-	LogSelf  = "rules: self"     // what this process has found out about itself
+	LogRules = "rules: acted on" // the rules in effect have changed
+	LogMode  = "rules: lease"    // the mode has changed: whether this proxy holds a lease
+	LogSelf  = "rules: self"     // what this process has found out about its own state
 )
 
 const (
-	// mostWaiting messages, and as many events, stand before the owner; those beyond are dropped, as the network would. After a change each of 1,400
-	// holders of leases acknowledges within milliseconds, and a second step follows at once; renewals come beside both.
+	// mostWaiting bounds the messages and the events that are queued for the owner goroutine; more are dropped, as the
+	// network may drop them. After a change each of 1,400 lease holders acknowledges within milliseconds, a second step
+	// follows immediately, and renewals arrive during both.
 	maxQueued = 4096
-	// mostTogether messages that wait are taken in together: a voter writes its disk once for them. Between two such batches the owner
-	// does what is due.
+	// mostTogether bounds the queued messages that are processed as one batch, for which a voter writes to its disk
+	// once. Timed work is done between two batches.
 	maxBatch = 512
-	// openEvery is between tries for a file that the process before this one still holds.
+	// openEvery is the time between attempts to open a file that the previous process still has open.
 	reopenInterval = 100 * time.Millisecond
-	// lookEvery is between two looks at on what this proxy acts, beside those after each event.
+	// lookEvery is the longest time between two checks for a changed mode; each event is followed by a check too.
 	modeCheckInterval = 50 * time.Millisecond
-	// planEvery is between two looks of a leader at the proxies' numbers. A look goes over all proxies, and with each event, of which a
-	// leader has several a second from each proxy, its cost would grow with the square of their number.
+	// planEvery is the time between two checks of the proxies' numbers by a leader. A check visits all proxies, and a
+	// leader receives several events a second from each proxy, so the cost of a check with each event would grow with
+	// the square of their number.
 	planInterval = 250 * time.Millisecond
 )
 
-// Config is what a node is told.
+// Config configures a node.
 type Config struct {
 	Options    Options
 	Fleet      string // the fleet's name
-	Name       string // this proxy's
+	Name       string // this proxy's name
 	InstanceID uint64 // drawn at random at each start
 	Seed       uint64
-	// Volatile: this member keeps nothing on disk, and has no folder. A start that reaches no keeper then knows nothing. It is for
-	// many members on one machine, in scale runs; a keeper cannot be one.
+	// Volatile makes this member store nothing on disk; it has no folder. After a restart that reaches no voter it
+	// knows no rules. It is meant for scale runs with many members on one machine. A voter cannot be volatile.
 	Volatile bool
 	Log      *slog.Logger
 }
 
 type event func(c *accord.Core, now time.Duration)
 
-// Node is this process's part in the agreement. Its methods may be called at any time.
+// Node takes part in the consensus on behalf of this process. Its methods are safe for concurrent use.
 type Node struct {
 	config  Config
 	carrier cluster.Carrier
-	core    *accord.Core // the owner's
+	core    *accord.Core // used by the owner goroutine only
 	disk    atomic.Pointer[store.Store]
-	// messages are those from other proxies, as they came.
+	// messages holds the messages received from other proxies, in the order of arrival.
 	messages chan *accord.Message
 	events   chan event
-	requests chan event   // from this process's own, never dropped
-	dropped  atomic.Int64 // messages that found the owner's line full
+	requests chan event   // from this process itself; never dropped
+	dropped  atomic.Int64 // messages dropped because the queue was full
 	basis    atomic.Pointer[accord.Basis]
-	// leaving: this process hands over to another of its proxy, and acts until its end on what it knows.
+	// handedOver is set once another process of this proxy has taken over: this one acts until its end on the rules
+	// that it knows.
 	handedOver   atomic.Bool
-	addresses    atomic.Pointer[map[string]string] // of members, by name
-	mode         accord.Mode                       // the owner's, as last logged
+	addresses    atomic.Pointer[map[string]string] // addresses of members, by name
+	mode         accord.Mode                       // used by the owner only: the mode that was last logged
 	modeLogged   bool
-	saveFailed   bool                     // that it cannot be stored has been told
-	planner      *numbering.Planner       // the owner's; nil where numbers do not follow who lives
-	nextPlan     time.Duration            // the owner's; when it next looks at the numbers
-	heldBackends atomic.Pointer[[]string] // backends that this process goes on with though the newest list leaves them out
+	saveFailed   bool                     // used by the owner only: the last attempt to store the rules failed, and was logged
+	planner      *numbering.Planner       // used by the owner only; nil if numbers are not assigned by membership
+	nextPlan     time.Duration            // used by the owner only: the time of the next check of the numbers
+	heldBackends atomic.Pointer[[]string] // backends still in use although the newest list omits them
 
 	mu        sync.Mutex
 	followers []func(*accord.Basis)
@@ -97,16 +101,17 @@
 	closeOnce sync.Once
 }
 
-// Clock is time that goes on while the machine sleeps too: a lease must not outlast that.
+// Clock returns the time since boot, including the time that the machine was suspended: a lease must expire during a
+// suspension too.
 func Clock() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(fmt.Sprintf("agreement: no clock: %v", err)) // every Linux that Go runs on has it
+		panic(fmt.Sprintf("agreement: cannot read CLOCK_BOOTTIME: %v", err)) // every Linux version that Go supports has this clock
 	}
 	return time.Duration(t.Nano())
 }
 
-// Open begins a proxy's part.
+// Open starts a node and its goroutines.
 func Open(c Config, carrier cluster.Carrier) (*Node, error) {
 	if c.Volatile && c.Options.isVoter(c.Name) {
 		return nil, fmt.Errorf("rules: %s is a keeper, which needs a folder", c.Name)
@@ -143,7 +148,9 @@
 	return n, nil
 }
 
-// openStore opens the folder. Nothing in it keeps the process from starting; later says that another process still holds it.
+// openStore opens the store in the folder and loads it. No fault of the folder prevents the process from starting.
+// later means that the store could not be opened, for example because another process has it open, and that the caller
+// is to retry in the background.
 func (n *Node) openStore() (stored accord.Stored, later bool, err error) {
 	c := &n.config
 	if c.Volatile {
@@ -155,10 +162,10 @@
 		case errors.Is(err, bolterrors.ErrTimeout):
 			return stored, true, nil
 		case err != nil:
-			c.Log.Error(LogSelf, "what", "the folder cannot be used; this proxy keeps nothing", "error", err)
+			c.Log.Error(LogSelf, "what", "the folder cannot be used; this proxy stores nothing until it can be opened", "error", err)
 			return stored, true, nil
 		case setAside != "":
-			c.Log.Error(LogSelf, "what", "the file in the folder is not used, and was set aside", "file", setAside, "error", reason)
+			c.Log.Error(LogSelf, "what", "the file in the folder is not used and was set aside", "file", setAside, "error", reason)
 		}
 		if stored, err = disk.Load(); err == nil {
 			n.disk.Store(disk)
@@ -174,7 +181,8 @@
 	return accord.Stored{}, true, nil
 }
 
-// openLater makes this proxy a keeper once the process before it has let go of the folder.
+// retryOpenStore waits until the folder's store can be opened, for example after the previous process has closed it,
+// and lets the core use it: a voter starts to vote then.
 func (n *Node) retryOpenStore() {
 	for {
 		select {
@@ -189,13 +197,13 @@
 		stored, err := disk.Load()
 		if err != nil {
 			disk.Close()
-			n.config.Log.Error(LogSelf, "what", "the file in the folder cannot be read; this proxy keeps nothing", "error", err)
+			n.config.Log.Error(LogSelf, "what", "the file in the folder cannot be read; this proxy stores nothing", "error", err)
 			return
 		}
 		n.disk.Store(disk)
 		n.do(n.ctx, func(c *accord.Core, now time.Duration) {
 			if err := c.StartVoter(now, stored); err != nil {
-				n.config.Log.Error(LogSelf, "what", "this proxy keeps nothing", "error", err)
+				n.config.Log.Error(LogSelf, "what", "this proxy cannot start as a keeper", "error", err)
 			}
 		})
 		return
@@ -208,7 +216,7 @@
 	}
 }
 
-// own is the goroutine that the core belongs to.
+// own is the owner goroutine: the only one that uses the core.
 func (n *Node) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -219,7 +227,7 @@
 			return
 		case m := <-n.messages:
 			messages := n.batch(m)
-			n.core.Receive(Clock(), messages...) // the clock is read once all of them have come
+			n.core.Receive(Clock(), messages...) // the clock is read after all of them have been received
 		case e := <-n.events:
 			e(n.core, Clock())
 		case e := <-n.requests:
@@ -234,10 +242,10 @@
 	}
 }
 
-// Late is how many messages were dropped since the start, as too many stood before the owner.
+// DroppedMessages returns how many messages were dropped since the start because the queue was full.
 func (n *Node) DroppedMessages() int64 { return n.dropped.Load() }
 
-// waiting is a message with those that wait behind it, as many as are taken in together.
+// waiting returns a message and the messages queued after it, maxBatch at most.
 func (n *Node) batch(first *accord.Message) []*accord.Message {
 	messages := []*accord.Message{first}
 	for len(messages) < maxBatch {
@@ -251,7 +259,8 @@
 	return messages
 }
 
-// number proposes other own numbers for the proxies, where this one leads and they are due.
+// number proposes new numbers for the proxies if this proxy is the leader with a lease, no change is pending and the
+// planner asks for them.
 func (n *Node) proposeNumbers() {
 	now := Clock()
 	b := n.basis.Load()
@@ -272,8 +281,8 @@
 	}
 }
 
-// Number is this proxy's agreed own number, of how many, on a basis; ok is false where it has none, or the change that gives it is
-// on its way.
+// AgreedNumber returns this proxy's assigned number and the total of assigned numbers under a basis. ok is false if the
+// proxy has no valid number, or if any change is pending.
 func (n *Node) AgreedNumber(b *accord.Basis) (index, total int, ok bool) {
 	if b.Settled == nil {
 		return 0, 0, false
@@ -282,13 +291,13 @@
 	return index, len(b.Settled.Numbers), ok && index < len(b.Settled.Numbers)
 }
 
-// ListDrop is the share of the backends that lists may leave out at once; 1 for any.
+// MaxListDrop returns the share of the backends that lists may omit at once; 1 means any number.
 func (n *Node) MaxListDrop() float64 { return n.config.Options.MaxListDrop }
 
-// Hold takes in which backends this process goes on with though the newest list leaves them out, for people.
+// SetHeldBackends sets the backends that are still in use although the newest list omits them, for the report.
 func (n *Node) SetHeldBackends(ids []string) { n.heldBackends.Store(&ids) }
 
-// look logs on what this proxy acts, if that has changed.
+// look logs the mode if it has changed.
 func (n *Node) logMode() {
 	b := n.basis.Load()
 	if mode := b.Mode(Clock()); mode != n.mode || !n.modeLogged {
@@ -313,7 +322,7 @@
 	return false
 }
 
-// parcel takes in what another proxy has sent.
+// parcel handles the payload of a message from another proxy.
 func (n *Node) onPayload(body []byte) {
 	m, err := accord.Decode(body)
 	if err != nil {
@@ -327,7 +336,7 @@
 	}
 }
 
-// members takes in who of the fleet is there, and where.
+// members handles a change of the fleet's members and their addresses.
 func (n *Node) onMembers(s view.Standing) {
 	addresses, living := s.Addresses()
 	n.addresses.Store(&addresses)
@@ -338,14 +347,14 @@
 			n.planner.See(now, living)
 		}
 	}:
-	default: // the next change brings them
+	default: // the next membership change delivers them
 	}
 }
 
-// host is the core's side of a node; its methods run on the owner.
+// host implements accord.Host for a node. Its methods run on the owner goroutine.
 type host struct{ *Node }
 
-// latestCarrier is a carrier that can leave out what a newer parcel of the same topic makes useless.
+// latestCarrier is a carrier that discards a queued payload when a newer one of the same topic replaces it.
 type latestCarrier interface {
 	CarryLatest(to, topic string, body []byte)
 }
@@ -363,7 +372,7 @@
 	}
 	latest, able := h.carrier.(latestCarrier)
 	switch {
-	case able && m.Kind == accord.Grant: // each brings all that its receiver lacks
+	case able && m.Kind == accord.Grant: // each contains everything that its receiver lacks
 		latest.CarryLatest(address, "grant "+m.To, body)
 	case able && m.Kind == accord.Update:
 		latest.CarryLatest(address, "tell "+m.To, body)
@@ -386,14 +395,14 @@
 		err = d.SaveRules(s)
 	}
 	if err != nil && !h.saveFailed {
-		h.config.Log.Warn(LogSelf, "what", "what is acted on cannot be stored; a start that reaches no keeper will not know it", "error", err)
+		h.config.Log.Warn(LogSelf, "what", "the rules in effect cannot be stored; after a restart that reaches no keeper this proxy will not know them", "error", err)
 	}
 	h.saveFailed = err != nil
 }
 
 func (h host) SetBasis(b *accord.Basis) {
 	if was := h.basis.Swap(b); was != nil && was.Doc == b.Doc {
-		return // a lease renewed, several times a second: what is acted on is the same
+		return // only the lease was renewed, which happens several times a second; the rules are the same
 	}
 	h.mu.Lock()
 	followers := slices.Clone(h.followers)
@@ -409,7 +418,7 @@
 	if c := h.answers[a.ID]; c != nil {
 		select {
 		case c <- a:
-		default: // it has one
+		default: // an answer was delivered already
 		}
 	}
 }
@@ -428,7 +437,8 @@
 	}
 }
 
-// Follow tells f on what acts rest, now and after every change of the rules, from one goroutine at a time. f must not block.
+// Follow calls f with the current basis, now and after every change of the rules, from one goroutine at a time. f must
+// not block.
 func (n *Node) Follow(f func(*accord.Basis)) {
 	n.do(n.ctx, func(*accord.Core, time.Duration) {
 		n.mu.Lock()
@@ -438,10 +448,11 @@
 	})
 }
 
-// Basis is on what acts rest now.
+// Basis returns the basis that decisions use now.
 func (n *Node) Basis() *accord.Basis { return n.basis.Load() }
 
-// Rule says whether an act is allowed now, and on what that rests. It is to be asked right before the act.
+// Decide reports whether a send is allowed now, and the basis of that decision. Call it immediately before the send,
+// because the lease may expire after an earlier call.
 func (n *Node) Decide(s rules.Send) (rules.Decision, rules.DecisionBasis) {
 	b := n.basis.Load()
 	if n.handedOver.Load() {
@@ -451,7 +462,7 @@
 	return b.Decide(now, s), rules.DecisionBasis{Version: b.Last, Leased: b.Mode(now) == accord.Leased}
 }
 
-// Mode is on what this proxy acts.
+// Mode returns whether this proxy acts on a lease, on the rules that it knows, or not at all.
 func (n *Node) Mode() accord.Mode {
 	if n.handedOver.Load() {
 		return accord.Alone
@@ -459,17 +470,18 @@
 	return n.basis.Load().Mode(Clock())
 }
 
-// ErrNoAnswer is that of a proposal of which nothing has been heard: it may still come.
-var ErrNoAnswer = errors.New("no answer from the keepers yet; it may still come into force. The same id again is the same change")
+// ErrNoAnswer means that the outcome of a proposal is unknown: the change may still come into force.
+var ErrNoAnswer = errors.New("no answer from the keepers yet; the change may still come into force. A retry with the same id is the same change")
 
-// NewID draws the id of a change.
+// NewID returns a random ID for a change.
 func NewID() string {
 	var b [12]byte
-	rand.Read(b[:]) // it does not fail
+	rand.Read(b[:]) // it never returns an error
 	return hex.EncodeToString(b[:])
 }
 
-// Propose has a change agreed, and returns what became of it. The version it names is on its way then, and not in force yet.
+// Propose proposes a change to the voters and returns the outcome. The version in the answer is pending then, and not
+// yet in force.
 func (n *Node) Propose(ctx context.Context, c rules.Change) (rules.Answer, error) {
 	if c.ID == "" {
 		c.ID = NewID()
@@ -507,15 +519,15 @@
 	return rules.Answer{}, ErrNoAnswer
 }
 
-// Refound has this keeper go on alone, in place of a majority that is lost for good: see accord.Core.
+// Refound makes this voter continue alone, in place of a majority that is permanently lost; see accord.Core.Refound.
 func (n *Node) Refound(ctx context.Context) error {
 	err := ErrNoAnswer
 	n.do(ctx, func(c *accord.Core, now time.Duration) { err = c.Refound(now) })
 	return err
 }
 
-// Close ends this process's part. With handOver another process of this proxy goes on; this one acts until its end on what it
-// knows, and repeats nothing.
+// Close stops the node. With handOver, another process of this proxy takes over; until its end, this process acts on
+// the rules that it knows as if it had no lease, and never repeats a request that may have run.
 func (n *Node) Close(handOver bool) {
 	n.closeOnce.Do(func() {
 		n.handedOver.Store(handOver)
--- a/internal/cluster/agreement/node_test.go
+++ b/internal/cluster/agreement/node_test.go
@@ -21,13 +21,13 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// wire carries parcels between nodes of a test at once.
+// wire delivers payloads between the nodes of a test synchronously.
 type wire struct {
 	mu    sync.Mutex
 	nodes map[string]func([]byte)
 }
 
-// end is one node's end of a wire; its address is its name.
+// end is a node's connection to a wire; its address is the node's name.
 type end struct {
 	*wire
 	name string
@@ -68,17 +68,18 @@
 	return n
 }
 
-// until waits for what must come.
+// until waits until cond is true, and fails the test after 20 seconds.
 func waitFor(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !cond(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not ", what)
+			t.Fatal("timed out waiting for: ", what)
 		}
 	}
 }
 
-// TestFourNodes: three keepers and one more agree on a ban, are told of it, and one that starts anew knows it from its folder.
+// TestFourNodes checks that three voters and another proxy agree on a ban, that followers are notified of it, and that
+// a restarted proxy knows it from its folder.
 func TestFourNodes(t *testing.T) {
 	w := &wire{nodes: map[string]func([]byte){}}
 	nodes, folders := map[string]*Node{}, map[string]string{}
@@ -92,7 +93,7 @@
 		waitFor(t, name+" with a lease", func() bool { return n.Mode() == accord.Leased && n.Basis().Version == 1 })
 	}
 	var a rules.Answer
-	waitFor(t, "agreed", func() bool { // the keepers may still be coming together
+	waitFor(t, "the change to be accepted", func() bool { // the voters may still be joining the log
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		var err error
@@ -103,26 +104,26 @@
 		n := nodes[name]
 		waitFor(t, name+" with it in force", func() bool { return n.Basis().Version >= a.Version })
 		if ruling, ground := n.Decide(rules.Send{Server: "node-00"}); ruling != rules.Banned || ground.Version != a.Version || !ground.Leased {
-			t.Errorf("%s: %v by %+v", name, ruling, ground)
+			t.Errorf("%s: decision %v, based on %+v", name, ruling, ground)
 		}
 	}
-	waitFor(t, "told", func() bool { return <-notified >= a.Version })
+	waitFor(t, "the follower to be notified", func() bool { return <-notified >= a.Version })
 	r, err := nodes["a"].Report(t.Context())
 	if err != nil || len(r.History) < 2 || r.Voters == nil || len(r.Document.Bans) != 1 {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("report %+v, error %v", r, err)
 	}
-	// One that hands over acts on what it knows until its end, and repeats nothing.
+	// A process that has handed over acts until its end on the rules that it knows, and repeats nothing.
 	nodes["d"].Close(true)
 	if ruling, _ := nodes["d"].Decide(rules.Send{Server: "node-01", MayHaveRun: true}); ruling != rules.NoRepeat || nodes["d"].Mode() != accord.Alone {
-		t.Errorf("after it has handed over: %v, %v", ruling, nodes["d"].Mode())
+		t.Errorf("after the handover: decision %v, mode %v", ruling, nodes["d"].Mode())
 	}
 	for _, name := range []string{"a", "b", "c"} {
 		nodes[name].Close(false)
 	}
 	restarted := w.open(t, "d", folders["d"])
-	waitFor(t, "alone", func() bool { return restarted.Mode() == accord.Alone })
+	waitFor(t, "mode alone after the restart", func() bool { return restarted.Mode() == accord.Alone })
 	if ruling, _ := restarted.Decide(rules.Send{Server: "node-00"}); ruling != rules.Banned {
-		t.Errorf("from the folder alone: %v", ruling)
+		t.Errorf("with the rules of the folder alone: decision %v", ruling)
 	}
 }
 
@@ -132,22 +133,22 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	if _, err := n.Propose(ctx, rules.Change{Kind: rules.Suspend, Server: "node-00"}); !errors.Is(err, ErrNoAnswer) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v; wanted ErrNoAnswer", err)
 	}
 	if _, err := n.Propose(t.Context(), rules.Change{Kind: rules.Suspend}); err == nil {
-		t.Error("a change of nothing is proposed")
+		t.Error("a change without a server is accepted")
 	}
 	if err := n.Refound(t.Context()); err == nil {
-		t.Error("one that is no keeper goes on alone")
+		t.Error("Refound succeeds at a proxy that is not a voter")
 	}
 	n.onPayload([]byte("no message"))
 	r, err := n.Report(t.Context())
 	if err != nil || fmt.Sprint(r.Voters) != "map[]" {
-		t.Errorf("%+v, %v", r, err)
+		t.Errorf("report %+v, error %v", r, err)
 	}
 }
 
-// topics is a carrier that notes under which topic each parcel goes out.
+// topics is a carrier that records the destination and the topic of each payload.
 type topics struct {
 	end
 	seen []string
@@ -157,7 +158,8 @@
 
 func (c *topics) CarryLatest(to, topic string, _ []byte) { c.seen = append(c.seen, to+": "+topic) }
 
-// TestNewerGrantsAndTellsTakeTheirPlace: those of one kind for one proxy replace each other where they wait, and nothing else does.
+// TestNewerMessagesReplaceQueued checks that only grants and updates are sent with a topic, one for each kind and
+// receiver, so that a newer message replaces a queued one. All other messages are sent without a topic.
 func TestNewerMessagesReplaceQueued(t *testing.T) {
 	c := &topics{}
 	n := &Node{carrier: c}
@@ -177,7 +179,7 @@
 	}
 }
 
-// TestWhatWaitsIsTakenTogether: messages that wait are taken in in their order, so many at one time at most.
+// TestQueuedMessagesAreBatched checks that queued messages are batched in their order, maxBatch at most.
 func TestQueuedMessagesAreBatched(t *testing.T) {
 	const more = 7
 	n := &Node{messages: make(chan *accord.Message, maxQueued)}
@@ -188,19 +190,19 @@
 	for _, want := range []int{maxBatch, more} {
 		messages := n.batch(<-n.messages)
 		if len(messages) != want {
-			t.Errorf("%d messages together; wanted %d", len(messages), want)
+			t.Errorf("a batch of %d messages; wanted %d", len(messages), want)
 		}
 		for _, m := range messages {
 			if m.Seq != next {
-				t.Fatalf("message %d came as %d", next, m.Seq)
+				t.Fatalf("at the place of message %d is message %d", next, m.Seq)
 			}
 			next++
 		}
 	}
 }
 
-// TestProposalsThatWaitTogether: changes that are proposed while the leader's goroutine has other work go out to the others in a few
-// steps, and not in one each.
+// TestQueuedProposalsAreBatched checks that changes that are proposed while the leader's goroutine is busy are
+// replicated in a few steps, and not in one step for each change.
 func TestQueuedProposalsAreBatched(t *testing.T) {
 	const changes = 12
 	w := &wire{nodes: map[string]func([]byte){}}
@@ -212,7 +214,7 @@
 		waitFor(t, name+" with a lease", func() bool { return n.Mode() == accord.Leased && n.Basis().Version == 1 })
 	}
 	var leader *Node
-	waitFor(t, "led by one that three vote for", func() bool {
+	waitFor(t, "a leader with three voters", func() bool {
 		for _, n := range nodes {
 			if r, err := n.Report(t.Context()); err == nil && r.IsLeader && len(r.Voters) == 3 {
 				leader = n
@@ -221,7 +223,7 @@
 		return leader != nil
 	})
 	var mu sync.Mutex
-	known := map[uint64]bool{} // the newest versions that d has known
+	known := map[uint64]bool{} // the newest versions that d has observed
 	nodes["d"].Follow(func(b *accord.Basis) {
 		mu.Lock()
 		defer mu.Unlock()
@@ -242,19 +244,19 @@
 			}
 		})
 	}
-	waitFor(t, "waiting before the leader", func() bool { return len(leader.messages) >= changes })
+	waitFor(t, "all proposals to be queued at the leader", func() bool { return len(leader.messages) >= changes })
 	close(release)
 	proposing.Wait()
-	waitFor(t, "known", func() bool { return nodes["d"].Basis().Last == changes+1 })
+	waitFor(t, "d to know all versions", func() bool { return nodes["d"].Basis().Last == changes+1 })
 	mu.Lock()
 	defer mu.Unlock()
-	t.Logf("d knew %d versions in %d steps", changes+1, len(known))
+	t.Logf("d observed %d versions in %d steps", changes+1, len(known))
 	if len(known) > changes/2 {
-		t.Errorf("%d changes became known in %d steps", changes, len(known))
+		t.Errorf("%d changes were observed in %d steps", changes, len(known))
 	}
 }
 
-// TestWhatFindsNoRoomIsCounted: a message beyond those that may wait is dropped, and told among the figures.
+// TestDroppedMessagesAreCounted checks that a message is dropped if the queue is full, and that the figures count it.
 func TestDroppedMessagesAreCounted(t *testing.T) {
 	n := &Node{messages: make(chan *accord.Message, 1)}
 	n.basis.Store(&accord.Basis{})
@@ -266,7 +268,7 @@
 		n.onPayload(body)
 	}
 	if n.DroppedMessages() != 2 || len(n.messages) != 1 {
-		t.Errorf("%d were dropped, %d wait", n.DroppedMessages(), len(n.messages))
+		t.Errorf("%d dropped, %d queued", n.DroppedMessages(), len(n.messages))
 	}
 	if text := string(n.Figures(nil)); !strings.Contains(text, "rules_late:2|c") {
 		t.Errorf("figures: %q", text)
--- a/internal/cluster/agreement/options.go
+++ b/internal/cluster/agreement/options.go
@@ -10,9 +10,9 @@
 	"brasswell/internal/operator"
 )
 
-// Options are what an operator may set about agreed rules.
+// Options are the operator's settings for agreed rules.
 type Options struct {
-	Enabled bool // the file has the section
+	Enabled bool // whether the file has the section
 
 	Voters        []string
 	Folder        string
@@ -28,7 +28,7 @@
 	Refuse = "refuse"
 )
 
-// DefaultOptions hold where the file has the section and leaves a key out.
+// DefaultOptions returns the values of keys that the section leaves out.
 func DefaultOptions() Options {
 	return Options{Lease: accord.DefaultTimes().Lease, WithoutLease: Serve, MaxListDrop: lists.DefaultSettings().Share, AssignNumbers: true}
 }
@@ -54,7 +54,7 @@
 
 func checkVoterName(text string) string {
 	if text == "" || len(text) > 64 {
-		return fmt.Sprintf("%.40q is no proxy's name; write that of its RELAY_NAME, of 64 bytes at most", text)
+		return fmt.Sprintf("%.40q is not a proxy name; use the RELAY_NAME of the proxy, of 64 bytes at most", text)
 	}
 	return ""
 }
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// Times are those that follow from the lease's.
+// Times returns the protocol's times, scaled from the defaults by the length of the lease.
 func (o *Options) Times() accord.Times {
 	t := accord.DefaultTimes()
 	scale := float64(o.Lease) / float64(t.Lease)
@@ -75,5 +75,5 @@
 	return accord.Times{Lease: o.Lease, Renew: scaled(t.Renew), Heartbeat: scaled(t.Heartbeat), Election: scaled(t.Election), RequestTimeout: scaled(t.RequestTimeout), MaxDrift: t.MaxDrift}
 }
 
-// keeps says whether a proxy is a keeper.
+// keeps reports whether a proxy is a voter.
 func (o *Options) isVoter(name string) bool { return slices.Contains(o.Voters, name) }
--- a/internal/cluster/agreement/report.go
+++ b/internal/cluster/agreement/report.go
@@ -16,28 +16,28 @@
 	"brasswell/internal/figures"
 )
 
-// Report is how a proxy stands in the agreement, as operators read it.
+// Report describes a proxy's status in the consensus, for operators.
 type Report struct {
 	Name              string          `json:"name"`
 	Mode              string          `json:"mode"`
-	Version           uint64          `json:"version"` // in force
-	Last              uint64          `json:"last"`    // the newest known here
+	Version           uint64          `json:"version"` // the version in force
+	Last              uint64          `json:"last"`    // the newest version known here
 	Log               string          `json:"log"`
-	Document          rules.Document  `json:"document"` // what is acted on with a lease
+	Document          rules.Document  `json:"document"` // the rules that a lease holder acts on
 	Pending           []rules.Version `json:"pending,omitempty"`
 	Leader            string          `json:"leader"`
 	IsLeader          bool            `json:"leads,omitempty"`
 	Halted            bool            `json:"halted,omitempty"`
-	Voters            map[string]bool `json:"keepers,omitempty"` // by name, whether it votes
-	Holders           []Holder        `json:"holders,omitempty"` // at the leader
-	History           []rules.Version `json:"history,omitempty"` // at a keeper
+	Voters            map[string]bool `json:"keepers,omitempty"` // by name; whether it votes
+	Holders           []Holder        `json:"holders,omitempty"` // set at the leader only
+	History           []rules.Version `json:"history,omitempty"` // set at a voter only
 	ConvergenceBoundS float64         `json:"bound_s"`
-	// Held are backends that this proxy goes on with though the newest list leaves them out.
+	// HeldBackends are still in use at this proxy although the newest list omits them.
 	HeldBackends []string `json:"held,omitempty"`
 	Problems     []string `json:"trouble,omitempty"`
 }
 
-// Holder is a proxy with a lease, as the leader sees it.
+// Holder is a proxy with a lease, as recorded by the leader.
 type Holder struct {
 	Name       string  `json:"name"`
 	Version    uint64  `json:"version"`
@@ -45,7 +45,7 @@
 	LeaseLeftS float64 `json:"left_s"`
 }
 
-// Report returns how this proxy stands now.
+// Report returns this proxy's current status.
 func (n *Node) Report(ctx context.Context) (*Report, error) {
 	var a accord.Report
 	if !n.do(ctx, func(c *accord.Core, now time.Duration) { a = c.Report(now) }) {
@@ -62,15 +62,15 @@
 	}
 	if held := n.heldBackends.Load(); held != nil && len(*held) > 0 {
 		r.HeldBackends = *held
-		r.Problems = append(r.Problems, fmt.Sprintf("a list is held back: it leaves out %d backends at once, and they are gone on with (%s). If they are gone: brasswell ctl rules drop --why REASON; if not, mend the list",
+		r.Problems = append(r.Problems, fmt.Sprintf("a list is held back: it omits %d backends at once, and they stay in use (%s). If they are gone: brasswell ctl rules drop --why REASON; if not, correct the list",
 			len(r.HeldBackends), abbreviate(r.HeldBackends)))
 	}
 	if r.Halted {
-		r.Problems = append(r.Problems, "this keeper keeps nothing: its folder cannot be written, or its log is of a newer version; see the log, mend it and restart it")
+		r.Problems = append(r.Problems, "this keeper keeps nothing: its folder cannot be written, or its log was written by a newer version; see the log lines, fix the cause and restart it")
 	}
 	switch n.Mode() {
 	case accord.Alone:
-		r.Problems = append(r.Problems, "no keeper vouches for these rules: they may be old. A majority of keepers is gone or cut off from here")
+		r.Problems = append(r.Problems, "no keeper vouches for these rules: they may be outdated. A majority of the keepers is down or unreachable from here")
 	case accord.Inactive:
 		r.Problems = append(r.Problems, "no lease, and everything is refused: this process has just started or was paused, or without_lease is refuse")
 	}
@@ -81,12 +81,12 @@
 		}
 	}
 	if a.Voters != nil && voters < len(n.config.Options.Voters) {
-		r.Problems = append(r.Problems, fmt.Sprintf("%d of %d keepers vote: all must have been there together once, and one that lost its folder is taken in again within seconds", voters, len(n.config.Options.Voters)))
+		r.Problems = append(r.Problems, fmt.Sprintf("%d of %d keepers vote: all must have been reachable at the same time once, and one that lost its folder votes again within seconds", voters, len(n.config.Options.Voters)))
 	}
 	return r, nil
 }
 
-// some are the first few of many ids.
+// some joins the first few of many IDs.
 func abbreviate(ids []string) string {
 	const few = 5
 	if len(ids) <= few {
@@ -95,7 +95,7 @@
 	return strings.Join(ids[:few], ", ") + ", ..."
 }
 
-// Status is the report as JSON, for the console.
+// Status returns the report as JSON, for the console.
 func (n *Node) Status(ctx context.Context) ([]byte, error) {
 	r, err := n.Report(ctx)
 	if err != nil {
@@ -104,7 +104,7 @@
 	return json.Marshal(r)
 }
 
-// Figures appends what is counted to the console's figures.
+// Figures appends the node's metrics to the console's figures.
 func (n *Node) Figures(text []byte) []byte {
 	b := n.basis.Load()
 	text = figures.AppendLine(text, "rules_version", int64(b.Version), 'g')
@@ -113,7 +113,7 @@
 	return figures.AppendLine(text, "rules_late", n.DroppedMessages(), 'c')
 }
 
-// ReadReport reads a report as a console writes it.
+// ReadReport decodes a report that a console returned.
 func ReadReport(text string) (*Report, error) {
 	r := &Report{}
 	if err := json.Unmarshal([]byte(text), r); err != nil {
@@ -122,7 +122,7 @@
 	return r, nil
 }
 
-// Text is the report for people.
+// Text formats the report for operators.
 func (r *Report) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "rules at %s: %s, version %d in force", r.Name, r.Mode, r.Version)
@@ -164,7 +164,7 @@
 	return b.String()
 }
 
-// Line is a version in a line.
+// FormatVersion formats a version in one line.
 func FormatVersion(v rules.Version) string {
 	c := &v.Change
 	at := ""
--- a/internal/cluster/rules/delta.go
+++ b/internal/cluster/rules/delta.go
@@ -9,7 +9,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Position identifies the versions that a proxy has: the log, the number of the version in force and that of the newest version.
+// Position identifies the versions that a proxy has: the log, the number of the version in force and that of the newest
+// version.
 type Position struct {
 	Log, InForce, Last uint64
 }
@@ -39,7 +40,8 @@
 	Log  uint64 `cbor:"1,keyasint"`
 	Term uint64 `cbor:"2,keyasint,omitempty"`
 	Form uint8  `cbor:"3,keyasint,omitempty"`
-	// Base is the version that the first difference applies to; each further difference applies to the result of the previous one.
+	// Base is the version that the first difference applies to; each further difference applies to the result of the
+	// previous one.
 	Base        uint64       `cbor:"4,keyasint"`
 	InForce     uint64       `cbor:"5,keyasint"` // the version in force
 	Differences []Difference `cbor:"6,keyasint,omitempty"`
@@ -111,8 +113,9 @@
 	return nil
 }
 
-// DeltaFrom returns the delta that a proxy at the given position needs. ok is false if the position belongs to another log, is ahead
-// of the state, or is so old that the history no longer contains its newest version: the proxy needs the whole status then.
+// DeltaFrom returns the delta that a proxy at the given position needs. ok is false if the position belongs to another
+// log, is ahead of the state, or is so old that the history no longer contains its newest version: the proxy needs the
+// whole status then.
 func DeltaFrom(s *State, from Position) (d *Delta, ok bool) {
 	if from.Log != s.Log || from.Last > s.Last() || from.InForce > s.InForce.Number {
 		return nil, false
@@ -219,7 +222,8 @@
 	return slices.Compact(slices.Sorted(slices.Values(append(kept, added...))))
 }
 
-// applyTo returns the version that results from applying the difference to its base. Unchanged parts are shared with the base.
+// applyTo returns the version that results from applying the difference to its base. Unchanged parts are shared with
+// the base.
 func (d *Difference) applyTo(base *Version) Version {
 	doc := base.Doc
 	doc.Bans = patchMap(doc.Bans, d.Bans, d.RemovedBans)
@@ -234,8 +238,9 @@
 	return v
 }
 
-// start returns the versions of a status that the delta builds on and the differences that remain to be applied. The receiver may
-// have advanced since the delta was made, so the last of these versions is the newest one that the delta knows: its base or a later one.
+// start returns the versions of a status that the delta builds on and the differences that remain to be applied. The
+// receiver may have advanced since the delta was made, so the last of these versions is the newest one that the delta
+// knows: its base or a later one.
 func (d *Delta) startFrom(s *Status) (versions []Version, remaining []Difference) {
 	versions = s.versions()
 	for n := len(versions); n > 0; n-- {
@@ -250,10 +255,11 @@
 	return nil, nil
 }
 
-// Apply returns the status that results from applying a delta. It shares unchanged parts with the given status, and it is valid if
-// that one is.
+// Apply returns the status that results from applying a delta. It shares unchanged parts with the given status, and it
+// is valid if that one is.
 //
-// With ErrDigestMismatch, Apply returns the result too. It must not be acted on; it exists for a checker that disables the digest check.
+// With ErrDigestMismatch, Apply returns the result too. It must not be acted on; it exists for a checker that disables
+// the digest check.
 func Apply(s *Status, d *Delta) (*Status, error) {
 	if err := d.Validate(); err != nil {
 		return nil, err
--- a/internal/cluster/rules/delta_test.go
+++ b/internal/cluster/rules/delta_test.go
@@ -76,8 +76,8 @@
 	return s, kept
 }
 
-// TestDeltasReachTheSameStatus checks that a delta leads from each earlier status to the leader's, in content and in digest, also
-// if the delta and the earlier status have been encoded and decoded.
+// TestDeltasReachTheSameStatus checks that a delta leads from each earlier status to the leader's, in content and in
+// digest, also if the delta and the earlier status have been encoded and decoded.
 func TestDeltasReachTheSameStatus(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, kept := drawHistory(t)
@@ -117,8 +117,8 @@
 	})
 }
 
-// TestDeltasForEarlierPosition checks a delta whose receiver has advanced since the delta was made: it leads to the same status,
-// or is rejected because its base is unknown.
+// TestDeltasForEarlierPosition checks a delta whose receiver has advanced since the delta was made: it leads to the
+// same status, or is rejected because its base is unknown.
 func TestDeltasForEarlierPosition(t *testing.T) {
 	crossed := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -173,8 +173,8 @@
 	}
 }
 
-// TestTamperedBasesAreDetected checks that a base with the right number but the wrong content leads to a digest mismatch, unless a
-// change replaces exactly that content.
+// TestTamperedBasesAreDetected checks that a base with the right number but the wrong content leads to a digest
+// mismatch, unless a change replaces exactly that content.
 func TestTamperedBasesAreDetected(t *testing.T) {
 	found := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -204,7 +204,8 @@
 	}
 }
 
-// TestTamperedDeltasAreDetected checks that a delta that was changed in transit is rejected or leads to the leader's status.
+// TestTamperedDeltasAreDetected checks that a delta that was changed in transit is rejected or leads to the leader's
+// status.
 func TestTamperedDeltasAreDetected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s, kept := drawHistory(t)
@@ -269,8 +270,8 @@
 	}
 }
 
-// TestNoDelta checks that there is no delta from a position of another log, ahead of the state or no longer in the history, and that
-// Apply rejects a delta for another base and an invalid delta.
+// TestNoDelta checks that there is no delta from a position of another log, ahead of the state or no longer in the
+// history, and that Apply rejects a delta for another base and an invalid delta.
 func TestNoDelta(t *testing.T) {
 	s := NewState()
 	s.Log = 7
@@ -343,8 +344,8 @@
 	})
 }
 
-// TestFormRequiredByBounds checks that a change beyond the bounds of form 1 requires form 2 and is rejected if it doesn't state that
-// form, and that a change within the bounds is accepted without it.
+// TestFormRequiredByBounds checks that a change beyond the bounds of form 1 requires form 2 and is rejected if it
+// doesn't state that form, and that a change within the bounds is accepted without it.
 func TestFormRequiredByBounds(t *testing.T) {
 	numbers := func(n int) map[string]int {
 		all := map[string]int{}
--- a/internal/cluster/rules/digest.go
+++ b/internal/cluster/rules/digest.go
@@ -9,16 +9,17 @@
 	"slices"
 )
 
-// Digest is a hash of the content of versions. Different digests mean different content; equal digests mean equal content, except
-// with a probability of 1 in 2^64. It detects faults of disks and programs, but gives no protection against an adversary. 0 means
-// no digest.
+// Digest is a hash of the content of versions. Different digests mean different content; equal digests mean equal
+// content, except with a probability of 1 in 2^64. It detects faults of disks and programs, but gives no protection
+// against an adversary. 0 means no digest.
 //
-// The hash covers a canonical encoding (maps sorted by key, each text preceded by its length) that lists each field explicitly, so
-// that an older program need not include fields that it doesn't know. A new part of a document is added to the encoding only where
-// it is set, and requires a higher document form.
+// The hash covers a canonical encoding (maps sorted by key, each text preceded by its length) that lists each field
+// explicitly, so that an older program need not include fields that it doesn't know. A new part of a document is added
+// to the encoding only where it is set, and requires a higher document form.
 type Digest uint64
 
-// partDigests caches the digests of a version, so that each part of a document is hashed only once. 0 means not computed yet.
+// partDigests caches the digests of a version, so that each part of a document is hashed only once. 0 means not
+// computed yet.
 type partDigests struct {
 	bans, classes, numbers, dropped, whole Digest
 }
@@ -89,7 +90,8 @@
 	c.appendUint(uint64(change.Form))
 }
 
-// computeDigests sets a version's digests and size. Parts that it shares with base, which may be nil, are not hashed again.
+// computeDigests sets a version's digests and size. Parts that it shares with base, which may be nil, are not hashed
+// again.
 func (v *Version) computeDigests(base *Version) {
 	if v.digests.whole != 0 {
 		return
@@ -157,8 +159,8 @@
 	return c.digest()
 }
 
-// Compact makes successive versions share their equal parts and computes the digests. It is called once for a status that was
-// received or read from disk, before any other goroutine reads it.
+// Compact makes successive versions share their equal parts and computes the digests. It is called once for a status
+// that was received or read from disk, before any other goroutine reads it.
 func (s *Status) Compact() { compactVersions(&s.InForce, s.Pending) }
 
 // Compact does the same as Status.Compact for the whole state, including the history.
--- a/internal/cluster/rules/rules.go
+++ b/internal/cluster/rules/rules.go
@@ -2,9 +2,9 @@
 // changes to it, the contradictions between two documents, and what both of them allow. The package has no I/O, no clock
 // and no consensus protocol; package accord provides the consensus.
 //
-// Every entry of a document forbids something, so a proxy that knows more entries forbids more. Any two documents therefore
-// have a meet (greatest lower bound): whatever the meet allows, both documents allow. A proxy acts on the meet while a
-// change is pending.
+// Every entry of a document forbids something, so a proxy that knows more entries forbids more. Any two documents
+// therefore have a meet (greatest lower bound): whatever the meet allows, both documents allow. A proxy acts on the
+// meet while a change is pending.
 package rules
 
 import (
@@ -26,8 +26,8 @@
 	MaxDroppable   = 1000 // servers that discovery lists may omit
 	MaxIDBytes     = 256  // of a backend's ID, a class name or a member name
 	MaxReasonBytes = 200  // of a reason
-	// MostDocument bounds the texts in a document, under form 2. A status with 17 such documents and a history fits into a message of
-	// 4 MiB, and 4,096 numbers for names of 24 bytes fit into a document.
+	// MostDocument bounds the texts in a document, under form 2. A status with 17 such documents and a history fits
+	// into a message of 4 MiB, and 4,096 numbers for names of 24 bytes fit into a document.
 	MaxDocumentBytes = 160 << 10
 	MaxPending       = 16      // changes pending at one time
 	maxHistory       = 64      // versions that a rollback can restore
@@ -72,8 +72,8 @@
 type Document struct {
 	Bans     map[string]Ban `cbor:"1,keyasint,omitempty" json:"bans,omitempty"`
 	Settings `cbor:"2,keyasint"`
-	// Droppable holds, sorted, the servers that lists may omit because an operator allowed it. A proxy that still uses such a
-	// server, although a list held for confirmation omits it, stops using it.
+	// Droppable holds, sorted, the servers that lists may omit because an operator allowed it. A proxy that still uses
+	// such a server, although a list held for confirmation omits it, stops using it.
 	Droppable []string `cbor:"3,keyasint,omitempty" json:"dropped,omitempty"`
 }
 
@@ -153,9 +153,9 @@
 	return s.Quota
 }
 
-// Meet returns the document that forbids what either document forbids: it holds the bans of both, allows repeated sends only
-// if both allow them, and has the smaller quota. It assigns no number where the two differ: the present holder keeps its
-// number, and no other proxy takes it.
+// Meet returns the document that forbids what either document forbids: it holds the bans of both, allows repeated sends
+// only if both allow them, and has the smaller quota. It assigns no number where the two differ: the present holder
+// keeps its number, and no other proxy takes it.
 func Meet(a, b *Document) *Document {
 	if a == b {
 		return a
@@ -173,7 +173,8 @@
 	return 0
 }
 
-// meetBans returns the union of two maps. If one map contains all keys of the other, it is returned itself, without a copy.
+// meetBans returns the union of two maps. If one map contains all keys of the other, it is returned itself, without a
+// copy.
 func meetBans(a, b map[string]Ban) map[string]Ban {
 	if len(a) < len(b) {
 		a, b = b, a
@@ -232,14 +233,15 @@
 	return slices.Compact(slices.Sorted(slices.Values(append(slices.Clone(a), b...))))
 }
 
-// Unleased returns the rules for a proxy without a lease, which may not know the newest document: the rules that it knows, with
-// no repeated sends, because a newer document may forbid them for any class.
+// Unleased returns the rules for a proxy without a lease, which may not know the newest document: the rules that it
+// knows, with no repeated sends, because a newer document may forbid them for any class.
 func Unleased(d *Document) *Document {
 	return Meet(d, &Document{Settings: Settings{Classes: map[string]Class{AllClasses: {NoRepeat: true}}}})
 }
 
-// Breaches describes the actions that one document allows and the other forbids; there are none if the first is at least as
-// strict. A proxy that acts on the first document contradicts a proxy that acts on the second by these actions only.
+// Breaches describes the actions that one document allows and the other forbids; there are none if the first is at
+// least as strict. A proxy that acts on the first document contradicts a proxy that acts on the second by these actions
+// only.
 func Breaches(acts, forbids *Document) []string {
 	var found []string
 	for _, id := range slices.Sorted(maps.Keys(forbids.Bans)) {
--- a/internal/cluster/rules/rules_test.go
+++ b/internal/cluster/rules/rules_test.go
@@ -73,7 +73,8 @@
 	})
 }
 
-// TestDocumentRoundTrip checks that a decoded document equals the encoded one. Two fields with the same CBOR key would fail here.
+// TestDocumentRoundTrip checks that a decoded document equals the encoded one. Two fields with the same CBOR key would
+// fail here.
 func TestDocumentRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := drawDocument.Draw(t, "document")
@@ -190,7 +191,8 @@
 	}
 }
 
-// TestStateSizeBounds checks that many bans with long reasons make neither a document nor the history larger than a message may be.
+// TestStateSizeBounds checks that many bans with long reasons make neither a document nor the history larger than a
+// message may be.
 func TestStateSizeBounds(t *testing.T) {
 	s := NewState()
 	refused := 0
--- a/internal/cluster/rules/state.go
+++ b/internal/cluster/rules/state.go
@@ -37,17 +37,19 @@
 	Servers []string       `cbor:"11,keyasint,omitempty" json:"servers,omitempty"`
 	// Form is the document form that a proxy must support to understand the change; 0 means 1. See CurrentForm.
 	Form uint8 `cbor:"12,keyasint,omitempty" json:"form,omitempty"`
-	// BaseVersion is the version that the change was made for; 0 for any. The change is rejected if it is no longer the newest.
+	// BaseVersion is the version that the change was made for; 0 for any. The change is rejected if it is no longer the
+	// newest.
 	BaseVersion uint64 `cbor:"9,keyasint,omitempty" json:"on,omitempty"`
 }
 
-// CurrentForm is the latest document form that this version of the program supports. A proxy doesn't act on a document of a later
-// form, because the part that it doesn't understand forbids something. The form increases with each new kind of change, each new
-// part of a document and each raised bound, as a replica must not reject what others accept. Form 2 has higher bounds than form 1.
+// CurrentForm is the latest document form that this version of the program supports. A proxy doesn't act on a document
+// of a later form, because the part that it doesn't understand forbids something. The form increases with each new kind
+// of change, each new part of a document and each raised bound, as a replica must not reject what others accept. Form 2
+// has higher bounds than form 1.
 const CurrentForm = 2
 
-// RequiredForm returns the form that is needed to understand the change: the form that its proposer states, or at least form 2 if the
-// change exceeds the bounds of form 1.
+// RequiredForm returns the form that is needed to understand the change: the form that its proposer states, or at least
+// form 2 if the change exceeds the bounds of form 1.
 func (c *Change) RequiredForm() uint8 {
 	numbers, classes := len(c.Numbers), 0
 	if c.Settings != nil {
@@ -129,7 +131,8 @@
 	return v.Doc.size()
 }
 
-// Status holds the versions that a proxy acts on: the version in force and the pending ones, each based on its predecessor.
+// Status holds the versions that a proxy acts on: the version in force and the pending ones, each based on its
+// predecessor.
 type Status struct {
 	// Log is an ID drawn at random when the voters' log is created. Versions of different logs are unrelated.
 	Log uint64 `cbor:"5,keyasint,omitempty" json:"log"`
@@ -152,8 +155,8 @@
 	return &s.InForce
 }
 
-// NewerThan reports whether the status is newer than another of the same log: its newest version is later, or that is equal and
-// a later version is in force.
+// NewerThan reports whether the status is newer than another of the same log: its newest version is later, or that is
+// equal and a later version is in force.
 func (s *Status) NewerThan(o *Status) bool {
 	return (s.Log == o.Log || o.Log == 0) && (s.Last() > o.Last() || s.Last() == o.Last() && s.InForce.Number > o.InForce.Number)
 }
@@ -175,8 +178,8 @@
 	return &met
 }
 
-// meet replaces the document by its meet with another one. Parts that other shares with its predecessor are skipped, because the
-// document includes them already.
+// meet replaces the document by its meet with another one. Parts that other shares with its predecessor are skipped,
+// because the document includes them already.
 func (d *Document) meet(other, before *Document) {
 	if !sameMap(other.Bans, before.Bans) {
 		d.Bans = meetBans(d.Bans, other.Bans)
@@ -252,8 +255,8 @@
 	Rejection string `cbor:"3,keyasint,omitempty" json:"no,omitempty"`      // the reason for a rejection
 }
 
-// State is the replicated state machine of the voters: it is the same at each voter at the same index of their log. Only Propose
-// and Enforce change it.
+// State is the replicated state machine of the voters: it is the same at each voter at the same index of their log.
+// Only Propose and Enforce change it.
 type State struct {
 	Status
 	// History holds the latest versions that were in force, the oldest first, including the version in force now.
@@ -275,7 +278,8 @@
 	return &c
 }
 
-// Propose adds a pending version for a change, or rejects the change. A change that was proposed before gets its earlier answer.
+// Propose adds a pending version for a change, or rejects the change. A change that was proposed before gets its
+// earlier answer.
 func (s *State) Propose(c *Change) Answer {
 	for i := len(s.Answers) - 1; i >= 0; i-- {
 		if s.Answers[i].ID == c.ID {
@@ -302,7 +306,8 @@
 
 // apply returns the newest document with a change applied.
 //
-// Its error texts, including those of Change.Validate, become part of the replicated state and must be the same at all voters.
+// Its error texts, including those of Change.Validate, become part of the replicated state and must be the same at all
+// voters.
 func (s *State) apply(c *Change) (*Document, error) {
 	if err := c.Validate(); err != nil {
 		return nil, err
@@ -375,8 +380,8 @@
 	return Version{}, false
 }
 
-// Enforce brings all pending versions up to a number into force. It changes nothing and returns false if the numbered version is
-// not pending.
+// Enforce brings all pending versions up to a number into force. It changes nothing and returns false if the numbered
+// version is not pending.
 func (s *State) Enforce(number uint64) bool {
 	i, found := slices.BinarySearchFunc(s.Pending, number, compareVersions)
 	if !found {
