--- a/internal/cluster/agreement/node.go
+++ b/internal/cluster/agreement/node.go
@@ -36,18 +36,18 @@
 )
 
 const (
-	// mostWaiting bounds the messages and the events that are queued for the owner goroutine; more are dropped, as the
+	// maxQueued bounds the messages and the events that are queued for the owner goroutine; more are dropped, as the
 	// network may drop them. After a change each of 1,400 lease holders acknowledges within milliseconds, a second step
 	// follows immediately, and renewals arrive during both.
 	maxQueued = 4096
-	// mostTogether bounds the queued messages that are processed as one batch, for which a voter writes to its disk
+	// maxBatch bounds the queued messages that are processed as one batch, for which a voter writes to its disk
 	// once. Timed work is done between two batches.
 	maxBatch = 512
-	// openEvery is the time between attempts to open a file that the previous process still has open.
+	// reopenInterval is the time between attempts to open a file that the previous process still has open.
 	reopenInterval = 100 * time.Millisecond
-	// lookEvery is the longest time between two checks for a changed mode; each event is followed by a check too.
+	// modeCheckInterval is the longest time between two checks for a changed mode; each event is followed by a check too.
 	modeCheckInterval = 50 * time.Millisecond
-	// planEvery is the time between two checks of the proxies' numbers by a leader. A check visits all proxies, and a
+	// planInterval is the time between two checks of the proxies' numbers by a leader. A check visits all proxies, and a
 	// leader receives several events a second from each proxy, so the cost of a check with each event would grow with
 	// the square of their number.
 	planInterval = 250 * time.Millisecond
@@ -216,7 +216,7 @@
 	}
 }
 
-// own is the owner goroutine: the only one that uses the core.
+// run is the owner goroutine: the only one that uses the core.
 func (n *Node) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -245,7 +245,7 @@
 // DroppedMessages returns how many messages were dropped since the start because the queue was full.
 func (n *Node) DroppedMessages() int64 { return n.dropped.Load() }
 
-// waiting returns a message and the messages queued after it, maxBatch at most.
+// batch returns a message and the messages queued after it, maxBatch at most.
 func (n *Node) batch(first *accord.Message) []*accord.Message {
 	messages := []*accord.Message{first}
 	for len(messages) < maxBatch {
@@ -259,8 +259,8 @@
 	return messages
 }
 
-// number proposes new numbers for the proxies if this proxy is the leader with a lease, no change is pending and the
-// planner asks for them.
+// proposeNumbers proposes new numbers for the proxies if this proxy is the leader with a lease, no change is pending
+// and the planner asks for them.
 func (n *Node) proposeNumbers() {
 	now := Clock()
 	b := n.basis.Load()
@@ -297,7 +297,7 @@
 // SetHeldBackends sets the backends that are still in use although the newest list omits them, for the report.
 func (n *Node) SetHeldBackends(ids []string) { n.heldBackends.Store(&ids) }
 
-// look logs the mode if it has changed.
+// logMode logs the mode if it has changed.
 func (n *Node) logMode() {
 	b := n.basis.Load()
 	if mode := b.Mode(Clock()); mode != n.mode || !n.modeLogged {
@@ -322,7 +322,7 @@
 	return false
 }
 
-// parcel handles the payload of a message from another proxy.
+// onPayload handles the payload of a message from another proxy.
 func (n *Node) onPayload(body []byte) {
 	m, err := accord.Decode(body)
 	if err != nil {
@@ -336,7 +336,7 @@
 	}
 }
 
-// members handles a change of the fleet's members and their addresses.
+// onMembers handles a change of the fleet's members and their addresses.
 func (n *Node) onMembers(s view.Standing) {
 	addresses, living := s.Addresses()
 	n.addresses.Store(&addresses)
--- a/internal/cluster/agreement/node_test.go
+++ b/internal/cluster/agreement/node_test.go
@@ -68,7 +68,7 @@
 	return n
 }
 
-// until waits until cond is true, and fails the test after 20 seconds.
+// waitFor waits until cond is true, and fails the test after 20 seconds.
 func waitFor(t *testing.T, what string, cond func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !cond(); time.Sleep(2 * time.Millisecond) {
@@ -103,8 +103,8 @@
 	for _, name := range slices.Sorted(maps.Keys(nodes)) {
 		n := nodes[name]
 		waitFor(t, name+" with it in force", func() bool { return n.Basis().Version >= a.Version })
-		if ruling, ground := n.Decide(rules.Send{Server: "node-00"}); ruling != rules.Banned || ground.Version != a.Version || !ground.Leased {
-			t.Errorf("%s: decision %v, based on %+v", name, ruling, ground)
+		if decision, basis := n.Decide(rules.Send{Server: "node-00"}); decision != rules.Banned || basis.Version != a.Version || !basis.Leased {
+			t.Errorf("%s: decision %v, based on %+v", name, decision, basis)
 		}
 	}
 	waitFor(t, "the follower to be notified", func() bool { return <-notified >= a.Version })
@@ -114,19 +114,20 @@
 	}
 	// A process that has handed over acts until its end on the rules that it knows, and repeats nothing.
 	nodes["d"].Close(true)
-	if ruling, _ := nodes["d"].Decide(rules.Send{Server: "node-01", MayHaveRun: true}); ruling != rules.NoRepeat || nodes["d"].Mode() != accord.Alone {
-		t.Errorf("after the handover: decision %v, mode %v", ruling, nodes["d"].Mode())
+	if decision, _ := nodes["d"].Decide(rules.Send{Server: "node-01", MayHaveRun: true}); decision != rules.NoRepeat || nodes["d"].Mode() != accord.Alone {
+		t.Errorf("after the handover: decision %v, mode %v", decision, nodes["d"].Mode())
 	}
 	for _, name := range []string{"a", "b", "c"} {
 		nodes[name].Close(false)
 	}
 	restarted := w.open(t, "d", folders["d"])
 	waitFor(t, "mode alone after the restart", func() bool { return restarted.Mode() == accord.Alone })
-	if ruling, _ := restarted.Decide(rules.Send{Server: "node-00"}); ruling != rules.Banned {
-		t.Errorf("with the rules of the folder alone: decision %v", ruling)
+	if decision, _ := restarted.Decide(rules.Send{Server: "node-00"}); decision != rules.Banned {
+		t.Errorf("with the rules of the folder alone: decision %v", decision)
 	}
 }
 
+// TestNoAnswerFromVoters checks a proxy that reaches no voter: a proposal times out, and an undecodable message is ignored.
 func TestNoAnswerFromVoters(t *testing.T) {
 	w := &wire{nodes: map[string]func([]byte){}}
 	n := w.open(t, "d", t.TempDir())
@@ -194,7 +195,7 @@
 		}
 		for _, m := range messages {
 			if m.Seq != next {
-				t.Fatalf("at the place of message %d is message %d", next, m.Seq)
+				t.Fatalf("expected message %d, got message %d", next, m.Seq)
 			}
 			next++
 		}
--- a/internal/cluster/agreement/options.go
+++ b/internal/cluster/agreement/options.go
@@ -75,5 +75,5 @@
 	return accord.Times{Lease: o.Lease, Renew: scaled(t.Renew), Heartbeat: scaled(t.Heartbeat), Election: scaled(t.Election), RequestTimeout: scaled(t.RequestTimeout), MaxDrift: t.MaxDrift}
 }
 
-// keeps reports whether a proxy is a voter.
+// isVoter reports whether a proxy is a voter.
 func (o *Options) isVoter(name string) bool { return slices.Contains(o.Voters, name) }
--- a/internal/cluster/agreement/report.go
+++ b/internal/cluster/agreement/report.go
@@ -66,7 +66,7 @@
 			len(r.HeldBackends), abbreviate(r.HeldBackends)))
 	}
 	if r.Halted {
-		r.Problems = append(r.Problems, "this keeper keeps nothing: its folder cannot be written, or its log was written by a newer version; see the log lines, fix the cause and restart it")
+		r.Problems = append(r.Problems, "this keeper keeps nothing: its folder cannot be written, or its log was written by a newer version; see the log lines, fix the cause and restart this proxy")
 	}
 	switch n.Mode() {
 	case accord.Alone:
@@ -86,7 +86,7 @@
 	return r, nil
 }
 
-// some joins the first few of many IDs.
+// abbreviate joins the first few of many IDs.
 func abbreviate(ids []string) string {
 	const few = 5
 	if len(ids) <= few {
--- a/internal/cluster/rules/delta.go
+++ b/internal/cluster/rules/delta.go
@@ -152,7 +152,7 @@
 	return d
 }
 
-// compareMaps returns the entries to set and the sorted keys to remove to turn one map into another.
+// diffMaps returns the entries to set and the sorted keys to remove to turn one map into another.
 func diffMaps[V comparable](from, to map[string]V) (set map[string]V, removed []string) {
 	if sameMap(from, to) {
 		return nil, nil
@@ -175,7 +175,7 @@
 	return set, removed
 }
 
-// changeMap applies the result of diffMaps to a map. It returns the same map if nothing changes.
+// patchMap applies the result of diffMaps to a map. It returns the same map if nothing changes.
 func patchMap[V any](from, set map[string]V, removed []string) map[string]V {
 	if len(set) == 0 && len(removed) == 0 {
 		return from
@@ -191,7 +191,7 @@
 	return to
 }
 
-// compareSorted returns the elements to add and to remove to turn one sorted list into another.
+// diffSorted returns the elements to add and to remove to turn one sorted list into another.
 func diffSorted(from, to []string) (added, removed []string) {
 	if sameSlice(from, to) {
 		return nil, nil
@@ -209,7 +209,7 @@
 	return added, removed
 }
 
-// changeSorted applies the result of diffSorted to a list. It returns the same list if nothing changes.
+// patchSorted applies the result of diffSorted to a list. It returns the same list if nothing changes.
 func patchSorted(from, added, removed []string) []string {
 	if len(added) == 0 && len(removed) == 0 {
 		return from
@@ -238,7 +238,7 @@
 	return v
 }
 
-// start returns the versions of a status that the delta builds on and the differences that remain to be applied. The
+// startFrom returns the versions of a status that the delta builds on and the differences that remain to be applied. The
 // receiver may have advanced since the delta was made, so the last of these versions is the newest one that the delta
 // knows: its base or a later one.
 func (d *Delta) startFrom(s *Status) (versions []Version, remaining []Difference) {
--- a/internal/cluster/rules/delta_test.go
+++ b/internal/cluster/rules/delta_test.go
@@ -29,7 +29,7 @@
 	return text
 }
 
-// wired returns a copy that shares nothing and caches no digests, like a status read from disk or received from a peer.
+// decodedCopy returns a copy that shares nothing and caches no digests, like a status read from disk or received from a peer.
 func decodedCopy(t interface{ Fatal(...any) }, s *Status) *Status {
 	back := &Status{}
 	if err := cbor.Unmarshal(encode(t, s), back); err != nil {
--- a/internal/cluster/rules/rules.go
+++ b/internal/cluster/rules/rules.go
@@ -26,7 +26,7 @@
 	MaxDroppable   = 1000 // servers that discovery lists may omit
 	MaxIDBytes     = 256  // of a backend's ID, a class name or a member name
 	MaxReasonBytes = 200  // of a reason
-	// MostDocument bounds the texts in a document, under form 2. A status with 17 such documents and a history fits
+	// MaxDocumentBytes bounds the texts in a document, under form 2. A status with 17 such documents and a history fits
 	// into a message of 4 MiB, and 4,096 numbers for names of 24 bytes fit into a document.
 	MaxDocumentBytes = 160 << 10
 	MaxPending       = 16      // changes pending at one time
@@ -56,7 +56,7 @@
 	Closed bool `cbor:"2,keyasint,omitempty" json:"closed,omitempty"`
 }
 
-// Every applies to all classes; the entry of a single class cannot allow what it forbids.
+// AllClasses applies to all classes; the entry of a single class cannot allow what it forbids.
 const AllClasses = "*"
 
 // Settings is the part of a document that a Configure change replaces as a whole.
@@ -104,9 +104,10 @@
 	Banned            // the backend is banned
 	NoRepeat          // the request may have run
 	Closed            // the class is closed to requests
-	NoLease           // no voter has confirmed these rules since the process started or was paused
+	NoLease           // there is no lease, and the process has just started, was paused or is set to refuse
 )
 
+// String returns the decision in words.
 func (r Decision) String() string {
 	return [...]string{"allowed", "banned", "no repeat", "closed", "no lease"}[r]
 }
@@ -347,6 +348,7 @@
 	return d
 }
 
+// String returns the rules of the class in words.
 func (c Class) String() string {
 	switch {
 	case c.Closed:
--- a/internal/cluster/rules/rules_test.go
+++ b/internal/cluster/rules/rules_test.go
@@ -92,6 +92,8 @@
 	})
 }
 
+// TestChangesAndTheirAnswers checks each kind of change, its answer, and its effect on the pending versions and the version
+// in force.
 func TestChangesAndTheirAnswers(t *testing.T) {
 	s := NewState()
 	suspend := func(id, server string) *Change {
@@ -151,6 +153,7 @@
 	}
 }
 
+// TestInvalidChanges checks that Validate rejects faulty changes and names the fault.
 func TestInvalidChanges(t *testing.T) {
 	for want, c := range map[string]Change{
 		"id: empty":               {Kind: Suspend, Server: "a"},
--- a/internal/cluster/rules/state.go
+++ b/internal/cluster/rules/state.go
@@ -61,7 +61,7 @@
 	return max(c.Form, 1)
 }
 
-// mostDocument returns the bound of the size of a document under a form.
+// maxDocumentBytes returns the bound of the size of a document under a form.
 func maxDocumentBytes(form uint8) int {
 	if form < 2 {
 		return form1Document
@@ -215,7 +215,7 @@
 	return nil
 }
 
-// soundNumbers checks the order and the number of the versions.
+// validateNumbers checks the order and the number of the versions.
 func (s *Status) validateNumbers() error {
 	if len(s.Pending) > MaxPending {
 		return fmt.Errorf("status: %d pending versions; %d at most", len(s.Pending), MaxPending)
@@ -230,7 +230,7 @@
 	return nil
 }
 
-// sound checks a version. Numbers that it shares with another version, which is valid, are not checked again.
+// validate checks a version. Numbers that it shares with another version, which is valid, are not checked again.
 func (v *Version) validate(other *Version) error {
 	if len(v.Doc.Bans) > MaxBans || len(v.Doc.Droppable) > MaxDroppable {
 		return fmt.Errorf("version %d: %d bans and %d droppable servers; %d and %d at most", v.Number, len(v.Doc.Bans), len(v.Doc.Droppable), MaxBans, MaxDroppable)
