--- a/internal/cluster/agreement/node_test.go
+++ b/internal/cluster/agreement/node_test.go
@@ -127,7 +127,8 @@
 	}
 }
 
-// TestNoAnswerFromVoters checks a proxy that reaches no voter: a proposal times out, and an undecodable message is ignored.
+// TestNoAnswerFromVoters checks a proxy that reaches no voter: a proposal times out, and an undecodable message is
+// ignored.
 func TestNoAnswerFromVoters(t *testing.T) {
 	w := &wire{nodes: map[string]func([]byte){}}
 	n := w.open(t, "d", t.TempDir())
--- a/internal/cluster/rules/delta_test.go
+++ b/internal/cluster/rules/delta_test.go
@@ -29,7 +29,8 @@
 	return text
 }
 
-// decodedCopy returns a copy that shares nothing and caches no digests, like a status read from disk or received from a peer.
+// decodedCopy returns a copy that shares nothing and caches no digests, like a status read from disk or received from a
+// peer.
 func decodedCopy(t interface{ Fatal(...any) }, s *Status) *Status {
 	back := &Status{}
 	if err := cbor.Unmarshal(encode(t, s), back); err != nil {
@@ -365,11 +366,11 @@
 		change Change
 		needs  uint8
 	}{
-		"1,000 numbers":           {Change{Kind: Renumber, Numbers: numbers(form1Members)}, 1},
-		"1,001 numbers":           {Change{Kind: Renumber, Numbers: numbers(form1Members + 1)}, 2},
-		"64 classes":              {Change{Kind: Configure, Settings: &Settings{Classes: classes(form1Classes)}}, 1},
-		"65 classes":              {Change{Kind: Configure, Settings: &Settings{Classes: classes(form1Classes + 1)}}, 2},
-		"1,001 numbers in a file": {Change{Kind: Configure, Settings: &Settings{Numbers: numbers(form1Members + 1)}}, 2},
+		"1,000 numbers":           {Change{Kind: Renumber, Numbers: numbers(maxMembersForm1)}, 1},
+		"1,001 numbers":           {Change{Kind: Renumber, Numbers: numbers(maxMembersForm1 + 1)}, 2},
+		"64 classes":              {Change{Kind: Configure, Settings: &Settings{Classes: classes(maxClassesForm1)}}, 1},
+		"65 classes":              {Change{Kind: Configure, Settings: &Settings{Classes: classes(maxClassesForm1 + 1)}}, 2},
+		"1,001 numbers in a file": {Change{Kind: Configure, Settings: &Settings{Numbers: numbers(maxMembersForm1 + 1)}}, 2},
 		"all that there may be":   {Change{Kind: Renumber, Numbers: numbers(MaxMembers)}, 2},
 	} {
 		if got := c.change.RequiredForm(); got != c.needs {
--- a/internal/cluster/rules/digest.go
+++ b/internal/cluster/rules/digest.go
@@ -21,7 +21,7 @@
 // partDigests caches the digests of a version, so that each part of a document is hashed only once. 0 means not
 // computed yet.
 type partDigests struct {
-	bans, classes, numbers, dropped, whole Digest
+	bans, classes, numbers, droppable, whole Digest
 }
 
 // canonical is a buffer for the canonical encoding that a digest covers.
@@ -70,7 +70,7 @@
 
 func writeNumber(c *canonical, n int) { c.appendUint(uint64(n)) }
 
-func digestDropped(ids []string) Digest {
+func digestDroppable(ids []string) Digest {
 	var c canonical
 	for _, id := range ids {
 		c.appendText(id)
@@ -100,7 +100,7 @@
 		base = &Version{}
 	}
 	digests, baseDigests := &v.digests, &base.digests
-	digests.bans, digests.classes, digests.numbers, digests.dropped = 0, 0, 0, 0
+	digests.bans, digests.classes, digests.numbers, digests.droppable = 0, 0, 0, 0
 	if sameMap(v.Doc.Bans, base.Doc.Bans) {
 		digests.bans = baseDigests.bans
 	}
@@ -111,7 +111,7 @@
 		digests.numbers = baseDigests.numbers
 	}
 	if sameSlice(v.Doc.Droppable, base.Doc.Droppable) {
-		digests.dropped = baseDigests.dropped
+		digests.droppable = baseDigests.droppable
 	}
 	if digests.bans == 0 {
 		digests.bans = digestMap(v.Doc.Bans, writeBan)
@@ -122,12 +122,12 @@
 	if digests.numbers == 0 {
 		digests.numbers = digestMap(v.Doc.Numbers, writeNumber)
 	}
-	if digests.dropped == 0 {
-		digests.dropped = digestDropped(v.Doc.Droppable)
+	if digests.droppable == 0 {
+		digests.droppable = digestDroppable(v.Doc.Droppable)
 	}
 	var c canonical
 	c.appendUint(v.Number)
-	for _, part := range []Digest{digests.bans, digests.classes, digests.numbers, digests.dropped} {
+	for _, part := range []Digest{digests.bans, digests.classes, digests.numbers, digests.droppable} {
 		c.appendUint(uint64(part))
 	}
 	c.appendUint(math.Float64bits(v.Doc.Quota))
--- a/internal/cluster/rules/rules.go
+++ b/internal/cluster/rules/rules.go
@@ -37,9 +37,9 @@
 
 // The bounds of documents of form 1.
 const (
-	form1Classes  = 64
-	form1Members  = 1000
-	form1Document = 96 << 10
+	maxClassesForm1       = 64
+	maxMembersForm1       = 1000
+	maxDocumentBytesForm1 = 96 << 10
 )
 
 // Ban removes a backend from use at every proxy.
@@ -161,7 +161,7 @@
 	if a == b {
 		return a
 	}
-	m := &Document{Bans: meetBans(a.Bans, b.Bans), Droppable: meetDropped(a.Droppable, b.Droppable)}
+	m := &Document{Bans: meetBans(a.Bans, b.Bans), Droppable: meetDroppable(a.Droppable, b.Droppable)}
 	m.Classes, m.Numbers, m.Quota = meetClasses(a.Classes, b.Classes), meetNumbers(a.Numbers, b.Numbers), meetQuota(a, b)
 	return m
 }
@@ -226,8 +226,8 @@
 	return met
 }
 
-// meetDropped returns the union of two sorted lists.
-func meetDropped(a, b []string) []string {
+// meetDroppable returns the union of two sorted lists.
+func meetDroppable(a, b []string) []string {
 	if slices.Equal(a, b) {
 		return a
 	}
--- a/internal/cluster/rules/rules_test.go
+++ b/internal/cluster/rules/rules_test.go
@@ -92,8 +92,8 @@
 	})
 }
 
-// TestChangesAndTheirAnswers checks each kind of change, its answer, and its effect on the pending versions and the version
-// in force.
+// TestChangesAndTheirAnswers checks each kind of change, its answer, and its effect on the pending versions and the
+// version in force.
 func TestChangesAndTheirAnswers(t *testing.T) {
 	s := NewState()
 	suspend := func(id, server string) *Change {
--- a/internal/cluster/rules/state.go
+++ b/internal/cluster/rules/state.go
@@ -55,7 +55,7 @@
 	if c.Settings != nil {
 		numbers, classes = max(numbers, len(c.Settings.Numbers)), len(c.Settings.Classes)
 	}
-	if numbers > form1Members || classes > form1Classes {
+	if numbers > maxMembersForm1 || classes > maxClassesForm1 {
 		return max(c.Form, 2)
 	}
 	return max(c.Form, 1)
@@ -64,7 +64,7 @@
 // maxDocumentBytes returns the bound of the size of a document under a form.
 func maxDocumentBytes(form uint8) int {
 	if form < 2 {
-		return form1Document
+		return maxDocumentBytesForm1
 	}
 	return MaxDocumentBytes
 }
@@ -191,7 +191,7 @@
 		d.Numbers = meetNumbers(d.Numbers, other.Numbers)
 	}
 	if !sameSlice(other.Droppable, before.Droppable) {
-		d.Droppable = meetDropped(d.Droppable, other.Droppable)
+		d.Droppable = meetDroppable(d.Droppable, other.Droppable)
 	}
 	d.Quota = meetQuota(d, other)
 }
@@ -352,11 +352,11 @@
 		}
 		doc.Numbers = maps.Clone(c.Numbers)
 	case AllowDrop:
-		dropped := slices.Compact(slices.Sorted(slices.Values(c.Servers)))
-		if slices.Equal(dropped, was.Droppable) {
+		droppable := slices.Compact(slices.Sorted(slices.Values(c.Servers)))
+		if slices.Equal(droppable, was.Droppable) {
 			return nil, errors.New("lists may drop just these already")
 		}
-		doc.Droppable = dropped
+		doc.Droppable = droppable
 	case Rollback:
 		old, found := s.Version(c.ToVersion)
 		if !found {
