--- a/internal/cluster/agreement/options.go
+++ b/internal/cluster/agreement/options.go
@@ -22,7 +22,7 @@
 	AssignNumbers bool
 }
 
-// The values of Options.Alone.
+// The values of Options.WithoutLease.
 const (
 	Serve  = "serve"
 	Refuse = "refuse"
--- a/internal/cluster/rules/delta_test.go
+++ b/internal/cluster/rules/delta_test.go
@@ -99,10 +99,10 @@
 				before := encode(t, base)
 				got, err := Apply(base, back)
 				if err != nil {
-					t.Fatalf("from %+v: %v", has.Position(), err)
+					t.Fatalf("a delta from %+v: %v", has.Position(), err)
 				}
 				if !bytes.Equal(encode(t, got), want) || got.Digest() != s.Status.Digest() {
-					t.Fatalf("from %+v: %q", has.Position(), Diff(got.Meet(), s.Meet()))
+					t.Fatalf("a delta from %+v: the result differs: %q", has.Position(), Diff(got.Meet(), s.Meet()))
 				}
 				if got.Digest() != decodedCopy(t, got).Digest() {
 					t.Fatal("a cached digest differs from the computed one")
@@ -111,7 +111,7 @@
 					t.Fatal(err)
 				}
 				if !bytes.Equal(encode(t, base), before) {
-					t.Fatal("the base was written to")
+					t.Fatal("Apply changed the base")
 				}
 			}
 		}
@@ -283,7 +283,7 @@
 	}
 	last := s.Last()
 	for name, has := range map[string]Position{
-		"no longer kept": first.Position(), "another log": {Log: 8, InForce: last, Last: last}, "ahead": {Log: 7, InForce: last, Last: last + 1},
+		"no longer in the history": first.Position(), "another log": {Log: 8, InForce: last, Last: last}, "ahead": {Log: 7, InForce: last, Last: last + 1},
 		"more in force": {Log: 7, InForce: last + 1, Last: last},
 	} {
 		if _, ok := DeltaFrom(s, has); ok {
@@ -303,7 +303,7 @@
 	}
 	gap := Delta{Base: 1, InForce: 1, Differences: []Difference{{Number: 2}, {Number: 4}}}
 	ahead := Delta{Base: 1, InForce: 3, Differences: []Difference{{Number: 2}}}
-	for name, d := range map[string]*Delta{"too many": &long, "a gap": &gap, "in force and not there": &ahead} {
+	for name, d := range map[string]*Delta{"too many": &long, "a gap": &gap, "version in force missing": &ahead} {
 		if d.Validate() == nil {
 			t.Errorf("%s: the delta is valid", name)
 		}
@@ -340,7 +340,7 @@
 			t.Errorf("the result is not valid: %v", got.Validate())
 		}
 		if !bytes.Equal(before, encode(t, has)) {
-			t.Error("the base was written to")
+			t.Error("Apply changed the base")
 		}
 	})
 }
@@ -371,7 +371,7 @@
 		"64 classes":              {Change{Kind: Configure, Settings: &Settings{Classes: classes(maxClassesForm1)}}, 1},
 		"65 classes":              {Change{Kind: Configure, Settings: &Settings{Classes: classes(maxClassesForm1 + 1)}}, 2},
 		"1,001 numbers in a file": {Change{Kind: Configure, Settings: &Settings{Numbers: numbers(maxMembersForm1 + 1)}}, 2},
-		"all that there may be":   {Change{Kind: Renumber, Numbers: numbers(MaxMembers)}, 2},
+		"the most numbers":        {Change{Kind: Renumber, Numbers: numbers(MaxMembers)}, 2},
 	} {
 		if got := c.change.RequiredForm(); got != c.needs {
 			t.Errorf("%s: form %d; wanted %d", name, got, c.needs)
