--- a/internal/cluster/agreement/node.go
+++ b/internal/cluster/agreement/node.go
@@ -337,14 +337,14 @@
 }
 
 // onMembers handles a change of the fleet's members and their addresses.
-func (n *Node) onMembers(s view.Standing) {
+func (n *Node) onMembers(s view.Snapshot) {
 	addresses, living := s.Addresses()
 	n.addresses.Store(&addresses)
 	select {
 	case n.events <- func(c *accord.Core, now time.Duration) {
 		c.SetPeers(living)
 		if n.planner != nil {
-			n.planner.See(now, living)
+			n.planner.SetLiving(now, living)
 		}
 	}:
 	default: // the next membership change delivers them
@@ -359,7 +359,7 @@
 	CarryLatest(to, topic string, body []byte)
 }
 
-var _ latestCarrier = cluster.Part{}
+var _ latestCarrier = cluster.Endpoint{}
 
 func (h host) Send(to string, m *accord.Message) {
 	address := (*h.addresses.Load())[to]
--- a/internal/cluster/agreement/options.go
+++ b/internal/cluster/agreement/options.go
@@ -30,7 +30,7 @@
 
 // DefaultOptions returns the values of keys that the section leaves out.
 func DefaultOptions() Options {
-	return Options{Lease: accord.DefaultTimes().Lease, WithoutLease: Serve, MaxListDrop: lists.DefaultSettings().Share, AssignNumbers: true}
+	return Options{Lease: accord.DefaultTimes().Lease, WithoutLease: Serve, MaxListDrop: lists.DefaultSettings().MaxDropShare, AssignNumbers: true}
 }
 
 // Section describes the options to the operator file.
--- a/internal/host/fleet.go
+++ b/internal/host/fleet.go
@@ -62,7 +62,7 @@
 }
 
 // SetFleet tells the balancer which part of what all proxies may do is this proxy's own.
-func (i *Instance) SetFleetShares(p parts.Parts) {
+func (i *Instance) SetFleetShares(p parts.Factors) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if p == i.fleet || i.closed {
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -42,8 +42,8 @@
 	agreed         map[string]bool // out by agreement; true once the balancer knows of it
 	quota          float64         // the agreed share of tenants' quotas
 	closed         bool
-	part           float64     // beside another process of this proxy
-	fleet          parts.Parts // among all proxies
+	part           float64       // beside another process of this proxy
+	fleet          parts.Factors // among all proxies
 
 	timers  *timers
 	work    chan *attempt  // to workers that wait for some
@@ -148,7 +148,7 @@
 		clock: clock.NewSteady(), backends: pool, watch: watch, log: log,
 		requests: map[string]*Request{}, address: map[string]backends.Endpoint{},
 		drains: map[string]time.Duration{}, byHand: map[string]time.Duration{}, agreed: map[string]bool{}, quota: 1,
-		work: make(chan *attempt), ending: make(chan struct{}), part: 1, fleet: parts.Whole,
+		work: make(chan *attempt), ending: make(chan struct{}), part: 1, fleet: parts.FullShare,
 	}
 	i.timers = newTimers(i.now, i.timer)
 	var err error
