--- a/internal/cluster/agreement/node.go
+++ b/internal/cluster/agreement/node.go
@@ -1,6 +1,7 @@
-// Package agreement is a proxy's part in what its fleet agrees on: it puts the decisions (package accord), the disk and the
-// fleet's link together, and tells the rest of the process what it may act on. One goroutine owns the core; all others hand it
-// events. Serving never waits for it: what acts rest on is read with one atomic load.
+// Package agreement runs a proxy's part of the fleet's consensus on rules. It connects the protocol (package accord),
+// the disk and the fleet's network link, and provides the rules in effect to the rest of the process. One goroutine
+// owns the core, and all others send it events. Request handling never waits for that goroutine: it reads the rules
+// with one atomic load.
 package agreement
 
 import (
@@ -27,92 +28,96 @@
 	"brasswell/internal/cluster/view"
 )
 
-// The log's lines about rules, which package rig reads back.
+// The messages of log lines about rules, which package rig reads back.
 const (
-	LogRules = "rules: acted on" // another standing
-	LogMode  = "rules: lease"    // on what this proxy acts has changed
-	LogSelf  = "rules: self"     // what this process has found out about itself
+	LogRules = "rules: acted on" // the rules in effect have changed
+	LogMode  = "rules: lease"    // the mode has changed: whether this proxy holds a lease
+	LogSelf  = "rules: self"     // what this process has found out about its own state
 )
 
 const (
-	// mostWaiting messages, and as many events, stand before the owner; those beyond are dropped, as the network would. After a change each of 1,400
-	// holders of leases acknowledges within milliseconds, and a second step follows at once; renewals come beside both.
-	mostWaiting = 4096
-	// mostTogether messages that wait are taken in together: a voter writes its disk once for them. Between two such batches the owner
-	// does what is due.
-	mostTogether = 512
-	// openEvery is between tries for a file that the process before this one still holds.
-	openEvery = 100 * time.Millisecond
-	// lookEvery is between two looks at on what this proxy acts, beside those after each event.
-	lookEvery = 50 * time.Millisecond
-	// planEvery is between two looks of a leader at the proxies' numbers. A look goes over all proxies, and with each event, of which a
-	// leader has several a second from each proxy, its cost would grow with the square of their number.
-	planEvery = 250 * time.Millisecond
+	// maxQueued bounds the messages and the events that are queued for the owner goroutine; more are dropped, as the
+	// network may drop them. After a change each of 1,400 lease holders acknowledges within milliseconds, a second step
+	// follows immediately, and renewals arrive during both.
+	maxQueued = 4096
+	// maxBatch bounds the queued messages that are processed as one batch, for which a voter writes to its disk
+	// once. Timed work is done between two batches.
+	maxBatch = 512
+	// reopenInterval is the time between attempts to open a file that the previous process still has open.
+	reopenInterval = 100 * time.Millisecond
+	// modeCheckInterval is the longest time between two checks for a changed mode; each event is followed by a check too.
+	modeCheckInterval = 50 * time.Millisecond
+	// planInterval is the time between two checks of the proxies' numbers by a leader. A check visits all proxies, and a
+	// leader receives several events a second from each proxy, so the cost of a check with each event would grow with
+	// the square of their number.
+	planInterval = 250 * time.Millisecond
 )
 
-// Config is what a node is told.
+// Config configures a node.
 type Config struct {
 	Options    Options
 	Fleet      string // the fleet's name
-	Name       string // this proxy's
+	Name       string // this proxy's name
 	InstanceID uint64 // drawn at random at each start
 	Seed       uint64
-	// Volatile: this member keeps nothing on disk, and has no folder. A start that reaches no keeper then knows nothing. It is for
-	// many members on one machine, in scale runs; a keeper cannot be one.
+	// Volatile makes this member store nothing on disk; it has no folder. After a restart that reaches no voter it
+	// knows no rules. It is meant for scale runs with many members on one machine. A voter cannot be volatile.
 	Volatile bool
 	Log      *slog.Logger
 }
 
 type event func(c *accord.Core, now time.Duration)
 
-// Node is this process's part in the agreement. Its methods may be called at any time.
+// Node takes part in the consensus on behalf of this process. Its methods are safe for concurrent use.
 type Node struct {
 	config  Config
 	carrier cluster.Carrier
-	core    *accord.Core // the owner's
+	core    *accord.Core // used by the owner goroutine only
 	disk    atomic.Pointer[store.Store]
-	// messages are those from other proxies, as they came.
+	// messages holds the messages received from other proxies, in the order of arrival.
 	messages chan *accord.Message
 	events   chan event
-	asks     chan event   // from this process's own, never dropped
-	late     atomic.Int64 // messages that found the owner's line full
+	requests chan event   // from this process itself; never dropped
+	dropped  atomic.Int64 // messages dropped because the queue was full
 	basis    atomic.Pointer[accord.Basis]
-	// leaving: this process hands over to another of its proxy, and acts until its end on what it knows.
-	leaving   atomic.Bool
-	addresses atomic.Pointer[map[string]string] // of members, by name
-	mode      accord.Mode                       // the owner's, as last logged
-	told      bool
-	unkept    bool                     // that it cannot be stored has been told
-	planner   *numbering.Planner       // the owner's; nil where numbers do not follow who lives
-	nextPlan  time.Duration            // the owner's; when it next looks at the numbers
-	held      atomic.Pointer[[]string] // backends that this process goes on with though the newest list leaves them out
+	// handedOver is set once another process of this proxy has taken over: this one acts until its end on the rules
+	// that it knows.
+	handedOver   atomic.Bool
+	addresses    atomic.Pointer[map[string]string] // addresses of members, by name
+	mode         accord.Mode                       // used by the owner only: the mode that was last logged
+	modeLogged   bool
+	saveFailed   bool                     // used by the owner only: the last attempt to store the rules failed, and was logged
+	planner      *numbering.Planner       // used by the owner only; nil if numbers are not assigned by membership
+	nextPlan     time.Duration            // used by the owner only: the time of the next check of the numbers
+	heldBackends atomic.Pointer[[]string] // backends still in use although the newest list omits them
 
 	mu        sync.Mutex
 	followers []func(*accord.Basis)
 	answers   map[string]chan rules.Answer
 
-	ctx     context.Context
-	cancel  context.CancelFunc
-	running sync.WaitGroup
-	closing sync.Once
+	ctx       context.Context
+	cancel    context.CancelFunc
+	running   sync.WaitGroup
+	closeOnce sync.Once
 }
 
-// Clock is time that goes on while the machine sleeps too: a lease must not outlast that.
+// Clock returns the time since boot, including the time that the machine was suspended: a lease must expire during a
+// suspension too.
 func Clock() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		panic(fmt.Sprintf("agreement: no clock: %v", err)) // every Linux that Go runs on has it
+		panic(fmt.Sprintf("agreement: cannot read CLOCK_BOOTTIME: %v", err)) // every Linux version that Go supports has this clock
 	}
 	return time.Duration(t.Nano())
 }
 
-// Open begins a proxy's part.
+// Open starts a node and its goroutines.
 func Open(c Config, carrier cluster.Carrier) (*Node, error) {
-	if c.Volatile && c.Options.keeps(c.Name) {
+	if c.Volatile && c.Options.isVoter(c.Name) {
 		return nil, fmt.Errorf("rules: %s is a keeper, which needs a folder", c.Name)
 	}
 	n := &Node{
-		config: c, carrier: carrier, messages: make(chan *accord.Message, mostWaiting), events: make(chan event, mostWaiting), asks: make(chan event),
+		config: c, carrier: carrier, messages: make(chan *accord.Message, maxQueued), events: make(chan event, maxQueued), requests: make(chan event),
 		answers: map[string]chan rules.Answer{},
 	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
@@ -134,31 +139,33 @@
 		n.closeStore()
 		return nil, fmt.Errorf("rules: %w", err)
 	}
-	carrier.OnParcel(n.parcel)
-	carrier.Follow(n.members)
-	n.running.Go(n.own)
+	carrier.OnParcel(n.onPayload)
+	carrier.Follow(n.onMembers)
+	n.running.Go(n.run)
 	if later {
-		n.running.Go(n.openLater)
+		n.running.Go(n.retryOpenStore)
 	}
 	return n, nil
 }
 
-// openStore opens the folder. Nothing in it keeps the process from starting; later says that another process still holds it.
+// openStore opens the store in the folder and loads it. No fault of the folder prevents the process from starting.
+// later means that the store could not be opened, for example because another process has it open, and that the caller
+// is to retry in the background.
 func (n *Node) openStore() (stored accord.Stored, later bool, err error) {
 	c := &n.config
 	if c.Volatile {
 		return stored, false, nil
 	}
 	for range 2 {
-		disk, aside, why, err := store.Open(c.Options.Folder, c.Fleet, c.Name)
+		disk, setAside, reason, err := store.Open(c.Options.Folder, c.Fleet, c.Name)
 		switch {
 		case errors.Is(err, bolterrors.ErrTimeout):
 			return stored, true, nil
 		case err != nil:
-			c.Log.Error(LogSelf, "what", "the folder cannot be used; this proxy keeps nothing", "error", err)
+			c.Log.Error(LogSelf, "what", "the folder cannot be used; this proxy stores nothing until it can be opened", "error", err)
 			return stored, true, nil
-		case aside != "":
-			c.Log.Error(LogSelf, "what", "the file in the folder is not used, and was set aside", "file", aside, "error", why)
+		case setAside != "":
+			c.Log.Error(LogSelf, "what", "the file in the folder is not used and was set aside", "file", setAside, "error", reason)
 		}
 		if stored, err = disk.Load(); err == nil {
 			n.disk.Store(disk)
@@ -174,13 +181,14 @@
 	return accord.Stored{}, true, nil
 }
 
-// openLater makes this proxy a keeper once the process before it has let go of the folder.
-func (n *Node) openLater() {
+// retryOpenStore waits until the folder's store can be opened, for example after the previous process has closed it,
+// and lets the core use it: a voter starts to vote then.
+func (n *Node) retryOpenStore() {
 	for {
 		select {
 		case <-n.ctx.Done():
 			return
-		case <-time.After(openEvery):
+		case <-time.After(reopenInterval):
 		}
 		disk, _, _, err := store.Open(n.config.Options.Folder, n.config.Fleet, n.config.Name)
 		if err != nil {
@@ -189,13 +197,13 @@
 		stored, err := disk.Load()
 		if err != nil {
 			disk.Close()
-			n.config.Log.Error(LogSelf, "what", "the file in the folder cannot be read; this proxy keeps nothing", "error", err)
+			n.config.Log.Error(LogSelf, "what", "the file in the folder cannot be read; this proxy stores nothing", "error", err)
 			return
 		}
 		n.disk.Store(disk)
-		n.ask(n.ctx, func(c *accord.Core, now time.Duration) {
+		n.do(n.ctx, func(c *accord.Core, now time.Duration) {
 			if err := c.StartVoter(now, stored); err != nil {
-				n.config.Log.Error(LogSelf, "what", "this proxy keeps nothing", "error", err)
+				n.config.Log.Error(LogSelf, "what", "this proxy cannot start as a keeper", "error", err)
 			}
 		})
 		return
@@ -208,57 +216,58 @@
 	}
 }
 
-// own is the goroutine that the core belongs to.
-func (n *Node) own() {
+// run is the owner goroutine: the only one that uses the core.
+func (n *Node) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		timer.Reset(min(n.core.NextTick()-Clock(), lookEvery))
+		timer.Reset(min(n.core.NextTick()-Clock(), modeCheckInterval))
 		select {
 		case <-n.ctx.Done():
 			return
 		case m := <-n.messages:
-			together := n.waiting(m)
-			n.core.Receive(Clock(), together...) // the clock is read once all of them have come
+			messages := n.batch(m)
+			n.core.Receive(Clock(), messages...) // the clock is read after all of them have been received
 		case e := <-n.events:
 			e(n.core, Clock())
-		case e := <-n.asks:
+		case e := <-n.requests:
 			e(n.core, Clock())
 		case <-timer.C:
 		}
 		if now := Clock(); now >= n.core.NextTick() {
 			n.core.Tick(now)
 		}
-		n.look()
-		n.number()
+		n.logMode()
+		n.proposeNumbers()
 	}
 }
 
-// Late is how many messages were dropped since the start, as too many stood before the owner.
-func (n *Node) DroppedMessages() int64 { return n.late.Load() }
+// DroppedMessages returns how many messages were dropped since the start because the queue was full.
+func (n *Node) DroppedMessages() int64 { return n.dropped.Load() }
 
-// waiting is a message with those that wait behind it, as many as are taken in together.
-func (n *Node) waiting(first *accord.Message) []*accord.Message {
-	together := []*accord.Message{first}
-	for len(together) < mostTogether {
+// batch returns a message and the messages queued after it, maxBatch at most.
+func (n *Node) batch(first *accord.Message) []*accord.Message {
+	messages := []*accord.Message{first}
+	for len(messages) < maxBatch {
 		select {
 		case m := <-n.messages:
-			together = append(together, m)
+			messages = append(messages, m)
 		default:
-			return together
+			return messages
 		}
 	}
-	return together
+	return messages
 }
 
-// number proposes other own numbers for the proxies, where this one leads and they are due.
-func (n *Node) number() {
+// proposeNumbers proposes new numbers for the proxies if this proxy is the leader with a lease, no change is pending
+// and the planner asks for them.
+func (n *Node) proposeNumbers() {
 	now := Clock()
 	b := n.basis.Load()
 	if n.planner == nil || now < n.nextPlan || !n.core.IsLeader() || b.Settled == nil || b.Mode(now) != accord.Leased {
 		return
 	}
-	n.nextPlan = now + planEvery
+	n.nextPlan = now + planInterval
 	numbers, due := n.planner.Plan(now, b.Settled.Numbers)
 	if !due {
 		return
@@ -272,27 +281,27 @@
 	}
 }
 
-// Number is this proxy's agreed own number, of how many, on a basis; ok is false where it has none, or the change that gives it is
-// on its way.
-func (n *Node) AgreedNumber(b *accord.Basis) (self, of int, ok bool) {
+// AgreedNumber returns this proxy's assigned number and the total of assigned numbers under a basis. ok is false if the
+// proxy has no valid number, or if any change is pending.
+func (n *Node) AgreedNumber(b *accord.Basis) (index, total int, ok bool) {
 	if b.Settled == nil {
 		return 0, 0, false
 	}
-	self, ok = b.Settled.Numbers[n.config.Name]
-	return self, len(b.Settled.Numbers), ok && self < len(b.Settled.Numbers)
+	index, ok = b.Settled.Numbers[n.config.Name]
+	return index, len(b.Settled.Numbers), ok && index < len(b.Settled.Numbers)
 }
 
-// ListDrop is the share of the backends that lists may leave out at once; 1 for any.
+// MaxListDrop returns the share of the backends that lists may omit at once; 1 means any number.
 func (n *Node) MaxListDrop() float64 { return n.config.Options.MaxListDrop }
 
-// Hold takes in which backends this process goes on with though the newest list leaves them out, for people.
-func (n *Node) SetHeldBackends(ids []string) { n.held.Store(&ids) }
+// SetHeldBackends sets the backends that are still in use although the newest list omits them, for the report.
+func (n *Node) SetHeldBackends(ids []string) { n.heldBackends.Store(&ids) }
 
-// look logs on what this proxy acts, if that has changed.
-func (n *Node) look() {
+// logMode logs the mode if it has changed.
+func (n *Node) logMode() {
 	b := n.basis.Load()
-	if mode := b.Mode(Clock()); mode != n.mode || !n.told {
-		n.mode, n.told = mode, true
+	if mode := b.Mode(Clock()); mode != n.mode || !n.modeLogged {
+		n.mode, n.modeLogged = mode, true
 		level := slog.LevelInfo
 		if mode != accord.Leased {
 			level = slog.LevelWarn
@@ -301,10 +310,10 @@
 	}
 }
 
-func (n *Node) ask(ctx context.Context, e event) bool {
+func (n *Node) do(ctx context.Context, e event) bool {
 	done := make(chan struct{})
 	select {
-	case n.asks <- func(c *accord.Core, now time.Duration) { defer close(done); e(c, now) }:
+	case n.requests <- func(c *accord.Core, now time.Duration) { defer close(done); e(c, now) }:
 		<-done
 		return true
 	case <-ctx.Done():
@@ -313,8 +322,8 @@
 	return false
 }
 
-// parcel takes in what another proxy has sent.
-func (n *Node) parcel(body []byte) {
+// onPayload handles the payload of a message from another proxy.
+func (n *Node) onPayload(body []byte) {
 	m, err := accord.Decode(body)
 	if err != nil {
 		n.config.Log.Debug("rules: a message is dropped", "error", err)
@@ -323,12 +332,12 @@
 	select {
 	case n.messages <- m:
 	default:
-		n.late.Add(1)
+		n.dropped.Add(1)
 	}
 }
 
-// members takes in who of the fleet is there, and where.
-func (n *Node) members(s view.Snapshot) {
+// onMembers handles a change of the fleet's members and their addresses.
+func (n *Node) onMembers(s view.Snapshot) {
 	addresses, living := s.Addresses()
 	n.addresses.Store(&addresses)
 	select {
@@ -338,14 +347,14 @@
 			n.planner.SetLiving(now, living)
 		}
 	}:
-	default: // the next change brings them
+	default: // the next membership change delivers them
 	}
 }
 
-// host is the core's side of a node; its methods run on the owner.
+// host implements accord.Host for a node. Its methods run on the owner goroutine.
 type host struct{ *Node }
 
-// latestCarrier is a carrier that can leave out what a newer parcel of the same topic makes useless.
+// latestCarrier is a carrier that discards a queued payload when a newer one of the same topic replaces it.
 type latestCarrier interface {
 	CarryLatest(to, topic string, body []byte)
 }
@@ -363,7 +372,7 @@
 	}
 	latest, able := h.carrier.(latestCarrier)
 	switch {
-	case able && m.Kind == accord.Grant: // each brings all that its receiver lacks
+	case able && m.Kind == accord.Grant: // each contains everything that its receiver lacks
 		latest.CarryLatest(address, "grant "+m.To, body)
 	case able && m.Kind == accord.Update:
 		latest.CarryLatest(address, "tell "+m.To, body)
@@ -385,15 +394,15 @@
 	if d := h.disk.Load(); d != nil {
 		err = d.SaveRules(s)
 	}
-	if err != nil && !h.unkept {
-		h.config.Log.Warn(LogSelf, "what", "what is acted on cannot be stored; a start that reaches no keeper will not know it", "error", err)
+	if err != nil && !h.saveFailed {
+		h.config.Log.Warn(LogSelf, "what", "the rules in effect cannot be stored; after a restart that reaches no keeper this proxy will not know them", "error", err)
 	}
-	h.unkept = err != nil
+	h.saveFailed = err != nil
 }
 
 func (h host) SetBasis(b *accord.Basis) {
 	if was := h.basis.Swap(b); was != nil && was.Doc == b.Doc {
-		return // a lease renewed, several times a second: what is acted on is the same
+		return // only the lease was renewed, which happens several times a second; the rules are the same
 	}
 	h.mu.Lock()
 	followers := slices.Clone(h.followers)
@@ -409,7 +418,7 @@
 	if c := h.answers[a.ID]; c != nil {
 		select {
 		case c <- a:
-		default: // it has one
+		default: // an answer was delivered already
 		}
 	}
 }
@@ -428,9 +437,10 @@
 	}
 }
 
-// Follow tells f on what acts rest, now and after every change of the rules, from one goroutine at a time. f must not block.
+// Follow calls f with the current basis, now and after every change of the rules, from one goroutine at a time. f must
+// not block.
 func (n *Node) Follow(f func(*accord.Basis)) {
-	n.ask(n.ctx, func(*accord.Core, time.Duration) {
+	n.do(n.ctx, func(*accord.Core, time.Duration) {
 		n.mu.Lock()
 		n.followers = append(n.followers, f)
 		n.mu.Unlock()
@@ -438,38 +448,40 @@
 	})
 }
 
-// Basis is on what acts rest now.
+// Basis returns the basis that decisions use now.
 func (n *Node) Basis() *accord.Basis { return n.basis.Load() }
 
-// Rule says whether an act is allowed now, and on what that rests. It is to be asked right before the act.
+// Decide reports whether a send is allowed now, and the basis of that decision. Call it immediately before the send,
+// because the lease may expire after an earlier call.
 func (n *Node) Decide(s rules.Send) (rules.Decision, rules.DecisionBasis) {
 	b := n.basis.Load()
-	if n.leaving.Load() {
+	if n.handedOver.Load() {
 		return b.Unleased.Decide(s), rules.DecisionBasis{Version: b.Last}
 	}
 	now := Clock()
 	return b.Decide(now, s), rules.DecisionBasis{Version: b.Last, Leased: b.Mode(now) == accord.Leased}
 }
 
-// Mode is on what this proxy acts.
+// Mode returns whether this proxy acts on a lease, on the rules that it knows, or not at all.
 func (n *Node) Mode() accord.Mode {
-	if n.leaving.Load() {
+	if n.handedOver.Load() {
 		return accord.Alone
 	}
 	return n.basis.Load().Mode(Clock())
 }
 
-// ErrNoAnswer is that of a proposal of which nothing has been heard: it may still come.
-var ErrNoAnswer = errors.New("no answer from the keepers yet; it may still come into force. The same id again is the same change")
+// ErrNoAnswer means that the outcome of a proposal is unknown: the change may still come into force.
+var ErrNoAnswer = errors.New("no answer from the keepers yet; the change may still come into force. A retry with the same id is the same change")
 
-// NewID draws the id of a change.
+// NewID returns a random ID for a change.
 func NewID() string {
 	var b [12]byte
-	rand.Read(b[:]) // it does not fail
+	rand.Read(b[:]) // it never returns an error
 	return hex.EncodeToString(b[:])
 }
 
-// Propose has a change agreed, and returns what became of it. The version it names is on its way then, and not in force yet.
+// Propose proposes a change to the voters and returns the outcome. The version in the answer is pending then, and not
+// yet in force.
 func (n *Node) Propose(ctx context.Context, c rules.Change) (rules.Answer, error) {
 	if c.ID == "" {
 		c.ID = NewID()
@@ -492,7 +504,7 @@
 		delete(n.answers, c.ID)
 	}()
 	var err error
-	if !n.ask(ctx, func(core *accord.Core, now time.Duration) { err = core.Propose(now, c) }) {
+	if !n.do(ctx, func(core *accord.Core, now time.Duration) { err = core.Propose(now, c) }) {
 		return rules.Answer{}, ErrNoAnswer
 	}
 	if err != nil {
@@ -507,18 +519,18 @@
 	return rules.Answer{}, ErrNoAnswer
 }
 
-// Refound has this keeper go on alone, in place of a majority that is lost for good: see accord.Core.
+// Refound makes this voter continue alone, in place of a majority that is permanently lost; see accord.Core.Refound.
 func (n *Node) Refound(ctx context.Context) error {
 	err := ErrNoAnswer
-	n.ask(ctx, func(c *accord.Core, now time.Duration) { err = c.Refound(now) })
+	n.do(ctx, func(c *accord.Core, now time.Duration) { err = c.Refound(now) })
 	return err
 }
 
-// Close ends this process's part. With handOver another process of this proxy goes on; this one acts until its end on what it
-// knows, and repeats nothing.
+// Close stops the node. With handOver, another process of this proxy takes over; until its end, this process acts on
+// the rules that it knows as if it had no lease, and never repeats a request that may have run.
 func (n *Node) Close(handOver bool) {
-	n.closing.Do(func() {
-		n.leaving.Store(handOver)
+	n.closeOnce.Do(func() {
+		n.handedOver.Store(handOver)
 		n.cancel()
 		n.running.Wait()
 		n.closeStore()
