--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,4 +1,5 @@
-// Command wirehost hosts balancer instances for a simulator that speaks internal/wire on the standard streams.
+// Command wirehost hosts balancer instances for a simulator, using the protocol of internal/wire on standard input and
+// output.
 package main
 
 import (
--- a/internal/cluster/lists/lists.go
+++ b/internal/cluster/lists/lists.go
@@ -1,11 +1,12 @@
-// Package lists judges server lists before a proxy acts on them. A list that leaves out many servers at once is more often wrong
-// than right: a half-written source, a query that timed out, a room that discovery cannot see. What it leaves out is held, which
-// is to say gone on with, until an operator accepts it by agreement, the list names the servers again, or traffic shows that they
-// are gone. It has no I/O and no clock, and equal events give equal answers.
+// Package lists checks server lists before a proxy acts on them. A list that omits many servers at once is more often
+// wrong than right: its source was half written, a query timed out, or discovery cannot reach a zone. The omitted
+// servers are held, that is, kept in service, until operators accept their removal by consensus, a list names them
+// again, or traffic shows that they are gone. The package has no I/O and no clock, and equal events give equal results.
 //
-// What a list says by name is never held: a server that drains is left at once, whatever else the list says. Nor are single
-// losses, or servers that drained before they were left out. The price is that a true loss of many is noticed by traffic, one
-// backend after another, and not by the list; where that costs more than a bad list would, [rules] list_drop = 1 switches it off.
+// Explicit states in a list are never held: a server that drains is taken out of service at once, whatever else the
+// list contains. Single losses and servers that drained before they were omitted are not held either. The cost is that
+// traffic, and not the list, reveals a real loss of many servers, one backend after another. Where that costs more than
+// a bad list would, [rules] list_drop = 1 disables the check.
 package lists
 
 import (
@@ -16,95 +17,98 @@
 	"brasswell/balance"
 )
 
-// Settings are what a judge is told.
+// Settings configure a filter.
 type Settings struct {
-	// Share of the servers in service that lists may leave out within Memory; more is held. 1 holds nothing.
+	// MaxDropShare is the share of the servers in service that lists may omit within Window. If they omit more, the
+	// omitted servers are held. A value of 1 holds nothing.
 	Share float64
-	// Least is how many servers that has to be: a fleet of three loses a third with one.
+	// MinDropCount is the minimum number of omitted servers for any to be held: one server is a third of a fleet of
+	// three.
 	Least int
-	// Memory is how long a server that was let go counts, so that a list which loses a tenth each second is held too.
+	// Window is how long a released server counts as omitted, so that lists that lose a tenth each second are held too.
 	Memory time.Duration
 }
 
-// DefaultSettings are those asked for by operators.
+// DefaultSettings returns the values that operators requested.
 func DefaultSettings() Settings { return Settings{Share: 0.22, Least: 2, Memory: time.Minute} }
 
-// Server is one in service, and where to dial it.
+// Server is a server in service and the address to dial.
 type Server struct {
 	Entry   balance.Entry
 	Address string
 }
 
-// Update is what is to be passed on to the balancer.
+// Update is a server list or a change of it: what discovery reports, and what the filter passes on to the balancer.
 type Update struct {
 	Kind      balance.ListKind
 	Entries   []balance.Entry
 	Addresses map[string]string
 }
 
-// held is a server that the newest list leaves out.
-type held struct {
-	server Server
-	since  time.Duration
-	gone   bool // traffic says so
+// heldServer is a server that is kept in service although the newest list omits it.
+type heldServer struct {
+	server      Server
+	since       time.Duration
+	unreachable bool // according to traffic
 }
 
-// Judge judges the lists of one proxy. It is not safe for concurrent use.
+// Filter checks the lists of one proxy. It is not safe for concurrent use.
 type Judge struct {
-	set     Settings
-	service map[string]Server // in service by the newest list
-	held    map[string]*held
-	let     []time.Duration // when servers were let go that nothing but a list spoke against, the oldest first
-	mayDrop func(id string) bool
+	settings  Settings
+	inService map[string]Server // in service according to the newest list
+	held      map[string]*heldServer
+	released  []time.Duration // when servers were released because of a list alone, the oldest first
+	mayDrop   func(id string) bool
 }
 
-// New returns a judge that has seen no list. mayDrop says whether a server may be left out by what was agreed, and may be nil.
+// New returns a filter that has seen no list. mayDrop reports whether the agreed rules allow a server to be omitted; it
+// may be nil.
 func New(s Settings, mayDrop func(id string) bool) *Judge {
 	if mayDrop == nil {
 		mayDrop = func(string) bool { return false }
 	}
-	return &Judge{set: s, service: map[string]Server{}, held: map[string]*held{}, mayDrop: mayDrop}
+	return &Judge{settings: s, inService: map[string]Server{}, held: map[string]*heldServer{}, mayDrop: mayDrop}
 }
 
-// Take judges a list and returns what to pass on in its place.
+// Apply checks a list and returns the update to pass on in its place.
 func (j *Judge) Take(now time.Duration, u Update) Update {
 	if u.Kind == balance.ListFailed {
 		return u
 	}
 	named := make(map[string]bool, len(u.Entries))
-	var out []balance.Entry // what is passed on
-	var dropped []string    // by this list, though in service
+	var out []balance.Entry // to pass on
+	var dropped []string    // in service so far, omitted or removed by this list
 	for _, e := range u.Entries {
 		named[e.ID] = true
 		if e.State == balance.Gone {
-			// Named as removed: for who is in service the same as left out.
-			if _, was := j.service[e.ID]; was {
+			// Listed as removed: for a server in service this is the same as an omission.
+			if _, was := j.inService[e.ID]; was {
 				dropped = append(dropped, e.ID)
 			} else if j.held[e.ID] == nil {
 				out = append(out, e)
 			}
 			continue
 		}
-		delete(j.held, e.ID) // named again, in service or as one that drains
+		delete(j.held, e.ID) // listed again, in service or draining
 		out = append(out, e)
 	}
 	if u.Kind != balance.Delta {
-		for id := range j.service {
+		for id := range j.inService {
 			if !named[id] {
 				dropped = append(dropped, id)
 			}
 		}
 	}
 	for _, id := range dropped {
-		j.held[id] = &held{server: j.service[id], since: now}
-		delete(j.service, id)
+		j.held[id] = &heldServer{server: j.inService[id], since: now}
+		delete(j.inService, id)
 	}
 	for _, e := range u.Entries {
 		switch e.State {
 		case balance.InService:
-			j.service[e.ID] = Server{e, u.Addresses[e.ID]}
+			j.inService[e.ID] = Server{e, u.Addresses[e.ID]}
 		case balance.Draining:
-			delete(j.service, e.ID) // from here on its going is no surprise
+			delete(j.inService, e.ID) // its later removal is expected
 		}
 	}
 	released := j.release(now)
@@ -124,31 +128,32 @@
 	return Update{u.Kind, out, addresses}
 }
 
-// Agreed looks again at what is held, once what may be dropped has changed. It returns what to pass on, if anything.
-func (j *Judge) Agreed(now time.Duration) (u Update, any bool) { return j.again(now) }
+// Reevaluate checks the held servers again after the result of mayDrop has changed. It returns the update to pass on,
+// if any.
+func (j *Judge) Agreed(now time.Duration) (u Update, any bool) { return j.releaseUpdate(now) }
 
-// Gone takes in that traffic finds servers silent or failing, and returns what to pass on, if anything. Who answers again
-// meanwhile is not named: it is the caller's to name all that fail now.
+// SetUnreachable sets which servers traffic finds unresponsive or failing, and returns the update to pass on, if any.
+// ids must contain all servers that fail now; a held server that is not in ids counts as responsive.
 func (j *Judge) Gone(now time.Duration, ids []string) (u Update, any bool) {
 	for _, h := range j.held {
-		h.gone = false
+		h.unreachable = false
 	}
 	for _, id := range ids {
 		if h := j.held[id]; h != nil {
-			h.gone = true
+			h.unreachable = true
 		}
 	}
-	return j.again(now)
+	return j.releaseUpdate(now)
 }
 
-func (j *Judge) again(now time.Duration) (u Update, any bool) {
+func (j *Judge) releaseUpdate(now time.Duration) (u Update, any bool) {
 	released := j.release(now)
 	return Update{Kind: balance.Delta, Entries: released, Addresses: map[string]string{}}, len(released) > 0
 }
 
-// release lets go of what need not be held, or all where it has become little, and returns it as removed.
+// release drops the servers that need not be held, or all held servers if few are missing, and returns them as removed.
 func (j *Judge) release(now time.Duration) (gone []balance.Entry) {
-	letGo := func(id string) {
+	drop := func(id string) {
 		e := j.held[id].server.Entry
 		e.State = balance.Gone
 		gone = append(gone, e)
@@ -156,62 +161,64 @@
 	}
 	ids := slices.Sorted(maps.Keys(j.held))
 	for _, id := range ids {
-		// A second witness: an operator's word, or the traffic's. It explains the loss, which then is no sign of a bad list.
-		if j.held[id].gone || j.mayDrop(id) {
-			letGo(id)
+		// A second source, the operators' rules or traffic, confirms the loss, which then does not indicate a bad list.
+		if j.held[id].unreachable || j.mayDrop(id) {
+			drop(id)
 		}
 	}
-	for len(j.let) > 0 && now-j.let[0] >= j.set.Memory {
-		j.let = j.let[1:]
+	for len(j.released) > 0 && now-j.released[0] >= j.settings.Memory {
+		j.released = j.released[1:]
 	}
-	missing := len(j.held) + len(j.let)
-	if missing >= j.set.Least && float64(missing) > j.set.Share*float64(len(j.service)+missing) {
+	missing := len(j.held) + len(j.released)
+	if missing >= j.settings.Least && float64(missing) > j.settings.Share*float64(len(j.inService)+missing) {
 		return gone
 	}
 	for _, id := range ids {
 		if j.held[id] != nil {
-			letGo(id)
-			j.let = append(j.let, now)
+			drop(id)
+			j.released = append(j.released, now)
 		}
 	}
 	return gone
 }
 
-// Carried is what one judge leaves to the next at an upgrade, which learns of the servers in service from the balancer.
+// Snapshot is the state that one filter hands to the next at an upgrade. The new filter gets the servers in service
+// from the balancer.
 type Carried struct {
-	Held  []string        `cbor:"1,keyasint"` // ids, in order
-	LetGo []time.Duration `cbor:"2,keyasint"` // how long ago servers were let go that nothing but a list spoke against, the longest first
+	Held  []string        `cbor:"1,keyasint"` // ids, sorted
+	LetGo []time.Duration `cbor:"2,keyasint"` // how long ago servers were released because of a list alone, the longest first
 }
 
-// Carry returns what the next judge is to know.
+// Snapshot returns the state for the next filter.
 func (j *Judge) Carry(now time.Duration) Carried {
 	c := Carried{Held: j.Held()}
-	for _, at := range j.let {
+	for _, at := range j.released {
 		c.LetGo = append(c.LetGo, now-at)
 	}
 	return c
 }
 
-// Adopt makes a judge that has seen no list go on where another is. servers are those that the balancer has in service, held ones included.
+// Restore makes a filter that has seen no list continue from another filter's snapshot. servers are those that the
+// balancer has in service, including the held ones.
 func (j *Judge) Adopt(now time.Duration, c Carried, servers []Server) {
 	for _, s := range servers {
-		j.service[s.Entry.ID] = s
+		j.inService[s.Entry.ID] = s
 	}
 	for _, id := range c.Held {
-		if s, known := j.service[id]; known {
-			j.held[id] = &held{server: s, since: now}
-			delete(j.service, id)
+		if s, known := j.inService[id]; known {
+			j.held[id] = &heldServer{server: s, since: now}
+			delete(j.inService, id)
 		}
 	}
 	for _, ago := range c.LetGo {
-		j.let = append(j.let, now-ago)
+		j.released = append(j.released, now-ago)
 	}
 }
 
-// Held are the servers that are gone on with though the newest list leaves them out, in order.
+// Held returns the ids of the servers that are kept in service although the newest list omits them, sorted.
 func (j *Judge) Held() []string { return slices.Sorted(maps.Keys(j.held)) }
 
-// Since is when the first of those was left out; 0 where none is held.
+// HeldSince returns when the first of the held servers was omitted, or 0 if none is held.
 func (j *Judge) Since() (since time.Duration) {
 	for _, h := range j.held {
 		if since == 0 || h.since < since {
--- a/internal/cluster/lists/lists_test.go
+++ b/internal/cluster/lists/lists_test.go
@@ -34,17 +34,17 @@
 	return u
 }
 
-func to(n int) (all []int) {
+func firstN(n int) (all []int) {
 	for i := range n {
 		all = append(all, i)
 	}
 	return all
 }
 
-// balancer is what the updates that are passed on come to.
-type balancer map[string]balance.State
+// fakeBalancer is the server list that results from the updates that the filter passes on.
+type fakeBalancer map[string]balance.State
 
-func (b balancer) take(u Update) {
+func (b fakeBalancer) apply(u Update) {
 	if u.Kind != balance.Delta {
 		clear(b)
 	}
@@ -55,7 +55,7 @@
 	}
 }
 
-func (b balancer) inService() (n int) {
+func (b fakeBalancer) inService() (n int) {
 	for _, s := range b {
 		if s == balance.InService {
 			n++
@@ -64,75 +64,76 @@
 	return n
 }
 
-func TestWhatIsHeld(t *testing.T) {
+func TestHeldServers(t *testing.T) {
 	type step struct {
 		at   time.Duration
 		list Update
 		gone []string
 		drop []string
-		want int // in service for the balancer
+		want int // number in service at the balancer
 		held int
 	}
 	s := time.Second
 	for name, steps := range map[string][]step{
-		"a fifth is let go":              {{0, full(to(10)...), nil, nil, 10, 0}, {s, full(to(8)...), nil, nil, 8, 0}},
-		"three tenths are held":          {{0, full(to(10)...), nil, nil, 10, 0}, {s, full(to(7)...), nil, nil, 10, 3}},
-		"an empty list":                  {{0, full(to(10)...), nil, nil, 10, 0}, {s, full(), nil, nil, 10, 10}},
-		"by name too":                    {{0, full(to(10)...), nil, nil, 10, 0}, {s, delta(balance.Gone, 1, 2, 3), nil, nil, 10, 3}},
-		"one of three":                   {{0, full(to(3)...), nil, nil, 3, 0}, {s, full(0, 1), nil, nil, 2, 0}},
-		"who drained goes":               {{0, full(to(10)...), nil, nil, 10, 0}, {s, delta(balance.Draining, 1, 2, 3, 4), nil, nil, 6, 0}, {2 * s, delta(balance.Gone, 1, 2, 3, 4), nil, nil, 6, 0}},
-		"a drain of who is held":         {{0, full(to(10)...), nil, nil, 10, 0}, {s, full(to(5)...), nil, nil, 10, 5}, {2 * s, delta(balance.Draining, 9), nil, nil, 9, 4}},
-		"a list that is whole again":     {{0, full(to(10)...), nil, nil, 10, 0}, {s, full(to(5)...), nil, nil, 10, 5}, {2 * s, full(to(10)...), nil, nil, 10, 0}},
-		"half mended":                    {{0, full(to(10)...), nil, nil, 10, 0}, {s, full(to(5)...), nil, nil, 10, 5}, {2 * s, full(to(8)...), nil, nil, 8, 0}},
-		"traffic finds all gone":         {{0, full(to(10)...), nil, nil, 10, 0}, {s, full(to(7)...), nil, nil, 10, 3}, {2 * s, Update{}, []string{"s07", "s08", "s09"}, nil, 7, 0}},
-		"traffic finds one of five gone": {{0, full(to(10)...), nil, nil, 10, 0}, {s, full(to(5)...), nil, nil, 10, 5}, {2 * s, Update{}, []string{"s05"}, nil, 9, 4}},
-		"accepted":                       {{0, full(to(10)...), nil, nil, 10, 0}, {s, full(to(5)...), nil, nil, 10, 5}, {2 * s, Update{}, nil, []string{"s05", "s06", "s07", "s08", "s09"}, 5, 0}},
-		"accepted before it comes":       {{0, full(to(10)...), nil, []string{"s05", "s06", "s07", "s08"}, 10, 0}, {s, full(to(5)...), nil, nil, 5, 0}},
-		"a tenth each second":            {{0, full(to(20)...), nil, nil, 20, 0}, {s, full(to(18)...), nil, nil, 18, 0}, {2 * s, full(to(16)...), nil, nil, 16, 0}, {3 * s, full(to(14)...), nil, nil, 16, 2}},
-		"a tenth each minute":            {{0, full(to(20)...), nil, nil, 20, 0}, {60 * s, full(to(18)...), nil, nil, 18, 0}, {121 * s, full(to(16)...), nil, nil, 16, 0}, {182 * s, full(to(14)...), nil, nil, 14, 0}},
-		"dropped, and named once more":   {{0, full(to(10)...), nil, nil, 10, 0}, {s, full(to(5)...), nil, []string{"s05", "s06", "s07", "s08", "s09"}, 5, 0}, {2 * s, full(to(10)...), nil, nil, 10, 0}},
+		"a fifth is released":            {{0, full(firstN(10)...), nil, nil, 10, 0}, {s, full(firstN(8)...), nil, nil, 8, 0}},
+		"three tenths are held":          {{0, full(firstN(10)...), nil, nil, 10, 0}, {s, full(firstN(7)...), nil, nil, 10, 3}},
+		"an empty list":                  {{0, full(firstN(10)...), nil, nil, 10, 0}, {s, full(), nil, nil, 10, 10}},
+		"removed by name":                {{0, full(firstN(10)...), nil, nil, 10, 0}, {s, delta(balance.Gone, 1, 2, 3), nil, nil, 10, 3}},
+		"one of three":                   {{0, full(firstN(3)...), nil, nil, 3, 0}, {s, full(0, 1), nil, nil, 2, 0}},
+		"drained, removed":               {{0, full(firstN(10)...), nil, nil, 10, 0}, {s, delta(balance.Draining, 1, 2, 3, 4), nil, nil, 6, 0}, {2 * s, delta(balance.Gone, 1, 2, 3, 4), nil, nil, 6, 0}},
+		"a held server drains":           {{0, full(firstN(10)...), nil, nil, 10, 0}, {s, full(firstN(5)...), nil, nil, 10, 5}, {2 * s, delta(balance.Draining, 9), nil, nil, 9, 4}},
+		"a complete list again":          {{0, full(firstN(10)...), nil, nil, 10, 0}, {s, full(firstN(5)...), nil, nil, 10, 5}, {2 * s, full(firstN(10)...), nil, nil, 10, 0}},
+		"half repaired":                  {{0, full(firstN(10)...), nil, nil, 10, 0}, {s, full(firstN(5)...), nil, nil, 10, 5}, {2 * s, full(firstN(8)...), nil, nil, 8, 0}},
+		"traffic finds all gone":         {{0, full(firstN(10)...), nil, nil, 10, 0}, {s, full(firstN(7)...), nil, nil, 10, 3}, {2 * s, Update{}, []string{"s07", "s08", "s09"}, nil, 7, 0}},
+		"traffic finds one of five gone": {{0, full(firstN(10)...), nil, nil, 10, 0}, {s, full(firstN(5)...), nil, nil, 10, 5}, {2 * s, Update{}, []string{"s05"}, nil, 9, 4}},
+		"accepted":                       {{0, full(firstN(10)...), nil, nil, 10, 0}, {s, full(firstN(5)...), nil, nil, 10, 5}, {2 * s, Update{}, nil, []string{"s05", "s06", "s07", "s08", "s09"}, 5, 0}},
+		"accepted in advance":            {{0, full(firstN(10)...), nil, []string{"s05", "s06", "s07", "s08"}, 10, 0}, {s, full(firstN(5)...), nil, nil, 5, 0}},
+		"a tenth each second":            {{0, full(firstN(20)...), nil, nil, 20, 0}, {s, full(firstN(18)...), nil, nil, 18, 0}, {2 * s, full(firstN(16)...), nil, nil, 16, 0}, {3 * s, full(firstN(14)...), nil, nil, 16, 2}},
+		"a tenth each minute":            {{0, full(firstN(20)...), nil, nil, 20, 0}, {60 * s, full(firstN(18)...), nil, nil, 18, 0}, {121 * s, full(firstN(16)...), nil, nil, 16, 0}, {182 * s, full(firstN(14)...), nil, nil, 14, 0}},
+		"dropped, then listed again":     {{0, full(firstN(10)...), nil, nil, 10, 0}, {s, full(firstN(5)...), nil, []string{"s05", "s06", "s07", "s08", "s09"}, 5, 0}, {2 * s, full(firstN(10)...), nil, nil, 10, 0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			drop := map[string]bool{}
 			j := New(DefaultSettings(), func(id string) bool { return drop[id] })
-			b := balancer{}
+			b := fakeBalancer{}
 			for i, p := range steps {
 				for _, id := range p.drop {
 					drop[id] = true
 				}
 				switch {
 				case p.list.Entries != nil || p.list.Addresses != nil:
-					b.take(j.Take(p.at, p.list))
+					b.apply(j.Take(p.at, p.list))
 				case p.gone != nil:
 					if u, any := j.Gone(p.at, p.gone); any {
-						b.take(u)
+						b.apply(u)
 					}
 				default:
 					if u, any := j.Agreed(p.at); any {
-						b.take(u)
+						b.apply(u)
 					}
 				}
 				if got := b.inService(); got != p.want || len(j.Held()) != p.held {
-					t.Fatalf("step %d: %d in service, %q held; wanted %d and %d", i, got, j.Held(), p.want, p.held)
+					t.Fatalf("step %d: %d in service, %q held; want %d and %d", i, got, j.Held(), p.want, p.held)
 				}
 				if len(j.Held()) > 0 != (j.Since() > 0) {
-					t.Fatalf("held since %v", j.Since())
+					t.Fatalf("HeldSince returned %v, which contradicts the number of held servers", j.Since())
 				}
 			}
 		})
 	}
 }
 
-// TestWhatMustHold: whatever comes, who is named as draining is left at once; who is named in service is in service; nobody is in
-// service whom neither the newest list names nor the judge holds; and what is held is over the share, or nothing is.
-func TestWhatMustHold(t *testing.T) {
+// TestFilterInvariants: for any sequence of events, a server listed as draining is taken out of service at once, a
+// server listed in service is in service, and no server is in service that the newest list omits and the filter does
+// not hold. No held server is listed or may be dropped, and without recent releases a single server is never held.
+func TestFilterInvariants(t *testing.T) {
 	const servers = 12
 	rapid.Check(t, func(t *rapid.T) {
 		drop := map[string]bool{}
 		set := DefaultSettings()
 		j := New(set, func(id string) bool { return drop[id] })
-		b := balancer{}
-		truth := map[string]balance.State{} // of the newest list
+		b := fakeBalancer{}
+		truth := map[string]balance.State{} // according to the newest list
 		now := time.Duration(0)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 90).Draw(t, "pause")) * time.Second
@@ -144,7 +145,7 @@
 				for _, e := range u.Entries {
 					truth[e.ID] = e.State
 				}
-				b.take(j.Take(now, u))
+				b.apply(j.Take(now, u))
 			case 1:
 				state := rapid.SampledFrom([]balance.State{balance.InService, balance.Draining, balance.Gone}).Draw(t, "state")
 				u := delta(state, some...)
@@ -153,14 +154,14 @@
 						delete(truth, e.ID)
 					}
 				}
-				b.take(j.Take(now, u))
+				b.apply(j.Take(now, u))
 			case 2:
 				clear(drop)
 				for _, i := range some {
 					drop[entry(i, 0).ID] = true
 				}
 				if u, any := j.Agreed(now); any {
-					b.take(u)
+					b.apply(u)
 				}
 			case 3:
 				var ids []string
@@ -168,29 +169,29 @@
 					ids = append(ids, entry(i, 0).ID)
 				}
 				if u, any := j.Gone(now, ids); any {
-					b.take(u)
+					b.apply(u)
 				}
 			case 4:
 				if u := j.Take(now, Update{Kind: balance.ListFailed}); u.Kind != balance.ListFailed {
-					t.Fatal("a call that failed became a list")
+					t.Fatal("a failed call was turned into a list")
 				}
 			}
 			held := j.Held()
 			want := maps.Clone(truth)
 			for _, id := range held {
 				if _, named := truth[id]; named {
-					t.Fatalf("%s is held, and the list names it", id)
+					t.Fatalf("%s is held although it is listed", id)
 				}
 				if drop[id] {
-					t.Fatalf("%s is held, and may be dropped", id)
+					t.Fatalf("%s is held although it may be dropped", id)
 				}
 				want[id] = balance.InService
 			}
 			if !maps.Equal(want, map[string]balance.State(b)) {
-				t.Fatalf("the balancer has %v, the list and what is held %v", b, want)
+				t.Fatalf("the balancer has %v, want the listed and held servers %v", b, want)
 			}
-			if len(held) == 1 && len(j.let) == 0 {
-				t.Fatalf("one alone is held: %q", held)
+			if len(held) == 1 && len(j.released) == 0 {
+				t.Fatalf("a single server is held: %q", held)
 			}
 			if !slices.IsSorted(held) {
 				t.Fatal(held)
@@ -199,8 +200,9 @@
 	})
 }
 
-// TestAdoptedJudgeDecidesAsTheOther: a judge that goes on where another is gives the same answers from then on, by a clock of its own.
-func TestAdoptedJudgeDecidesAsTheOther(t *testing.T) {
+// TestRestoredFilterDecidesAsOriginal: a filter that is restored from another's snapshot gives the same results from
+// then on, with a clock of its own.
+func TestRestoredFilterDecidesAsOriginal(t *testing.T) {
 	const servers = 12
 	rapid.Check(t, func(t *rapid.T) {
 		drop := map[string]bool{}
@@ -208,7 +210,7 @@
 		first, second := New(DefaultSettings(), mayDrop), New(DefaultSettings(), mayDrop)
 		ahead := time.Duration(rapid.IntRange(-100, 100).Draw(t, "ahead")) * time.Second
 		adoptedAt := rapid.IntRange(0, 10).Draw(t, "adopted at")
-		inService := map[string]Server{} // for the balancer
+		inService := map[string]Server{} // at the balancer
 		now := time.Duration(0)
 		for step := range rapid.IntRange(adoptedAt, 25).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 40).Draw(t, "pause")) * time.Second
@@ -242,10 +244,10 @@
 			u := decide(first, now)
 			if step >= adoptedAt {
 				if other := decide(second, now+ahead); !reflect.DeepEqual(u, other) {
-					t.Fatalf("step %d: passes on %+v, and the adopted one %+v", step, u, other)
+					t.Fatalf("step %d: the original passes on %+v, the restored filter %+v", step, u, other)
 				}
 				if !slices.Equal(first.Held(), second.Held()) {
-					t.Fatalf("step %d: holds %q, and the adopted one %q", step, first.Held(), second.Held())
+					t.Fatalf("step %d: the original holds %q, the restored filter %q", step, first.Held(), second.Held())
 				}
 			}
 			if u.Kind != balance.Delta {
--- a/internal/cluster/numbering/numbering.go
+++ b/internal/cluster/numbering/numbering.go
@@ -1,10 +1,12 @@
-// Package numbering decides which proxy has which own number, from who lives. A proxy cuts its subset of the backends from its
-// number among so many (package balance), so when a third of the proxies die a third of the subsets has nobody, and backends
-// get uneven loads for as long as that lasts. It has no I/O and no clock.
+// Package numbering assigns a number to each proxy of a fleet, based on which proxies are alive. A proxy computes its
+// subset of the backends from its number and the count of numbers (package balance). When a third of the proxies die, a
+// third of the subsets has no proxy, and the load on the backends is uneven until the numbers change. The package has
+// no I/O and no clock.
 //
-// What it plans is proposed as a change of rules, and holds once that is in force: then every proxy with a lease knows it, so no
-// two of those act on one number. No number passes from one living proxy to another in one change, since the one that hears first
-// would take it while the other still acts on it.
+// The leader proposes a plan as a change of the rules. The plan applies once the change is in force: every proxy with a
+// lease knows it then, so that no two proxies with a lease use the same number. A single change never moves a number
+// from one living proxy to another, since the proxy that receives the change first would use the number while the other
+// still uses it.
 package numbering
 
 import (
@@ -16,89 +18,90 @@
 	"brasswell/internal/cluster/rules"
 )
 
-// Settings are what a planner is told.
+// Settings configure a planner.
 type Settings struct {
-	// Settle is for how long nobody has come or gone before numbers are given anew: each time costs connections, and a restart
-	// is over sooner.
+	// SettleTime is how long the set of living proxies must be unchanged before numbers are reassigned. Each
+	// reassignment costs connections, and a restart takes less time than this.
 	Settle time.Duration
-	// Again is how long after a plan the next may come.
+	// MinInterval is the minimum time between two plans.
 	Again time.Duration
-	// Most proxies have numbers; beyond, nothing is planned.
+	// MaxProxies is the maximum number of living proxies; with more, nothing is planned.
 	Most int
 }
 
-// DefaultSettings fit restarts of some seconds.
+// DefaultSettings returns settings for fleets whose proxies restart within a few seconds.
 func DefaultSettings() Settings {
 	return Settings{Settle: 10 * time.Second, Again: 10 * time.Second, Most: rules.MaxMembers}
 }
 
-// Planner plans numbers at one proxy, the leader. It is not safe for concurrent use.
+// Planner plans the numbers of all proxies; it runs on the leader. It is not safe for concurrent use.
 type Planner struct {
-	set     Settings
-	living  []string
-	since   time.Duration // that these live
-	planned time.Duration
-	ever    bool
+	settings    Settings
+	living      []string
+	livingSince time.Duration // since when exactly these proxies have been alive
+	plannedAt   time.Duration
+	hasPlanned  bool
 }
 
-// New returns a planner that knows nobody.
-func New(s Settings) *Planner { return &Planner{set: s} }
+// New returns a planner that knows no proxies.
+func New(s Settings) *Planner { return &Planner{settings: s} }
 
-// See takes in who lives, in any order, this proxy included.
+// SetLiving sets the names of the living proxies, in any order, this proxy included.
 func (p *Planner) See(now time.Duration, living []string) {
 	living = slices.Compact(slices.Sorted(slices.Values(living)))
 	if !slices.Equal(living, p.living) {
-		p.living, p.since = living, now
+		p.living, p.livingSince = living, now
 	}
 }
 
-// Plan returns the numbers that are to be proposed now, if any: held are those in force.
+// Plan returns the numbers to propose now and whether there are any to propose. held are the numbers in force.
 func (p *Planner) Plan(now time.Duration, held map[string]int) (numbers map[string]int, due bool) {
-	if len(p.living) == 0 || len(p.living) > p.set.Most || now-p.since < p.set.Settle || p.ever && now-p.planned < p.set.Again {
+	if len(p.living) == 0 || len(p.living) > p.settings.Most || now-p.livingSince < p.settings.Settle || p.hasPlanned && now-p.plannedAt < p.settings.Again {
 		return nil, false
 	}
 	numbers = Assign(p.living, held)
 	if maps.Equal(numbers, held) {
 		return nil, false
 	}
-	p.planned, p.ever = now, true
+	p.plannedAt, p.hasPlanned = now, true
 	return numbers, true
 }
 
-// Assign gives each living proxy a number below their count, so that subsets stay as even as they can: who has one keeps it, and
-// who has none, or one that is now too high, takes the lowest that nobody living holds. held names no number twice.
+// Assign gives each living proxy a number below the count of living proxies, so that the subsets remain as even as
+// possible. A proxy keeps its number if that is below the count; any other proxy gets the lowest number that no living
+// proxy holds or has been given. held must not contain a number twice.
 func Assign(living []string, held map[string]int) map[string]int {
-	of := len(living)
-	numbers := make(map[string]int, of)
-	taken := map[int]bool{} // by living ones, before or after
+	count := len(living)
+	numbers := make(map[string]int, count)
+	used := map[int]bool{} // numbers that living proxies hold now or receive
 	for _, name := range living {
 		if n, has := held[name]; has {
-			taken[n] = true
-			if n >= 0 && n < of {
+			used[n] = true
+			if n >= 0 && n < count {
 				numbers[name] = n
 			}
 		}
 	}
-	// By their counters where they have one, so that n2 comes before n10 and a first numbering is as people count.
-	waiting := slices.DeleteFunc(slices.Clone(living), func(name string) bool { _, has := numbers[name]; return has })
-	slices.SortFunc(waiting, compare)
+	// Names with a numeric suffix are sorted by its value, so that n2 precedes n10 in a first assignment.
+	unassigned := slices.DeleteFunc(slices.Clone(living), func(name string) bool { _, has := numbers[name]; return has })
+	slices.SortFunc(unassigned, compareNames)
 	next := 0
-	for _, name := range waiting {
-		for next < of && taken[next] {
+	for _, name := range unassigned {
+		for next < count && used[next] {
 			next++
 		}
-		if next == of {
+		if next == count {
 			break
 		}
-		numbers[name], taken[next] = next, true
+		numbers[name], used[next] = next, true
 	}
 	return numbers
 }
 
-// compare orders names by what stands before their digits at the end, then by those as a number.
-func compare(a, b string) int {
-	textA, digitsA := split(a)
-	textB, digitsB := split(b)
+// compareNames orders names by the text before their trailing digits, then by the value of those digits.
+func compareNames(a, b string) int {
+	textA, digitsA := splitName(a)
+	textB, digitsB := splitName(b)
 	if c := strings.Compare(textA, textB); c != 0 {
 		return c
 	}
@@ -111,7 +114,7 @@
 	return strings.Compare(a, b)
 }
 
-func split(name string) (text, digits string) {
+func splitName(name string) (text, digits string) {
 	text = strings.TrimRight(name, "0123456789")
 	return text, strings.TrimLeft(name[len(text):], "0")
 }
--- a/internal/cluster/numbering/numbering_test.go
+++ b/internal/cluster/numbering/numbering_test.go
@@ -20,18 +20,19 @@
 	return all
 }
 
-func TestFirstNumbersAreAsPeopleCount(t *testing.T) {
+func TestFirstNumbersFollowNumericSuffixes(t *testing.T) {
 	got := Assign(names(12), nil)
 	for i, name := range names(12) {
 		if got[name] != i {
-			t.Errorf("%s has %d", name, got[name])
+			t.Errorf("%s has number %d", name, got[name])
 		}
 	}
 }
 
-// TestWhatMustHold: over any deaths and returns, no number is held twice, none is over the count, who can keep its own does, and
-// none passes from one who lives to another who lives.
-func TestWhatMustHold(t *testing.T) {
+// TestAssignInvariants: over any sequence of deaths and returns, every living proxy has a number, no number is assigned
+// twice or exceeds the count, a proxy whose number is below the count keeps it, and no number moves from one living
+// proxy to another.
+func TestAssignInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		held := map[string]int{}
 		for range rapid.IntRange(1, 10).Draw(t, "changes") {
@@ -40,44 +41,44 @@
 			holder := map[int]string{}
 			for name, n := range got {
 				if other, taken := holder[n]; taken || n < 0 || n >= len(living) {
-					t.Fatalf("number %d of %d is %s's and %s's", n, len(living), name, other)
+					t.Fatalf("number %d of %d is assigned to %s; other holder: %q", n, len(living), name, other)
 				}
 				holder[n] = name
 				if was, had := held[name]; had && was < len(living) && was != n {
-					t.Fatalf("%s had %d and has %d", name, was, n)
+					t.Fatalf("%s had number %d and now has %d", name, was, n)
 				}
 			}
 			for _, name := range living {
 				if other, taken := holder[held[name]]; taken && other != name {
 					if _, had := held[name]; had {
-						t.Fatalf("%d went from %s to %s, and both live", held[name], name, other)
+						t.Fatalf("number %d moved from %s to %s, and both are alive", held[name], name, other)
 					}
 				}
 			}
 			if len(got) != len(living) {
-				t.Fatalf("%d of %d have a number", len(got), len(living))
+				t.Fatalf("%d of %d proxies have a number", len(got), len(living))
 			}
 			held = got
 		}
 	})
 }
 
-func TestPlansOnceThingsHaveSettled(t *testing.T) {
+func TestPlanWaitsForStableMembership(t *testing.T) {
 	set := DefaultSettings()
 	p := New(set)
 	sec := time.Second
 	p.See(0, names(6))
 	if _, due := p.Plan(set.Settle-1, nil); due {
-		t.Error("planned before it has settled")
+		t.Error("planned before the membership was stable")
 	}
 	held, due := p.Plan(set.Settle, nil)
 	if !due || len(held) != 6 {
 		t.Fatalf("%v, %v", held, due)
 	}
 	if _, due := p.Plan(set.Settle+sec, nil); due {
-		t.Error("planned again at once, though the first is still on its way")
+		t.Error("planned again at once, while the first plan is still pending")
 	}
-	// A restart within the time for settling moves nothing.
+	// A restart within SettleTime changes no number.
 	p.See(30*sec, names(5))
 	p.See(33*sec, names(6))
 	if got, due := p.Plan(60*sec, held); due {
@@ -90,12 +91,12 @@
 	}
 	p.See(100*sec, names(set.Most+1))
 	if _, due := p.Plan(200*sec, held); due {
-		t.Error("planned for more than there may be")
+		t.Error("planned for more than MaxProxies proxies")
 	}
 }
 
-// evenness is the load of the busiest backend against the mean, where each proxy has an equal share of the work, and how many
-// connections are opened for it by numbers that changed.
+// evenness returns the load of the busiest backend divided by the mean, where each living proxy has an equal share of
+// the requests, and the number of connections that are opened because numbers changed.
 func evenness(t testing.TB, dead map[string]bool, proxies, servers int, numbers map[string]int, of int) (maxOverMean float64, opened int) {
 	list := make([]balance.Entry, servers)
 	for i := range list {
@@ -111,7 +112,7 @@
 		b, err := balance.New(balance.Settings{
 			Self: i, Instances: proxies, MaxAttempts: 2, ColdCapacity: 0.3, WarmUp: time.Second, OverloadMultiple: 3, OverloadTime: time.Second, AskEvery: time.Second,
 			Classes: []balance.Class{{Aim: time.Second, ClientTimeout: time.Second, Value: 1}},
-		}, 1, idle{})
+		}, 1, nopHost{})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -139,29 +140,29 @@
 	return slices.Max(slices.Collect(maps.Values(load))) * float64(servers) / float64(living), opened
 }
 
-// idle is a host that is never asked for anything.
-type idle struct{}
+// nopHost is a balance.Host that ignores all calls.
+type nopHost struct{}
 
-func (idle) Send(string, string, time.Duration) {}
-func (idle) Refuse(string, time.Duration)       {}
-func (idle) Fail(string)                        {}
-func (idle) Cancel(string, int)                 {}
-func (idle) SetTimer(time.Duration, uint64)     {}
-func (idle) Watch()                             {}
-func (idle) Log(string)                         {}
+func (nopHost) Send(string, string, time.Duration) {}
+func (nopHost) Refuse(string, time.Duration)       {}
+func (nopHost) Fail(string)                        {}
+func (nopHost) Cancel(string, int)                 {}
+func (nopHost) SetTimer(time.Duration, uint64)     {}
+func (nopHost) Watch()                             {}
+func (nopHost) Log(string)                         {}
 
-// third kills a third of the proxies, with 20 seeds, and returns the means of evenness with fixed numbers, with agreed ones, and of
-// connections opened by each proxy.
-func third(t testing.TB, proxies, servers int) (fixed, agreed, opened float64) {
+// killThird kills a third of the proxies, with each of 20 seeds. It returns the mean unevenness of the load with fixed
+// numbers and with agreed numbers, and the mean number of connections opened per living proxy.
+func killThird(t testing.TB, proxies, servers int) (fixed, agreed, opened float64) {
 	const seeds = 20
 	for seed := range uint64(seeds) {
-		dice := rand.New(rand.NewPCG(seed, 0))
+		rng := rand.New(rand.NewPCG(seed, 0))
 		all := names(proxies)
 		held := map[string]int{}
 		for i, name := range all {
 			held[name] = i
 		}
-		dice.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
+		rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 		dead := map[string]bool{}
 		for _, name := range all[:proxies/3] {
 			dead[name] = true
@@ -174,21 +175,22 @@
 	return fixed, agreed, opened
 }
 
-// TestEvenness: a third of the proxies die, and loads are evener with numbers that follow who lives.
+// TestEvenness: after a third of the proxies die, loads are more even if numbers are reassigned to the living proxies.
 func TestEvenness(t *testing.T) {
 	for _, c := range [][2]int{{12, 40}, {24, 40}} {
-		if fixed, agreed, _ := third(t, c[0], c[1]); agreed > 1+(fixed-1)/2 {
+		if fixed, agreed, _ := killThird(t, c[0], c[1]); agreed > 1+(fixed-1)/2 {
 			t.Errorf("%d proxies, %d backends: busiest over mean %.2f with agreed numbers, %.2f with fixed ones", c[0], c[1], agreed, fixed)
 		}
 	}
 }
 
-// BenchmarkEvenness is for its metrics: the busiest backend's load over the mean.
+// BenchmarkEvenness reports the busiest backend's load divided by the mean, and the connections opened; its time is
+// irrelevant.
 func BenchmarkEvenness(b *testing.B) {
 	for _, c := range [][2]int{{12, 40}, {24, 40}, {60, 100}, {60, 400}, {300, 500}} {
 		b.Run(fmt.Sprintf("%dx%d", c[0], c[1]), func(b *testing.B) {
 			for b.Loop() {
-				fixed, agreed, opened := third(b, c[0], c[1])
+				fixed, agreed, opened := killThird(b, c[0], c[1])
 				b.ReportMetric(fixed, "fixed")
 				b.ReportMetric(agreed, "agreed")
 				b.ReportMetric(opened, "opened/proxy")
@@ -197,7 +199,7 @@
 	}
 }
 
-// BenchmarkPlan is one look of a leader at the numbers of 1,400 proxies, none of which has come or gone.
+// BenchmarkPlan measures one call of Plan for 1,400 proxies whose membership has not changed.
 func BenchmarkPlan(b *testing.B) {
 	const proxies = 1400
 	var living []string
@@ -209,7 +211,7 @@
 	held := Assign(living, nil)
 	for b.Loop() {
 		if _, due := p.Plan(time.Minute, held); due {
-			b.Fatal("numbers that are right are planned anew")
+			b.Fatal("correct numbers are planned again")
 		}
 	}
 }
--- a/internal/cluster/parts/parts.go
+++ b/internal/cluster/parts/parts.go
@@ -1,28 +1,30 @@
-// Package parts decides which part of what all proxies of a fleet may do together is this one's own, from its view of the
-// fleet. It has no I/O and no state.
+// Package parts computes this proxy's share of the limits that all proxies of a fleet have together, from its view of
+// the fleet. It has no I/O and no state.
 //
-// There are two kinds, and the difference is the point. A soft part, such as a tenant's quota, may be somewhat more than
-// its share for a while: it grows when others are held dead. A hard part, such as what a cold backend gets, may not: who
-// is silent here may be cut off from us alone and still send to the same backend. It never grows because others are
-// silent, and shrinks at once when one joins.
+// There are two kinds of limits, which have to be treated differently. A soft limit, such as a tenant's quota, may be
+// exceeded somewhat for a while: a proxy's share of it grows when other proxies are considered dead. A hard limit, such
+// as the load on a cold backend, may not be exceeded: a proxy that is silent here may be cut off from this proxy alone
+// and still send to the same backend. The share of a hard limit never grows because others are silent, and shrinks at
+// once when a proxy joins.
 package parts
 
 import "brasswell/internal/cluster/view"
 
-// Parts are factors on this proxy's own share of what was agreed for so many instances; 1 for just that share.
+// Factors scale this proxy's configured share of the soft and hard limits, which was computed for a number of
+// instances. A factor of 1 leaves the share unchanged.
 type Parts struct{ Soft, Hard float64 }
 
-// Whole is what holds with no view of the fleet.
+// FullShare applies without a view of the fleet.
 var Whole = Parts{Soft: 1, Hard: 1}
 
-// Count is what a view says, as far as it matters here.
+// MemberCounts are the numbers of members in a view, by state.
 type Count struct {
-	Present int // members that are there, suspects and this process included
-	Silent  int // held dead: they may live behind a cut
-	Left    int // said that they go
+	Present int // alive or suspected, including this process
+	Silent  int // considered dead; they may be alive on the other side of a network partition
+	Left    int // announced that they leave
 }
 
-// Of counts a view.
+// CountMembers counts the members of a view.
 func Of(s *view.Standing) Count {
 	var c Count
 	for i := range s.Members {
@@ -36,37 +38,38 @@
 		}
 	}
 	if s.Displaced {
-		c.Present++ // this process serves as well, under a name that counts for another
+		c.Present++ // this process serves too; its name counts for another process
 	}
 	return c
 }
 
-// mostSoft bounds the growth of a soft part: what is over a strict majority's share cannot come up, and a fleet that has
-// been made smaller for good has its number of instances to be changed.
-const mostSoft = 2
+// maxSoft bounds the soft factor. The share of a strict majority never needs more. In a fleet that has been permanently
+// reduced, the configured number of instances has to be changed.
+const maxSoft = 2
 
-// Decide returns a proxy's parts where its share was cut for so many instances.
+// Decide returns the factors of a proxy whose share was computed for the given number of instances.
 //
-// Soft: what is left of the fleet shares the whole, but only where it is more than half of all that may live. A smaller
-// rest cannot tell others' death from its own being cut off, and both sides of a cut would take the whole. Who was never
-// heard of keeps a share: at a start all are.
+// Soft: the remaining members divide the whole limit, but only if they are more than half of all members that may be
+// alive. A smaller remainder cannot distinguish the death of the others from its own isolation, and both sides of a
+// partition would use the whole limit. Instances that have never been seen keep their share, since at a start none has
+// been seen.
 //
-// Hard: at most 1. Where more may live than the share was cut for, it is cut for those. That some said they leave does
-// not raise it: the budget is measured on this proxy's own traffic, which grows by itself as theirs comes here, and to
-// count it twice would be too much (docs/design/view.md).
+// Hard: at most 1. If more members may be alive than the share was computed for, it is computed for those. Members that
+// announced that they leave do not raise it: the budget is measured on this proxy's own traffic, which grows by itself
+// when their traffic arrives here, so raising the factor would count that traffic twice (docs/design/view.md).
 func Decide(instances int, c Count) Parts {
 	p := Whole
 	if instances < 1 || c.Present < 1 {
 		return p
 	}
-	// Those of the instances that were never heard of may be there too.
-	unseen := max(instances-c.Present-c.Silent-c.Left, 0)
-	living := c.Present + c.Silent + unseen
+	// Instances that have never been seen may be alive too.
+	neverSeen := max(instances-c.Present-c.Silent-c.Left, 0)
+	living := c.Present + c.Silent + neverSeen
 	if living > instances {
 		p.Hard = float64(instances) / float64(living)
 	}
 	if 2*c.Present > living {
-		p.Soft = min(float64(instances)/float64(c.Present+unseen), mostSoft)
+		p.Soft = min(float64(instances)/float64(c.Present+neverSeen), maxSoft)
 	} else {
 		p.Soft = min(p.Soft, float64(instances)/float64(max(living, 1)))
 	}
--- a/internal/cluster/parts/parts_test.go
+++ b/internal/cluster/parts/parts_test.go
@@ -16,17 +16,17 @@
 		want Parts
 	}{
 		{"all there", 12, Count{Present: 12}, Parts{1, 1}},
-		{"a third held dead", 12, Count{Present: 8, Silent: 4}, Parts{1.5, 1}},
+		{"a third considered dead", 12, Count{Present: 8, Silent: 4}, Parts{1.5, 1}},
 		{"a third left", 12, Count{Present: 8, Left: 4}, Parts{1.5, 1}},
-		{"exactly half held dead", 12, Count{Present: 6, Silent: 6}, Parts{1, 1}},
-		{"all others held dead", 12, Count{Present: 1, Silent: 11}, Parts{1, 1}},
-		{"at the start, nobody heard of yet", 12, Count{Present: 1}, Parts{1, 1}},
+		{"exactly half considered dead", 12, Count{Present: 6, Silent: 6}, Parts{1, 1}},
+		{"all others considered dead", 12, Count{Present: 1, Silent: 11}, Parts{1, 1}},
+		{"at the start, no other member seen yet", 12, Count{Present: 1}, Parts{1, 1}},
 		{"at the start, two of three", 3, Count{Present: 2}, Parts{1, 1}},
 		{"three more than agreed", 12, Count{Present: 15}, Parts{0.8, 0.8}},
-		{"three more, of whom two are silent", 12, Count{Present: 13, Silent: 2}, Parts{12.0 / 13, 0.8}},
+		{"three more, two of them silent", 12, Count{Present: 13, Silent: 2}, Parts{12.0 / 13, 0.8}},
 		{"replaced under other names", 12, Count{Present: 12, Left: 12}, Parts{1, 1}},
 		{"nothing known", 0, Count{}, Whole},
-		{"smaller for good", 12, Count{Present: 3, Left: 9}, Parts{mostSoft, 1}},
+		{"permanently reduced", 12, Count{Present: 3, Left: 9}, Parts{maxSoft, 1}},
 	} {
 		if got := Decide(c.n, c.c); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
@@ -34,33 +34,34 @@
 	}
 }
 
-// TestWhatMustHold: a hard part never grows over its share and never with another's silence; the parts of all that see
-// the same are the whole of what may be soft, and no more than the whole of what must be hard.
-func TestWhatMustHold(t *testing.T) {
+// TestDecideInvariants: the hard factor never exceeds 1 and never grows because a member falls silent or joins. The
+// shares of all members with the same view add up to at most the whole limit: over the members that may be alive for
+// hard limits, and over a present majority for soft limits.
+func TestDecideInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 200).Draw(t, "instances")
 		c := Count{rapid.IntRange(1, 300).Draw(t, "present"), rapid.IntRange(0, 300).Draw(t, "silent"), rapid.IntRange(0, 300).Draw(t, "left")}
 		p := Decide(n, c)
-		if p.Hard > 1 || p.Hard <= 0 || p.Soft <= 0 || p.Soft > mostSoft {
-			t.Fatalf("%+v", p)
+		if p.Hard > 1 || p.Hard <= 0 || p.Soft <= 0 || p.Soft > maxSoft {
+			t.Fatalf("factors out of range: %+v", p)
 		}
 		if more := Decide(n, Count{c.Present - 1, c.Silent + 1, c.Left}); c.Present > 1 && more.Hard > p.Hard {
-			t.Fatalf("one falls silent, and the hard part grows from %v to %v", p.Hard, more.Hard)
+			t.Fatalf("a member falls silent and the hard factor grows from %v to %v", p.Hard, more.Hard)
 		}
 		if more := Decide(n, Count{c.Present + 1, c.Silent, c.Left}); more.Hard > p.Hard {
-			t.Fatalf("one joins, and the hard part grows from %v to %v", p.Hard, more.Hard)
+			t.Fatalf("a member joins and the hard factor grows from %v to %v", p.Hard, more.Hard)
 		}
 		const rounding = 1e-9
 		if all := p.Hard * float64(c.Present+c.Silent) / float64(n); all > 1+rounding {
-			t.Fatalf("all that may live take %v of what is hard", all)
+			t.Fatalf("all members that may be alive use %v of a hard limit", all)
 		}
 		if all := p.Soft * float64(c.Present) / float64(n); 2*c.Present > c.Present+c.Silent && all > 1+rounding {
-			t.Fatalf("all that are there take %v of what is soft", all)
+			t.Fatalf("all present members use %v of a soft limit", all)
 		}
 	})
 }
 
-func TestOfCountsAView(t *testing.T) {
+func TestCountMembers(t *testing.T) {
 	m := func(s view.State) view.Member { return view.Member{Record: view.Record{State: s}} }
 	s := view.Standing{Members: []view.Member{m(view.Alive), m(view.Suspect), m(view.Dead), m(view.Left), m(view.Alive)}}
 	if got := Of(&s); got != (Count{3, 1, 1}) {
--- a/internal/cluster/schedule/schedule.go
+++ b/internal/cluster/schedule/schedule.go
@@ -1,5 +1,6 @@
-// Package schedule is what happens later in a play, in order of time; what is due at one time comes in the order in which it was
-// put in. It has no clock: a play's time is that of the event which is taken.
+// Package schedule holds the future events of a simulation in order of time. Events that are due at the same time are
+// returned in the order in which they were added. It has no clock: the simulated time is the time of the event that was
+// popped last.
 package schedule
 
 import (
@@ -7,19 +8,19 @@
 	"time"
 )
 
-// Queue holds events until they are due. The zero value is an empty one. It is not safe for concurrent use.
+// Queue is a priority queue of events by due time. The zero value is an empty queue. It is not safe for concurrent use.
 type Queue[T any] struct {
 	entries entries[T]
-	count   uint64
+	pushed  uint64
 }
 
-// Push puts an event in.
+// Push adds an event that is due at the given time.
 func (q *Queue[T]) Push(at time.Duration, event T) {
-	q.count++
-	heap.Push(&q.entries, entry[T]{at, q.count, event})
+	q.pushed++
+	heap.Push(&q.entries, entry[T]{at, q.pushed, event})
 }
 
-// Pop takes the next event, unless there is none that is due by a moment.
+// Pop removes and returns the next event if it is due at the given time or earlier.
 func (q *Queue[T]) Pop(by time.Duration) (at time.Duration, event T, due bool) {
 	if len(q.entries) == 0 || q.entries[0].at > by {
 		return 0, event, false
@@ -30,7 +31,7 @@
 
 type entry[T any] struct {
 	at    time.Duration
-	order uint64
+	seq   uint64
 	event T
 }
 
@@ -38,13 +39,13 @@
 
 func (e entries[T]) Len() int { return len(e) }
 func (e entries[T]) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
 }
 func (e entries[T]) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *entries[T]) Push(x any)   { *e = append(*e, x.(entry[T])) }
 func (e *entries[T]) Pop() any {
 	last := (*e)[len(*e)-1]
-	(*e)[len(*e)-1] = entry[T]{} // what it holds can be collected
+	(*e)[len(*e)-1] = entry[T]{} // releases the event for garbage collection
 	*e = (*e)[:len(*e)-1]
 	return last
 }
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -1,5 +1,5 @@
-// Package console answers operators on an address of their own: readiness, figures, and servers taken out and put
-// back by hand. It decides nothing.
+// Package console serves the operators' HTTP API on an address of its own: readiness, metrics, status documents, rule
+// changes and operator overrides of backends. It makes no balancing decisions.
 package console
 
 import (
@@ -17,83 +17,88 @@
 	"unicode/utf8"
 )
 
-// Desk is what operators ask and say. Its methods may be called at any time and must return at once.
+// Controller handles the operators' requests. Its methods may be called at any time and must return at once.
 type Desk interface {
-	// Ready says whether this process takes clients.
+	// Ready reports whether this process accepts clients.
 	Ready() bool
-	// Figures appends the figures to text.
+	// Figures appends the metrics to text.
 	Figures(text []byte) []byte
-	// Status says how this process stands, as JSON.
+	// Status returns the status of this process as JSON.
 	Status() ([]byte, error)
-	// Fleet says who else of the fleet is there, as JSON; ErrNone where this process talks to no other.
+	// Fleet returns this process's view of the other members of the fleet as JSON. It returns ErrDisabled where this
+	// process exchanges no messages with others.
 	Fleet(ctx context.Context) ([]byte, error)
-	// Rules says what this process's fleet agrees on and how it stands in that, as JSON; ErrNone where it agrees on nothing.
+	// Rules returns the rules that the fleet agreed on and this process's status in the consensus, as JSON. It returns
+	// ErrDisabled where the fleet agrees on nothing.
 	Rules(ctx context.Context) ([]byte, error)
-	// Recovery says how this process has come back after its start, as JSON; ErrNone where nothing lasts.
+	// Recovery returns the progress of this process's recovery since its start as JSON. It returns ErrDisabled where no
+	// state is persistent.
 	Recovery(ctx context.Context) ([]byte, error)
-	// Propose has a change agreed, both in JSON; ErrNone, ErrBad or ErrRefused where that cannot be.
+	// Propose submits a rule change to the consensus and waits for the result; the change and the result are JSON. It
+	// returns ErrDisabled, ErrInvalid or ErrRefused where the change cannot be agreed on.
 	Propose(ctx context.Context, change []byte) ([]byte, error)
-	// Refound has a keeper of the rules go on alone, in place of the others, which are lost for good.
+	// Refound makes a voter of the rules continue alone, in place of the other voters, which are permanently lost.
 	Refound(ctx context.Context) error
-	// Suspend takes a server out until Resume; once it has returned, nothing new begins to go there. It is an
-	// error if no list has ever named the server, and ErrNotKept if a power loss would undo it.
+	// Suspend takes a server out of rotation until Resume. After it returns, no new request is sent to the server. It
+	// returns an error if no list has ever named the server, and ErrNotPersisted if a power loss would undo the change.
 	Suspend(ctx context.Context, id string) error
-	// Resume puts a server back.
+	// Resume puts a server back into rotation.
 	Resume(ctx context.Context, id string) error
 }
 
-// ErrNone is that of a question about a part that is not switched on.
-var ErrNone = errors.New("not switched on: its section is not in the operator file")
+// ErrDisabled is returned for a request about a feature that is not enabled.
+var ErrNone = errors.New("not enabled: its section is missing from the operator file")
 
 var (
-	// ErrBad is that of a call that makes no sense.
-	ErrBad = errors.New("the call makes no sense")
-	// ErrNotKept is that of a change by hand that holds, and is not on disk.
-	ErrNotKept = errors.New("done, and not lasting")
-	// ErrRefused is that of a change that was turned away; what it is joined with says why.
-	ErrRefused = errors.New("turned away")
+	// ErrInvalid is returned for a malformed or inconsistent request.
+	ErrBad = errors.New("invalid request")
+	// ErrNotPersisted is returned for an operator override that is in effect but not stored on disk.
+	ErrNotKept = errors.New("applied, but not persisted")
+	// ErrRefused is returned for a change that was rejected. The error that it is joined with gives the reason.
+	ErrRefused = errors.New("rejected")
 )
 
 const (
-	maxBody = 64 << 10 // bytes
-	// callTime bounds a call from its connection to its last byte; what operators are owed is an answer within 1 s.
-	callTime = 900 * time.Millisecond
-	maxHead  = 4 << 10 // bytes
-	maxID    = 256     // bytes
+	maxBodyBytes = 64 << 10 // bytes
+	// callTime bounds a call from its connection to its last byte, so that operators have an answer within 1 s.
+	callTimeout    = 900 * time.Millisecond
+	maxHeaderBytes = 4 << 10 // bytes
+	maxIDBytes     = 256     // bytes
 )
 
-// Server is a console.
+// Server is the console's HTTP server.
 type Server struct {
-	desk     Desk
-	log      *slog.Logger
-	listener *listener
-	http     *http.Server
+	controller Desk
+	log        *slog.Logger
+	listener   *listener
+	http       *http.Server
 }
 
-// New opens a console that answers nothing before Serve. It holds conns connections at most: see listener.
+// New opens the console's listening socket; calls are answered once Serve runs. The console holds at most conns
+// connections, as described at listener.
 func New(address string, conns int, desk Desk, log *slog.Logger) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
-	s := &Server{desk: desk, log: log, listener: newListener(l.(*net.TCPListener), conns)}
+	s := &Server{controller: desk, log: log, listener: newListener(l.(*net.TCPListener), conns)}
 	s.http = &http.Server{
 		Handler:           s,
-		ReadTimeout:       callTime,
-		ReadHeaderTimeout: callTime,
-		WriteTimeout:      2 * callTime, // counts from the head, and what is written fits the socket's buffer
-		MaxHeaderBytes:    maxHead,
+		ReadTimeout:       callTimeout,
+		ReadHeaderTimeout: callTimeout,
+		WriteTimeout:      2 * callTimeout, // starts when the head has been read; the response fits the socket's buffer
+		MaxHeaderBytes:    maxHeaderBytes,
 		ConnState:         s.listener.track,
 		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
-	s.http.SetKeepAlivesEnabled(false) // one call to a connection
+	s.http.SetKeepAlivesEnabled(false) // one call per connection
 	return s, nil
 }
 
-// Addr is where the console listens.
+// Addr returns the address on which the console listens.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Serve answers until Close.
+// Serve answers calls until Close.
 func (s *Server) Serve() error {
 	if err := s.http.Serve(s.listener); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("console: %w", err)
@@ -101,13 +106,14 @@
 	return nil
 }
 
-// Close ends the console and every call on it.
+// Close shuts the console down and aborts every call in progress.
 func (s *Server) Close() {
 	s.http.Close()
-	s.listener.Close() // where Serve has not been called
+	s.listener.Close() // needed if Serve was never called
 }
 
-// ServeHTTP answers one call. The path is taken apart before it is unescaped, so that an id may hold any character.
+// ServeHTTP answers one call. It splits the path before it unescapes the segments, so that an id may contain any
+// character, also a slash.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	path := r.URL.EscapedPath()
 	switch path {
@@ -119,7 +125,7 @@
 	case "/v1/metrics":
 		if allow(w, r, http.MethodGet, http.MethodHead) {
 			w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-			w.Write(s.desk.Figures(nil))
+			w.Write(s.controller.Figures(nil))
 		}
 		return
 	}
@@ -133,23 +139,23 @@
 		}
 		return
 	}
-	tables := map[string]func(context.Context) ([]byte, error){
-		"/v1/status": func(context.Context) ([]byte, error) { return s.desk.Status() },
-		"/v1/fleet":  s.desk.Fleet,
-		"/v1/rules":  s.desk.Rules,
+	documents := map[string]func(context.Context) ([]byte, error){
+		"/v1/status": func(context.Context) ([]byte, error) { return s.controller.Status() },
+		"/v1/fleet":  s.controller.Fleet,
+		"/v1/rules":  s.controller.Rules,
 
-		"/v1/recovery": s.desk.Recovery,
+		"/v1/recovery": s.controller.Recovery,
 	}
-	if table := tables[path]; table != nil {
+	if document := documents[path]; document != nil {
 		if allow(w, r, http.MethodGet, http.MethodHead) {
-			show(r.Context(), w, table)
+			writeDocument(r.Context(), w, document)
 		}
 		return
 	}
-	rest, server := strings.CutPrefix(path, "/v1/backends/")
+	rest, found := strings.CutPrefix(path, "/v1/backends/")
 	escaped, verb, _ := strings.Cut(rest, "/")
-	act, known := map[string]func(context.Context, string) error{"suspend": s.desk.Suspend, "resume": s.desk.Resume}[verb]
-	if !server || !known {
+	action, known := map[string]func(context.Context, string) error{"suspend": s.controller.Suspend, "resume": s.controller.Resume}[verb]
+	if !found || !known {
 		http.Error(w, fmt.Sprintf("no such call: %.200q", path), http.StatusNotFound)
 		return
 	}
@@ -161,7 +167,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	err = act(r.Context(), id)
+	err = action(r.Context(), id)
 	s.log.Info("console: by hand", "action", verb, "backend", id, "caller", r.RemoteAddr, "refused", err)
 	switch {
 	case errors.Is(err, ErrNotKept):
@@ -174,13 +180,13 @@
 	fmt.Fprintf(w, "%s: %s\n", verb, id)
 }
 
-// refound answers the call by which a keeper goes on alone.
+// refound answers the call that makes a voter continue alone.
 func (s *Server) refound(w http.ResponseWriter, r *http.Request) {
-	err := s.desk.Refound(r.Context())
+	err := s.controller.Refound(r.Context())
 	s.log.Warn("console: by hand", "action", "refound", "caller", r.RemoteAddr, "refused", err)
 	switch {
 	case err == nil:
-		fmt.Fprintln(w, "refound: this keeper goes on alone")
+		fmt.Fprintln(w, "refound: this voter continues alone")
 	case errors.Is(err, ErrNone):
 		http.Error(w, err.Error(), http.StatusNotFound)
 	default:
@@ -188,14 +194,14 @@
 	}
 }
 
-// propose answers a proposal.
+// propose answers a proposed rule change.
 func (s *Server) propose(w http.ResponseWriter, r *http.Request) {
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	answer, err := s.desk.Propose(r.Context(), text)
+	answer, err := s.controller.Propose(r.Context(), text)
 	s.log.Info("console: by hand", "action", "propose", "caller", r.RemoteAddr, "refused", err)
 	switch {
 	case err == nil:
@@ -212,9 +218,9 @@
 	}
 }
 
-// show answers with what JSON a table gives.
-func show(ctx context.Context, w http.ResponseWriter, table func(context.Context) ([]byte, error)) {
-	text, err := table(ctx)
+// writeDocument answers with the JSON that document returns.
+func writeDocument(ctx context.Context, w http.ResponseWriter, document func(context.Context) ([]byte, error)) {
+	text, err := document(ctx)
 	if errors.Is(err, ErrNone) {
 		http.Error(w, err.Error(), http.StatusNotFound)
 		return
@@ -228,14 +234,14 @@
 }
 
 func (s *Server) ready(w http.ResponseWriter) {
-	if !s.desk.Ready() {
-		http.Error(w, "not taking clients", http.StatusServiceUnavailable)
+	if !s.controller.Ready() {
+		http.Error(w, "not accepting clients", http.StatusServiceUnavailable)
 		return
 	}
 	fmt.Fprintln(w, "ready")
 }
 
-// allow says whether the call's method is one of these, and answers it if not.
+// allow reports whether the call's method is one of methods, and answers the call with an error if not.
 func allow(w http.ResponseWriter, r *http.Request, methods ...string) bool {
 	for _, m := range methods {
 		if r.Method == m {
@@ -244,22 +250,22 @@
 	}
 	list := strings.Join(methods, ", ")
 	w.Header().Set("Allow", list)
-	http.Error(w, "this call wants "+list, http.StatusMethodNotAllowed)
+	http.Error(w, "this call requires method "+list, http.StatusMethodNotAllowed)
 	return false
 }
 
-// readID reads a server's id from a path's segment.
+// readID decodes a server's id from a segment of the path.
 func readID(segment string) (string, error) {
 	id, err := url.PathUnescape(segment)
 	switch {
 	case err != nil:
-		return "", fmt.Errorf("backend's id: %w", err)
+		return "", fmt.Errorf("backend id: %w", err)
 	case id == "":
-		return "", errors.New("backend's id: empty")
-	case len(id) > maxID:
-		return "", fmt.Errorf("backend's id: over %d bytes", maxID)
+		return "", errors.New("backend id: empty")
+	case len(id) > maxIDBytes:
+		return "", fmt.Errorf("backend id: over %d bytes", maxIDBytes)
 	case !utf8.ValidString(id) || strings.ContainsFunc(id, unicode.IsControl):
-		return "", errors.New("backend's id: not plain text")
+		return "", errors.New("backend id: not plain text")
 	}
 	return id, nil
 }
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -22,21 +22,21 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patient = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// book is a desk that knows one server.
-type book struct {
+// fakeController records calls and knows the servers s1 and "s/1 é".
+type fakeController struct {
 	mu    sync.Mutex
 	calls []string
 	ready bool
 }
 
-func (b *book) Ready() bool             { b.mu.Lock(); defer b.mu.Unlock(); return b.ready }
-func (b *book) Figures(t []byte) []byte { return append(t, "edge_relay.active:0|g\n"...) }
-func (b *book) Status() ([]byte, error) { return []byte(`{"ready":true}`), nil }
+func (b *fakeController) Ready() bool             { b.mu.Lock(); defer b.mu.Unlock(); return b.ready }
+func (b *fakeController) Figures(t []byte) []byte { return append(t, "edge_relay.active:0|g\n"...) }
+func (b *fakeController) Status() ([]byte, error) { return []byte(`{"ready":true}`), nil }
 
-func (b *book) Rules(context.Context) ([]byte, error) { return nil, ErrNone }
-func (b *book) Propose(_ context.Context, c []byte) ([]byte, error) {
+func (b *fakeController) Rules(context.Context) ([]byte, error) { return nil, ErrNone }
+func (b *fakeController) Propose(_ context.Context, c []byte) ([]byte, error) {
 	switch string(c) {
 	case "bad":
 		return nil, ErrBad
@@ -47,10 +47,10 @@
 	}
 	return c, nil
 }
-func (b *book) Refound(context.Context) error            { return ErrNone }
-func (b *book) Fleet(context.Context) ([]byte, error)    { return nil, ErrNone }
-func (b *book) Recovery(context.Context) ([]byte, error) { return nil, ErrNone }
-func (b *book) note(what, id string) error {
+func (b *fakeController) Refound(context.Context) error            { return ErrNone }
+func (b *fakeController) Fleet(context.Context) ([]byte, error)    { return nil, ErrNone }
+func (b *fakeController) Recovery(context.Context) ([]byte, error) { return nil, ErrNone }
+func (b *fakeController) record(what, id string) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.calls = append(b.calls, what+" "+id)
@@ -59,12 +59,12 @@
 	}
 	return nil
 }
-func (b *book) Suspend(_ context.Context, id string) error { return b.note("suspend", id) }
-func (b *book) Resume(_ context.Context, id string) error  { return b.note("resume", id) }
+func (b *fakeController) Suspend(_ context.Context, id string) error { return b.record("suspend", id) }
+func (b *fakeController) Resume(_ context.Context, id string) error  { return b.record("resume", id) }
 
-func start(t *testing.T, conns int) (*Server, *book) {
+func start(t *testing.T, conns int) (*Server, *fakeController) {
 	t.Helper()
-	b := &book{ready: true}
+	b := &fakeController{ready: true}
 	s, err := New("127.0.0.1:0", conns, b, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -87,11 +87,12 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patient))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c
 }
 
-// call makes one call byte for byte and returns the answer's status, head and body; the connection must end with it.
+// call sends text unchanged as one call and returns the response's status, header and body. It checks that the server
+// sends one response and then closes the connection.
 func call(t *testing.T, s *Server, text string) (int, http.Header, string) {
 	t.Helper()
 	c := dial(t, s)
@@ -106,7 +107,7 @@
 		t.Fatalf("%.60q: %v", text, err)
 	}
 	if _, err := r.ReadByte(); err == nil {
-		t.Errorf("%.60q: more than one answer", text)
+		t.Errorf("%.60q: more than one response", text)
 	} else if e, ok := err.(net.Error); ok && e.Timeout() {
 		t.Errorf("%.60q: the connection stays open", text)
 	}
@@ -120,10 +121,10 @@
 func TestCalls(t *testing.T) {
 	s, b := start(t, 8)
 	for _, c := range []struct {
-		text   string
-		status int
-		says   string
-		done   string // what reaches the desk
+		text     string
+		status   int
+		contains string
+		action   string // calls that reach the controller
 	}{
 		{plain("GET", "/v1/readyz"), 200, "ready", ""},
 		{plain("GET", "/v1/status"), 200, `{"ready":true}`, ""},
@@ -148,7 +149,7 @@
 		{plain("POST", "/v1/readyz"), 405, "GET", ""},
 		{plain("DELETE", "/v1/metrics"), 405, "GET", ""},
 		{"POST /v1/backends/s1/suspend HTTP/1.1\r\nHost: c\r\nContent-Length: 9000000\r\n\r\nxx", 200, "s1", "suspend s1"},
-		{plain("GET", "/v1/readyz") + plain("GET", "/v1/readyz"), 200, "ready", ""}, // one call to a connection
+		{plain("GET", "/v1/readyz") + plain("GET", "/v1/readyz"), 200, "ready", ""}, // one call per connection
 		{"nonsense\r\n\r\n", 400, "", ""},
 		{plain("GET", "/"+strings.Repeat("x", 40<<10)), 431, "", ""},
 	} {
@@ -156,12 +157,12 @@
 		b.calls = nil
 		b.mu.Unlock()
 		status, _, body := call(t, s, c.text)
-		if status != c.status || !strings.Contains(body, c.says) {
-			t.Errorf("%.60q: %d %q, wanted %d and %q", c.text, status, body, c.status, c.says)
+		if status != c.status || !strings.Contains(body, c.contains) {
+			t.Errorf("%.60q: got %d %q, want %d and %q", c.text, status, body, c.status, c.contains)
 		}
 		b.mu.Lock()
-		if got := strings.Join(b.calls, "; "); got != c.done {
-			t.Errorf("%.60q: did %q, wanted %q", c.text, got, c.done)
+		if got := strings.Join(b.calls, "; "); got != c.action {
+			t.Errorf("%.60q: controller calls %q, want %q", c.text, got, c.action)
 		}
 		b.mu.Unlock()
 	}
@@ -173,13 +174,13 @@
 	b.ready = false
 	b.mu.Unlock()
 	if status, _, _ := call(t, s, plain("GET", "/v1/readyz")); status != 503 {
-		t.Errorf("%d", status)
+		t.Errorf("status %d, want 503", status)
 	}
 }
 
-// TestSilentCallersNeverKeepOneOut opens far more silent and half calls than there are places; after each a real call
-// is answered, and never are more held than there are places.
-func TestSilentCallersNeverKeepOneOut(t *testing.T) {
+// TestSilentCallersDoNotBlockNewCalls opens far more silent connections and partial calls than there are places.
+// Complete calls are answered nevertheless, and the listener never holds more connections than it has places.
+func TestSilentCallersDoNotBlockNewCalls(t *testing.T) {
 	const places = 8
 	s, _ := start(t, places)
 	var held []net.Conn
@@ -191,7 +192,7 @@
 		held = append(held, c)
 		if i%places == 0 {
 			if status, _, _ := call(t, s, plain("GET", "/v1/readyz")); status != 200 {
-				t.Fatalf("behind %d silent callers: %d", i+1, status)
+				t.Fatalf("after %d silent or partial calls: status %d", i+1, status)
 			}
 		}
 		s.listener.mu.Lock()
@@ -200,36 +201,37 @@
 		}
 		s.listener.mu.Unlock()
 	}
-	// The oldest have been ended for the later ones.
+	// The oldest connections have been closed in favor of later ones.
 	if _, err := io.Copy(io.Discard, held[0]); err != nil {
 		var e net.Error
 		if errors.As(err, &e) && e.Timeout() {
-			t.Error("the oldest silent caller is still held")
+			t.Error("the oldest silent connection is still open")
 		}
 	}
 }
 
-func TestHalfCallsEnd(t *testing.T) {
+func TestPartialCallsAreClosed(t *testing.T) {
 	s, _ := start(t, 8)
 	for _, text := range []string{"", "G", "GET /v1/readyz HTTP/1.1\r\nHost: c\r\n"} {
 		c := dial(t, s)
 		io.WriteString(c, text)
-		if _, err := io.Copy(io.Discard, c); err != nil { // an answer or a close, but an end
+		if _, err := io.Copy(io.Discard, c); err != nil { // the server responds or closes the connection
 			t.Errorf("%q: %v", text, err)
 		}
 	}
 }
 
-// TestCallsThatHaveComeKeepTheirPlace has newcomers want the one place of a call that has come and is not being answered
-// yet, as when the process lacks processor time: unread, half read, and read to the end of its head.
-func TestCallsThatHaveComeKeepTheirPlace(t *testing.T) {
+// TestReceivedCallsAreNotEvicted: new connections compete for the only place, which belongs to a call that was received
+// but is not being answered yet, as happens when the process is short of CPU time. The call keeps its place while its
+// head is unread and after the head has been read. A partial call whose grace period is over loses its place.
+func TestReceivedCallsAreNotEvicted(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer inner.Close()
 	l := newListener(inner.(*net.TCPListener), 1)
-	say := func(text string) net.Conn {
+	connect := func(text string) net.Conn {
 		c, err := net.Dial("tcp", inner.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -238,36 +240,36 @@
 		io.WriteString(c, text)
 		return c
 	}
-	say("GET /v1/readyz HTTP/1.1\r\nHost: c\r\n\r\n")
+	connect("GET /v1/readyz HTTP/1.1\r\nHost: c\r\n\r\n")
 	held, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { held.Close() })
-	for !held.(*caller).speaks() { // until loopback has carried it
+	for !held.(*caller).hasSentCall() { // until the loopback interface has delivered it
 		time.Sleep(time.Millisecond)
 	}
-	late := func(c net.Conn) *caller { // as if its grace were over
+	expireGrace := func(c net.Conn) *caller { // expires the connection's grace period
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		c.(*caller).since = time.Now().Add(-time.Hour)
 		return c.(*caller)
 	}
-	newcomer := &caller{of: l}
-	late(held)
+	newcomer := &caller{owner: l}
+	expireGrace(held)
 	if l.admit(newcomer) == 0 {
-		t.Fatal("the place of a call that nobody has read was given away")
+		t.Fatal("a call with an unread head was evicted")
 	}
 	if _, err := io.ReadFull(held, make([]byte, len("GET /v1/readyz HTTP/1.1\r\nHost: c\r\n\r\n"))); err != nil {
 		t.Fatal(err)
 	}
-	late(held)
+	expireGrace(held)
 	if l.admit(newcomer) == 0 {
-		t.Fatal("the place of a call that has been read was given away before its answer")
+		t.Fatal("a call with a complete head was evicted before its response")
 	}
 	l.track(held, http.StateClosed)
 
-	say("GET /v1/readyz HTTP/1.1\r\n")
+	connect("GET /v1/readyz HTTP/1.1\r\n")
 	half, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -275,70 +277,70 @@
 	if _, err := io.ReadFull(half, make([]byte, len("GET /v1/readyz HTTP/1.1\r\n"))); err != nil {
 		t.Fatal(err)
 	}
-	late(half)
+	expireGrace(half)
 	if l.admit(newcomer) != 0 {
-		t.Fatal("half a call that stands still kept its place")
+		t.Fatal("a stalled partial call kept its place")
 	}
 	if _, err := half.Read(make([]byte, 1)); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("the half call's connection is open still: %v", err)
+		t.Errorf("the partial call's connection is still open: %v", err)
 	}
 }
 
-// TestHalfCallsGoBeforeSilentCallers holds who makes room: one that has not sent anything yet is kept for longer while
-// others stand within half a call, and no longer than its grace where none does.
-func TestHalfCallsGoBeforeSilentCallers(t *testing.T) {
+// TestPartialCallsAreEvictedBeforeSilentOnes checks which connection is evicted: a connection that has sent nothing is
+// kept for the longer silentGrace while others have a partial call, and for headGrace where none has.
+func TestPartialCallsAreEvictedBeforeSilentOnes(t *testing.T) {
 	now := time.Now()
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
 	for _, c := range []struct {
 		name         string
-		silent, half time.Duration // how long each has been so; 0 for none
+		silent, half time.Duration // age of the oldest of each; 0 for none
 		victim       string
 		wait         time.Duration
 	}{
-		{"nobody", 0, 0, "", answering},
+		{"no connection", 0, 0, "", busyRetryDelay},
 		{"silent within its grace", 10 * time.Millisecond, 0, "", headGrace - 10*time.Millisecond},
-		{"silent past it", headGrace, 0, "silent", 0},
-		{"half a call past its grace", time.Hour, headGrace, "half", 0},
-		{"half a call within it", headGrace, 10 * time.Millisecond, "", headGrace - 10*time.Millisecond},
-		{"silent past the longer one", firstGrace, time.Millisecond, "silent", 0},
-		{"silent nearly so", firstGrace - time.Millisecond, time.Millisecond, "", time.Millisecond},
+		{"silent past its grace", headGrace, 0, "silent", 0},
+		{"partial call past its grace", time.Hour, headGrace, "half", 0},
+		{"partial call within its grace", headGrace, 10 * time.Millisecond, "", headGrace - 10*time.Millisecond},
+		{"silent past the longer grace", silentGrace, time.Millisecond, "silent", 0},
+		{"silent shortly before the longer grace ends", silentGrace - time.Millisecond, time.Millisecond, "", time.Millisecond},
 	} {
 		l := newListener(nil, 1)
-		for list, age := range map[*linked.List[caller, *caller]]time.Duration{&l.silent: c.silent, &l.half: c.half} {
+		for list, age := range map[*linked.List[caller, *caller]]time.Duration{&l.silent: c.silent, &l.partial: c.half} {
 			if age > 0 {
-				l.put(&caller{}, list, ago(age))
+				l.moveTo(&caller{}, list, ago(age))
 			}
 		}
 		got, wait := l.victim(now)
 		name := ""
 		if got != nil {
-			name = map[bool]string{true: "silent", false: "half"}[got.in == &l.silent]
+			name = map[bool]string{true: "silent", false: "half"}[got.queue == &l.silent]
 		}
 		if name != c.victim || wait != c.wait {
-			t.Errorf("%s: %q after %v, wanted %q after %v", c.name, name, wait, c.victim, c.wait)
+			t.Errorf("%s: got %q after %v, want %q after %v", c.name, name, wait, c.victim, c.wait)
 		}
 	}
 }
 
-// TestProposals: a change that makes no sense, one that is turned away and one that nobody answers are told apart, so that a caller
-// knows whether to ask again.
+// TestProposals: an invalid change, a rejected change and a change that times out have different status codes, so that
+// a caller knows whether to retry.
 func TestProposals(t *testing.T) {
-	s := &Server{desk: &book{}, log: slog.New(slog.DiscardHandler)}
+	s := &Server{controller: &fakeController{}, log: slog.New(slog.DiscardHandler)}
 	for body, want := range map[string]int{
 		"bad": http.StatusBadRequest, "no": http.StatusConflict, "late": http.StatusGatewayTimeout, "{}": http.StatusOK,
-		strings.Repeat("x", maxBody+1): http.StatusBadRequest,
+		strings.Repeat("x", maxBodyBytes+1): http.StatusBadRequest,
 	} {
 		w := httptest.NewRecorder()
 		s.ServeHTTP(w, httptest.NewRequest(http.MethodPost, "/v1/rules", strings.NewReader(body)))
 		if w.Code != want {
-			t.Errorf("%.10q: %d, wanted %d", body, w.Code, want)
+			t.Errorf("%.10q: status %d, want %d", body, w.Code, want)
 		}
 	}
 	for method, want := range map[string]int{http.MethodGet: http.StatusMethodNotAllowed, http.MethodPost: http.StatusNotFound} {
 		w := httptest.NewRecorder()
 		s.ServeHTTP(w, httptest.NewRequest(method, "/v1/rules/refound", nil))
 		if w.Code != want {
-			t.Errorf("%s: %d, wanted %d", method, w.Code, want)
+			t.Errorf("%s: status %d, want %d", method, w.Code, want)
 		}
 	}
 }
--- a/internal/console/listener.go
+++ b/internal/console/listener.go
@@ -13,55 +13,60 @@
 )
 
 const (
-	// headGrace is what a caller has at least to send its call, from its connection on, and to end one it has begun.
+	// headGrace is the minimum time that a caller has to start its call after it connects, and to complete the head of
+	// a call that it has started.
 	headGrace = 15 * time.Millisecond
-	// firstGrace is how long one that has sent nothing yet is kept for, while others stand within half a call.
-	firstGrace = 4 * headGrace
-	// answering is how long to wait for a place where all calls are being answered.
-	answering = time.Millisecond
+	// silentGrace is how long a connection that has sent nothing is kept while other connections have a partial call.
+	silentGrace = 4 * headGrace
+	// busyRetryDelay is the delay before the next attempt to admit a connection when all places hold calls that are
+	// being answered.
+	busyRetryDelay = time.Millisecond
 )
 
-// listener holds a bounded number of connections. When all places are taken, a newcomer takes that of the call which has
-// stood half sent longest, or else of the connection which has been silent longest, once that has had its grace and all
-// that it sent has been read.
+// listener holds a bounded number of connections. When all places are taken, a new connection takes the place of the
+// call that has been partially sent for the longest time, or else of the connection that has been silent for the
+// longest time. The evicted connection has used up its grace period, and everything that it sent has been read.
 //
-// It guards against callers that connect and send nothing, or half a call, and stay: however many there are, the next
-// one gets in, after as many times firstGrace as there are newcomers before it for each place, at most. A call whose head
-// has come keeps its place, also while a process short of processor time has not read it, or has not begun to answer. It
-// might end a call whose head takes longer than its grace while others come; a call's head comes in one piece. Who sends
-// a byte again and again is held until the server's own time for a head is over.
+// This protects the console from callers that connect, send nothing or a partial call, and stay connected. However many
+// there are, a new connection is admitted after at most silentGrace times the number of new connections that wait
+// before it for each place. A call whose head has arrived keeps its place, even if a process that is short of CPU time
+// has not read it or has not started to answer. A call whose head takes longer than its grace period may be closed
+// while others connect; in practice a head arrives in one piece. A caller that keeps sending single bytes is held until
+// the server's own timeout for a head expires.
 type listener struct {
 	*net.TCPListener
-	most int
+	maxConns int
 
 	mu   sync.Mutex
 	open map[net.Conn]struct{}
-	// The connections whose head has not come, the oldest first, by whether they have sent anything.
-	silent, half linked.List[caller, *caller]
+	// The connections whose head has not arrived, the oldest first: silent ones have sent nothing, partial ones have
+	// sent a part of the head.
+	silent, partial linked.List[caller, *caller]
 }
 
 // caller is one connection.
 type caller struct {
 	*net.TCPConn
-	of  *listener
-	raw syscall.RawConn
+	owner *listener
+	raw   syscall.RawConn
 
 	// Guarded by of.mu.
-	in    *linked.List[caller, *caller] // nil once the head has come, or the connection is gone
-	since time.Time                     // when it came there, or was last seen to have sent what nobody had read
-
-	linked.Links[caller] // in that list
-
-	// What has been read. The lock is held from before bytes leave the socket until they are counted here, so that who
-	// looks at both sees them in one place or the other, also when the reader is kept from the processor in between.
-	reading sync.Mutex
-	line    int  // bytes of the line at hand, without its end
-	begun   bool // a line has ended
-	whole   bool // the head has
+	queue *linked.List[caller, *caller] // nil once the head has arrived or the connection is closed
+	since time.Time                     // when it entered the queue, or when unread data was last found on it
+
+	linked.Links[caller] // in queue
+
+	// What has been read. readMu is held from before bytes are taken from the socket until they are counted here, so
+	// that hasSentCall, which checks both, sees them in one place or the other, even if the reader is descheduled in
+	// between.
+	readMu       sync.Mutex
+	lineLen      int  // bytes of the current line, without its line ending
+	sawLine      bool // at least one line is complete
+	headComplete bool // the whole head has been read
 }
 
 func newListener(l *net.TCPListener, most int) *listener {
-	return &listener{TCPListener: l, most: max(most, 1), open: map[net.Conn]struct{}{}}
+	return &listener{TCPListener: l, maxConns: max(most, 1), open: map[net.Conn]struct{}{}}
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -74,44 +79,45 @@
 		conn.Close()
 		return nil, err
 	}
-	c := &caller{TCPConn: conn, of: l, raw: raw}
+	c := &caller{TCPConn: conn, owner: l, raw: raw}
 	for wait := l.admit(c); wait > 0; wait = l.admit(c) {
 		time.Sleep(wait)
 	}
 	return c, nil
 }
 
-// admit takes a connection in, or says after how long there may be room for it.
+// admit adds a connection and returns 0, or returns how long to wait before a place may be free.
 func (l *listener) admit(c *caller) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	for len(l.open) >= l.most {
+	for len(l.open) >= l.maxConns {
 		victim, wait := l.victim(now)
 		if victim == nil {
 			return wait
 		}
-		if victim.speaks() {
-			l.put(victim, victim.in, now)
+		if victim.hasSentCall() {
+			l.moveTo(victim, victim.queue, now)
 			continue
 		}
-		l.put(victim, nil, now)
+		l.moveTo(victim, nil, now)
 		delete(l.open, victim)
 		victim.TCPConn.Close()
 	}
 	l.open[c] = struct{}{}
-	l.put(c, &l.silent, now)
+	l.moveTo(c, &l.silent, now)
 	return 0
 }
 
-// victim is the connection whose place is free for a newcomer, or else after how long one may be; l.mu is held.
+// victim returns the connection to evict for a new one, or nil and how long to wait before there may be one. The caller
+// holds l.mu.
 func (l *listener) victim(now time.Time) (*caller, time.Duration) {
-	grace, wait := headGrace, answering
-	if half := l.half.Front(); half != nil {
+	grace, wait := headGrace, busyRetryDelay
+	if half := l.partial.Front(); half != nil {
 		if wait = headGrace - now.Sub(half.since); wait <= 0 {
 			return half, 0
 		}
-		grace = firstGrace
+		grace = silentGrace
 	}
 	if silent := l.silent.Front(); silent != nil {
 		left := grace - now.Sub(silent.since)
@@ -125,30 +131,30 @@
 	return nil, wait
 }
 
-// put moves a connection to the end of a list, or out of any; l.mu is held.
-func (l *listener) put(c *caller, to *linked.List[caller, *caller], now time.Time) {
-	if c.in != nil {
-		c.in.Remove(c)
+// moveTo moves a connection to the end of a queue, or removes it from its queue if to is nil. The caller holds l.mu.
+func (l *listener) moveTo(c *caller, to *linked.List[caller, *caller], now time.Time) {
+	if c.queue != nil {
+		c.queue.Remove(c)
 	}
-	if c.in, c.since = to, now; to != nil {
+	if c.queue, c.since = to, now; to != nil {
 		to.Push(c)
 	}
 }
 
-// heard takes in that a connection has sent something, or its whole head.
-func (l *listener) heard(c *caller, whole bool) {
+// received records that data was read from a connection, and whether its head is complete.
+func (l *listener) received(c *caller, headComplete bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case c.in == nil:
-	case whole:
-		l.put(c, nil, c.since)
-	case c.in == &l.silent:
-		l.put(c, &l.half, time.Now())
+	case c.queue == nil:
+	case headComplete:
+		l.moveTo(c, nil, c.since)
+	case c.queue == &l.silent:
+		l.moveTo(c, &l.partial, time.Now())
 	}
 }
 
-// track is the server's ConnState hook.
+// track is the server's ConnState hook. After the first change of state a connection is no longer evicted.
 func (l *listener) track(conn net.Conn, state http.ConnState) {
 	if state == http.StateNew {
 		return
@@ -156,30 +162,31 @@
 	c := conn.(*caller)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.put(c, nil, c.since)
+	l.moveTo(c, nil, c.since)
 	if state == http.StateClosed || state == http.StateHijacked {
 		delete(l.open, c)
 	}
 }
 
-// Read notes the end of the head by itself: net/http tells of it only after it has been scheduled again.
+// Read detects the end of the head itself, because net/http reports it only after its goroutine has been scheduled
+// again.
 func (c *caller) Read(b []byte) (n int, err error) {
-	var whole bool
+	var headComplete bool
 	read := func(fd uintptr) bool {
-		c.reading.Lock()
-		defer c.reading.Unlock()
+		c.readMu.Lock()
+		defer c.readMu.Unlock()
 		for {
 			if n, err = syscall.Read(int(fd), b); err != syscall.EINTR {
 				break
 			}
 		}
 		n = max(n, 0)
-		c.follow(b[:n])
-		whole = c.whole
+		c.scanHead(b[:n])
+		headComplete = c.headComplete
 		return err != syscall.EAGAIN
 	}
-	if failed := c.raw.Read(read); failed != nil {
-		return 0, failed
+	if rawErr := c.raw.Read(read); rawErr != nil {
+		return 0, rawErr
 	}
 	switch {
 	case err != nil:
@@ -187,36 +194,36 @@
 	case n == 0 && len(b) > 0:
 		return 0, io.EOF
 	}
-	c.of.heard(c, whole)
+	c.owner.received(c, headComplete)
 	return n, nil
 }
 
-// follow takes in bytes of the head; c.reading is held.
-func (c *caller) follow(b []byte) {
+// scanHead scans bytes of the head for its end. The caller holds c.readMu.
+func (c *caller) scanHead(b []byte) {
 	for _, at := range b {
 		switch {
-		case c.whole:
+		case c.headComplete:
 			return
-		case at == '\n' && c.line == 0 && c.begun:
-			c.whole = true
+		case at == '\n' && c.lineLen == 0 && c.sawLine:
+			c.headComplete = true
 		case at == '\n':
-			c.line, c.begun = 0, true
+			c.lineLen, c.sawLine = 0, true
 		case at != '\r':
-			c.line++
+			c.lineLen++
 		}
 	}
 }
 
-// speaks says whether the call's head has come, or the caller has sent something that has not been read yet.
-func (c *caller) speaks() bool {
-	c.reading.Lock()
-	defer c.reading.Unlock()
+// hasSentCall reports whether the call's head has been read, or the socket has data that has not been read yet.
+func (c *caller) hasSentCall() bool {
+	c.readMu.Lock()
+	defer c.readMu.Unlock()
 	unread := false
 	var b [1]byte
-	// An error is that of a connection that is closed, which has nothing to lose.
+	// Control fails only for a closed connection, which needs no place.
 	_ = c.raw.Control(func(fd uintptr) {
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		unread = err == nil && n > 0
 	})
-	return c.whole || unread
+	return c.headComplete || unread
 }
--- a/internal/count/count.go
+++ b/internal/count/count.go
@@ -1,5 +1,6 @@
-// Package count adds up what many proxies did together, from the lines that each of them logs at level debug. What is
-// harmless at one proxy may be harmful when all do it, and shows in no single log. It reads and decides nothing else.
+// Package count aggregates what many proxies did together, from the lines that each of them logs at level debug.
+// Behavior that is harmless at one proxy may be harmful when all proxies do it, and no single log shows that. The
+// package has no other input and makes no decisions.
 package count
 
 import (
@@ -13,7 +14,7 @@
 	"brasswell/internal/host"
 )
 
-// Line is one line of a proxy's log.
+// Line is one parsed line of a proxy's log.
 type Line struct {
 	Proxy  string
 	At     time.Time
@@ -21,12 +22,13 @@
 	Fields map[string]string
 }
 
-// mostSeconds bounds the span that is counted: a stray date would otherwise make an empty day of every second before it.
-const mostSeconds = 24 * 60 * 60
+// maxSeconds bounds the counted time span. Without it, one line with a wrong date would add an entry for each empty
+// second before that date.
+const maxSeconds = 24 * 60 * 60
 
-// Second is what all proxies did in one second; attempts count in the one in which they were sent.
+// Second is what all proxies did in one second. An attempt counts in the second in which it was sent.
 type Second struct {
-	At       int            `json:"at"` // whole seconds from the first line
+	At       int            `json:"at"` // whole seconds since the first line
 	Calls    int            `json:"calls"`
 	Broken   int            `json:"broken"` // calls that ended with an error
 	First    int            `json:"first"`  // first attempts
@@ -34,52 +36,55 @@
 	Outcomes map[string]int `json:"outcomes"` // of all attempts
 	Refused  int            `json:"refused"`
 	Failed   int            `json:"failed"`
-	// Uneven is the most that one backend was sent over the mean of those that were sent anything; 0 where none was.
+	// MaxOverMean is the largest number of attempts at one backend, divided by the mean over the backends that had any.
+	// It is 0 where no backend had any.
 	Uneven float64 `json:"uneven"`
 }
 
 // Backend is what all proxies did with one backend.
 type Backend struct {
 	ID       string `json:"id"`
-	Proxies  int    `json:"proxies"` // that sent to it
+	Proxies  int    `json:"proxies"` // proxies that sent to it
 	Attempts int    `json:"attempts"`
 	Served   int    `json:"served"`
-	// MostSecond is the most that it was sent in one second.
+	// MaxPerSecond is the largest number of attempts at it in one second.
 	MostSecond int `json:"most_second"`
-	// Lost is when it was first unreachable or silent, in seconds from the first line, and LastSent the last send that
-	// ended so; negative if none did. The proxies' time to find it out lies between.
+	// FirstUnreachable and LastUnreachable are the send times, in seconds since the first line, of the first and the
+	// last attempt that failed because the backend was unreachable or did not answer. They are negative if there was
+	// none. The time between them is what the proxies needed to detect the failure.
 	Lost     float64 `json:"lost"`
 	LastSent float64 `json:"last_sent"`
 }
 
-// News is a change of the server list as the proxies heard of it.
+// ListUpdate is a version of the server list, with the times at which the proxies received it.
 type News struct {
 	Seq     int64 `json:"seq"`
-	Proxies int   `json:"proxies"` // that hold it or a later one
-	// First and Last are when the first and the last proxy got just this version, in seconds from the first line.
+	Proxies int   `json:"proxies"` // proxies that hold it or a later one
+	// First and Last are when the first and the last proxy received exactly this version, in seconds since the first
+	// line.
 	First float64 `json:"first"`
 	Last  float64 `json:"last"`
 }
 
-// Report is what a fleet did.
+// Report is what all proxies of a fleet did.
 type Report struct {
 	Proxies  int       `json:"proxies"`
 	Seconds  []Second  `json:"seconds"`
 	Backends []Backend `json:"backends"`
 	News     []News    `json:"news"`
-	Strange  int       `json:"strange"` // lines of these kinds whose fields make no sense, or from outside the span
+	Strange  int       `json:"strange"` // lines of the counted kinds with invalid fields, or from outside the time span
 }
 
-// Fleet adds lines up. It is not safe for concurrent use.
+// Aggregator collects the lines of all proxies. It is not safe for concurrent use.
 type Fleet struct{ lines []event }
 
-// event is what is kept of a line that counts.
+// event is a line of a counted kind.
 type event struct {
 	Line
-	at time.Time // when it began: an attempt when it was sent
+	at time.Time // when it started; for an attempt, when it was sent
 }
 
-// Add takes one line; those of other kinds count for nothing.
+// Add takes one line, and ignores lines of other kinds.
 func (f *Fleet) Add(l Line) {
 	switch l.Msg {
 	case host.TraceAttempt, host.TraceUnserved, host.TraceList, discovery.TraceCall:
@@ -93,19 +98,19 @@
 	f.lines = append(f.lines, e)
 }
 
-// tally is what is known of one backend while lines are added up.
+// tally accumulates the counts of one backend.
 type tally struct {
 	Backend
-	by     map[string]bool
-	second map[int]int
+	senders   map[string]bool
+	perSecond map[int]int
 }
 
-// lost says whether an outcome is that of a backend which does not answer at all.
-func lost(outcome string) bool {
+// unreachable reports whether an outcome means that the backend does not answer at all.
+func unreachable(outcome string) bool {
 	return outcome == "connect_error" || outcome == "timed_out" || outcome == "reset"
 }
 
-// Report adds up what was taken in.
+// Report aggregates the lines added so far.
 func (f *Fleet) Report() Report {
 	slices.SortStableFunc(f.lines, func(x, y event) int { return x.at.Compare(y.at) })
 	var r Report
@@ -115,11 +120,11 @@
 	start := f.lines[0].at
 	proxies := map[string]bool{}
 	backends := map[string]*tally{}
-	held := map[string]int64{} // by proxy, the version that it holds
-	news := map[int64]*News{}
+	versions := map[string]int64{} // the list version that each proxy holds, by proxy
+	updates := map[int64]*News{}
 	for _, e := range f.lines {
 		since := e.at.Sub(start).Seconds()
-		if since >= mostSeconds {
+		if since >= maxSeconds {
 			r.Strange++
 			continue
 		}
@@ -135,17 +140,17 @@
 				s.Broken++
 				continue
 			}
-			seq, ok := number(e.Fields["seq"])
+			seq, ok := parseInt(e.Fields["seq"])
 			if !ok {
 				r.Strange++
 				continue
 			}
-			if seq > held[e.Proxy] {
-				held[e.Proxy] = seq
-				if news[seq] == nil {
-					news[seq] = &News{Seq: seq, First: since}
+			if seq > versions[e.Proxy] {
+				versions[e.Proxy] = seq
+				if updates[seq] == nil {
+					updates[seq] = &News{Seq: seq, First: since}
 				}
-				news[seq].Last = since
+				updates[seq].Last = since
 			}
 		case host.TraceUnserved:
 			if e.Fields["refused"] == "true" {
@@ -155,7 +160,7 @@
 			}
 		case host.TraceAttempt:
 			id, outcome := e.Fields["backend"], e.Fields["outcome"]
-			n, ok := number(e.Fields["n"])
+			n, ok := parseInt(e.Fields["n"])
 			if !ok || id == "" || outcome == "" {
 				r.Strange++
 				continue
@@ -168,16 +173,16 @@
 			s.Outcomes[outcome]++
 			b := backends[id]
 			if b == nil {
-				b = &tally{Backend: Backend{ID: id, Lost: -1, LastSent: -1}, by: map[string]bool{}, second: map[int]int{}}
+				b = &tally{Backend: Backend{ID: id, Lost: -1, LastSent: -1}, senders: map[string]bool{}, perSecond: map[int]int{}}
 				backends[id] = b
 			}
-			b.by[e.Proxy] = true
+			b.senders[e.Proxy] = true
 			b.Attempts++
-			b.second[s.At]++
+			b.perSecond[s.At]++
 			if outcome == "ok" {
 				b.Served++
 			}
-			if lost(outcome) {
+			if unreachable(outcome) {
 				if b.Lost < 0 {
 					b.Lost = since
 				}
@@ -187,18 +192,18 @@
 	}
 	r.Proxies = len(proxies)
 	for i := range r.Seconds {
-		r.Seconds[i].Uneven = uneven(backends, i)
+		r.Seconds[i].Uneven = maxOverMean(backends, i)
 	}
 	for _, id := range slices.Sorted(maps.Keys(backends)) {
 		b := backends[id]
-		b.Proxies = len(b.by)
-		for _, n := range b.second {
+		b.Proxies = len(b.senders)
+		for _, n := range b.perSecond {
 			b.MostSecond = max(b.MostSecond, n)
 		}
 		r.Backends = append(r.Backends, b.Backend)
 	}
-	for seq, n := range news {
-		for _, version := range held {
+	for seq, n := range updates {
+		for _, version := range versions {
 			if version >= seq {
 				n.Proxies++
 			}
@@ -209,11 +214,12 @@
 	return r
 }
 
-// uneven is the most over the mean of what backends were sent in a second.
-func uneven(backends map[string]*tally, second int) float64 {
+// maxOverMean returns the largest number of attempts at one backend in a second, divided by the mean over the backends
+// that had any.
+func maxOverMean(backends map[string]*tally, second int) float64 {
 	most, sum, used := 0, 0, 0
 	for _, b := range backends {
-		if n := b.second[second]; n > 0 {
+		if n := b.perSecond[second]; n > 0 {
 			most, sum, used = max(most, n), sum+n, used+1
 		}
 	}
--- a/internal/count/count_test.go
+++ b/internal/count/count_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// log words a line as a proxy's text log does, with a collector's stamp before it.
-func log(proxy string, at float64, rest string) string {
+// logLine formats a line as in a proxy's text log, preceded by the timestamp of a log collector.
+func logLine(proxy string, at float64, rest string) string {
 	t := time.Date(2026, 12, 1, 14, 0, 0, 0, time.UTC).Add(time.Duration(at * float64(time.Second)))
 	return fmt.Sprintf("%.3f time=%s level=DEBUG %s name=%s\n", at, t.Format(time.RFC3339Nano), rest, proxy)
 }
@@ -26,21 +26,22 @@
 	return f.Report()
 }
 
-// TestFleetIsAddedUp: two proxies lose one backend at different times, and hear of the change one after the other.
-func TestFleetIsAddedUp(t *testing.T) {
-	r := report(t, log("p1", 0, "msg=call took_ms=10 seq=1 error=<nil>")+
-		log("p1", 0.5, attempt("a", "ok", 0, 100))+
-		log("p2", 0.6, attempt("b", "ok", 0, 100))+
-		log("p1", 1.4, attempt("a", "connect_error", 0, 150))+
-		log("p1", 1.5, attempt("b", "ok", 1, 100))+
-		log("p2", 2.9, attempt("a", "timed_out", 0, 900))+ // sent at 2.0
-		log("p2", 2.9, "msg=unserved id=2 class=0 refused=false attempts=1")+
-		log("p1", 3.0, "msg=call took_ms=900 seq=2 error=<nil>")+
-		log("p2", 3.2, `msg=call took_ms=0 seq=1 error="discovery turned the call away: 503 Service Unavailable"`)+
-		log("p2", 3.9, "msg=call took_ms=20 seq=2 error=<nil>")+
-		log("p2", 3.95, "msg=whatever"))
+// TestReportAddsUpAllProxies: two proxies lose one backend at different times and receive the list update one after the
+// other.
+func TestReportAddsUpAllProxies(t *testing.T) {
+	r := report(t, logLine("p1", 0, "msg=call took_ms=10 seq=1 error=<nil>")+
+		logLine("p1", 0.5, attempt("a", "ok", 0, 100))+
+		logLine("p2", 0.6, attempt("b", "ok", 0, 100))+
+		logLine("p1", 1.4, attempt("a", "connect_error", 0, 150))+
+		logLine("p1", 1.5, attempt("b", "ok", 1, 100))+
+		logLine("p2", 2.9, attempt("a", "timed_out", 0, 900))+ // sent at 2.0
+		logLine("p2", 2.9, "msg=unserved id=2 class=0 refused=false attempts=1")+
+		logLine("p1", 3.0, "msg=call took_ms=900 seq=2 error=<nil>")+
+		logLine("p2", 3.2, `msg=call took_ms=0 seq=1 error="discovery turned the call away: 503 Service Unavailable"`)+
+		logLine("p2", 3.9, "msg=call took_ms=20 seq=2 error=<nil>")+
+		logLine("p2", 3.95, "msg=whatever"))
 	if r.Proxies != 2 || len(r.Seconds) != 4 || r.Strange != 0 {
-		t.Fatalf("%d proxies, %d seconds, %d strange", r.Proxies, len(r.Seconds), r.Strange)
+		t.Fatalf("%d proxies, %d seconds, %d malformed lines", r.Proxies, len(r.Seconds), r.Strange)
 	}
 	one := r.Seconds[1]
 	if one.First != 1 || one.Again != 1 || one.Outcomes["connect_error"] != 1 || one.Uneven != 1 {
@@ -60,12 +61,12 @@
 		t.Errorf("backend b: %+v", b)
 	}
 	if len(r.News) != 2 || r.News[1] != (News{Seq: 2, Proxies: 2, First: 3, Last: 3.9}) || r.News[0].Proxies != 2 {
-		t.Errorf("news: %+v", r.News)
+		t.Errorf("list updates: %+v", r.News)
 	}
 }
 
-// TestBothForms: the JSON form says the same as the text form.
-func TestBothForms(t *testing.T) {
+// TestJSONAndTextForms: the JSON form of a log is counted like the text form.
+func TestJSONAndTextForms(t *testing.T) {
 	r := report(t, `{"time":"2026-12-01T14:00:00Z","level":"DEBUG","msg":"attempt","name":"p1","n":0,"backend":"a","outcome":"ok","took_ms":5}
 {"time":"2026-12-01T14:00:01Z","level":"DEBUG","msg":"call","name":"p1","took_ms":2500,"seq":4,"error":null}
 `)
@@ -74,12 +75,13 @@
 	}
 }
 
-// TestOddLines: what is no log line is skipped, and a line whose fields make no sense or whose date is days off is told.
-func TestOddLines(t *testing.T) {
+// TestMalformedLines: text that is not a log line is skipped, and a line with invalid fields or a date that is days off
+// counts as malformed.
+func TestMalformedLines(t *testing.T) {
 	var f Fleet
-	text := "panic: something\n\n{half\n" + log("p1", 0, attempt("a", "ok", 0, 1)) +
-		log("p1", 1, "msg=attempt backend=a outcome=ok n=x took_ms=1") +
-		log("p1", 1, "msg=call seq= error=<nil>") + log("p1", 3e5, attempt("a", "ok", 0, 1))
+	text := "panic: something\n\n{half\n" + logLine("p1", 0, attempt("a", "ok", 0, 1)) +
+		logLine("p1", 1, "msg=attempt backend=a outcome=ok n=x took_ms=1") +
+		logLine("p1", 1, "msg=call seq= error=<nil>") + logLine("p1", 3e5, attempt("a", "ok", 0, 1))
 	skipped, err := Read(strings.NewReader(text), f.Add)
 	if err != nil || skipped != 3 {
 		t.Fatalf("skipped %d, %v", skipped, err)
@@ -88,21 +90,21 @@
 		t.Errorf("%+v", r)
 	}
 	if r := new(Fleet).Report(); r.Proxies != 0 || r.Seconds != nil {
-		t.Errorf("of nothing: %+v", r)
+		t.Errorf("report without lines: %+v", r)
 	}
 	if _, err := Read(strings.NewReader(strings.Repeat("x", maxLine+1)), f.Add); err == nil {
-		t.Error("a line without end is taken")
+		t.Error("a line longer than maxLine is accepted")
 	}
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add(log("p1", 0, attempt("a", "ok", 0, 1)))
+	f.Add(logLine("p1", 0, attempt("a", "ok", 0, 1)))
 	f.Add(`{"time":"2026-12-01T14:00:00Z","msg":"call","seq":1e300,"error":{}}`)
 	f.Fuzz(func(t *testing.T, text string) {
 		var fleet Fleet
 		Read(strings.NewReader(text), fleet.Add)
-		if r := fleet.Report(); len(r.Seconds) > mostSeconds {
-			t.Errorf("%d seconds", len(r.Seconds))
+		if r := fleet.Report(); len(r.Seconds) > maxSeconds {
+			t.Errorf("%d seconds, more than maxSeconds", len(r.Seconds))
 		}
 	})
 }
--- a/internal/count/read.go
+++ b/internal/count/read.go
@@ -12,13 +12,13 @@
 	"github.com/go-logfmt/logfmt"
 )
 
-// maxLine bounds one line of a log.
+// maxLine bounds the length of one log line, in bytes.
 const maxLine = 1 << 20
 
-// Read takes a proxy's log apart, in either of the forms that the proxy writes, and hands each line on. What stands
-// before "time=" in a line, as where logs were collected with a stamp of the collector's, is passed over. Lines that are
-// neither count as skipped.
-func Read(r io.Reader, take func(Line)) (skipped int, err error) {
+// Read parses a proxy's log, in the text or the JSON form that the proxy writes, and calls handle with each line. It
+// ignores what precedes "time=" in a line of text, since log collectors may put a timestamp of their own there. It
+// returns the number of lines that have neither form.
+func Read(r io.Reader, handle func(Line)) (skipped int, err error) {
 	s := bufio.NewScanner(r)
 	s.Buffer(make([]byte, 0, 64<<10), maxLine)
 	for s.Scan() {
@@ -27,10 +27,10 @@
 			skipped++
 			continue
 		}
-		take(l)
+		handle(l)
 	}
 	if err := s.Err(); err != nil {
-		return skipped, fmt.Errorf("a line of over %d bytes, or the file cannot be read: %w", maxLine, err)
+		return skipped, fmt.Errorf("line longer than %d bytes, or read error: %w", maxLine, err)
 	}
 	return skipped, nil
 }
@@ -46,7 +46,7 @@
 			switch v := v.(type) {
 			case float64:
 				fields[name] = strconv.FormatFloat(v, 'f', -1, 64)
-			case nil: // as an error that there was not
+			case nil: // no error was logged
 			default:
 				fields[name] = fmt.Sprint(v)
 			}
@@ -73,7 +73,7 @@
 	return Line{Proxy: fields["name"], At: at, Msg: fields["msg"], Fields: fields}, true
 }
 
-func number(text string) (int64, bool) {
+func parseInt(text string) (int64, bool) {
 	n, err := strconv.ParseInt(text, 10, 64)
 	return n, err == nil
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire speaks the batch dialect of JSON in which a host feeds events to many balancer instances
-// and reads their actions. It decides nothing.
+// Package wire implements the JSON batch protocol by which a simulator sends events to many balancer instances and
+// reads their actions. It makes no decisions.
 package wire
 
 import (
@@ -15,7 +15,7 @@
 	"brasswell/internal/settings"
 )
 
-// maxLine bounds one batch; a fleet's lists run to megabytes.
+// maxLine bounds one batch, in bytes. The server lists of a fleet are megabytes long.
 const maxLine = 1 << 30
 
 // Serve reads batches until the input ends and answers each with one line.
@@ -45,12 +45,12 @@
 	out       []byte
 }
 
-// instance hosts one balancer; its actions are appended to the session's reply.
+// instance is the host of one balancer. It appends the balancer's actions to the session's reply.
 type instance struct {
-	s      *session
-	who    int
-	b      *balance.Balancer
-	broken bool
+	session  *session
+	number   int
+	balancer *balance.Balancer
+	broken   bool
 }
 
 func (s *session) batch(line []byte) ([]byte, error) {
@@ -109,13 +109,13 @@
 	return nil
 }
 
-// decode reads the event's values and returns the call they stand for.
+// decode reads an event's values and returns the balancer call that the event represents.
 func decode(name string, a *args, lists map[int][]balance.Entry) (func(*balance.Balancer, time.Duration), error) {
 	var call func(*balance.Balancer, time.Duration)
 	switch name {
 	case "submit":
 		r := balance.Request{ID: a.str("tid")}
-		a.skip(3) // item, write, retry: no decision rests on them
+		a.skip(3) // item, write, retry: no decision depends on them
 		r.Tenant = a.optInt("client_group")
 		r.Remaining = a.dur("patience_left_ms")
 		a.skip(1) // cost_guess_ms
@@ -149,15 +149,15 @@
 		}
 		var entries []balance.Entry
 		if kind != balance.ListFailed {
-			a.skip(1) // generation: updates come in order
+			a.skip(1) // generation: updates arrive in order
 			table := a.int("table")
 			if entries, known = lists[table]; !known && a.err == nil {
-				return nil, fmt.Errorf("update names list %d, which was never sent", table)
+				return nil, fmt.Errorf("update refers to list %d, which was never sent", table)
 			}
 		}
 		call = func(b *balance.Balancer, now time.Duration) { b.Update(now, kind, entries) }
 	case "probe_done", "mail":
-		// Answers to what this module never asks for.
+		// Replies to requests that this module never makes.
 		call = func(*balance.Balancer, time.Duration) {}
 	default:
 		return nil, fmt.Errorf("unknown event %q", name)
@@ -188,15 +188,16 @@
 	if err != nil {
 		return fmt.Errorf("profile_data: %w", err)
 	}
-	inst := &instance{s: s, who: who}
-	if inst.b, err = balance.New(profile.Balancer, seed, inst); err != nil {
+	inst := &instance{session: s, number: who}
+	if inst.balancer, err = balance.New(profile.Balancer, seed, inst); err != nil {
 		return err
 	}
 	s.instances[who] = inst
 	return nil
 }
 
-// run turns a panic of the module into a broken action: the day ends with its text, not the process.
+// run calls the balancer and converts a panic into a "broken" action with the panic's text, so that the simulation ends
+// with that text instead of a crash of the process.
 func (i *instance) run(call func(*balance.Balancer)) {
 	if i.broken {
 		return
@@ -209,28 +210,28 @@
 			i.end()
 		}
 	}()
-	call(i.b)
+	call(i.balancer)
 }
 
 func (i *instance) begin(name string) {
-	i.s.out = append(i.s.out, '[', '"')
-	i.s.out = append(i.s.out, name...)
-	i.s.out = append(i.s.out, '"', ',')
-	i.s.out = strconv.AppendInt(i.s.out, int64(i.who), 10)
+	i.session.out = append(i.session.out, '[', '"')
+	i.session.out = append(i.session.out, name...)
+	i.session.out = append(i.session.out, '"', ',')
+	i.session.out = strconv.AppendInt(i.session.out, int64(i.number), 10)
 }
 
-func (i *instance) end() { i.s.out = append(i.s.out, ']', ',') }
+func (i *instance) end() { i.session.out = append(i.session.out, ']', ',') }
 
 func (i *instance) text(s string) {
 	quoted, _ := json.Marshal(s) // a string always marshals
-	i.s.out = append(append(i.s.out, ','), quoted...)
+	i.session.out = append(append(i.session.out, ','), quoted...)
 }
 
 func (i *instance) ms(d time.Duration) {
-	i.s.out = strconv.AppendFloat(append(i.s.out, ','), float64(d)/float64(time.Millisecond), 'f', 3, 64)
+	i.session.out = strconv.AppendFloat(append(i.session.out, ','), float64(d)/float64(time.Millisecond), 'f', 3, 64)
 }
 
-// Send starts an attempt.
+// Send writes the action that starts an attempt.
 func (i *instance) Send(id, server string, timeout time.Duration) {
 	i.begin("relay")
 	i.text(id)
@@ -239,7 +240,7 @@
 	i.end()
 }
 
-// Refuse turns a request away, for a while if wait is above 0.
+// Refuse writes the action that rejects a request. If wait is above 0, it is the time after which the client may retry.
 func (i *instance) Refuse(id string, wait time.Duration) {
 	i.begin("decline")
 	i.text(id)
@@ -247,44 +248,44 @@
 	i.end()
 }
 
-// Fail ends a request without a promise.
+// Fail writes the action that fails a request, without a time after which the client may retry.
 func (i *instance) Fail(id string) { i.final("abort", id, "") }
 
 func (i *instance) final(name, id, rest string) {
 	i.begin(name)
 	i.text(id)
-	i.s.out = append(i.s.out, rest...)
+	i.session.out = append(i.session.out, rest...)
 	i.end()
 }
 
-// Cancel calls an attempt off.
+// Cancel writes the action that cancels an attempt.
 func (i *instance) Cancel(id string, attempt int) {
 	i.final("abandon", id, ","+strconv.Itoa(attempt))
 }
 
-// SetTimer asks for a ring.
+// SetTimer writes the action that requests a "ring" event after delay.
 func (i *instance) SetTimer(delay time.Duration, token uint64) {
 	i.begin("set_timer")
 	i.ms(delay)
-	i.s.out = strconv.AppendUint(append(i.s.out, ','), token, 10)
+	i.session.out = strconv.AppendUint(append(i.session.out, ','), token, 10)
 	i.end()
 }
 
-// Watch subscribes to the list.
+// Watch writes the action that subscribes to the server list.
 func (i *instance) Watch() {
 	i.begin("follow")
-	i.s.out = append(i.s.out, ",true"...)
+	i.session.out = append(i.session.out, ",true"...)
 	i.end()
 }
 
-// Log writes a line for people.
+// Log writes the action that logs a line for human readers.
 func (i *instance) Log(line string) {
 	i.begin("log")
 	i.text(line)
 	i.end()
 }
 
-// args reads a message's values in order and keeps the first error.
+// args reads an event's values in order and records the first error.
 type args struct {
 	fields []json.RawMessage
 	at     int
@@ -336,14 +337,14 @@
 	for _, row := range rows {
 		r := args{fields: row, err: a.err}
 		e := balance.Entry{ID: r.str("backend"), Zone: r.int("locality")}
-		r.skip(1) // shape: decisions rest on what is observed, not on the kind's name
+		r.skip(1) // shape: decisions depend on observed behavior, not on the name of the server's kind
 		e.Cell = r.int("stripe")
 		state := r.str("lifecycle")
 		var known bool
 		if e.State, known = states[state]; !known && r.err == nil {
 			r.err = fmt.Errorf("unknown lifecycle %q", state)
 		}
-		r.skip(1) // size: turns are even, and the cap finds who is slow
+		r.skip(1) // size: round robin is unweighted, and the adaptive cap on load finds slow servers
 		e.Boot = r.dur("boot_time_ms")
 		if a.err = r.err; a.err != nil {
 			return nil
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -38,10 +38,10 @@
 	}
 }
 
-func TestProcessesAgree(t *testing.T) {
-	day := open() + `{"clock_ms":2,"inbox":[["submit",3,"c:x",null,false,false,0,240.0,1,0]]}` + "\n"
-	one, err1 := serve(t, day)
-	two, err2 := serve(t, day)
+func TestEqualInputGivesEqualOutput(t *testing.T) {
+	input := open() + `{"clock_ms":2,"inbox":[["submit",3,"c:x",null,false,false,0,240.0,1,0]]}` + "\n"
+	one, err1 := serve(t, input)
+	two, err2 := serve(t, input)
 	if err1 != nil || err2 != nil || one != two {
 		t.Fatalf("%v %v\n%s\n%s", err1, err2, one, two)
 	}
@@ -72,7 +72,7 @@
 
 func TestPanicBecomesBroken(t *testing.T) {
 	s := &session{}
-	i := &instance{s: s, who: 4}
+	i := &instance{session: s, number: 4}
 	i.run(nil) // calling nil panics
 	if !strings.HasPrefix(string(s.out), `["broken",4,`) {
 		t.Fatalf("got %s", s.out)
@@ -81,7 +81,7 @@
 
 func TestDeclineCarriesTheWait(t *testing.T) {
 	s := &session{}
-	i := &instance{s: s, who: 4}
+	i := &instance{session: s, number: 4}
 	i.Refuse("c:x", 250*time.Millisecond)
 	if string(s.out) != `["decline",4,"c:x",250.000],` {
 		t.Fatalf("got %s", s.out)
