--- a/internal/cluster/lists/lists.go
+++ b/internal/cluster/lists/lists.go
@@ -1,12 +1,12 @@
 // Package lists checks server lists before a proxy acts on them. A list that omits many servers at once is more often
-// wrong than right: its source was half written, a query timed out, or discovery cannot reach a zone. The omitted
+// wrong than right: its source was half written, a query timed out, or discovery cannot see a zone. The omitted
 // servers are held, that is, kept in service, until operators accept their removal by consensus, a list names them
 // again, or traffic shows that they are gone. The package has no I/O and no clock, and equal events give equal results.
 //
-// Explicit states in a list are never held: a server that drains is taken out of service at once, whatever else the
-// list contains. Single losses and servers that drained before they were omitted are not held either. The cost is that
-// traffic, and not the list, reveals a real loss of many servers, one backend after another. Where that costs more than
-// a bad list would, [rules] list_drop = 1 disables the check.
+// A server that a list names as in service or draining is never held: one that drains is taken out of service at once,
+// whatever else the list contains. Single losses and servers that drained before they were omitted are not held either.
+// The cost is that traffic, and not the list, reveals a real loss of many servers, one backend after another. Where
+// that costs more than a bad list would, [rules] list_drop = 1 disables the check.
 package lists
 
 import (
@@ -22,8 +22,8 @@
 	// MaxDropShare is the share of the servers in service that lists may omit within Window. If they omit more, the
 	// omitted servers are held. A value of 1 holds nothing.
 	Share float64
-	// MinDropCount is the minimum number of omitted servers for any to be held: one server is a third of a fleet of
-	// three.
+	// MinDropCount is the minimum number of omitted servers for any to be held, since a fleet of three loses a third
+	// with one server.
 	Least int
 	// Window is how long a released server counts as omitted, so that lists that lose a tenth each second are held too.
 	Memory time.Duration
@@ -71,7 +71,7 @@
 }
 
 // Apply checks a list and returns the update to pass on in its place.
-func (j *Judge) Take(now time.Duration, u Update) Update {
+func (f *Judge) Take(now time.Duration, u Update) Update {
 	if u.Kind == balance.ListFailed {
 		return u
 	}
@@ -82,36 +82,36 @@
 		named[e.ID] = true
 		if e.State == balance.Gone {
 			// Listed as removed: for a server in service this is the same as an omission.
-			if _, was := j.inService[e.ID]; was {
+			if _, present := f.inService[e.ID]; present {
 				dropped = append(dropped, e.ID)
-			} else if j.held[e.ID] == nil {
+			} else if f.held[e.ID] == nil {
 				out = append(out, e)
 			}
 			continue
 		}
-		delete(j.held, e.ID) // listed again, in service or draining
+		delete(f.held, e.ID) // listed again, in service or draining
 		out = append(out, e)
 	}
 	if u.Kind != balance.Delta {
-		for id := range j.inService {
+		for id := range f.inService {
 			if !named[id] {
 				dropped = append(dropped, id)
 			}
 		}
 	}
 	for _, id := range dropped {
-		j.held[id] = &heldServer{server: j.inService[id], since: now}
-		delete(j.inService, id)
+		f.held[id] = &heldServer{server: f.inService[id], since: now}
+		delete(f.inService, id)
 	}
 	for _, e := range u.Entries {
 		switch e.State {
 		case balance.InService:
-			j.inService[e.ID] = Server{e, u.Addresses[e.ID]}
+			f.inService[e.ID] = Server{e, u.Addresses[e.ID]}
 		case balance.Draining:
-			delete(j.inService, e.ID) // its later removal is expected
+			delete(f.inService, e.ID) // its later removal is expected
 		}
 	}
-	released := j.release(now)
+	released := f.release(now)
 	addresses := maps.Clone(u.Addresses)
 	if addresses == nil {
 		addresses = map[string]string{}
@@ -119,8 +119,8 @@
 	if u.Kind == balance.Delta {
 		out = append(out, released...)
 	} else {
-		for _, id := range slices.Sorted(maps.Keys(j.held)) {
-			h := j.held[id]
+		for _, id := range slices.Sorted(maps.Keys(f.held)) {
+			h := f.held[id]
 			out = append(out, h.server.Entry)
 			addresses[id] = h.server.Address
 		}
@@ -130,53 +130,53 @@
 
 // Reevaluate checks the held servers again after the result of mayDrop has changed. It returns the update to pass on,
 // if any.
-func (j *Judge) Agreed(now time.Duration) (u Update, any bool) { return j.releaseUpdate(now) }
+func (f *Judge) Agreed(now time.Duration) (u Update, changed bool) { return f.releaseUpdate(now) }
 
 // SetUnreachable sets which servers traffic finds unresponsive or failing, and returns the update to pass on, if any.
 // ids must contain all servers that fail now; a held server that is not in ids counts as responsive.
-func (j *Judge) Gone(now time.Duration, ids []string) (u Update, any bool) {
-	for _, h := range j.held {
+func (f *Judge) Gone(now time.Duration, ids []string) (u Update, changed bool) {
+	for _, h := range f.held {
 		h.unreachable = false
 	}
 	for _, id := range ids {
-		if h := j.held[id]; h != nil {
+		if h := f.held[id]; h != nil {
 			h.unreachable = true
 		}
 	}
-	return j.releaseUpdate(now)
+	return f.releaseUpdate(now)
 }
 
-func (j *Judge) releaseUpdate(now time.Duration) (u Update, any bool) {
-	released := j.release(now)
+func (f *Judge) releaseUpdate(now time.Duration) (u Update, changed bool) {
+	released := f.release(now)
 	return Update{Kind: balance.Delta, Entries: released, Addresses: map[string]string{}}, len(released) > 0
 }
 
 // release drops the servers that need not be held, or all held servers if few are missing, and returns them as removed.
-func (j *Judge) release(now time.Duration) (gone []balance.Entry) {
+func (f *Judge) release(now time.Duration) (gone []balance.Entry) {
 	drop := func(id string) {
-		e := j.held[id].server.Entry
+		e := f.held[id].server.Entry
 		e.State = balance.Gone
 		gone = append(gone, e)
-		delete(j.held, id)
+		delete(f.held, id)
 	}
-	ids := slices.Sorted(maps.Keys(j.held))
+	ids := slices.Sorted(maps.Keys(f.held))
 	for _, id := range ids {
 		// A second source, the operators' rules or traffic, confirms the loss, which then does not indicate a bad list.
-		if j.held[id].unreachable || j.mayDrop(id) {
+		if f.held[id].unreachable || f.mayDrop(id) {
 			drop(id)
 		}
 	}
-	for len(j.released) > 0 && now-j.released[0] >= j.settings.Memory {
-		j.released = j.released[1:]
+	for len(f.released) > 0 && now-f.released[0] >= f.settings.Memory {
+		f.released = f.released[1:]
 	}
-	missing := len(j.held) + len(j.released)
-	if missing >= j.settings.Least && float64(missing) > j.settings.Share*float64(len(j.inService)+missing) {
+	missing := len(f.held) + len(f.released)
+	if missing >= f.settings.Least && float64(missing) > f.settings.Share*float64(len(f.inService)+missing) {
 		return gone
 	}
 	for _, id := range ids {
-		if j.held[id] != nil {
+		if f.held[id] != nil {
 			drop(id)
-			j.released = append(j.released, now)
+			f.released = append(f.released, now)
 		}
 	}
 	return gone
@@ -190,9 +190,9 @@
 }
 
 // Snapshot returns the state for the next filter.
-func (j *Judge) Carry(now time.Duration) Carried {
-	c := Carried{Held: j.Held()}
-	for _, at := range j.released {
+func (f *Judge) Carry(now time.Duration) Carried {
+	c := Carried{Held: f.Held()}
+	for _, at := range f.released {
 		c.LetGo = append(c.LetGo, now-at)
 	}
 	return c
@@ -200,27 +200,27 @@
 
 // Restore makes a filter that has seen no list continue from another filter's snapshot. servers are those that the
 // balancer has in service, including the held ones.
-func (j *Judge) Adopt(now time.Duration, c Carried, servers []Server) {
+func (f *Judge) Adopt(now time.Duration, c Carried, servers []Server) {
 	for _, s := range servers {
-		j.inService[s.Entry.ID] = s
+		f.inService[s.Entry.ID] = s
 	}
 	for _, id := range c.Held {
-		if s, known := j.inService[id]; known {
-			j.held[id] = &heldServer{server: s, since: now}
-			delete(j.inService, id)
+		if s, known := f.inService[id]; known {
+			f.held[id] = &heldServer{server: s, since: now}
+			delete(f.inService, id)
 		}
 	}
 	for _, ago := range c.LetGo {
-		j.released = append(j.released, now-ago)
+		f.released = append(f.released, now-ago)
 	}
 }
 
 // Held returns the ids of the servers that are kept in service although the newest list omits them, sorted.
-func (j *Judge) Held() []string { return slices.Sorted(maps.Keys(j.held)) }
+func (f *Judge) Held() []string { return slices.Sorted(maps.Keys(f.held)) }
 
 // HeldSince returns when the first of the held servers was omitted, or 0 if none is held.
-func (j *Judge) Since() (since time.Duration) {
-	for _, h := range j.held {
+func (f *Judge) Since() (since time.Duration) {
+	for _, h := range f.held {
 		if since == 0 || h.since < since {
 			since = h.since
 		}
--- a/internal/cluster/lists/lists_test.go
+++ b/internal/cluster/lists/lists_test.go
@@ -94,7 +94,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			drop := map[string]bool{}
-			j := New(DefaultSettings(), func(id string) bool { return drop[id] })
+			f := New(DefaultSettings(), func(id string) bool { return drop[id] })
 			b := fakeBalancer{}
 			for i, p := range steps {
 				for _, id := range p.drop {
@@ -102,21 +102,21 @@
 				}
 				switch {
 				case p.list.Entries != nil || p.list.Addresses != nil:
-					b.apply(j.Take(p.at, p.list))
+					b.apply(f.Take(p.at, p.list))
 				case p.gone != nil:
-					if u, any := j.Gone(p.at, p.gone); any {
+					if u, changed := f.Gone(p.at, p.gone); changed {
 						b.apply(u)
 					}
 				default:
-					if u, any := j.Agreed(p.at); any {
+					if u, changed := f.Agreed(p.at); changed {
 						b.apply(u)
 					}
 				}
-				if got := b.inService(); got != p.want || len(j.Held()) != p.held {
-					t.Fatalf("step %d: %d in service, %q held; want %d and %d", i, got, j.Held(), p.want, p.held)
+				if got := b.inService(); got != p.want || len(f.Held()) != p.held {
+					t.Fatalf("step %d: %d in service, %q held; want %d and %d", i, got, f.Held(), p.want, p.held)
 				}
-				if len(j.Held()) > 0 != (j.Since() > 0) {
-					t.Fatalf("HeldSince returned %v, which contradicts the number of held servers", j.Since())
+				if len(f.Held()) > 0 != (f.Since() > 0) {
+					t.Fatalf("HeldSince returned %v, which contradicts the number of held servers", f.Since())
 				}
 			}
 		})
@@ -131,7 +131,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		drop := map[string]bool{}
 		set := DefaultSettings()
-		j := New(set, func(id string) bool { return drop[id] })
+		f := New(set, func(id string) bool { return drop[id] })
 		b := fakeBalancer{}
 		truth := map[string]balance.State{} // according to the newest list
 		now := time.Duration(0)
@@ -145,7 +145,7 @@
 				for _, e := range u.Entries {
 					truth[e.ID] = e.State
 				}
-				b.apply(j.Take(now, u))
+				b.apply(f.Take(now, u))
 			case 1:
 				state := rapid.SampledFrom([]balance.State{balance.InService, balance.Draining, balance.Gone}).Draw(t, "state")
 				u := delta(state, some...)
@@ -154,13 +154,13 @@
 						delete(truth, e.ID)
 					}
 				}
-				b.apply(j.Take(now, u))
+				b.apply(f.Take(now, u))
 			case 2:
 				clear(drop)
 				for _, i := range some {
 					drop[entry(i, 0).ID] = true
 				}
-				if u, any := j.Agreed(now); any {
+				if u, changed := f.Agreed(now); changed {
 					b.apply(u)
 				}
 			case 3:
@@ -168,15 +168,15 @@
 				for _, i := range some {
 					ids = append(ids, entry(i, 0).ID)
 				}
-				if u, any := j.Gone(now, ids); any {
+				if u, changed := f.Gone(now, ids); changed {
 					b.apply(u)
 				}
 			case 4:
-				if u := j.Take(now, Update{Kind: balance.ListFailed}); u.Kind != balance.ListFailed {
+				if u := f.Take(now, Update{Kind: balance.ListFailed}); u.Kind != balance.ListFailed {
 					t.Fatal("a failed call was turned into a list")
 				}
 			}
-			held := j.Held()
+			held := f.Held()
 			want := maps.Clone(truth)
 			for _, id := range held {
 				if _, named := truth[id]; named {
@@ -190,7 +190,7 @@
 			if !maps.Equal(want, map[string]balance.State(b)) {
 				t.Fatalf("the balancer has %v, want the listed and held servers %v", b, want)
 			}
-			if len(held) == 1 && len(j.released) == 0 {
+			if len(held) == 1 && len(f.released) == 0 {
 				t.Fatalf("a single server is held: %q", held)
 			}
 			if !slices.IsSorted(held) {
@@ -228,16 +228,16 @@
 				ids = append(ids, entry(i, 0).ID)
 				drop[entry(i, 0).ID] = what == 2 || drop[entry(i, 0).ID]
 			}
-			decide := func(j *Judge, now time.Duration) (u Update) {
+			decide := func(f *Judge, now time.Duration) (u Update) {
 				switch what {
 				case 0:
-					return j.Take(now, full(some...))
+					return f.Take(now, full(some...))
 				case 1:
-					return j.Take(now, delta(state, some...))
+					return f.Take(now, delta(state, some...))
 				case 2:
-					u, _ = j.Agreed(now)
+					u, _ = f.Agreed(now)
 				case 3:
-					u, _ = j.Gone(now, ids)
+					u, _ = f.Gone(now, ids)
 				}
 				return u
 			}
--- a/internal/cluster/numbering/numbering_test.go
+++ b/internal/cluster/numbering/numbering_test.go
@@ -151,8 +151,8 @@
 func (nopHost) Watch()                             {}
 func (nopHost) Log(string)                         {}
 
-// killThird kills a third of the proxies, with each of 20 seeds. It returns the mean unevenness of the load with fixed
-// numbers and with agreed numbers, and the mean number of connections opened per living proxy.
+// killThird kills a third of the proxies, with each of 20 seeds. It returns the means of evenness with fixed numbers
+// and with agreed numbers, and the mean number of connections opened per living proxy.
 func killThird(t testing.TB, proxies, servers int) (fixed, agreed, opened float64) {
 	const seeds = 20
 	for seed := range uint64(seeds) {
--- a/internal/cluster/parts/parts.go
+++ b/internal/cluster/parts/parts.go
@@ -58,20 +58,20 @@
 // announced that they leave do not raise it: the budget is measured on this proxy's own traffic, which grows by itself
 // when their traffic arrives here, so raising the factor would count that traffic twice (docs/design/view.md).
 func Decide(instances int, c Count) Parts {
-	p := Whole
+	f := Whole
 	if instances < 1 || c.Present < 1 {
-		return p
+		return f
 	}
 	// Instances that have never been seen may be alive too.
 	neverSeen := max(instances-c.Present-c.Silent-c.Left, 0)
 	living := c.Present + c.Silent + neverSeen
 	if living > instances {
-		p.Hard = float64(instances) / float64(living)
+		f.Hard = float64(instances) / float64(living)
 	}
 	if 2*c.Present > living {
-		p.Soft = min(float64(instances)/float64(c.Present+neverSeen), maxSoft)
+		f.Soft = min(float64(instances)/float64(c.Present+neverSeen), maxSoft)
 	} else {
-		p.Soft = min(p.Soft, float64(instances)/float64(max(living, 1)))
+		f.Soft = min(f.Soft, float64(instances)/float64(max(living, 1)))
 	}
-	return p
+	return f
 }
--- a/internal/cluster/parts/parts_test.go
+++ b/internal/cluster/parts/parts_test.go
@@ -41,21 +41,21 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 200).Draw(t, "instances")
 		c := Count{rapid.IntRange(1, 300).Draw(t, "present"), rapid.IntRange(0, 300).Draw(t, "silent"), rapid.IntRange(0, 300).Draw(t, "left")}
-		p := Decide(n, c)
-		if p.Hard > 1 || p.Hard <= 0 || p.Soft <= 0 || p.Soft > maxSoft {
-			t.Fatalf("factors out of range: %+v", p)
+		f := Decide(n, c)
+		if f.Hard > 1 || f.Hard <= 0 || f.Soft <= 0 || f.Soft > maxSoft {
+			t.Fatalf("factors out of range: %+v", f)
 		}
-		if more := Decide(n, Count{c.Present - 1, c.Silent + 1, c.Left}); c.Present > 1 && more.Hard > p.Hard {
-			t.Fatalf("a member falls silent and the hard factor grows from %v to %v", p.Hard, more.Hard)
+		if more := Decide(n, Count{c.Present - 1, c.Silent + 1, c.Left}); c.Present > 1 && more.Hard > f.Hard {
+			t.Fatalf("a member falls silent and the hard factor grows from %v to %v", f.Hard, more.Hard)
 		}
-		if more := Decide(n, Count{c.Present + 1, c.Silent, c.Left}); more.Hard > p.Hard {
-			t.Fatalf("a member joins and the hard factor grows from %v to %v", p.Hard, more.Hard)
+		if more := Decide(n, Count{c.Present + 1, c.Silent, c.Left}); more.Hard > f.Hard {
+			t.Fatalf("a member joins and the hard factor grows from %v to %v", f.Hard, more.Hard)
 		}
 		const rounding = 1e-9
-		if all := p.Hard * float64(c.Present+c.Silent) / float64(n); all > 1+rounding {
+		if all := f.Hard * float64(c.Present+c.Silent) / float64(n); all > 1+rounding {
 			t.Fatalf("all members that may be alive use %v of a hard limit", all)
 		}
-		if all := p.Soft * float64(c.Present) / float64(n); 2*c.Present > c.Present+c.Silent && all > 1+rounding {
+		if all := f.Soft * float64(c.Present) / float64(n); 2*c.Present > c.Present+c.Silent && all > 1+rounding {
 			t.Fatalf("all present members use %v of a soft limit", all)
 		}
 	})
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -39,7 +39,7 @@
 	Propose(ctx context.Context, change []byte) ([]byte, error)
 	// Refound makes a voter of the rules continue alone, in place of the other voters, which are permanently lost.
 	Refound(ctx context.Context) error
-	// Suspend takes a server out of rotation until Resume. After it returns, no new request is sent to the server. It
+	// Suspend takes a server out of rotation until Resume. After it returns, nothing new is sent to the server. It
 	// returns an error if no list has ever named the server, and ErrNotPersisted if a power loss would undo the change.
 	Suspend(ctx context.Context, id string) error
 	// Resume puts a server back into rotation.
@@ -59,11 +59,11 @@
 )
 
 const (
-	maxBodyBytes = 64 << 10 // bytes
-	// callTime bounds a call from its connection to its last byte, so that operators have an answer within 1 s.
+	maxBodyBytes = 64 << 10
+	// callTimeout bounds a call from its connection to its last byte, so that operators have an answer within 1 s.
 	callTimeout    = 900 * time.Millisecond
-	maxHeaderBytes = 4 << 10 // bytes
-	maxIDBytes     = 256     // bytes
+	maxHeaderBytes = 4 << 10
+	maxIDBytes     = 256
 )
 
 // Server is the console's HTTP server.
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -255,16 +255,16 @@
 		c.(*caller).since = time.Now().Add(-time.Hour)
 		return c.(*caller)
 	}
-	newcomer := &caller{owner: l}
+	newConn := &caller{owner: l}
 	expireGrace(held)
-	if l.admit(newcomer) == 0 {
+	if l.admit(newConn) == 0 {
 		t.Fatal("a call with an unread head was evicted")
 	}
 	if _, err := io.ReadFull(held, make([]byte, len("GET /v1/readyz HTTP/1.1\r\nHost: c\r\n\r\n"))); err != nil {
 		t.Fatal(err)
 	}
 	expireGrace(held)
-	if l.admit(newcomer) == 0 {
+	if l.admit(newConn) == 0 {
 		t.Fatal("a call with a complete head was evicted before its response")
 	}
 	l.track(held, http.StateClosed)
@@ -278,7 +278,7 @@
 		t.Fatal(err)
 	}
 	expireGrace(half)
-	if l.admit(newcomer) != 0 {
+	if l.admit(newConn) != 0 {
 		t.Fatal("a stalled partial call kept its place")
 	}
 	if _, err := half.Read(make([]byte, 1)); !errors.Is(err, net.ErrClosed) {
--- a/internal/console/listener.go
+++ b/internal/console/listener.go
@@ -200,15 +200,15 @@
 
 // scanHead scans bytes of the head for its end. The caller holds c.readMu.
 func (c *caller) scanHead(b []byte) {
-	for _, at := range b {
+	for _, ch := range b {
 		switch {
 		case c.headComplete:
 			return
-		case at == '\n' && c.lineLen == 0 && c.sawLine:
+		case ch == '\n' && c.lineLen == 0 && c.sawLine:
 			c.headComplete = true
-		case at == '\n':
+		case ch == '\n':
 			c.lineLen, c.sawLine = 0, true
-		case at != '\r':
+		case ch != '\r':
 			c.lineLen++
 		}
 	}
@@ -220,7 +220,7 @@
 	defer c.readMu.Unlock()
 	unread := false
 	var b [1]byte
-	// Control fails only for a closed connection, which needs no place.
+	// Control fails only for a closed connection, which loses nothing by its eviction.
 	_ = c.raw.Control(func(fd uintptr) {
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		unread = err == nil && n > 0
--- a/internal/count/count.go
+++ b/internal/count/count.go
@@ -85,7 +85,7 @@
 }
 
 // Add takes one line, and ignores lines of other kinds.
-func (f *Fleet) Add(l Line) {
+func (a *Fleet) Add(l Line) {
 	switch l.Msg {
 	case host.TraceAttempt, host.TraceUnserved, host.TraceList, discovery.TraceCall:
 	default:
@@ -95,7 +95,7 @@
 	if took, err := time.ParseDuration(l.Fields["took_ms"] + "ms"); err == nil && l.Msg == host.TraceAttempt {
 		e.at = l.At.Add(-took)
 	}
-	f.lines = append(f.lines, e)
+	a.lines = append(a.lines, e)
 }
 
 // tally accumulates the counts of one backend.
@@ -111,18 +111,18 @@
 }
 
 // Report aggregates the lines added so far.
-func (f *Fleet) Report() Report {
-	slices.SortStableFunc(f.lines, func(x, y event) int { return x.at.Compare(y.at) })
+func (a *Fleet) Report() Report {
+	slices.SortStableFunc(a.lines, func(x, y event) int { return x.at.Compare(y.at) })
 	var r Report
-	if len(f.lines) == 0 {
+	if len(a.lines) == 0 {
 		return r
 	}
-	start := f.lines[0].at
+	start := a.lines[0].at
 	proxies := map[string]bool{}
 	backends := map[string]*tally{}
 	versions := map[string]int64{} // the list version that each proxy holds, by proxy
 	updates := map[int64]*News{}
-	for _, e := range f.lines {
+	for _, e := range a.lines {
 		since := e.at.Sub(start).Seconds()
 		if since >= maxSeconds {
 			r.Strange++
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -86,19 +86,19 @@
 		s.lists[table] = a.entries("members")
 		return a.err
 	}
-	who := a.int("who")
+	number := a.int("who")
 	if a.err != nil {
 		return a.err
 	}
 	if name == "open_instance" {
-		return s.open(who, &a)
+		return s.open(number, &a)
 	}
-	inst := s.instances[who]
+	inst := s.instances[number]
 	if inst == nil {
-		return fmt.Errorf("%s for instance %d, which is not open", name, who)
+		return fmt.Errorf("%s for instance %d, which is not open", name, number)
 	}
 	if name == "teardown" {
-		delete(s.instances, who)
+		delete(s.instances, number)
 		return nil
 	}
 	call, err := decode(name, &a, s.lists)
@@ -179,7 +179,7 @@
 	"in_service": balance.InService, "terminating": balance.Draining, "terminated": balance.Gone,
 }
 
-func (s *session) open(who int, a *args) error {
+func (s *session) open(number int, a *args) error {
 	seed := a.uint("prng")
 	if a.err != nil {
 		return a.err
@@ -188,11 +188,11 @@
 	if err != nil {
 		return fmt.Errorf("profile_data: %w", err)
 	}
-	inst := &instance{session: s, number: who}
+	inst := &instance{session: s, number: number}
 	if inst.balancer, err = balance.New(profile.Balancer, seed, inst); err != nil {
 		return err
 	}
-	s.instances[who] = inst
+	s.instances[number] = inst
 	return nil
 }
 
@@ -240,7 +240,8 @@
 	i.end()
 }
 
-// Refuse writes the action that rejects a request. If wait is above 0, it is the time after which the client may retry.
+// Refuse writes the action that rejects a request in a way that lets the client safely retry, after wait if that is
+// above 0.
 func (i *instance) Refuse(id string, wait time.Duration) {
 	i.begin("decline")
 	i.text(id)
@@ -248,7 +249,7 @@
 	i.end()
 }
 
-// Fail writes the action that fails a request, without a time after which the client may retry.
+// Fail writes the action that fails a request, without the promise that a retry is safe.
 func (i *instance) Fail(id string) { i.final("abort", id, "") }
 
 func (i *instance) final(name, id, rest string) {
