--- a/internal/cluster/lists/lists.go
+++ b/internal/cluster/lists/lists.go
@@ -21,16 +21,18 @@
 type Settings struct {
 	// MaxDropShare is the share of the servers in service that lists may omit within Window. If they omit more, the
 	// omitted servers are held. A value of 1 holds nothing.
-	Share float64
+	MaxDropShare float64
 	// MinDropCount is the minimum number of omitted servers for any to be held, since a fleet of three loses a third
 	// with one server.
-	Least int
+	MinDropCount int
 	// Window is how long a released server counts as omitted, so that lists that lose a tenth each second are held too.
-	Memory time.Duration
+	Window time.Duration
 }
 
 // DefaultSettings returns the values that operators requested.
-func DefaultSettings() Settings { return Settings{Share: 0.22, Least: 2, Memory: time.Minute} }
+func DefaultSettings() Settings {
+	return Settings{MaxDropShare: 0.22, MinDropCount: 2, Window: time.Minute}
+}
 
 // Server is a server in service and the address to dial.
 type Server struct {
@@ -53,7 +55,7 @@
 }
 
 // Filter checks the lists of one proxy. It is not safe for concurrent use.
-type Judge struct {
+type Filter struct {
 	settings  Settings
 	inService map[string]Server // in service according to the newest list
 	held      map[string]*heldServer
@@ -63,15 +65,15 @@
 
 // New returns a filter that has seen no list. mayDrop reports whether the agreed rules allow a server to be omitted; it
 // may be nil.
-func New(s Settings, mayDrop func(id string) bool) *Judge {
+func New(s Settings, mayDrop func(id string) bool) *Filter {
 	if mayDrop == nil {
 		mayDrop = func(string) bool { return false }
 	}
-	return &Judge{settings: s, inService: map[string]Server{}, held: map[string]*heldServer{}, mayDrop: mayDrop}
+	return &Filter{settings: s, inService: map[string]Server{}, held: map[string]*heldServer{}, mayDrop: mayDrop}
 }
 
 // Apply checks a list and returns the update to pass on in its place.
-func (f *Judge) Take(now time.Duration, u Update) Update {
+func (f *Filter) Apply(now time.Duration, u Update) Update {
 	if u.Kind == balance.ListFailed {
 		return u
 	}
@@ -130,11 +132,11 @@
 
 // Reevaluate checks the held servers again after the result of mayDrop has changed. It returns the update to pass on,
 // if any.
-func (f *Judge) Agreed(now time.Duration) (u Update, changed bool) { return f.releaseUpdate(now) }
+func (f *Filter) Reevaluate(now time.Duration) (u Update, changed bool) { return f.releaseUpdate(now) }
 
 // SetUnreachable sets which servers traffic finds unresponsive or failing, and returns the update to pass on, if any.
 // ids must contain all servers that fail now; a held server that is not in ids counts as responsive.
-func (f *Judge) Gone(now time.Duration, ids []string) (u Update, changed bool) {
+func (f *Filter) SetUnreachable(now time.Duration, ids []string) (u Update, changed bool) {
 	for _, h := range f.held {
 		h.unreachable = false
 	}
@@ -146,13 +148,13 @@
 	return f.releaseUpdate(now)
 }
 
-func (f *Judge) releaseUpdate(now time.Duration) (u Update, changed bool) {
+func (f *Filter) releaseUpdate(now time.Duration) (u Update, changed bool) {
 	released := f.release(now)
 	return Update{Kind: balance.Delta, Entries: released, Addresses: map[string]string{}}, len(released) > 0
 }
 
 // release drops the servers that need not be held, or all held servers if few are missing, and returns them as removed.
-func (f *Judge) release(now time.Duration) (gone []balance.Entry) {
+func (f *Filter) release(now time.Duration) (gone []balance.Entry) {
 	drop := func(id string) {
 		e := f.held[id].server.Entry
 		e.State = balance.Gone
@@ -166,11 +168,11 @@
 			drop(id)
 		}
 	}
-	for len(f.released) > 0 && now-f.released[0] >= f.settings.Memory {
+	for len(f.released) > 0 && now-f.released[0] >= f.settings.Window {
 		f.released = f.released[1:]
 	}
 	missing := len(f.held) + len(f.released)
-	if missing >= f.settings.Least && float64(missing) > f.settings.Share*float64(len(f.inService)+missing) {
+	if missing >= f.settings.MinDropCount && float64(missing) > f.settings.MaxDropShare*float64(len(f.inService)+missing) {
 		return gone
 	}
 	for _, id := range ids {
@@ -184,14 +186,14 @@
 
 // Snapshot is the state that one filter hands to the next at an upgrade. The new filter gets the servers in service
 // from the balancer.
-type Carried struct {
+type Snapshot struct {
 	Held  []string        `cbor:"1,keyasint"` // ids, sorted
 	LetGo []time.Duration `cbor:"2,keyasint"` // how long ago servers were released because of a list alone, the longest first
 }
 
 // Snapshot returns the state for the next filter.
-func (f *Judge) Carry(now time.Duration) Carried {
-	c := Carried{Held: f.Held()}
+func (f *Filter) Snapshot(now time.Duration) Snapshot {
+	c := Snapshot{Held: f.Held()}
 	for _, at := range f.released {
 		c.LetGo = append(c.LetGo, now-at)
 	}
@@ -200,7 +202,7 @@
 
 // Restore makes a filter that has seen no list continue from another filter's snapshot. servers are those that the
 // balancer has in service, including the held ones.
-func (f *Judge) Adopt(now time.Duration, c Carried, servers []Server) {
+func (f *Filter) Restore(now time.Duration, c Snapshot, servers []Server) {
 	for _, s := range servers {
 		f.inService[s.Entry.ID] = s
 	}
@@ -216,10 +218,10 @@
 }
 
 // Held returns the ids of the servers that are kept in service although the newest list omits them, sorted.
-func (f *Judge) Held() []string { return slices.Sorted(maps.Keys(f.held)) }
+func (f *Filter) Held() []string { return slices.Sorted(maps.Keys(f.held)) }
 
 // HeldSince returns when the first of the held servers was omitted, or 0 if none is held.
-func (f *Judge) Since() (since time.Duration) {
+func (f *Filter) HeldSince() (since time.Duration) {
 	for _, h := range f.held {
 		if since == 0 || h.since < since {
 			since = h.since
--- a/internal/cluster/lists/lists_test.go
+++ b/internal/cluster/lists/lists_test.go
@@ -102,21 +102,21 @@
 				}
 				switch {
 				case p.list.Entries != nil || p.list.Addresses != nil:
-					b.apply(f.Take(p.at, p.list))
+					b.apply(f.Apply(p.at, p.list))
 				case p.gone != nil:
-					if u, changed := f.Gone(p.at, p.gone); changed {
+					if u, changed := f.SetUnreachable(p.at, p.gone); changed {
 						b.apply(u)
 					}
 				default:
-					if u, changed := f.Agreed(p.at); changed {
+					if u, changed := f.Reevaluate(p.at); changed {
 						b.apply(u)
 					}
 				}
 				if got := b.inService(); got != p.want || len(f.Held()) != p.held {
 					t.Fatalf("step %d: %d in service, %q held; want %d and %d", i, got, f.Held(), p.want, p.held)
 				}
-				if len(f.Held()) > 0 != (f.Since() > 0) {
-					t.Fatalf("HeldSince returned %v, which contradicts the number of held servers", f.Since())
+				if len(f.Held()) > 0 != (f.HeldSince() > 0) {
+					t.Fatalf("HeldSince returned %v, which contradicts the number of held servers", f.HeldSince())
 				}
 			}
 		})
@@ -145,7 +145,7 @@
 				for _, e := range u.Entries {
 					truth[e.ID] = e.State
 				}
-				b.apply(f.Take(now, u))
+				b.apply(f.Apply(now, u))
 			case 1:
 				state := rapid.SampledFrom([]balance.State{balance.InService, balance.Draining, balance.Gone}).Draw(t, "state")
 				u := delta(state, some...)
@@ -154,13 +154,13 @@
 						delete(truth, e.ID)
 					}
 				}
-				b.apply(f.Take(now, u))
+				b.apply(f.Apply(now, u))
 			case 2:
 				clear(drop)
 				for _, i := range some {
 					drop[entry(i, 0).ID] = true
 				}
-				if u, changed := f.Agreed(now); changed {
+				if u, changed := f.Reevaluate(now); changed {
 					b.apply(u)
 				}
 			case 3:
@@ -168,11 +168,11 @@
 				for _, i := range some {
 					ids = append(ids, entry(i, 0).ID)
 				}
-				if u, changed := f.Gone(now, ids); changed {
+				if u, changed := f.SetUnreachable(now, ids); changed {
 					b.apply(u)
 				}
 			case 4:
-				if u := f.Take(now, Update{Kind: balance.ListFailed}); u.Kind != balance.ListFailed {
+				if u := f.Apply(now, Update{Kind: balance.ListFailed}); u.Kind != balance.ListFailed {
 					t.Fatal("a failed call was turned into a list")
 				}
 			}
@@ -215,7 +215,7 @@
 		for step := range rapid.IntRange(adoptedAt, 25).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 40).Draw(t, "pause")) * time.Second
 			if step == adoptedAt {
-				second.Adopt(now+ahead, first.Carry(now), slices.Collect(maps.Values(inService)))
+				second.Restore(now+ahead, first.Snapshot(now), slices.Collect(maps.Values(inService)))
 			}
 			some := rapid.SliceOfDistinct(rapid.IntRange(0, servers-1), rapid.ID).Draw(t, "some")
 			state := rapid.SampledFrom([]balance.State{balance.InService, balance.Draining, balance.Gone}).Draw(t, "state")
@@ -228,16 +228,16 @@
 				ids = append(ids, entry(i, 0).ID)
 				drop[entry(i, 0).ID] = what == 2 || drop[entry(i, 0).ID]
 			}
-			decide := func(f *Judge, now time.Duration) (u Update) {
+			decide := func(f *Filter, now time.Duration) (u Update) {
 				switch what {
 				case 0:
-					return f.Take(now, full(some...))
+					return f.Apply(now, full(some...))
 				case 1:
-					return f.Take(now, delta(state, some...))
+					return f.Apply(now, delta(state, some...))
 				case 2:
-					u, _ = f.Agreed(now)
+					u, _ = f.Reevaluate(now)
 				case 3:
-					u, _ = f.Gone(now, ids)
+					u, _ = f.SetUnreachable(now, ids)
 				}
 				return u
 			}
--- a/internal/cluster/numbering/numbering.go
+++ b/internal/cluster/numbering/numbering.go
@@ -22,16 +22,16 @@
 type Settings struct {
 	// SettleTime is how long the set of living proxies must be unchanged before numbers are reassigned. Each
 	// reassignment costs connections, and a restart takes less time than this.
-	Settle time.Duration
+	SettleTime time.Duration
 	// MinInterval is the minimum time between two plans.
-	Again time.Duration
+	MinInterval time.Duration
 	// MaxProxies is the maximum number of living proxies; with more, nothing is planned.
-	Most int
+	MaxProxies int
 }
 
 // DefaultSettings returns settings for fleets whose proxies restart within a few seconds.
 func DefaultSettings() Settings {
-	return Settings{Settle: 10 * time.Second, Again: 10 * time.Second, Most: rules.MaxMembers}
+	return Settings{SettleTime: 10 * time.Second, MinInterval: 10 * time.Second, MaxProxies: rules.MaxMembers}
 }
 
 // Planner plans the numbers of all proxies; it runs on the leader. It is not safe for concurrent use.
@@ -47,7 +47,7 @@
 func New(s Settings) *Planner { return &Planner{settings: s} }
 
 // SetLiving sets the names of the living proxies, in any order, this proxy included.
-func (p *Planner) See(now time.Duration, living []string) {
+func (p *Planner) SetLiving(now time.Duration, living []string) {
 	living = slices.Compact(slices.Sorted(slices.Values(living)))
 	if !slices.Equal(living, p.living) {
 		p.living, p.livingSince = living, now
@@ -56,7 +56,7 @@
 
 // Plan returns the numbers to propose now and whether there are any to propose. held are the numbers in force.
 func (p *Planner) Plan(now time.Duration, held map[string]int) (numbers map[string]int, due bool) {
-	if len(p.living) == 0 || len(p.living) > p.settings.Most || now-p.livingSince < p.settings.Settle || p.hasPlanned && now-p.plannedAt < p.settings.Again {
+	if len(p.living) == 0 || len(p.living) > p.settings.MaxProxies || now-p.livingSince < p.settings.SettleTime || p.hasPlanned && now-p.plannedAt < p.settings.MinInterval {
 		return nil, false
 	}
 	numbers = Assign(p.living, held)
--- a/internal/cluster/parts/parts.go
+++ b/internal/cluster/parts/parts.go
@@ -12,27 +12,27 @@
 
 // Factors scale this proxy's configured share of the soft and hard limits, which was computed for a number of
 // instances. A factor of 1 leaves the share unchanged.
-type Parts struct{ Soft, Hard float64 }
+type Factors struct{ Soft, Hard float64 }
 
 // FullShare applies without a view of the fleet.
-var Whole = Parts{Soft: 1, Hard: 1}
+var FullShare = Factors{Soft: 1, Hard: 1}
 
 // MemberCounts are the numbers of members in a view, by state.
-type Count struct {
+type MemberCounts struct {
 	Present int // alive or suspected, including this process
-	Silent  int // considered dead; they may be alive on the other side of a network partition
+	Dead    int // considered dead; they may be alive on the other side of a network partition
 	Left    int // announced that they leave
 }
 
 // CountMembers counts the members of a view.
-func Of(s *view.Standing) Count {
-	var c Count
+func CountMembers(s *view.Snapshot) MemberCounts {
+	var c MemberCounts
 	for i := range s.Members {
 		switch s.Members[i].State {
 		case view.Alive, view.Suspect:
 			c.Present++
 		case view.Dead:
-			c.Silent++
+			c.Dead++
 		case view.Left:
 			c.Left++
 		}
@@ -57,14 +57,14 @@
 // Hard: at most 1. If more members may be alive than the share was computed for, it is computed for those. Members that
 // announced that they leave do not raise it: the budget is measured on this proxy's own traffic, which grows by itself
 // when their traffic arrives here, so raising the factor would count that traffic twice (docs/design/view.md).
-func Decide(instances int, c Count) Parts {
-	f := Whole
+func Decide(instances int, c MemberCounts) Factors {
+	f := FullShare
 	if instances < 1 || c.Present < 1 {
 		return f
 	}
 	// Instances that have never been seen may be alive too.
-	neverSeen := max(instances-c.Present-c.Silent-c.Left, 0)
-	living := c.Present + c.Silent + neverSeen
+	neverSeen := max(instances-c.Present-c.Dead-c.Left, 0)
+	living := c.Present + c.Dead + neverSeen
 	if living > instances {
 		f.Hard = float64(instances) / float64(living)
 	}
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -18,7 +18,7 @@
 )
 
 // Controller handles the operators' requests. Its methods may be called at any time and must return at once.
-type Desk interface {
+type Controller interface {
 	// Ready reports whether this process accepts clients.
 	Ready() bool
 	// Figures appends the metrics to text.
@@ -47,13 +47,13 @@
 }
 
 // ErrDisabled is returned for a request about a feature that is not enabled.
-var ErrNone = errors.New("not enabled: its section is missing from the operator file")
+var ErrDisabled = errors.New("not enabled: its section is missing from the operator file")
 
 var (
 	// ErrInvalid is returned for a malformed or inconsistent request.
-	ErrBad = errors.New("invalid request")
+	ErrInvalid = errors.New("invalid request")
 	// ErrNotPersisted is returned for an operator override that is in effect but not stored on disk.
-	ErrNotKept = errors.New("applied, but not persisted")
+	ErrNotPersisted = errors.New("applied, but not persisted")
 	// ErrRefused is returned for a change that was rejected. The error that it is joined with gives the reason.
 	ErrRefused = errors.New("rejected")
 )
@@ -68,7 +68,7 @@
 
 // Server is the console's HTTP server.
 type Server struct {
-	controller Desk
+	controller Controller
 	log        *slog.Logger
 	listener   *listener
 	http       *http.Server
@@ -76,7 +76,7 @@
 
 // New opens the console's listening socket; calls are answered once Serve runs. The console holds at most conns
 // connections, as described at listener.
-func New(address string, conns int, desk Desk, log *slog.Logger) (*Server, error) {
+func New(address string, conns int, desk Controller, log *slog.Logger) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
@@ -170,7 +170,7 @@
 	err = action(r.Context(), id)
 	s.log.Info("console: by hand", "action", verb, "backend", id, "caller", r.RemoteAddr, "refused", err)
 	switch {
-	case errors.Is(err, ErrNotKept):
+	case errors.Is(err, ErrNotPersisted):
 		http.Error(w, err.Error(), http.StatusInsufficientStorage)
 		return
 	case err != nil:
@@ -187,7 +187,7 @@
 	switch {
 	case err == nil:
 		fmt.Fprintln(w, "refound: this voter continues alone")
-	case errors.Is(err, ErrNone):
+	case errors.Is(err, ErrDisabled):
 		http.Error(w, err.Error(), http.StatusNotFound)
 	default:
 		http.Error(w, err.Error(), http.StatusConflict)
@@ -207,9 +207,9 @@
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
 		w.Write(answer)
-	case errors.Is(err, ErrNone):
+	case errors.Is(err, ErrDisabled):
 		http.Error(w, err.Error(), http.StatusNotFound)
-	case errors.Is(err, ErrBad):
+	case errors.Is(err, ErrInvalid):
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	case errors.Is(err, ErrRefused):
 		http.Error(w, err.Error(), http.StatusConflict)
@@ -221,7 +221,7 @@
 // writeDocument answers with the JSON that document returns.
 func writeDocument(ctx context.Context, w http.ResponseWriter, document func(context.Context) ([]byte, error)) {
 	text, err := document(ctx)
-	if errors.Is(err, ErrNone) {
+	if errors.Is(err, ErrDisabled) {
 		http.Error(w, err.Error(), http.StatusNotFound)
 		return
 	}
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -35,11 +35,11 @@
 func (b *fakeController) Figures(t []byte) []byte { return append(t, "edge_relay.active:0|g\n"...) }
 func (b *fakeController) Status() ([]byte, error) { return []byte(`{"ready":true}`), nil }
 
-func (b *fakeController) Rules(context.Context) ([]byte, error) { return nil, ErrNone }
+func (b *fakeController) Rules(context.Context) ([]byte, error) { return nil, ErrDisabled }
 func (b *fakeController) Propose(_ context.Context, c []byte) ([]byte, error) {
 	switch string(c) {
 	case "bad":
-		return nil, ErrBad
+		return nil, ErrInvalid
 	case "no":
 		return nil, ErrRefused
 	case "late":
@@ -47,9 +47,9 @@
 	}
 	return c, nil
 }
-func (b *fakeController) Refound(context.Context) error            { return ErrNone }
-func (b *fakeController) Fleet(context.Context) ([]byte, error)    { return nil, ErrNone }
-func (b *fakeController) Recovery(context.Context) ([]byte, error) { return nil, ErrNone }
+func (b *fakeController) Refound(context.Context) error            { return ErrDisabled }
+func (b *fakeController) Fleet(context.Context) ([]byte, error)    { return nil, ErrDisabled }
+func (b *fakeController) Recovery(context.Context) ([]byte, error) { return nil, ErrDisabled }
 func (b *fakeController) record(what, id string) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/count/count.go
+++ b/internal/count/count.go
@@ -28,17 +28,17 @@
 
 // Second is what all proxies did in one second. An attempt counts in the second in which it was sent.
 type Second struct {
-	At       int            `json:"at"` // whole seconds since the first line
-	Calls    int            `json:"calls"`
-	Broken   int            `json:"broken"` // calls that ended with an error
-	First    int            `json:"first"`  // first attempts
-	Again    int            `json:"again"`
-	Outcomes map[string]int `json:"outcomes"` // of all attempts
-	Refused  int            `json:"refused"`
-	Failed   int            `json:"failed"`
+	At          int            `json:"at"` // whole seconds since the first line
+	Calls       int            `json:"calls"`
+	FailedCalls int            `json:"broken"` // calls that ended with an error
+	First       int            `json:"first"`  // first attempts
+	Retries     int            `json:"again"`
+	Outcomes    map[string]int `json:"outcomes"` // of all attempts
+	Refused     int            `json:"refused"`
+	Failed      int            `json:"failed"`
 	// MaxOverMean is the largest number of attempts at one backend, divided by the mean over the backends that had any.
 	// It is 0 where no backend had any.
-	Uneven float64 `json:"uneven"`
+	MaxOverMean float64 `json:"uneven"`
 }
 
 // Backend is what all proxies did with one backend.
@@ -48,16 +48,16 @@
 	Attempts int    `json:"attempts"`
 	Served   int    `json:"served"`
 	// MaxPerSecond is the largest number of attempts at it in one second.
-	MostSecond int `json:"most_second"`
+	MaxPerSecond int `json:"most_second"`
 	// FirstUnreachable and LastUnreachable are the send times, in seconds since the first line, of the first and the
 	// last attempt that failed because the backend was unreachable or did not answer. They are negative if there was
 	// none. The time between them is what the proxies needed to detect the failure.
-	Lost     float64 `json:"lost"`
-	LastSent float64 `json:"last_sent"`
+	FirstUnreachable float64 `json:"lost"`
+	LastUnreachable  float64 `json:"last_sent"`
 }
 
 // ListUpdate is a version of the server list, with the times at which the proxies received it.
-type News struct {
+type ListUpdate struct {
 	Seq     int64 `json:"seq"`
 	Proxies int   `json:"proxies"` // proxies that hold it or a later one
 	// First and Last are when the first and the last proxy received exactly this version, in seconds since the first
@@ -68,15 +68,15 @@
 
 // Report is what all proxies of a fleet did.
 type Report struct {
-	Proxies  int       `json:"proxies"`
-	Seconds  []Second  `json:"seconds"`
-	Backends []Backend `json:"backends"`
-	News     []News    `json:"news"`
-	Strange  int       `json:"strange"` // lines of the counted kinds with invalid fields, or from outside the time span
+	Proxies     int          `json:"proxies"`
+	Seconds     []Second     `json:"seconds"`
+	Backends    []Backend    `json:"backends"`
+	ListUpdates []ListUpdate `json:"news"`
+	Malformed   int          `json:"strange"` // lines of the counted kinds with invalid fields, or from outside the time span
 }
 
 // Aggregator collects the lines of all proxies. It is not safe for concurrent use.
-type Fleet struct{ lines []event }
+type Aggregator struct{ lines []event }
 
 // event is a line of a counted kind.
 type event struct {
@@ -85,7 +85,7 @@
 }
 
 // Add takes one line, and ignores lines of other kinds.
-func (a *Fleet) Add(l Line) {
+func (a *Aggregator) Add(l Line) {
 	switch l.Msg {
 	case host.TraceAttempt, host.TraceUnserved, host.TraceList, discovery.TraceCall:
 	default:
@@ -111,7 +111,7 @@
 }
 
 // Report aggregates the lines added so far.
-func (a *Fleet) Report() Report {
+func (a *Aggregator) Report() Report {
 	slices.SortStableFunc(a.lines, func(x, y event) int { return x.at.Compare(y.at) })
 	var r Report
 	if len(a.lines) == 0 {
@@ -121,11 +121,11 @@
 	proxies := map[string]bool{}
 	backends := map[string]*tally{}
 	versions := map[string]int64{} // the list version that each proxy holds, by proxy
-	updates := map[int64]*News{}
+	updates := map[int64]*ListUpdate{}
 	for _, e := range a.lines {
 		since := e.at.Sub(start).Seconds()
 		if since >= maxSeconds {
-			r.Strange++
+			r.Malformed++
 			continue
 		}
 		proxies[e.Proxy] = true
@@ -137,18 +137,18 @@
 		case discovery.TraceCall:
 			s.Calls++
 			if e.Fields["error"] != "<nil>" && e.Fields["error"] != "" {
-				s.Broken++
+				s.FailedCalls++
 				continue
 			}
 			seq, ok := parseInt(e.Fields["seq"])
 			if !ok {
-				r.Strange++
+				r.Malformed++
 				continue
 			}
 			if seq > versions[e.Proxy] {
 				versions[e.Proxy] = seq
 				if updates[seq] == nil {
-					updates[seq] = &News{Seq: seq, First: since}
+					updates[seq] = &ListUpdate{Seq: seq, First: since}
 				}
 				updates[seq].Last = since
 			}
@@ -162,18 +162,18 @@
 			id, outcome := e.Fields["backend"], e.Fields["outcome"]
 			n, ok := parseInt(e.Fields["n"])
 			if !ok || id == "" || outcome == "" {
-				r.Strange++
+				r.Malformed++
 				continue
 			}
 			if n == 0 {
 				s.First++
 			} else {
-				s.Again++
+				s.Retries++
 			}
 			s.Outcomes[outcome]++
 			b := backends[id]
 			if b == nil {
-				b = &tally{Backend: Backend{ID: id, Lost: -1, LastSent: -1}, senders: map[string]bool{}, perSecond: map[int]int{}}
+				b = &tally{Backend: Backend{ID: id, FirstUnreachable: -1, LastUnreachable: -1}, senders: map[string]bool{}, perSecond: map[int]int{}}
 				backends[id] = b
 			}
 			b.senders[e.Proxy] = true
@@ -183,22 +183,22 @@
 				b.Served++
 			}
 			if unreachable(outcome) {
-				if b.Lost < 0 {
-					b.Lost = since
+				if b.FirstUnreachable < 0 {
+					b.FirstUnreachable = since
 				}
-				b.LastSent = since
+				b.LastUnreachable = since
 			}
 		}
 	}
 	r.Proxies = len(proxies)
 	for i := range r.Seconds {
-		r.Seconds[i].Uneven = maxOverMean(backends, i)
+		r.Seconds[i].MaxOverMean = maxOverMean(backends, i)
 	}
 	for _, id := range slices.Sorted(maps.Keys(backends)) {
 		b := backends[id]
 		b.Proxies = len(b.senders)
 		for _, n := range b.perSecond {
-			b.MostSecond = max(b.MostSecond, n)
+			b.MaxPerSecond = max(b.MaxPerSecond, n)
 		}
 		r.Backends = append(r.Backends, b.Backend)
 	}
@@ -208,9 +208,9 @@
 				n.Proxies++
 			}
 		}
-		r.News = append(r.News, *n)
+		r.ListUpdates = append(r.ListUpdates, *n)
 	}
-	slices.SortFunc(r.News, func(x, y News) int { return cmp.Compare(x.Seq, y.Seq) })
+	slices.SortFunc(r.ListUpdates, func(x, y ListUpdate) int { return cmp.Compare(x.Seq, y.Seq) })
 	return r
 }
 
