--- a/internal/cluster/numbering/numbering_test.go
+++ b/internal/cluster/numbering/numbering_test.go
@@ -117,7 +117,7 @@
 			t.Fatal(err)
 		}
 		b.Update(0, balance.Full, list)
-		mine := func() (in []string) {
+		subset := func() (in []string) {
 			for _, e := range list {
 				if b.InRoundRobin(e.ID) {
 					in = append(in, e.ID)
@@ -125,11 +125,11 @@
 			}
 			return in
 		}
-		before := mine()
+		before := subset()
 		if n, has := numbers[name]; has {
 			b.Renumber(0, n, of)
 		}
-		after := mine()
+		after := subset()
 		for _, id := range after {
 			load[id] += 1 / float64(len(after))
 			if !slices.Contains(before, id) {
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -76,12 +76,12 @@
 
 // New opens the console's listening socket; calls are answered once Serve runs. The console holds at most conns
 // connections, as described at listener.
-func New(address string, conns int, desk Controller, log *slog.Logger) (*Server, error) {
+func New(address string, conns int, controller Controller, log *slog.Logger) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
 	}
-	s := &Server{controller: desk, log: log, listener: newListener(l.(*net.TCPListener), conns)}
+	s := &Server{controller: controller, log: log, listener: newListener(l.(*net.TCPListener), conns)}
 	s.http = &http.Server{
 		Handler:           s,
 		ReadTimeout:       callTimeout,
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -270,18 +270,18 @@
 	l.track(held, http.StateClosed)
 
 	connect("GET /v1/readyz HTTP/1.1\r\n")
-	half, err := l.Accept()
+	partial, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.ReadFull(half, make([]byte, len("GET /v1/readyz HTTP/1.1\r\n"))); err != nil {
+	if _, err := io.ReadFull(partial, make([]byte, len("GET /v1/readyz HTTP/1.1\r\n"))); err != nil {
 		t.Fatal(err)
 	}
-	expireGrace(half)
+	expireGrace(partial)
 	if l.admit(newConn) != 0 {
 		t.Fatal("a stalled partial call kept its place")
 	}
-	if _, err := half.Read(make([]byte, 1)); !errors.Is(err, net.ErrClosed) {
+	if _, err := partial.Read(make([]byte, 1)); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("the partial call's connection is still open: %v", err)
 	}
 }
@@ -292,21 +292,21 @@
 	now := time.Now()
 	ago := func(d time.Duration) time.Time { return now.Add(-d) }
 	for _, c := range []struct {
-		name         string
-		silent, half time.Duration // age of the oldest of each; 0 for none
-		victim       string
-		wait         time.Duration
+		name            string
+		silent, partial time.Duration // age of the oldest of each; 0 for none
+		victim          string
+		wait            time.Duration
 	}{
 		{"no connection", 0, 0, "", busyRetryDelay},
 		{"silent within its grace", 10 * time.Millisecond, 0, "", headGrace - 10*time.Millisecond},
 		{"silent past its grace", headGrace, 0, "silent", 0},
-		{"partial call past its grace", time.Hour, headGrace, "half", 0},
+		{"partial call past its grace", time.Hour, headGrace, "partial", 0},
 		{"partial call within its grace", headGrace, 10 * time.Millisecond, "", headGrace - 10*time.Millisecond},
 		{"silent past the longer grace", silentGrace, time.Millisecond, "silent", 0},
 		{"silent shortly before the longer grace ends", silentGrace - time.Millisecond, time.Millisecond, "", time.Millisecond},
 	} {
 		l := newListener(nil, 1)
-		for list, age := range map[*linked.List[caller, *caller]]time.Duration{&l.silent: c.silent, &l.partial: c.half} {
+		for list, age := range map[*linked.List[caller, *caller]]time.Duration{&l.silent: c.silent, &l.partial: c.partial} {
 			if age > 0 {
 				l.moveTo(&caller{}, list, ago(age))
 			}
@@ -314,7 +314,7 @@
 		got, wait := l.victim(now)
 		name := ""
 		if got != nil {
-			name = map[bool]string{true: "silent", false: "half"}[got.queue == &l.silent]
+			name = map[bool]string{true: "silent", false: "partial"}[got.queue == &l.silent]
 		}
 		if name != c.victim || wait != c.wait {
 			t.Errorf("%s: got %q after %v, want %q after %v", c.name, name, wait, c.victim, c.wait)
--- a/internal/console/listener.go
+++ b/internal/console/listener.go
@@ -65,8 +65,8 @@
 	headComplete bool // the whole head has been read
 }
 
-func newListener(l *net.TCPListener, most int) *listener {
-	return &listener{TCPListener: l, maxConns: max(most, 1), open: map[net.Conn]struct{}{}}
+func newListener(l *net.TCPListener, maxConns int) *listener {
+	return &listener{TCPListener: l, maxConns: max(maxConns, 1), open: map[net.Conn]struct{}{}}
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -113,9 +113,9 @@
 // holds l.mu.
 func (l *listener) victim(now time.Time) (*caller, time.Duration) {
 	grace, wait := headGrace, busyRetryDelay
-	if half := l.partial.Front(); half != nil {
-		if wait = headGrace - now.Sub(half.since); wait <= 0 {
-			return half, 0
+	if partial := l.partial.Front(); partial != nil {
+		if wait = headGrace - now.Sub(partial.since); wait <= 0 {
+			return partial, 0
 		}
 		grace = silentGrace
 	}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -25,7 +25,7 @@
 	w := bufio.NewWriterSize(out, 1<<16)
 	s := &session{instances: map[int]*instance{}, lists: map[int][]balance.Entry{}}
 	for line := 1; sc.Scan(); line++ {
-		reply, err := s.batch(sc.Bytes())
+		reply, err := s.handleBatch(sc.Bytes())
 		if err != nil {
 			return fmt.Errorf("line %d: %w", line, err)
 		}
@@ -53,7 +53,7 @@
 	broken   bool
 }
 
-func (s *session) batch(line []byte) ([]byte, error) {
+func (s *session) handleBatch(line []byte) ([]byte, error) {
 	var in struct {
 		Clock *float64            `json:"clock_ms"`
 		Inbox [][]json.RawMessage `json:"inbox"`
@@ -67,7 +67,7 @@
 	s.out = append(s.out[:0], `{"do":[`...)
 	now := settings.Millis(*in.Clock)
 	for i, ev := range in.Inbox {
-		if err := s.event(now, ev); err != nil {
+		if err := s.handleEvent(now, ev); err != nil {
 			return nil, fmt.Errorf("event %d: %w", i, err)
 		}
 	}
@@ -78,7 +78,7 @@
 	return s.out, nil
 }
 
-func (s *session) event(now time.Duration, ev []json.RawMessage) error {
+func (s *session) handleEvent(now time.Duration, ev []json.RawMessage) error {
 	a := args{fields: ev}
 	name := a.str("name")
 	if name == "list" {
@@ -91,7 +91,7 @@
 		return a.err
 	}
 	if name == "open_instance" {
-		return s.open(number, &a)
+		return s.openInstance(number, &a)
 	}
 	inst := s.instances[number]
 	if inst == nil {
@@ -179,7 +179,7 @@
 	"in_service": balance.InService, "terminating": balance.Draining, "terminated": balance.Gone,
 }
 
-func (s *session) open(number int, a *args) error {
+func (s *session) openInstance(number int, a *args) error {
 	seed := a.uint("prng")
 	if a.err != nil {
 		return a.err
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestDeclineCarriesTheWait(t *testing.T) {
+func TestDeclineContainsWait(t *testing.T) {
 	s := &session{}
 	i := &instance{session: s, number: 4}
 	i.Refuse("c:x", 250*time.Millisecond)
