--- a/internal/cluster/lists/lists.go
+++ b/internal/cluster/lists/lists.go
@@ -1,11 +1,12 @@
-// Package lists judges server lists before a proxy acts on them. A list that leaves out many servers at once is more often wrong
-// than right: a half-written source, a query that timed out, a room that discovery cannot see. What it leaves out is held, which
-// is to say gone on with, until an operator accepts it by agreement, the list names the servers again, or traffic shows that they
-// are gone. It has no I/O and no clock, and equal events give equal answers.
+// Package lists checks server lists before a proxy acts on them. A list that omits many servers at once is more often
+// wrong than right: its source was half written, a query timed out, or discovery cannot see a zone. The omitted
+// servers are held, that is, kept in service, until operators accept their removal by consensus, a list names them
+// again, or traffic shows that they are gone. The package has no I/O and no clock, and equal events give equal results.
 //
-// What a list says by name is never held: a server that drains is left at once, whatever else the list says. Nor are single
-// losses, or servers that drained before they were left out. The price is that a true loss of many is noticed by traffic, one
-// backend after another, and not by the list; where that costs more than a bad list would, [rules] list_drop = 1 switches it off.
+// A server that a list names as in service or draining is never held: one that drains is taken out of service at once,
+// whatever else the list contains. Single losses and servers that drained before they were omitted are not held either.
+// The cost is that traffic, and not the list, reveals a real loss of many servers, one backend after another. Where
+// that costs more than a bad list would, [rules] list_drop = 1 disables the check.
 package lists
 
 import (
@@ -16,100 +17,103 @@
 	"brasswell/balance"
 )
 
-// Settings are what a judge is told.
+// Settings configure a filter.
 type Settings struct {
-	// Share of the servers in service that lists may leave out within Memory; more is held. 1 holds nothing.
+	// MaxDropShare is the share of the servers in service that lists may omit within Window. If they omit more, the
+	// omitted servers are held. A value of 1 holds nothing.
 	MaxDropShare float64
-	// Least is how many servers that has to be: a fleet of three loses a third with one.
+	// MinDropCount is the minimum number of omitted servers for any to be held, since a fleet of three loses a third
+	// with one server.
 	MinDropCount int
-	// Memory is how long a server that was let go counts, so that a list which loses a tenth each second is held too.
+	// Window is how long a released server counts as omitted, so that lists that lose a tenth each second are held too.
 	Window time.Duration
 }
 
-// DefaultSettings are those asked for by operators.
+// DefaultSettings returns the values that operators requested.
 func DefaultSettings() Settings {
 	return Settings{MaxDropShare: 0.22, MinDropCount: 2, Window: time.Minute}
 }
 
-// Server is one in service, and where to dial it.
+// Server is a server in service and the address to dial.
 type Server struct {
 	Entry   balance.Entry
 	Address string
 }
 
-// Update is what is to be passed on to the balancer.
+// Update is a server list or a change of it: what discovery reports, and what the filter passes on to the balancer.
 type Update struct {
 	Kind      balance.ListKind
 	Entries   []balance.Entry
 	Addresses map[string]string
 }
 
-// held is a server that the newest list leaves out.
-type held struct {
-	server Server
-	since  time.Duration
-	gone   bool // traffic says so
+// heldServer is a server that is kept in service although the newest list omits it.
+type heldServer struct {
+	server      Server
+	since       time.Duration
+	unreachable bool // according to traffic
 }
 
-// Judge judges the lists of one proxy. It is not safe for concurrent use.
+// Filter checks the lists of one proxy. It is not safe for concurrent use.
 type Filter struct {
-	set     Settings
-	service map[string]Server // in service by the newest list
-	held    map[string]*held
-	let     []time.Duration // when servers were let go that nothing but a list spoke against, the oldest first
-	mayDrop func(id string) bool
+	settings  Settings
+	inService map[string]Server // in service according to the newest list
+	held      map[string]*heldServer
+	released  []time.Duration // when servers were released because of a list alone, the oldest first
+	mayDrop   func(id string) bool
 }
 
-// New returns a judge that has seen no list. mayDrop says whether a server may be left out by what was agreed, and may be nil.
+// New returns a filter that has seen no list. mayDrop reports whether the agreed rules allow a server to be omitted; it
+// may be nil.
 func New(s Settings, mayDrop func(id string) bool) *Filter {
 	if mayDrop == nil {
 		mayDrop = func(string) bool { return false }
 	}
-	return &Filter{set: s, service: map[string]Server{}, held: map[string]*held{}, mayDrop: mayDrop}
+	return &Filter{settings: s, inService: map[string]Server{}, held: map[string]*heldServer{}, mayDrop: mayDrop}
 }
 
-// Take judges a list and returns what to pass on in its place.
-func (j *Filter) Apply(now time.Duration, u Update) Update {
+// Apply checks a list and returns the update to pass on in its place.
+func (f *Filter) Apply(now time.Duration, u Update) Update {
 	if u.Kind == balance.ListFailed {
 		return u
 	}
 	named := make(map[string]bool, len(u.Entries))
-	var out []balance.Entry // what is passed on
-	var dropped []string    // by this list, though in service
+	var out []balance.Entry // to pass on
+	var dropped []string    // in service so far, omitted or removed by this list
 	for _, e := range u.Entries {
 		named[e.ID] = true
 		if e.State == balance.Gone {
-			// Named as removed: for who is in service the same as left out.
-			if _, was := j.service[e.ID]; was {
+			// Listed as removed: for a server in service this is the same as an omission.
+			if _, present := f.inService[e.ID]; present {
 				dropped = append(dropped, e.ID)
-			} else if j.held[e.ID] == nil {
+			} else if f.held[e.ID] == nil {
 				out = append(out, e)
 			}
 			continue
 		}
-		delete(j.held, e.ID) // named again, in service or as one that drains
+		delete(f.held, e.ID) // listed again, in service or draining
 		out = append(out, e)
 	}
 	if u.Kind != balance.Delta {
-		for id := range j.service {
+		for id := range f.inService {
 			if !named[id] {
 				dropped = append(dropped, id)
 			}
 		}
 	}
 	for _, id := range dropped {
-		j.held[id] = &held{server: j.service[id], since: now}
-		delete(j.service, id)
+		f.held[id] = &heldServer{server: f.inService[id], since: now}
+		delete(f.inService, id)
 	}
 	for _, e := range u.Entries {
 		switch e.State {
 		case balance.InService:
-			j.service[e.ID] = Server{e, u.Addresses[e.ID]}
+			f.inService[e.ID] = Server{e, u.Addresses[e.ID]}
 		case balance.Draining:
-			delete(j.service, e.ID) // from here on its going is no surprise
+			delete(f.inService, e.ID) // its later removal is expected
 		}
 	}
-	released := j.release(now)
+	released := f.release(now)
 	addresses := maps.Clone(u.Addresses)
 	if addresses == nil {
 		addresses = map[string]string{}
@@ -117,8 +121,8 @@
 	if u.Kind == balance.Delta {
 		out = append(out, released...)
 	} else {
-		for _, id := range slices.Sorted(maps.Keys(j.held)) {
-			h := j.held[id]
+		for _, id := range slices.Sorted(maps.Keys(f.held)) {
+			h := f.held[id]
 			out = append(out, h.server.Entry)
 			addresses[id] = h.server.Address
 		}
@@ -126,96 +130,99 @@
 	return Update{u.Kind, out, addresses}
 }
 
-// Agreed looks again at what is held, once what may be dropped has changed. It returns what to pass on, if anything.
-func (j *Filter) Reevaluate(now time.Duration) (u Update, any bool) { return j.again(now) }
+// Reevaluate checks the held servers again after the result of mayDrop has changed. It returns the update to pass on,
+// if any.
+func (f *Filter) Reevaluate(now time.Duration) (u Update, changed bool) { return f.releaseUpdate(now) }
 
-// Gone takes in that traffic finds servers silent or failing, and returns what to pass on, if anything. Who answers again
-// meanwhile is not named: it is the caller's to name all that fail now.
-func (j *Filter) SetUnreachable(now time.Duration, ids []string) (u Update, any bool) {
-	for _, h := range j.held {
-		h.gone = false
+// SetUnreachable sets which servers traffic finds unresponsive or failing, and returns the update to pass on, if any.
+// ids must contain all servers that fail now; a held server that is not in ids counts as responsive.
+func (f *Filter) SetUnreachable(now time.Duration, ids []string) (u Update, changed bool) {
+	for _, h := range f.held {
+		h.unreachable = false
 	}
 	for _, id := range ids {
-		if h := j.held[id]; h != nil {
-			h.gone = true
+		if h := f.held[id]; h != nil {
+			h.unreachable = true
 		}
 	}
-	return j.again(now)
+	return f.releaseUpdate(now)
 }
 
-func (j *Filter) again(now time.Duration) (u Update, any bool) {
-	released := j.release(now)
+func (f *Filter) releaseUpdate(now time.Duration) (u Update, changed bool) {
+	released := f.release(now)
 	return Update{Kind: balance.Delta, Entries: released, Addresses: map[string]string{}}, len(released) > 0
 }
 
-// release lets go of what need not be held, or all where it has become little, and returns it as removed.
-func (j *Filter) release(now time.Duration) (gone []balance.Entry) {
-	letGo := func(id string) {
-		e := j.held[id].server.Entry
+// release drops the servers that need not be held, or all held servers if few are missing, and returns them as removed.
+func (f *Filter) release(now time.Duration) (gone []balance.Entry) {
+	drop := func(id string) {
+		e := f.held[id].server.Entry
 		e.State = balance.Gone
 		gone = append(gone, e)
-		delete(j.held, id)
+		delete(f.held, id)
 	}
-	ids := slices.Sorted(maps.Keys(j.held))
+	ids := slices.Sorted(maps.Keys(f.held))
 	for _, id := range ids {
-		// A second witness: an operator's word, or the traffic's. It explains the loss, which then is no sign of a bad list.
-		if j.held[id].gone || j.mayDrop(id) {
-			letGo(id)
+		// A second source, the operators' rules or traffic, confirms the loss, which then does not indicate a bad list.
+		if f.held[id].unreachable || f.mayDrop(id) {
+			drop(id)
 		}
 	}
-	for len(j.let) > 0 && now-j.let[0] >= j.set.Window {
-		j.let = j.let[1:]
+	for len(f.released) > 0 && now-f.released[0] >= f.settings.Window {
+		f.released = f.released[1:]
 	}
-	missing := len(j.held) + len(j.let)
-	if missing >= j.set.MinDropCount && float64(missing) > j.set.MaxDropShare*float64(len(j.service)+missing) {
+	missing := len(f.held) + len(f.released)
+	if missing >= f.settings.MinDropCount && float64(missing) > f.settings.MaxDropShare*float64(len(f.inService)+missing) {
 		return gone
 	}
 	for _, id := range ids {
-		if j.held[id] != nil {
-			letGo(id)
-			j.let = append(j.let, now)
+		if f.held[id] != nil {
+			drop(id)
+			f.released = append(f.released, now)
 		}
 	}
 	return gone
 }
 
-// Carried is what one judge leaves to the next at an upgrade, which learns of the servers in service from the balancer.
+// Snapshot is the state that one filter hands to the next at an upgrade. The new filter gets the servers in service
+// from the balancer.
 type Snapshot struct {
-	Held  []string        `cbor:"1,keyasint"` // ids, in order
-	LetGo []time.Duration `cbor:"2,keyasint"` // how long ago servers were let go that nothing but a list spoke against, the longest first
+	Held  []string        `cbor:"1,keyasint"` // ids, sorted
+	LetGo []time.Duration `cbor:"2,keyasint"` // how long ago servers were released because of a list alone, the longest first
 }
 
-// Carry returns what the next judge is to know.
-func (j *Filter) Snapshot(now time.Duration) Snapshot {
-	c := Snapshot{Held: j.Held()}
-	for _, at := range j.let {
+// Snapshot returns the state for the next filter.
+func (f *Filter) Snapshot(now time.Duration) Snapshot {
+	c := Snapshot{Held: f.Held()}
+	for _, at := range f.released {
 		c.LetGo = append(c.LetGo, now-at)
 	}
 	return c
 }
 
-// Adopt makes a judge that has seen no list go on where another is. servers are those that the balancer has in service, held ones included.
-func (j *Filter) Restore(now time.Duration, c Snapshot, servers []Server) {
+// Restore makes a filter that has seen no list continue from another filter's snapshot. servers are those that the
+// balancer has in service, including the held ones.
+func (f *Filter) Restore(now time.Duration, c Snapshot, servers []Server) {
 	for _, s := range servers {
-		j.service[s.Entry.ID] = s
+		f.inService[s.Entry.ID] = s
 	}
 	for _, id := range c.Held {
-		if s, known := j.service[id]; known {
-			j.held[id] = &held{server: s, since: now}
-			delete(j.service, id)
+		if s, known := f.inService[id]; known {
+			f.held[id] = &heldServer{server: s, since: now}
+			delete(f.inService, id)
 		}
 	}
 	for _, ago := range c.LetGo {
-		j.let = append(j.let, now-ago)
+		f.released = append(f.released, now-ago)
 	}
 }
 
-// Held are the servers that are gone on with though the newest list leaves them out, in order.
-func (j *Filter) Held() []string { return slices.Sorted(maps.Keys(j.held)) }
+// Held returns the ids of the servers that are kept in service although the newest list omits them, sorted.
+func (f *Filter) Held() []string { return slices.Sorted(maps.Keys(f.held)) }
 
-// Since is when the first of those was left out; 0 where none is held.
-func (j *Filter) HeldSince() (since time.Duration) {
-	for _, h := range j.held {
+// HeldSince returns when the first of the held servers was omitted, or 0 if none is held.
+func (f *Filter) HeldSince() (since time.Duration) {
+	for _, h := range f.held {
 		if since == 0 || h.since < since {
 			since = h.since
 		}
