--- a/internal/cluster/revival/beliefs.go
+++ b/internal/cluster/revival/beliefs.go
@@ -41,16 +41,16 @@
 	WarmRate                      // what one warm backend answered of this proxy's requests: what cold ones' budgets are measured by
 	AgreedRules                   // rules and numbers of the fleet
 	OpenRequests                  // what was open, and which keys had been sent
-	beliefs
+	numStateItems
 )
 
-var beliefNames = [...]string{"list", "bans by hand", "drains", "starts of backends", "budgets", "health", "lessons", "level", "pace of a warm backend", "agreed rules and numbers", "open requests and keys"}
+var stateItemNames = [...]string{"list", "bans by hand", "drains", "starts of backends", "budgets", "health", "lessons", "level", "pace of a warm backend", "agreed rules and numbers", "open requests and keys"}
 
-func (b StateItem) String() string { return beliefNames[b] }
+func (b StateItem) String() string { return stateItemNames[b] }
 
 // Beliefs are all of them, in order.
 func StateItems() (all []StateItem) {
-	for b := range beliefs {
+	for b := range numStateItems {
 		all = append(all, b)
 	}
 	return all
@@ -73,17 +73,17 @@
 
 const (
 	// recently is up to when health and levels still say something of backends that have run on.
-	recently = time.Minute
+	maxHealthAge = time.Minute
 	// lessonsLast is for how long times of answers are worth more than no times.
-	lessonsLast = 30 * 24 * time.Hour
+	maxClassStatsAge = 30 * 24 * time.Hour
 	// paceLasts is for how long the proxies' paces of one time add up to what backends take: after that there may be more proxies, and
 	// each would go by what it had when there were fewer.
-	paceLasts = 24 * time.Hour
+	maxWarmRateAge = 24 * time.Hour
 	// leastPace is what all proxies together begin with for each backend, as requests a second to a warm one. With nothing, no cold
 	// backend would ever be sent a first request, and nothing be learned of its pace, until it is warm.
-	leastPace = 4
+	minFleetWarmRate = 4
 	// usualSlice is how many backends a proxy cuts from the list, where the list is long.
-	usualSlice = 8
+	typicalSubset = 8
 )
 
 // Judge says what becomes of a belief of some age. It is the table of docs/operators/recovery.md.
@@ -108,17 +108,17 @@
 	case Budgets:
 		return Discarded // to begin with none is never too much
 	case ClassStats:
-		if age.Max <= lessonsLast || k == Restart && age.Min <= recently {
+		if age.Max <= maxClassStatsAge || k == Restart && age.Min <= maxHealthAge {
 			return Provisional
 		}
 		return Discarded
 	case WarmRate:
-		if age.Max <= paceLasts {
+		if age.Max <= maxWarmRateAge {
 			return Provisional
 		}
 		return Discarded
 	case Health, Throughput:
-		if k == Restart && age.Max <= recently {
+		if k == Restart && age.Max <= maxHealthAge {
 			return Provisional
 		}
 		return Discarded
@@ -128,26 +128,26 @@
 
 // Revive returns what a proxy begins with, from what it knew. now is of the clock that backends' starts are told in, and lost the
 // moment before which no start of a backend is believed, in the same clock: 0 for a Restart. instances is how many proxies there are.
-func InitialState(k Kind, age state.Age, bans []string, was *state.Learned, now time.Duration, instances int) (begin handover.State, lost time.Duration) {
-	begin.Seq = -1 // the whole list is asked for: versions may be counted anew
-	begin.Balancer.Banned, begin.Balancer.ServedAt = bans, now
+func InitialState(k Kind, age state.Age, bans []string, saved *state.Learned, now time.Duration, instances int) (initial handover.State, trustedSince time.Duration) {
+	initial.Seq = -1 // the whole list is asked for: versions may be counted anew
+	initial.Balancer.Banned, initial.Balancer.ServedAt = bans, now
 	defer func() {
-		b := &begin.Balancer
-		b.Warm = max(b.Warm, leastPace*float64(max(len(b.Servers), usualSlice))/float64(usualSlice*max(instances, 1)))
+		b := &initial.Balancer
+		b.Warm = max(b.Warm, minFleetWarmRate*float64(max(len(b.Servers), typicalSubset))/float64(typicalSubset*max(instances, 1)))
 	}()
 	if k == FleetRestart {
-		lost = now
+		trustedSince = now
 	}
-	if was == nil {
-		return begin, lost
+	if saved == nil {
+		return initial, trustedSince
 	}
-	old := &was.Knowledge
-	begin.Addresses = old.Addresses
-	begin.LongestDeadline, begin.LatencyP95 = old.LongestDeadline, old.LatencyP95
-	b := &begin.Balancer
-	b.Slots, b.Seen = old.Balancer.Slots, old.Balancer.Seen
+	known := &saved.Knowledge
+	initial.Addresses = known.Addresses
+	initial.LongestDeadline, initial.LatencyP95 = known.LongestDeadline, known.LatencyP95
+	b := &initial.Balancer
+	b.Slots, b.Seen = known.Balancer.Slots, known.Balancer.Seen
 	healthy, warm := TrustIn(k, age, Health) == Provisional, TrustIn(k, age, StartTimes) == Provisional
-	for _, s := range old.Balancer.Servers {
+	for _, s := range known.Balancer.Servers {
 		if s.Entry.State == balance.Gone {
 			continue
 		}
@@ -155,24 +155,24 @@
 		if warm {
 			next.Told, next.Resumed = s.Told, min(s.Resumed, now)
 		} else {
-			next.Entry.Boot, next.ColdAt = lost, now
+			next.Entry.Boot, next.ColdAt = trustedSince, now
 		}
 		if healthy {
 			next.FailRun, next.FailRate, next.Slow, next.Ejections = s.FailRun, s.FailRate, s.Slow, s.Ejections
 			if s.Ejected > 0 {
-				next.Ejected = min(s.Ejected, now+recently) // a clock that was set back must not keep it out for a year
+				next.Ejected = min(s.Ejected, now+maxHealthAge) // a clock that was set back must not keep it out for a year
 			}
 		}
 		b.Servers = append(b.Servers, next)
 	}
 	if TrustIn(k, age, ClassStats) == Provisional {
-		b.Classes = old.Balancer.Classes
+		b.Classes = known.Balancer.Classes
 	}
 	if TrustIn(k, age, Throughput) == Provisional {
-		b.Limit, b.Served = old.Balancer.Limit, old.Balancer.Served
+		b.Limit, b.Served = known.Balancer.Limit, known.Balancer.Served
 	}
 	if TrustIn(k, age, WarmRate) == Provisional {
-		b.Warm = max(old.Balancer.Warm, 0)
+		b.Warm = max(known.Balancer.Warm, 0)
 	}
-	return begin, lost
+	return initial, trustedSince
 }
--- a/internal/cluster/revival/revival.go
+++ b/internal/cluster/revival/revival.go
@@ -87,18 +87,18 @@
 // Encode writes a report.
 func (r *Report) Encode() ([]byte, error) { return cbor.Marshal(r) }
 
-var reading = strict.CBOR(cbor.DecOptions{TagsMd: cbor.TagsForbidden, MaxNestedLevels: 4, MaxArrayElements: 16, MaxMapPairs: 16})
+var decMode = strict.CBOR(cbor.DecOptions{TagsMd: cbor.TagsForbidden, MaxNestedLevels: 4, MaxArrayElements: 16, MaxMapPairs: 16})
 
 // Decode reads a report from outside, and says what is wrong with it.
 func Decode(b []byte) (*Report, error) {
 	r := &Report{}
-	if err := reading.Unmarshal(b, r); err != nil {
+	if err := decMode.Unmarshal(b, r); err != nil {
 		return nil, fmt.Errorf("revival: %w", err)
 	}
 	switch {
 	case r.Name == "" || len(r.Name) > view.MostName:
 		return nil, fmt.Errorf("revival: a name of %d bytes", len(r.Name))
-	case r.Uptime < 0 || r.AdmittingFor < 0 || r.AdmittingFor > r.Uptime+mostAhead:
+	case r.Uptime < 0 || r.AdmittingFor < 0 || r.AdmittingFor > r.Uptime+maxAdmittingLead:
 		return nil, errors.New("revival: times that cannot be")
 	case r.Step > Done || r.Kind > FleetRestart:
 		return nil, fmt.Errorf("revival: no step %d of kind %d", r.Step, r.Kind)
@@ -108,26 +108,26 @@
 
 const (
 	// mostAhead is how much longer than it runs itself a proxy may say that others have been letting in.
-	mostAhead = time.Hour
+	maxAdmittingLead = time.Hour
 	// askEvery is between two rounds of questions before it is decided what this start is, and followEvery after it.
-	askEvery    = 150 * time.Millisecond
-	followEvery = time.Second
+	queryInterval     = 150 * time.Millisecond
+	lateQueryInterval = time.Second
 	// askMost others are asked in one round.
-	askMost = 12
+	maxQueriedPeers = 12
 	// mostPeers reports are remembered.
-	mostPeers = 4096
+	maxPeers = 4096
 	// planEvery is between two plans of what is let in.
-	planEvery = 250 * time.Millisecond
+	planInterval = 250 * time.Millisecond
 	// headroom is by how much what is let in at first may be over what the backends are thought to take.
 	headroom = 1.25
 	// trickle of a class that is shut is let in, so that what it would need is seen.
-	trickle = 0.02
+	minShare = 0.02
 	// openStep is by how much the share of the worthiest class that is not wholly let in grows in a plan's time without trouble, and
 	// shutShare what is left of a lesser one's share after trouble.
-	openStep, shutShare = 0.34, 0.5
+	shareStep, shareBackoff = 0.34, 0.5
 	// troubled is the share of a class's requests, once let in, that must be lost for it to be in trouble, and fewest how many must
 	// have come.
-	troubled, fewest = 0.1, 4
+	overloadRatio, minSamples = 0.1, 4
 )
 
 // Count is what became of a class's requests since the last one.
@@ -151,70 +151,70 @@
 }
 
 type peer struct {
-	boot uint64
-	up   time.Duration // at heard
-	step Step
-	kind Kind
-	open time.Duration // at heard
-	at   time.Duration // when it was heard
+	instanceID   uint64
+	uptime       time.Duration // at heard
+	step         Step
+	kind         Kind
+	admittingFor time.Duration // at heard
+	receivedAt   time.Duration // when it was heard
 }
 
 // Core is one proxy's way back. It is not safe for concurrent use.
 type Core struct {
-	set   Settings
-	host  Host
-	rng   *rand.Rand
-	began time.Duration
-	now   time.Duration
-	step  Step
-	since time.Duration // that it is in this step
-	kind  Kind
-	why   string
-
-	members []string // others who are held to live
-	peers   map[string]peer
-	ask     time.Duration // when others are asked next
-	plan    time.Duration // when the next plan is due
-	leased  bool
-	listed  bool
-	births  []time.Duration // of the backends in service, as far as they are believed, on this core's clock
-	most    int             // backends that there have been at one time, before or now
-	order   []int           // classes by worth
-	counts  []Count         // since the last plan, by class
-	shares  []float64
+	settings  Settings
+	host      Host
+	rng       *rand.Rand
+	startedAt time.Duration
+	now       time.Duration
+	step      Step
+	stepStart time.Duration // that it is in this step
+	kind      Kind
+	why       string
+
+	members     []string // others who are held to live
+	peers       map[string]peer
+	nextQuery   time.Duration // when others are asked next
+	nextPlan    time.Duration // when the next plan is due
+	hasLease    bool
+	hasList     bool
+	startTimes  []time.Duration // of the backends in service, as far as they are believed, on this core's clock
+	maxBackends int             // backends that there have been at one time, before or now
+	byValue     []int           // classes by worth
+	counts      []Count         // since the last plan, by class
+	shares      []float64
 }
 
 // New returns the core of a proxy that starts now.
 func New(now time.Duration, s Settings, seed uint64, host Host) *Core {
 	c := &Core{
-		set: s, host: host, rng: rand.New(rand.NewPCG(seed, s.InstanceID)), began: now, now: now, since: now, peers: map[string]peer{}, ask: now, plan: now,
+		settings: s, host: host, rng: rand.New(rand.NewPCG(seed, s.InstanceID)), startedAt: now, now: now, stepStart: now, peers: map[string]peer{}, nextQuery: now, nextPlan: now,
 		counts: make([]Count, len(s.Classes)), shares: make([]float64, len(s.Classes)),
 	}
 	for i := range s.Classes {
-		c.order = append(c.order, i)
+		c.byValue = append(c.byValue, i)
 	}
-	slices.SortStableFunc(c.order, func(a, b int) int { return cmp.Compare(s.Classes[b].Value, s.Classes[a].Value) })
+	slices.SortStableFunc(c.byValue, func(a, b int) int { return cmp.Compare(s.Classes[b].Value, s.Classes[a].Value) })
 	c.advance()
 	return c
 }
 
 // Next is when Wake is to be called at the latest.
 func (c *Core) Next() time.Duration {
-	next := c.since + planEvery
+	next := c.stepStart + planInterval
 	switch c.step {
 	case Peers:
-		next = c.since + c.set.Times.Peers
+		next = c.stepStart + c.settings.Times.Peers
 	case Rules:
-		next = c.since + c.set.Times.Rules
+		next = c.stepStart + c.settings.Times.Rules
 	case Lists:
-		next = c.since + c.set.Times.Lists
+		next = c.stepStart + c.settings.Times.Lists
 	case Admitting:
-		next = c.plan
+		next = c.nextPlan
 	case Done:
 		return c.now + time.Hour
 	}
-	if !c.set.Standalone {
-		next = min(next, c.ask)
+	if !c.settings.Standalone {
+		next = min(next, c.nextQuery)
 	}
 	return next
 }
@@ -222,41 +222,41 @@
 // Wake does what is due.
 func (c *Core) Tick(now time.Duration) {
 	c.now = now
-	if !c.set.Standalone && now >= c.ask && c.step != Done {
-		c.askOthers()
+	if !c.settings.Standalone && now >= c.nextQuery && c.step != Done {
+		c.queryPeers()
 	}
 	c.advance()
 }
 
 // askOthers tells some of the others of this start; each answers.
-func (c *Core) askOthers() {
-	every := followEvery
+func (c *Core) queryPeers() {
+	interval := lateQueryInterval
 	if c.step == Peers {
-		every = askEvery
+		interval = queryInterval
 	}
-	c.ask = c.now + every - time.Duration(c.rng.Float64()*float64(every)/4)
-	some := slices.Clone(c.members)
-	c.rng.Shuffle(len(some), func(i, j int) { some[i], some[j] = some[j], some[i] })
-	for _, name := range some[:min(len(some), askMost)] {
+	c.nextQuery = c.now + interval - time.Duration(c.rng.Float64()*float64(interval)/4)
+	queried := slices.Clone(c.members)
+	c.rng.Shuffle(len(queried), func(i, j int) { queried[i], queried[j] = queried[j], queried[i] })
+	for _, name := range queried[:min(len(queried), maxQueriedPeers)] {
 		c.host.SendReport(name, c.report(false))
 	}
 }
 
 func (c *Core) report(reply bool) *Report {
-	return &Report{Name: c.set.Name, InstanceID: c.set.InstanceID, Uptime: c.now - c.began, Step: c.step, Kind: c.kind, AdmittingFor: c.opened(), Reply: reply}
+	return &Report{Name: c.settings.Name, InstanceID: c.settings.InstanceID, Uptime: c.now - c.startedAt, Step: c.step, Kind: c.kind, AdmittingFor: c.admittingFor(), Reply: reply}
 }
 
 // opened is for how long the first proxy of this return that is known of has been letting classes in; 0 while none is.
-func (c *Core) opened() (longest time.Duration) {
+func (c *Core) admittingFor() (longest time.Duration) {
 	if c.step == Admitting {
-		longest = c.now - c.since
+		longest = c.now - c.stepStart
 	}
 	if c.kind != FleetRestart {
 		return longest
 	}
 	for _, p := range c.peers {
-		if p.kind == FleetRestart && p.open > 0 && p.step != Done {
-			longest = max(longest, p.open+c.now-p.at)
+		if p.kind == FleetRestart && p.admittingFor > 0 && p.step != Done {
+			longest = max(longest, p.admittingFor+c.now-p.receivedAt)
 		}
 	}
 	return longest
@@ -265,20 +265,20 @@
 // SetMembers says who else is held to live, by name.
 func (c *Core) SetMembers(now time.Duration, names []string) {
 	c.now = now
-	c.members = slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == c.set.Name })
+	c.members = slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == c.settings.Name })
 	if c.step == Peers {
-		c.ask = min(c.ask, now) // somebody new may know
+		c.nextQuery = min(c.nextQuery, now) // somebody new may know
 	}
 }
 
 // Heard takes in another proxy's report.
 func (c *Core) ReceiveReport(now time.Duration, r *Report) {
 	c.now = now
-	if r.Name == c.set.Name {
+	if r.Name == c.settings.Name {
 		return // another process under this name: the view tells of it
 	}
-	if _, known := c.peers[r.Name]; known || len(c.peers) < mostPeers {
-		c.peers[r.Name] = peer{boot: r.InstanceID, up: r.Uptime, step: r.Step, kind: r.Kind, open: r.AdmittingFor, at: now}
+	if _, known := c.peers[r.Name]; known || len(c.peers) < maxPeers {
+		c.peers[r.Name] = peer{instanceID: r.InstanceID, uptime: r.Uptime, step: r.Step, kind: r.Kind, admittingFor: r.AdmittingFor, receivedAt: now}
 	}
 	if !r.Reply {
 		c.host.SendReport(r.Name, c.report(true))
@@ -288,16 +288,16 @@
 
 // Leased says that rules which keepers vouch for are acted on.
 func (c *Core) SetLeased(now time.Duration) {
-	c.now, c.leased = now, true
+	c.now, c.hasLease = now, true
 	c.advance()
 }
 
 // Listed says that discovery has told a list, and when the backends in service were born, as far as that is believed.
-func (c *Core) SetList(now time.Duration, fresh bool, births []time.Duration) {
+func (c *Core) SetList(now time.Duration, fresh bool, startTimes []time.Duration) {
 	c.now = now
-	c.listed = c.listed || fresh
-	c.births = births
-	c.most = max(c.most, len(births))
+	c.hasList = c.hasList || fresh
+	c.startTimes = startTimes
+	c.maxBackends = max(c.maxBackends, len(startTimes))
 	c.advance()
 }
 
@@ -316,27 +316,27 @@
 		before := c.step
 		switch c.step {
 		case Peers:
-			c.decide()
+			c.decideKind()
 		case Rules:
-			switch late := c.now-c.since >= c.set.Times.Rules; {
-			case !c.set.UsesRules:
-				c.move(Lists, "no rules are agreed on")
-			case c.leased:
-				c.move(Lists, "holds a lease on the agreed rules")
+			switch late := c.now-c.stepStart >= c.settings.Times.Rules; {
+			case !c.settings.UsesRules:
+				c.setStep(Lists, "no rules are agreed on")
+			case c.hasLease:
+				c.setStep(Lists, "holds a lease on the agreed rules")
 			case late:
-				c.move(Lists, "no keeper vouches for the rules in time: goes on carefully with those from before")
+				c.setStep(Lists, "no keeper vouches for the rules in time: goes on carefully with those from before")
 			}
 		case Lists:
-			switch late := c.now-c.since >= c.set.Times.Lists; {
-			case c.listed:
-				c.open("discovery has told a list")
-			case late && len(c.births) > 0:
-				c.open("discovery tells no list in time: goes on with the one from before")
+			switch late := c.now-c.stepStart >= c.settings.Times.Lists; {
+			case c.hasList:
+				c.startAdmitting("discovery has told a list")
+			case late && len(c.startTimes) > 0:
+				c.startAdmitting("discovery tells no list in time: goes on with the one from before")
 			case late:
-				c.open("there is no list, of any age: opens when one comes")
+				c.startAdmitting("there is no list, of any age: opens when one comes")
 			}
 		case Admitting:
-			c.admit()
+			c.updateShares()
 		}
 		if c.step == before {
 			return
@@ -344,65 +344,65 @@
 	}
 }
 
-func (c *Core) move(to Step, why string) {
-	c.step, c.since, c.why = to, c.now, why
+func (c *Core) setStep(to Step, why string) {
+	c.step, c.stepStart, c.why = to, c.now, why
 	c.host.StepChanged(to, why)
 }
 
 // decide says what this start is one of, as soon as that is clear or others have been asked for long enough.
-func (c *Core) decide() {
-	late := c.now-c.since >= c.set.Times.Peers
-	old, young := 0, 0
+func (c *Core) decideKind() {
+	late := c.now-c.stepStart >= c.settings.Times.Peers
+	running, justStarted := 0, 0
 	for _, p := range c.peers {
 		// Who has just started and found that the fleet runs on is as good as one that has: a rolling restart is no return.
-		if p.kind == Restart || p.up+c.now-p.at >= c.set.Times.JustStarted && (p.kind != FleetRestart || p.step == Done) {
-			old++
+		if p.kind == Restart || p.uptime+c.now-p.receivedAt >= c.settings.Times.JustStarted && (p.kind != FleetRestart || p.step == Done) {
+			running++
 		} else {
-			young++
+			justStarted++
 		}
 	}
 	switch {
-	case c.set.NoFleetRestart:
-		c.begin(Restart, "returns are not told from restarts")
-	case c.set.Standalone && c.set.SameMachineBoot:
-		c.begin(Restart, "there are no others, and this machine has kept its power")
-	case c.set.Standalone:
-		c.begin(FleetRestart, "there are no others, and this machine may have lost its power")
-	case old > young && 2*(old+young) > len(c.members) && len(c.members) > 0:
-		c.begin(Restart, fmt.Sprintf("%d of %d others that were heard have been running on", old, old+young))
-	case old == 0 && c.set.FleetSize > 1 && 2*(young+1) > c.set.FleetSize:
-		c.begin(FleetRestart, fmt.Sprintf("%d others of %d have just started too, which are most", young, c.set.FleetSize))
-	case late && old > young:
-		c.begin(Restart, fmt.Sprintf("%d of %d others that were heard have been running on", old, old+young))
-	case late && old+young > 0:
-		c.begin(FleetRestart, fmt.Sprintf("%d of %d others that were heard have just started too", young, old+young))
+	case c.settings.NoFleetRestart:
+		c.setKind(Restart, "returns are not told from restarts")
+	case c.settings.Standalone && c.settings.SameMachineBoot:
+		c.setKind(Restart, "there are no others, and this machine has kept its power")
+	case c.settings.Standalone:
+		c.setKind(FleetRestart, "there are no others, and this machine may have lost its power")
+	case running > justStarted && 2*(running+justStarted) > len(c.members) && len(c.members) > 0:
+		c.setKind(Restart, fmt.Sprintf("%d of %d others that were heard have been running on", running, running+justStarted))
+	case running == 0 && c.settings.FleetSize > 1 && 2*(justStarted+1) > c.settings.FleetSize:
+		c.setKind(FleetRestart, fmt.Sprintf("%d others of %d have just started too, which are most", justStarted, c.settings.FleetSize))
+	case late && running > justStarted:
+		c.setKind(Restart, fmt.Sprintf("%d of %d others that were heard have been running on", running, running+justStarted))
+	case late && running+justStarted > 0:
+		c.setKind(FleetRestart, fmt.Sprintf("%d of %d others that were heard have just started too", justStarted, running+justStarted))
 	case late:
 		// Nobody alone believes that it is alone: the others may be behind a cut, and come back just now.
-		c.begin(FleetRestart, "no other was heard")
+		c.setKind(FleetRestart, "no other was heard")
 	}
 }
 
-func (c *Core) begin(k Kind, why string) {
+func (c *Core) setKind(k Kind, why string) {
 	c.kind = k
-	c.host.RestoreState(k, c.opened())
-	c.move(Rules, why)
+	c.host.RestoreState(k, c.admittingFor())
+	c.setStep(Rules, why)
 }
 
 // open begins to let classes in.
-func (c *Core) open(why string) {
-	if c.kind == Restart || c.set.NoStagedAdmission {
+func (c *Core) startAdmitting(why string) {
+	if c.kind == Restart || c.settings.NoStagedAdmission {
 		// Backends are warm, or found to be cold one by one, and others serve beside.
-		c.letIn(func(int) float64 { return 1 })
-		c.move(Done, why)
+		c.setShares(func(int) float64 { return 1 })
+		c.setStep(Done, why)
 		return
 	}
-	c.plan = c.now
-	c.move(Admitting, why)
+	c.nextPlan = c.now
+	c.setStep(Admitting, why)
 }
 
 // bound is how long classes are let in one after another.
-func (c *Core) bound() time.Duration {
-	return time.Duration(c.set.Times.WarmUpFactor * float64(c.set.WarmUp))
+func (c *Core) maxAdmitting() time.Duration {
+	return time.Duration(c.settings.Times.WarmUpFactor * float64(c.settings.WarmUp))
 }
 
 // admit lets classes in, the worthiest first: at first as much as the backends are thought to take, and then more while nothing of
@@ -412,101 +412,101 @@
 // backends can do is known only by a guess, so it is found out as TCP finds a path's rate (additive increase, multiplicative decrease;
 // Chiu and Jain 1989). It harms where requests are lost for another cause than want of room: then lesser classes wait until the
 // stated end in vain.
-func (c *Core) admit() {
-	if c.now < c.plan {
+func (c *Core) updateShares() {
+	if c.now < c.nextPlan {
 		return
 	}
-	c.plan = c.now + planEvery
+	c.nextPlan = c.now + planInterval
 	counts := c.counts
 	c.counts = make([]Count, len(counts))
 	switch {
-	case c.now-c.since >= c.bound():
-		c.letIn(func(int) float64 { return 1 })
-		c.move(Done, "the backends have had the time to get warm")
+	case c.now-c.stepStart >= c.maxAdmitting():
+		c.setShares(func(int) float64 { return 1 })
+		c.setStep(Done, "the backends have had the time to get warm")
 		return
-	case c.level() >= 1:
-		c.letIn(func(int) float64 { return 1 })
-		c.move(Done, "the backends are warm")
+	case c.capacity() >= 1:
+		c.setShares(func(int) float64 { return 1 })
+		c.setStep(Done, "the backends are warm")
 		return
 	case slices.Max(c.shares) == 0:
-		c.guess()
+		c.setInitialShares()
 		return
 	}
-	trouble := len(c.order)
-	for place, class := range c.order {
-		if n := counts[class]; n.Admitted >= fewest && n.Failed > troubled*n.Admitted {
-			trouble = place
+	overloaded := len(c.byValue)
+	for place, class := range c.byValue {
+		if n := counts[class]; n.Admitted >= minSamples && n.Failed > overloadRatio*n.Admitted {
+			overloaded = place
 			break
 		}
 	}
 	growing := true
-	c.letIn(func(place int) float64 {
-		share := c.shares[c.order[place]]
+	c.setShares(func(place int) float64 {
+		share := c.shares[c.byValue[place]]
 		switch {
-		case place > trouble:
-			return max(share*shutShare, trickle)
-		case place == trouble || !growing:
+		case place > overloaded:
+			return max(share*shareBackoff, minShare)
+		case place == overloaded || !growing:
 			return share
 		case share < 1:
 			growing = false // lesser ones wait until this one is wholly in
-			return min(share+openStep, 1)
+			return min(share+shareStep, 1)
 		}
 		return share
 	})
 }
 
 // guess lets in what was asked for before, as far as the backends are thought to take it by now if they took all of it before.
-func (c *Core) guess() {
-	level, before := c.level(), 0.0
-	for _, d := range c.set.Demand {
-		before += d
-	}
-	left := headroom * level * before
-	c.letIn(func(place int) float64 {
-		if place == 0 && before == 0 {
+func (c *Core) setInitialShares() {
+	capacity, total := c.capacity(), 0.0
+	for _, d := range c.settings.Demand {
+		total += d
+	}
+	remaining := headroom * capacity * total
+	c.setShares(func(place int) float64 {
+		if place == 0 && total == 0 {
 			return 1 // nothing is known: the worthiest alone
 		}
-		wants := 0.0
-		if class := c.order[place]; class < len(c.set.Demand) {
-			wants = c.set.Demand[class]
+		wanted := 0.0
+		if class := c.byValue[place]; class < len(c.settings.Demand) {
+			wanted = c.settings.Demand[class]
 		}
-		share := trickle
-		if wants > 0 {
-			share = min(max(left/wants, trickle), 1)
+		share := minShare
+		if wanted > 0 {
+			share = min(max(remaining/wanted, minShare), 1)
 		}
-		left = max(left-wants, 0)
+		remaining = max(remaining-wanted, 0)
 		return share
 	})
 }
 
 // level is what the backends can do by now, of what all of them do warm.
-func (c *Core) level() float64 {
-	if c.most == 0 {
+func (c *Core) capacity() float64 {
+	if c.maxBackends == 0 {
 		return 0
 	}
 	sum := 0.0
-	for _, born := range c.births {
+	for _, startTime := range c.startTimes {
 		warm := 1.0
-		if c.set.WarmUp > 0 {
-			warm = min(max(float64(c.now-born)/float64(c.set.WarmUp), 0), 1)
+		if c.settings.WarmUp > 0 {
+			warm = min(max(float64(c.now-startTime)/float64(c.settings.WarmUp), 0), 1)
 		}
-		sum += c.set.ColdCapacity + (1-c.set.ColdCapacity)*warm
+		sum += c.settings.ColdCapacity + (1-c.settings.ColdCapacity)*warm
 	}
-	level := sum / float64(c.most)
-	if c.set.WarmUp > 0 {
+	capacity := sum / float64(c.maxBackends)
+	if c.settings.WarmUp > 0 {
 		// All follow the one that began first, so that who starts late does not hold back what others let in.
-		level = max(level, c.set.ColdCapacity+(1-c.set.ColdCapacity)*min(float64(c.opened())/float64(c.set.WarmUp), 1)*float64(len(c.births))/float64(c.most))
+		capacity = max(capacity, c.settings.ColdCapacity+(1-c.settings.ColdCapacity)*min(float64(c.admittingFor())/float64(c.settings.WarmUp), 1)*float64(len(c.startTimes))/float64(c.maxBackends))
 	}
-	return level
+	return capacity
 }
 
 // letIn sets the shares by the classes' places in the order of worth. No class has more than a worthier one.
-func (c *Core) letIn(share func(place int) float64) {
-	shares := make([]float64, len(c.order))
-	most := 1.0
-	for place, class := range c.order {
-		most = min(most, share(place))
-		shares[class] = most
+func (c *Core) setShares(share func(place int) float64) {
+	shares := make([]float64, len(c.byValue))
+	limit := 1.0
+	for place, class := range c.byValue {
+		limit = min(limit, share(place))
+		shares[class] = limit
 	}
 	if !slices.Equal(shares, c.shares) {
 		c.shares = shares
@@ -530,13 +530,13 @@
 // Status says how far this proxy has come back.
 func (c *Core) Status(now time.Duration) Status {
 	c.now = now
-	s := Status{Step: c.step, Kind: c.kind, Why: c.why, InStep: now - c.since, Capacity: c.level(), Shares: c.shares}
-	bound := map[Step]time.Duration{Peers: c.set.Times.Peers, Rules: c.set.Times.Rules, Lists: c.set.Times.Lists, Admitting: c.bound()}[c.step]
+	s := Status{Step: c.step, Kind: c.kind, Why: c.why, InStep: now - c.stepStart, Capacity: c.capacity(), Shares: c.shares}
+	bound := map[Step]time.Duration{Peers: c.settings.Times.Peers, Rules: c.settings.Times.Rules, Lists: c.settings.Times.Lists, Admitting: c.maxAdmitting()}[c.step]
 	if bound > 0 {
 		s.MaxRemaining = max(bound-s.InStep, 0)
 	}
 	for _, p := range c.peers {
-		if p.up+now-p.at >= c.set.Times.JustStarted {
+		if p.uptime+now-p.receivedAt >= c.settings.Times.JustStarted {
 			s.Running++
 		} else {
 			s.JustStarted++
--- a/internal/recovery/admission.go
+++ b/internal/recovery/admission.go
@@ -4,10 +4,10 @@
 
 // plan is what is let in.
 type plan struct {
-	shares []float64
-	all    bool
-	ready  bool
-	wait   time.Duration // for how long the others are asked to stay away, in the middle
+	shares     []float64
+	admitAll   bool
+	ready      bool
+	retryAfter time.Duration // for how long the others are asked to stay away, in the middle
 }
 
 func (n *Node) admitAll() {
@@ -15,20 +15,20 @@
 	for i := range shares {
 		shares[i] = 1
 	}
-	n.plan.Store(&plan{shares: shares, all: true, ready: true})
+	n.plan.Store(&plan{shares: shares, admitAll: true, ready: true})
 }
 
 // Admit says whether a request of a class is let in now. What is turned away is told to come back at a time of its own, so that the
 // callers of a whole site do not come back at one.
-func (n *Node) Admit(class int) (ok bool, wait time.Duration) {
+func (n *Node) Admit(class int) (ok bool, retryAfter time.Duration) {
 	p := n.plan.Load()
-	if p.all || class >= 0 && class < len(p.shares) && p.shares[class] > 0 && n.dice.draw() < p.shares[class] {
+	if p.admitAll || class >= 0 && class < len(p.shares) && p.shares[class] > 0 && n.rng.draw() < p.shares[class] {
 		return true, 0
 	}
-	if class >= 0 && class < len(n.turned) {
-		n.turned[class].Add(1)
+	if class >= 0 && class < len(n.rejected) {
+		n.rejected[class].Add(1)
 	}
-	return false, time.Duration((0.5 + 0.5*n.dice.draw()) * float64(p.wait))
+	return false, time.Duration((0.5 + 0.5*n.rng.draw()) * float64(p.retryAfter))
 }
 
 // Ready says whether anybody is let in.
--- a/internal/recovery/admit_test.go
+++ b/internal/recovery/admit_test.go
@@ -10,13 +10,13 @@
 )
 
 // admission is what a caller was told at the door.
-type admission struct {
+type admitResult struct {
 	in   bool
 	wait time.Duration
 }
 
 // admissions are what callers are told by a node with a seed that lets half of a class in.
-func admissions(t *testing.T, seed uint64, callers int) (told []admission) {
+func admitResults(t *testing.T, seed uint64, requests int) (results []admitResult) {
 	t.Helper()
 	n := Open(Config{
 		Options: Options{Folder: t.TempDir(), SaveInterval: time.Minute}, Name: "a", Seed: seed, Classes: []string{"search"},
@@ -25,25 +25,25 @@
 	defer n.Close()
 	host{n}.SetShares([]float64{0.5})
 	defer host{n}.SetShares([]float64{0}) // no proxy has begun, so there is nothing to keep on disk
-	for range callers {
+	for range requests {
 		in, wait := n.Admit(0)
-		told = append(told, admission{in, wait})
+		results = append(results, admitResult{in, wait})
 	}
-	return told
+	return results
 }
 
 // TestAdmissionIsDrawnFromTheSeed: who is let in while a proxy comes back, and for how long the others are asked to stay away, can be
 // played again from its seed, and differs between proxies.
 func TestAdmissionIsDrawnFromTheSeed(t *testing.T) {
 	const callers = 200
-	first := admissions(t, 1, callers)
-	if again := admissions(t, 1, callers); !slices.Equal(first, again) {
+	first := admitResults(t, 1, callers)
+	if again := admitResults(t, 1, callers); !slices.Equal(first, again) {
 		t.Error("equal seeds admit other callers, or ask them to stay away for other times")
 	}
-	if other := admissions(t, 2, callers); slices.Equal(first, other) {
+	if other := admitResults(t, 2, callers); slices.Equal(first, other) {
 		t.Error("two seeds admit the same callers")
 	}
-	if !slices.ContainsFunc(first, func(a admission) bool { return a.in }) || !slices.ContainsFunc(first, func(a admission) bool { return !a.in }) {
+	if !slices.ContainsFunc(first, func(a admitResult) bool { return a.in }) || !slices.ContainsFunc(first, func(a admitResult) bool { return !a.in }) {
 		t.Errorf("none of both kinds among %d callers", callers)
 	}
 }
--- a/internal/recovery/dice.go
+++ b/internal/recovery/dice.go
@@ -9,17 +9,17 @@
 const admissionStream = 0xd002
 
 // dice are draws from a seed, for many goroutines.
-type dice struct {
+type lockedRand struct {
 	mu     sync.Mutex
 	source *rand.Rand
 }
 
-func newDice(seed uint64) *dice {
-	return &dice{source: rand.New(rand.NewPCG(seed, admissionStream))}
+func newLockedRand(seed uint64) *lockedRand {
+	return &lockedRand{source: rand.New(rand.NewPCG(seed, admissionStream))}
 }
 
 // draw returns a number from 0 to below 1.
-func (d *dice) draw() float64 {
+func (d *lockedRand) draw() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.source.Float64()
--- a/internal/recovery/host.go
+++ b/internal/recovery/host.go
@@ -24,17 +24,17 @@
 	}
 }
 
-func (h host) RestoreState(k revival.Kind, ago time.Duration) {
-	begin, lost := revival.InitialState(k, h.age, h.found.Bans, h.found.Learned, h.side.Now()-ago, h.config.Instances)
-	var trusted []ItemTrust
+func (h host) RestoreState(k revival.Kind, admittingFor time.Duration) {
+	initial, trustedSince := revival.InitialState(k, h.age, h.saved.Bans, h.saved.Learned, h.proxy.Now()-admittingFor, h.config.Instances)
+	var itemTrust []ItemTrust
 	for _, b := range revival.StateItems() {
-		trusted = append(trusted, ItemTrust{b.String(), revival.TrustIn(k, h.age, b).String()})
+		itemTrust = append(itemTrust, ItemTrust{b.String(), revival.TrustIn(k, h.age, b).String()})
 	}
 	h.mu.Lock()
-	h.trusted = trusted
+	h.itemTrust = itemTrust
 	h.mu.Unlock()
-	h.config.Log.Info(LogBegin, "kind", k.String(), "backends", len(begin.Balancer.Servers), "bans", len(begin.Balancer.Banned), "age", ageText(h.found.Learned, h.age))
-	h.side.RestoreState(begin, lost)
+	h.config.Log.Info(LogBegin, "kind", k.String(), "backends", len(initial.Balancer.Servers), "bans", len(initial.Balancer.Banned), "age", ageText(h.saved.Learned, h.age))
+	h.proxy.RestoreState(initial, trustedSince)
 	h.ListUpdated(false) // the core is at work, and hears of it after this call
 }
 
@@ -49,14 +49,14 @@
 }
 
 func (h host) SetShares(shares []float64) {
-	p := &plan{shares: slices.Clone(shares), all: true}
+	p := &plan{shares: slices.Clone(shares), admitAll: true}
 	for _, s := range shares {
-		p.all = p.all && s >= 1
+		p.admitAll = p.admitAll && s >= 1
 		p.ready = p.ready || s > 0
 	}
 	if h.config.Balancer.RetryAfter {
 		// Until the next class or so; who is told less comes too often, and who is told more is not believed.
-		p.wait = min(h.config.Balancer.WarmUp/time.Duration(max(len(shares), 1)), h.config.Balancer.MaxRetryAfter)
+		p.retryAfter = min(h.config.Balancer.WarmUp/time.Duration(max(len(shares), 1)), h.config.Balancer.MaxRetryAfter)
 	}
 	h.plan.Store(p)
 }
--- a/internal/recovery/node.go
+++ b/internal/recovery/node.go
@@ -27,12 +27,12 @@
 
 const (
 	// mostWaiting events stand before the owner; messages beyond are dropped, as the network would.
-	mostWaiting = 256
+	maxQueuedEvents = 256
 	// lookEvery is between two looks at the proxy while it comes back, and restEvery after that.
-	lookEvery = 50 * time.Millisecond
-	restEvery = time.Second
+	pollInterval     = 50 * time.Millisecond
+	donePollInterval = time.Second
 	// heldEvery is between tries for a folder that the process before still holds.
-	heldEvery = 200 * time.Millisecond
+	lockRetryInterval = 200 * time.Millisecond
 )
 
 // Side is the proxy's side. Its methods may be called at any time.
@@ -72,30 +72,30 @@
 
 // Node is this process's way back. Its methods may be called at any time.
 type Node struct {
-	config  Config
-	carrier cluster.Carrier // nil for none
-	began   time.Time
-	found   *state.Contents
-	age     state.Age
-	plan    atomic.Pointer[plan]
-	events  chan event
-	dice    *dice // of admissions
+	config    Config
+	carrier   cluster.Carrier // nil for none
+	startedAt time.Time
+	saved     *state.Contents
+	age       state.Age
+	plan      atomic.Pointer[plan]
+	events    chan event
+	rng       *lockedRand // of admissions
 
 	// turned is how many requests were not let in, by class.
-	turned []atomic.Int64
+	rejected []atomic.Int64
 
 	// Set by Start:
-	side   Proxy
+	proxy  Proxy
 	core   *revival.Core // the owner's
 	joined bool          // it goes on where a running process is
 
-	mu        sync.Mutex
-	folder    *state.Folder
-	keeper    *state.Writer
-	waiting   bool // for a folder that another process holds
-	addresses map[string]string
-	trusted   []ItemTrust
-	demand    []float64
+	mu             sync.Mutex
+	folder         *state.Folder
+	writer         *state.Writer
+	awaitingFolder bool // for a folder that another process holds
+	addresses      map[string]string
+	itemTrust      []ItemTrust
+	demand         []float64
 
 	ctx     context.Context
 	cancel  context.CancelFunc
@@ -104,17 +104,17 @@
 
 // Open reads the folder. Nothing in it, and no fault of it, keeps a proxy from starting.
 func Open(c Config, carrier cluster.Carrier) *Node {
-	n := &Node{config: c, carrier: carrier, began: time.Now(), found: &state.Contents{}, events: make(chan event, mostWaiting), dice: newDice(c.Seed), demand: make([]float64, len(c.Classes)), turned: make([]atomic.Int64, len(c.Classes))}
+	n := &Node{config: c, carrier: carrier, startedAt: time.Now(), saved: &state.Contents{}, events: make(chan event, maxQueuedEvents), rng: newLockedRand(c.Seed), demand: make([]float64, len(c.Classes)), rejected: make([]atomic.Int64, len(c.Classes))}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	first := &plan{shares: make([]float64, len(c.Classes))}
 	if c.Balancer.RetryAfter {
-		first.wait = c.Balancer.MaxRetryAfter
+		first.retryAfter = c.Balancer.MaxRetryAfter
 	}
 	n.plan.Store(first)
 	folder, err := state.OpenFolder(c.Options.Folder)
 	if err != nil {
-		n.waiting = errors.Is(err, state.ErrLocked)
-		if n.waiting {
+		n.awaitingFolder = errors.Is(err, state.ErrLocked)
+		if n.awaitingFolder {
 			c.Log.Info(LogFolder, "what", "is held by another process, and taken once that lets go of it; until then bans by hand do not last", "error", err)
 		} else {
 			c.Log.Error(LogFolder, "what", "cannot be used; this start knows nothing of before, and bans by hand will not last", "error", err)
@@ -122,22 +122,22 @@
 		return n
 	}
 	n.folder = folder
-	store, found := state.Open(folder, c.Name)
-	n.found = found
-	for _, t := range found.Problems {
+	store, saved := state.Open(folder, c.Name)
+	n.saved = saved
+	for _, t := range saved.Problems {
 		c.Log.Warn(LogFolder, "what", t)
 	}
 	n.age = state.Age{Max: state.UnknownAge}
-	if found.Learned != nil {
-		n.age = state.AgeOf(found.Learned.Written, state.Now())
+	if saved.Learned != nil {
+		n.age = state.AgeOf(saved.Learned.Written, state.Now())
 	}
-	n.keeper = state.StartWriter(store, c.Options.SaveInterval, n.learned, c.Log)
+	n.writer = state.StartWriter(store, c.Options.SaveInterval, n.learnedState, c.Log)
 	return n
 }
 
 // Start begins the way back of a proxy. joined says that it goes on where a running process is, so there is no way to go.
 func (n *Node) Start(side Proxy, joined bool) {
-	n.side = side
+	n.proxy = side
 	c := &n.config
 	s := revival.Settings{
 		Name: c.Name, InstanceID: c.InstanceID, Standalone: n.carrier == nil || c.Instances == 1, UsesRules: c.UsesRules, FleetSize: c.Instances,
@@ -147,7 +147,7 @@
 	for i, name := range c.Classes {
 		s.Classes = append(s.Classes, revival.Class{Name: name, Value: c.Balancer.Classes[i].Value})
 	}
-	if l := n.found.Learned; l != nil {
+	if l := n.saved.Learned; l != nil {
 		s.SameMachineBoot = l.Written.Machine != "" && l.Written.Machine == state.Now().Machine
 		for _, name := range c.Classes {
 			s.Demand = append(s.Demand, l.Demand[name])
@@ -156,34 +156,34 @@
 	n.joined = joined
 	if joined {
 		n.admitAll()
-		n.running.Go(n.rest)
+		n.running.Go(n.measureDemand)
 	} else {
 		n.core = revival.New(n.now(), s, c.Seed, host{n})
 		if n.carrier != nil {
-			n.carrier.OnParcel(n.parcel)
-			n.carrier.Follow(n.members)
+			n.carrier.OnParcel(n.receive)
+			n.carrier.Follow(n.setMembers)
 		}
-		n.running.Go(n.own)
+		n.running.Go(n.run)
 	}
-	if n.waiting {
-		n.running.Go(n.openLater)
+	if n.awaitingFolder {
+		n.running.Go(n.openWhenReleased)
 	}
 }
 
-func (n *Node) now() time.Duration { return time.Since(n.began) }
+func (n *Node) now() time.Duration { return time.Since(n.startedAt) }
 
 // own is the goroutine that the core belongs to.
-func (n *Node) own() {
+func (n *Node) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	measured, asked := n.now(), n.tally()
+	measured, asked := n.now(), n.totals()
 	counted := asked
 	for {
-		every := lookEvery
+		interval := pollInterval
 		if n.core.Step() == revival.Done {
-			every = restEvery
+			interval = donePollInterval
 		}
-		timer.Reset(max(min(n.core.Next()-n.now(), every), 0))
+		timer.Reset(max(min(n.core.Next()-n.now(), interval), 0))
 		select {
 		case <-n.ctx.Done():
 			return
@@ -193,52 +193,52 @@
 		case <-timer.C:
 		}
 		now := n.now()
-		if n.side.Leased() {
+		if n.proxy.Leased() {
 			n.core.SetLeased(now)
 		}
-		tally := n.tally()
+		tally := n.totals()
 		n.core.AddCounts(now, tally.since(counted))
 		counted = tally
-		if past := now - measured; past >= time.Second {
-			n.demanded(tally.since(asked), past)
+		if elapsed := now - measured; elapsed >= time.Second {
+			n.updateDemand(tally.since(asked), elapsed)
 			measured, asked = now, tally
 		}
 		n.core.Tick(now)
 	}
 }
 
-func (n *Node) parcel(body []byte) {
+func (n *Node) receive(body []byte) {
 	r, err := revival.Decode(body)
 	if err != nil {
 		n.config.Log.Debug("recovery: a message is dropped", "error", err)
 		return
 	}
-	n.event(func(c *revival.Core, now time.Duration) { c.ReceiveReport(now, r) })
+	n.enqueue(func(c *revival.Core, now time.Duration) { c.ReceiveReport(now, r) })
 }
 
-func (n *Node) event(e event) {
+func (n *Node) enqueue(e event) {
 	select {
 	case n.events <- e:
 	default:
 	}
 }
 
-func (n *Node) members(s view.Standing) {
+func (n *Node) setMembers(s view.Standing) {
 	addresses, living := s.Addresses()
 	n.mu.Lock()
 	n.addresses = addresses
 	n.mu.Unlock()
-	n.event(func(c *revival.Core, now time.Duration) { c.SetMembers(now, living) })
+	n.enqueue(func(c *revival.Core, now time.Duration) { c.SetMembers(now, living) })
 }
 
 // Listed says that a list has come from discovery, or from before; it must not be called with the proxy's locks held.
 func (n *Node) ListUpdated(fresh bool) {
-	births := n.side.StartTimes()
-	ahead := n.now() - n.side.Now() // of the core's clock
+	births := n.proxy.StartTimes()
+	ahead := n.now() - n.proxy.Now() // of the core's clock
 	for i := range births {
 		births[i] += ahead
 	}
-	n.event(func(c *revival.Core, now time.Duration) { c.SetList(now, fresh, births) })
+	n.enqueue(func(c *revival.Core, now time.Duration) { c.SetList(now, fresh, births) })
 }
 
 // Close ends the way back, writes what is known a last time and lets go of the folder.
@@ -247,8 +247,8 @@
 	n.running.Wait()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.keeper != nil {
-		n.keeper.Close()
+	if n.writer != nil {
+		n.writer.Close()
 		n.folder.Close()
 	}
 }
--- a/internal/recovery/report.go
+++ b/internal/recovery/report.go
@@ -45,7 +45,7 @@
 // Status says how far this proxy has come back, as JSON.
 func (n *Node) Status(ctx context.Context) ([]byte, error) {
 	p := n.plan.Load()
-	r := Report{Name: n.config.Name, Step: revival.Done.String(), Kind: "upgrade", Shares: map[string]float64{}, Age: ageText(n.found.Learned, n.age), Bans: len(n.found.Bans), Problems: n.found.Problems}
+	r := Report{Name: n.config.Name, Step: revival.Done.String(), Kind: "upgrade", Shares: map[string]float64{}, Age: ageText(n.saved.Learned, n.age), Bans: len(n.saved.Bans), Problems: n.saved.Problems}
 	for i, name := range n.config.Classes {
 		r.Shares[name] = p.shares[i]
 	}
@@ -67,12 +67,12 @@
 		}
 	}
 	n.mu.Lock()
-	r.Trusted = n.trusted
-	k := n.keeper
+	r.Trusted = n.itemTrust
+	w := n.writer
 	n.mu.Unlock()
-	if k == nil {
+	if w == nil {
 		r.Problems = append(slices.Clone(r.Problems), "the folder is not held: bans by hand will not last")
-	} else if r.Disk = k.Stats(); r.Disk.Problem != "" {
+	} else if r.Disk = w.Stats(); r.Disk.Problem != "" {
 		r.Problems = append(slices.Clone(r.Problems), "the folder cannot be written: "+r.Disk.Problem)
 	}
 	return json.Marshal(r)
@@ -123,10 +123,10 @@
 	}
 	text = figures.AppendLine(text, "recovery_least_share_percent", int64(100*least), 'g')
 	n.mu.Lock()
-	k := n.keeper
+	w := n.writer
 	n.mu.Unlock()
-	if k != nil {
-		f := k.Stats()
+	if w != nil {
+		f := w.Stats()
 		text = figures.AppendLine(text, "state_saves", f.Saves, 'c')
 		text = figures.AppendLine(text, "state_failures", f.Failures, 'c')
 	}
--- a/internal/sealed/sealed.go
+++ b/internal/sealed/sealed.go
@@ -22,38 +22,38 @@
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Append adds a piece to text.
-func Append(text, piece []byte) []byte {
+func Append(dst, record []byte) []byte {
 	var head [HeaderBytes]byte
-	binary.BigEndian.PutUint32(head[:], uint32(len(piece)))
-	binary.BigEndian.PutUint32(head[4:], crc32.Checksum(piece, castagnoli))
-	return append(append(text, head[:]...), piece...)
+	binary.BigEndian.PutUint32(head[:], uint32(len(record)))
+	binary.BigEndian.PutUint32(head[4:], crc32.Checksum(record, castagnoli))
+	return append(append(dst, head[:]...), record...)
 }
 
 // Write writes a piece with one call.
-func Write(w io.Writer, piece []byte) error {
-	_, err := w.Write(Append(make([]byte, 0, HeaderBytes+len(piece)), piece))
+func Write(w io.Writer, record []byte) error {
+	_, err := w.Write(Append(make([]byte, 0, HeaderBytes+len(record)), record))
 	return err
 }
 
 // Read reads a piece of at most so many bytes. Memory is taken as the bytes come, not as they are announced. At a clean end the
 // error is io.EOF, and within a piece io.ErrUnexpectedEOF.
-func Read(r io.Reader, most int) ([]byte, error) {
+func Read(r io.Reader, maxBytes int) ([]byte, error) {
 	var head [HeaderBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return nil, err
 	}
 	length := binary.BigEndian.Uint32(head[:])
-	if uint64(length) > uint64(most) {
+	if uint64(length) > uint64(maxBytes) {
 		return nil, ErrTooLong
 	}
-	piece, err := io.ReadAll(io.LimitReader(r, int64(length)))
+	record, err := io.ReadAll(io.LimitReader(r, int64(length)))
 	switch {
 	case err != nil:
 		return nil, err
-	case uint32(len(piece)) < length:
+	case uint32(len(record)) < length:
 		return nil, io.ErrUnexpectedEOF
-	case length == 0 || crc32.Checksum(piece, castagnoli) != binary.BigEndian.Uint32(head[4:]):
+	case length == 0 || crc32.Checksum(record, castagnoli) != binary.BigEndian.Uint32(head[4:]):
 		return nil, ErrChecksum
 	}
-	return piece, nil
+	return record, nil
 }
--- a/internal/state/crashfs/crashfs.go
+++ b/internal/state/crashfs/crashfs.go
@@ -23,7 +23,7 @@
 }
 
 // step is a change of names that is not synced.
-type step struct {
+type nameChange struct {
 	name string
 	node *inode // nil for a removal
 	from string // of a rename
@@ -31,22 +31,22 @@
 
 // FS is a folder. Its methods may be called at any time.
 type FS struct {
-	mu      sync.Mutex
-	names   map[string]*inode // now
-	durable map[string]*inode
-	pending []step
-	dice    *rand.Rand
-	off     bool
-	calls   int
-	offAt   int   // the call that the power is lost in; 0 for none
-	fail    error // of each write, sync and change of names
-	syncs   int
-	bytes   int64
+	mu         sync.Mutex
+	names      map[string]*inode // now
+	durable    map[string]*inode
+	pending    []nameChange
+	rng        *rand.Rand
+	poweredOff bool
+	calls      int
+	powerOffAt int   // the call that the power is lost in; 0 for none
+	fail       error // of each write, sync and change of names
+	syncs      int
+	bytes      int64
 }
 
 // New returns an empty folder.
 func New(seed uint64) *FS {
-	return &FS{names: map[string]*inode{}, durable: map[string]*inode{}, dice: rand.New(rand.NewPCG(seed, 0xc4a5))}
+	return &FS{names: map[string]*inode{}, durable: map[string]*inode{}, rng: rand.New(rand.NewPCG(seed, 0xc4a5))}
 }
 
 // Fail has each call that changes something fail from now on; nil ends that.
@@ -60,14 +60,14 @@
 func (f *FS) LosePowerIn(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.offAt = f.calls + n
+	f.powerOffAt = f.calls + n
 }
 
 // Off says whether the power is gone.
 func (f *FS) PoweredOff() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.off
+	return f.poweredOff
 }
 
 // Counts are the calls that changed something, the syncs among them, and the bytes written.
@@ -82,7 +82,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.pending { // each may have lasted, in order
-		if f.dice.IntN(2) == 0 {
+		if f.rng.IntN(2) == 0 {
 			continue
 		}
 		if s.from != "" && f.durable[s.from] == s.node {
@@ -93,43 +93,43 @@
 	f.pending = nil
 	names := map[string]*inode{}
 	for name, n := range f.durable {
-		n.durable = f.lasted(n)
+		n.durable = f.survivingBytes(n)
 		n.now = slices.Clone(n.durable)
 		names[name] = n
 	}
 	f.names, f.durable = names, maps.Clone(names)
-	f.off, f.offAt, f.fail = false, 0, nil
+	f.poweredOff, f.powerOffAt, f.fail = false, 0, nil
 }
 
 // lasted is what is left of a file: all that was synced, and of the rest a part, maybe with bytes that nobody wrote.
-func (f *FS) lasted(n *inode) []byte {
+func (f *FS) survivingBytes(n *inode) []byte {
 	if len(n.now) < len(n.durable) || !slices.Equal(n.now[:len(n.durable)], n.durable) {
-		if f.dice.IntN(2) == 0 {
+		if f.rng.IntN(2) == 0 {
 			return n.durable
 		}
 		return n.now
 	}
 	rest := n.now[len(n.durable):]
-	kept := slices.Clone(n.now[:len(n.durable)+f.dice.IntN(len(rest)+1)])
+	kept := slices.Clone(n.now[:len(n.durable)+f.rng.IntN(len(rest)+1)])
 	if more := len(kept) - len(n.durable); more > 0 {
-		switch f.dice.IntN(4) {
+		switch f.rng.IntN(4) {
 		case 0: // zeros, as where the length lasted and the bytes did not
-			clear(kept[len(n.durable)+f.dice.IntN(more):])
+			clear(kept[len(n.durable)+f.rng.IntN(more):])
 		case 1:
-			kept[len(n.durable)+f.dice.IntN(more)] ^= byte(1 << f.dice.IntN(8))
+			kept[len(n.durable)+f.rng.IntN(more)] ^= byte(1 << f.rng.IntN(8))
 		}
 	}
 	return kept
 }
 
 // begin counts a call that changes something; dying says that the power is lost within it.
-func (f *FS) begin() (dying bool, err error) {
-	if f.off {
+func (f *FS) startCall() (powerLost bool, err error) {
+	if f.poweredOff {
 		return false, ErrPowerLost
 	}
 	f.calls++
-	if f.calls == f.offAt {
-		f.off = true
+	if f.calls == f.powerOffAt {
+		f.poweredOff = true
 		return true, ErrPowerLost
 	}
 	return false, f.fail
@@ -139,7 +139,7 @@
 func (f *FS) ReadFile(name string) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.off {
+	if f.poweredOff {
 		return nil, ErrPowerLost
 	}
 	n := f.names[name]
@@ -161,12 +161,12 @@
 func (f *FS) Create(name string) (state.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if _, err := f.begin(); err != nil {
+	if _, err := f.startCall(); err != nil {
 		return nil, err
 	}
 	n := &inode{}
 	f.names[name] = n
-	f.pending = append(f.pending, step{name: name, node: n})
+	f.pending = append(f.pending, nameChange{name: name, node: n})
 	return &file{f, n}, nil
 }
 
@@ -174,7 +174,7 @@
 func (f *FS) Append(name string) (state.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.off {
+	if f.poweredOff {
 		return nil, ErrPowerLost
 	}
 	n := f.names[name]
@@ -188,12 +188,12 @@
 func (f *FS) Truncate(name string, size int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	dying, err := f.begin()
+	powerLost, err := f.startCall()
 	n := f.names[name]
 	switch {
 	case n == nil || int64(len(n.now)) < size:
 		return errors.Join(err, fs.ErrNotExist)
-	case dying && f.dice.IntN(2) == 0, err == nil:
+	case powerLost && f.rng.IntN(2) == 0, err == nil:
 		n.now = n.now[:size:size]
 		n.durable = slices.Clone(n.now)
 	}
@@ -204,8 +204,8 @@
 func (f *FS) Rename(from, to string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	dying, err := f.begin()
-	if err != nil && !dying {
+	powerLost, err := f.startCall()
+	if err != nil && !powerLost {
 		return err
 	}
 	n := f.names[from]
@@ -214,7 +214,7 @@
 	}
 	delete(f.names, from)
 	f.names[to] = n
-	f.pending = append(f.pending, step{name: to, node: n, from: from})
+	f.pending = append(f.pending, nameChange{name: to, node: n, from: from})
 	return err
 }
 
@@ -229,7 +229,7 @@
 func (f *FS) SyncDir() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if _, err := f.begin(); err != nil {
+	if _, err := f.startCall(); err != nil {
 		return err
 	}
 	f.syncs++
@@ -242,33 +242,33 @@
 	node   *inode
 }
 
-func (o *file) Write(b []byte) (int, error) {
-	f := o.folder
+func (w *file) Write(b []byte) (int, error) {
+	f := w.folder
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	dying, err := f.begin()
+	powerLost, err := f.startCall()
 	n := len(b)
 	if err != nil {
 		n = 0
-		if dying || f.dice.IntN(2) == 0 { // a part of it may be there
-			n = f.dice.IntN(len(b) + 1)
+		if powerLost || f.rng.IntN(2) == 0 { // a part of it may be there
+			n = f.rng.IntN(len(b) + 1)
 		}
 	}
-	o.node.now = append(o.node.now, b[:n]...)
+	w.node.now = append(w.node.now, b[:n]...)
 	f.bytes += int64(n)
 	return n, err
 }
 
-func (o *file) Sync() error {
-	f := o.folder
+func (w *file) Sync() error {
+	f := w.folder
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	dying, err := f.begin()
-	if err == nil || dying && f.dice.IntN(2) == 0 {
+	powerLost, err := f.startCall()
+	if err == nil || powerLost && f.rng.IntN(2) == 0 {
 		f.syncs++
-		o.node.durable = slices.Clone(o.node.now)
+		w.node.durable = slices.Clone(w.node.now)
 	}
 	return err
 }
 
-func (o *file) Close() error { return nil }
+func (w *file) Close() error { return nil }
--- a/internal/state/files.go
+++ b/internal/state/files.go
@@ -71,16 +71,16 @@
 // Close lets go of the folder.
 func (f *Folder) Close() error { return f.lock.Close() }
 
-func (f *Folder) at(name string) string { return filepath.Join(f.path, name) }
+func (f *Folder) filePath(name string) string { return filepath.Join(f.path, name) }
 
 // ReadFile returns a file of at most mostLearned bytes and their head: a longer one is none of a store's.
 func (f *Folder) ReadFile(name string) ([]byte, error) {
-	file, err := os.Open(f.at(name))
+	file, err := os.Open(f.filePath(name))
 	if err != nil {
 		return nil, err
 	}
 	defer file.Close()
-	text, err := io.ReadAll(io.LimitReader(file, mostLearned+1<<10))
+	text, err := io.ReadAll(io.LimitReader(file, maxLearnedBytes+1<<10))
 	if err != nil {
 		return nil, err
 	}
@@ -89,17 +89,17 @@
 
 // Create makes a file.
 func (f *Folder) Create(name string) (File, error) {
-	return os.OpenFile(f.at(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+	return os.OpenFile(f.filePath(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 }
 
 // Append opens a file to write behind its end.
 func (f *Folder) Append(name string) (File, error) {
-	return os.OpenFile(f.at(name), os.O_APPEND|os.O_WRONLY, 0o600)
+	return os.OpenFile(f.filePath(name), os.O_APPEND|os.O_WRONLY, 0o600)
 }
 
 // Truncate cuts a file, and returns once that lasts.
 func (f *Folder) Truncate(name string, size int64) error {
-	file, err := os.OpenFile(f.at(name), os.O_WRONLY, 0)
+	file, err := os.OpenFile(f.filePath(name), os.O_WRONLY, 0)
 	if err != nil {
 		return err
 	}
@@ -111,7 +111,7 @@
 }
 
 // Rename puts a file under another name, in place of what has that.
-func (f *Folder) Rename(from, to string) error { return os.Rename(f.at(from), f.at(to)) }
+func (f *Folder) Rename(from, to string) error { return os.Rename(f.filePath(from), f.filePath(to)) }
 
 // Names are those of a store's files.
 func (f *Folder) Names() (names []string, err error) {
--- a/internal/state/keeper.go
+++ b/internal/state/keeper.go
@@ -13,11 +13,11 @@
 
 const (
 	// mostWaiting changes wait for the disk at one time.
-	mostWaiting = 64
+	maxQueuedChanges = 64
 	// retryAfter a failure learned things are tried again.
-	retryAfter = 5 * time.Second
+	retryDelay = 5 * time.Second
 	// closeTime bounds the end.
-	closeTime = time.Second
+	closeTimeout = time.Second
 )
 
 // ErrNotKept is that of a change by hand that holds in this process, and may be gone after a power loss.
@@ -26,21 +26,21 @@
 // Keeper keeps a proxy's state from a goroutine of its own. What serves never waits for it. Its methods may be called at any time.
 type Writer struct {
 	every   time.Duration
-	learn   func(context.Context) *Learned // what is known now; nil for nothing new
+	collect func(context.Context) *Learned // what is known now; nil for nothing new
 	log     *slog.Logger
-	changes chan ask
+	changes chan banRequest
 	ctx     context.Context
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 
-	mu      sync.Mutex
-	figures Stats
+	mu    sync.Mutex
+	stats Stats
 }
 
-type ask struct {
-	id   string
-	out  bool
-	done chan error
+type banRequest struct {
+	id     string
+	banned bool
+	done   chan error
 }
 
 // Figures are what a keeper has done.
@@ -55,77 +55,77 @@
 
 // Keep begins to keep a folder. learn is called from the keeper's goroutine; it may take its time.
 func StartWriter(s *Store, every time.Duration, learn func(context.Context) *Learned, log *slog.Logger) *Writer {
-	k := &Writer{every: every, learn: learn, log: log, changes: make(chan ask, mostWaiting)}
-	k.ctx, k.cancel = context.WithCancel(context.Background())
-	k.running.Go(func() {
+	w := &Writer{every: every, collect: learn, log: log, changes: make(chan banRequest, maxQueuedChanges)}
+	w.ctx, w.cancel = context.WithCancel(context.Background())
+	w.running.Go(func() {
 		defer s.Close()
-		k.own(s)
+		w.run(s)
 	})
-	return k
+	return w
 }
 
 // Ban makes a change by hand last. It returns without an error once that is on disk, and with one if that could not be, or not
 // before ctx is done.
-func (k *Writer) Ban(ctx context.Context, id string, out bool) error {
-	a := ask{id, out, make(chan error, 1)}
+func (w *Writer) Ban(ctx context.Context, id string, banned bool) error {
+	req := banRequest{id, banned, make(chan error, 1)}
 	select {
-	case k.changes <- a:
+	case w.changes <- req:
 	default:
 		return ErrNotPersisted // the disk stands
 	}
 	select {
-	case err := <-a.done:
+	case err := <-req.done:
 		if err != nil {
 			return errors.Join(ErrNotPersisted, err)
 		}
 		return nil
 	case <-ctx.Done():
-	case <-k.ctx.Done():
+	case <-w.ctx.Done():
 	}
 	return ErrNotPersisted
 }
 
-func (k *Writer) own(s *Store) {
-	timer := time.NewTimer(k.every)
+func (w *Writer) run(s *Store) {
+	timer := time.NewTimer(w.every)
 	defer timer.Stop()
 	for {
 		select {
-		case <-k.ctx.Done():
-			k.save(s)
+		case <-w.ctx.Done():
+			w.save(s)
 			return
-		case a := <-k.changes:
-			begun := time.Now()
-			err := s.Ban(a.id, a.out)
-			k.noted(begun, err, func(f *Stats) { f.Changes++ })
-			a.done <- err
+		case req := <-w.changes:
+			start := time.Now()
+			err := s.Ban(req.id, req.banned)
+			w.recordResult(start, err, func(f *Stats) { f.Changes++ })
+			req.done <- err
 		case <-timer.C:
-			wait := k.every
-			if !k.save(s) {
-				wait = max(wait, retryAfter)
+			wait := w.every
+			if !w.save(s) {
+				wait = max(wait, retryDelay)
 			}
 			timer.Reset(wait)
 		}
 	}
 }
 
-func (k *Writer) save(s *Store) bool {
-	l := k.learn(k.ctx)
+func (w *Writer) save(s *Store) bool {
+	l := w.collect(w.ctx)
 	if l == nil {
 		return true
 	}
-	begun := time.Now()
+	start := time.Now()
 	err := s.Save(l)
-	k.noted(begun, err, func(f *Stats) { f.Saves++; f.SavedAt = time.Now() })
+	w.recordResult(start, err, func(f *Stats) { f.Saves++; f.SavedAt = time.Now() })
 	return err == nil
 }
 
 // noted takes down what became of one thing, and tells people where that has changed.
-func (k *Writer) noted(begun time.Time, err error, count func(*Stats)) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	f := &k.figures
-	f.Slowest = max(f.Slowest, time.Since(begun))
-	was := f.Problem
+func (w *Writer) recordResult(start time.Time, err error, count func(*Stats)) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	f := &w.stats
+	f.Slowest = max(f.Slowest, time.Since(start))
+	previous := f.Problem
 	if err != nil {
 		f.Failures++
 		f.Problem = err.Error()
@@ -134,32 +134,32 @@
 		f.Problem = ""
 	}
 	switch {
-	case was == "" && err != nil:
-		k.log.Error(LogDisk, "what", "cannot be written; this proxy serves on, and its next start will know less", "error", err)
-	case was != "" && err == nil:
-		k.log.Info(LogDisk, "what", "is written again")
+	case previous == "" && err != nil:
+		w.log.Error(LogDisk, "what", "cannot be written; this proxy serves on, and its next start will know less", "error", err)
+	case previous != "" && err == nil:
+		w.log.Info(LogDisk, "what", "is written again")
 	}
 }
 
 // Figures are what has been done so far.
-func (k *Writer) Stats() Stats {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.figures
+func (w *Writer) Stats() Stats {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.stats
 }
 
 // Close saves a last time and lets go of the folder. It does not wait for a disk that stands for longer than closeTime: a process
 // that is to end must. The goroutine then ends with its call.
-func (k *Writer) Close() {
-	k.cancel()
+func (w *Writer) Close() {
+	w.cancel()
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		k.running.Wait()
+		w.running.Wait()
 	}()
 	select {
 	case <-ended:
-	case <-time.After(closeTime):
-		k.log.Error(LogDisk, "what", "does not answer; what was learned last is not written")
+	case <-time.After(closeTimeout):
+		w.log.Error(LogDisk, "what", "does not answer; what was learned last is not written")
 	}
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -30,21 +30,21 @@
 const (
 	bansFile    = "bans"
 	learnedFile = "learned"
-	next        = ".next" // of a file that is to take another's place
+	tempSuffix  = ".next" // of a file that is to take another's place
 
 	// form is that of both files. A later one is not read; there is no earlier one.
-	form = 1
+	formatVersion = 1
 	// MostBans ids are kept.
 	MaxBans = 4096
 	// MostID is the longest, in bytes.
 	MaxIDBytes = 256
 	// mostLearned and mostChange bound a file's pieces, in bytes.
-	mostLearned = 64 << 20
-	mostChange  = 4 << 20
+	maxLearnedBytes = 64 << 20
+	maxRecordBytes  = 4 << 20
 	// mostChanges are appended before the log is begun anew.
-	mostChanges = 1024
+	maxLogChanges = 1024
 	// mostAside files of one name are kept aside; the oldest makes room.
-	mostAside = 3
+	maxSetAside = 3
 )
 
 // Owner says whose files they are.
@@ -93,11 +93,11 @@
 }
 
 // change is a piece of the bans' log.
-type change struct {
-	Owner *Owner   `cbor:"1,keyasint,omitempty"` // of the first piece alone
-	All   []string `cbor:"2,keyasint,omitempty"` // of the first piece: all that are out
-	ID    string   `cbor:"3,keyasint,omitempty"`
-	Out   bool     `cbor:"4,keyasint,omitempty"`
+type logRecord struct {
+	Owner  *Owner   `cbor:"1,keyasint,omitempty"` // of the first piece alone
+	Bans   []string `cbor:"2,keyasint,omitempty"` // of the first piece: all that are out
+	ID     string   `cbor:"3,keyasint,omitempty"`
+	Banned bool     `cbor:"4,keyasint,omitempty"`
 }
 
 // Found is what a folder held at a start.
@@ -108,21 +108,21 @@
 	Problems []string
 }
 
-var reading = strict.CBOR(cbor.DecOptions{MaxArrayElements: 1 << 17, MaxMapPairs: 1 << 17, MaxNestedLevels: 16})
+var decMode = strict.CBOR(cbor.DecOptions{MaxArrayElements: 1 << 17, MaxMapPairs: 1 << 17, MaxNestedLevels: 16})
 
 // Store is a folder's files. It is not safe for concurrent use.
 type Store struct {
-	files FS
-	own   Owner
-	bans  map[string]bool
-	log   File // nil where the next change begins the log anew
-	count int  // of changes in it
+	files   FS
+	owner   Owner
+	bans    map[string]bool
+	log     File // nil where the next change begins the log anew
+	changes int  // of changes in it
 }
 
 // Open reads a folder's files and mends what it can. It does not fail: where the folder cannot be read or written, Found says so
 // and each write does.
 func Open(files FS, name string) (*Store, *Contents) {
-	s := &Store{files: files, own: Owner{form, name}, bans: map[string]bool{}}
+	s := &Store{files: files, owner: Owner{formatVersion, name}, bans: map[string]bool{}}
 	f := &Contents{}
 	s.openBans(f)
 	f.Bans = slices.Sorted(maps.Keys(s.bans))
@@ -136,27 +136,27 @@
 		return
 	}
 	if err != nil { // the next change begins the log anew, and must not take the place of what may be read another day
-		s.aside(f, bansFile, fmt.Errorf("it cannot be read, so bans by hand from before are not known: %w", err))
+		s.setAside(f, bansFile, fmt.Errorf("it cannot be read, so bans by hand from before are not known: %w", err))
 		return
 	}
-	bans, whole, rest, err := readBans(text, s.own)
+	bans, validLen, remaining, err := readBans(text, s.owner)
 	switch {
-	case errors.Is(err, errNotMine):
-		s.aside(f, bansFile, err)
+	case errors.Is(err, errForeign):
+		s.setAside(f, bansFile, err)
 	case err != nil:
 		// What stands behind the broken place was acknowledged too, and is kept; the next change writes all anew.
 		s.bans = bans
-		s.aside(f, bansFile, fmt.Errorf("%w; %d bans were saved from it", err, len(bans)))
-		if err := s.begin(); err != nil {
-			f.tell("the bans that were saved cannot be written: %v", err)
+		s.setAside(f, bansFile, fmt.Errorf("%w; %d bans were saved from it", err, len(bans)))
+		if err := s.rewriteLog(); err != nil {
+			f.addProblem("the bans that were saved cannot be written: %v", err)
 		}
 	default:
 		s.bans = bans
-		if rest > 0 { // an end that was torn: nobody was told that it holds
-			f.tell("the end of the bans' log was torn: %d bytes of a change that nobody was told of are cut off", rest)
-			err = s.files.Truncate(bansFile, int64(whole))
+		if remaining > 0 { // an end that was torn: nobody was told that it holds
+			f.addProblem("the end of the bans' log was torn: %d bytes of a change that nobody was told of are cut off", remaining)
+			err = s.files.Truncate(bansFile, int64(validLen))
 		}
-		if err == nil && whole > 0 {
+		if err == nil && validLen > 0 {
 			s.log, err = s.files.Append(bansFile)
 		}
 		if err != nil {
@@ -165,29 +165,29 @@
 	}
 }
 
-var errNotMine = errors.New("another proxy's, or of another version of the program")
+var errForeign = errors.New("another proxy's, or of another version of the program")
 
 // readBans reads a log. whole is how many bytes of it make sense from its beginning on, and rest what stands behind them. An error
 // is errNotMine, or says that something in the middle is broken; bans are then all that could be made out.
-func readBans(text []byte, own Owner) (bans map[string]bool, whole, rest int, err error) {
+func readBans(data []byte, owner Owner) (bans map[string]bool, validLen, remaining int, err error) {
 	bans = map[string]bool{}
-	first, broken, budget := true, false, hashMost
-	take := func(piece []byte) error {
-		var c change
-		if err := reading.Unmarshal(piece, &c); err != nil {
+	first, broken, budget := true, false, maxHashedBytes
+	apply := func(record []byte) error {
+		var c logRecord
+		if err := decMode.Unmarshal(record, &c); err != nil {
 			return err
 		}
 		if c.Owner != nil {
-			if *c.Owner != own {
-				return fmt.Errorf("%w: it is %q's, of form %d", errNotMine, c.Owner.Name, c.Owner.Form)
+			if *c.Owner != owner {
+				return fmt.Errorf("%w: it is %q's, of form %d", errForeign, c.Owner.Name, c.Owner.Form)
 			}
 			clear(bans)
-			for _, id := range c.All {
+			for _, id := range c.Bans {
 				bans[id] = true
 			}
 		} else if first && !broken { // behind a broken beginning a change is worth saving: to ban too much is the smaller harm
 			return errors.New("no beginning")
-		} else if c.Out {
+		} else if c.Banned {
 			bans[c.ID] = true
 		} else {
 			delete(bans, c.ID)
@@ -195,49 +195,49 @@
 		first = false
 		return nil
 	}
-	for at := 0; at < len(text); {
-		piece, err := sealed.Read(bytes.NewReader(text[at:]), mostChange)
+	for at := 0; at < len(data); {
+		record, err := sealed.Read(bytes.NewReader(data[at:]), maxRecordBytes)
 		if err == nil {
-			err = take(piece)
-			if errors.Is(err, errNotMine) {
-				return nil, 0, len(text), err
+			err = apply(record)
+			if errors.Is(err, errForeign) {
+				return nil, 0, len(data), err
 			}
 		}
 		if err == nil {
-			at += sealed.HeaderBytes + len(piece)
+			at += sealed.HeaderBytes + len(record)
 			if !broken {
-				whole = at
+				validLen = at
 			}
 			continue
 		}
 		// Whether this is a torn end or a broken middle shows in whether a whole piece stands behind it.
-		at = nextPiece(text, at+1, &budget)
-		if at < len(text) {
+		at = nextRecord(data, at+1, &budget)
+		if at < len(data) {
 			broken = true
 		}
 	}
-	if broken || first && len(text) > 0 {
-		return bans, whole, len(text) - whole, fmt.Errorf("broken at byte %d", whole)
+	if broken || first && len(data) > 0 {
+		return bans, validLen, len(data) - validLen, fmt.Errorf("broken at byte %d", validLen)
 	}
-	return bans, whole, len(text) - whole, nil
+	return bans, validLen, len(data) - validLen, nil
 }
 
 // Behind a broken place pieces of up to mostSaved bytes are looked for, which changes are, and no more than hashMost bytes are hashed
 // for that: a start must not hang on a file that somebody has filled with what looks like beginnings of pieces.
 const (
-	mostSaved = 1 << 10
-	hashMost  = 16 << 20
+	maxSalvagedBytes = 1 << 10
+	maxHashedBytes   = 16 << 20
 )
 
 // nextPiece looks for a whole piece from a place on; the end of text if there is none. budget is how much may still be hashed.
-func nextPiece(text []byte, from int, budget *int) int {
+func nextRecord(text []byte, from int, budget *int) int {
 	for ; from+sealed.HeaderBytes < len(text) && *budget > 0; from++ {
 		length := int(binary.BigEndian.Uint32(text[from:]))
-		if length == 0 || length > mostSaved || length > len(text)-from-sealed.HeaderBytes {
+		if length == 0 || length > maxSalvagedBytes || length > len(text)-from-sealed.HeaderBytes {
 			continue
 		}
 		*budget -= length
-		if _, err := sealed.Read(bytes.NewReader(text[from:]), mostSaved); err == nil {
+		if _, err := sealed.Read(bytes.NewReader(text[from:]), maxSalvagedBytes); err == nil {
 			return from
 		}
 	}
@@ -250,15 +250,15 @@
 	case errors.Is(err, fs.ErrNotExist):
 		return
 	case err != nil:
-		f.tell("what was learned before cannot be read: %v", err)
+		f.addProblem("what was learned before cannot be read: %v", err)
 		return
 	}
 	l, err := readLearned(text)
-	if err == nil && l.Owner != s.own {
-		err = fmt.Errorf("%w: it is %q's, of form %d", errNotMine, l.Owner.Name, l.Owner.Form)
+	if err == nil && l.Owner != s.owner {
+		err = fmt.Errorf("%w: it is %q's, of form %d", errForeign, l.Owner.Name, l.Owner.Form)
 	}
 	if err != nil {
-		s.aside(f, learnedFile, err)
+		s.setAside(f, learnedFile, err)
 		return
 	}
 	f.Learned = l
@@ -266,7 +266,7 @@
 
 func readLearned(text []byte) (*Learned, error) {
 	r := bytes.NewReader(text)
-	piece, err := sealed.Read(r, mostLearned)
+	record, err := sealed.Read(r, maxLearnedBytes)
 	if err != nil {
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
@@ -277,61 +277,61 @@
 		return nil, fmt.Errorf("%d bytes too many", r.Len())
 	}
 	l := &Learned{}
-	if err := reading.Unmarshal(piece, l); err != nil {
+	if err := decMode.Unmarshal(record, l); err != nil {
 		return nil, err
 	}
 	return l, nil
 }
 
-func (f *Contents) tell(format string, a ...any) {
+func (f *Contents) addProblem(format string, a ...any) {
 	f.Problems = append(f.Problems, fmt.Sprintf(format, a...))
 }
 
 // aside puts a file that is not to be used under another name.
-func (s *Store) aside(f *Contents, name string, why error) {
+func (s *Store) setAside(f *Contents, name string, reason error) {
 	names, err := s.files.Names()
 	if err != nil {
-		f.tell("%s is not used (%v), and cannot be put aside: %v", name, why, err)
+		f.addProblem("%s is not used (%v), and cannot be put aside: %v", name, reason, err)
 		return
 	}
 	to := ""
-	for i := 1; i <= mostAside && to == ""; i++ {
+	for i := 1; i <= maxSetAside && to == ""; i++ {
 		if candidate := fmt.Sprintf("%s.aside-%d", name, i); !slices.Contains(names, candidate) {
 			to = candidate
 		}
 	}
 	if to == "" { // the first of them was the first trouble, and tells most; the last makes room
-		to = fmt.Sprintf("%s.aside-%d", name, mostAside)
+		to = fmt.Sprintf("%s.aside-%d", name, maxSetAside)
 	}
 	if err := s.files.Rename(name, to); err != nil {
-		f.tell("%s is not used (%v), and cannot be put aside: %v", name, why, err)
+		f.addProblem("%s is not used (%v), and cannot be put aside: %v", name, reason, err)
 		return
 	}
-	f.tell("%s is not used, and was put aside as %s: %v", name, to, why)
+	f.addProblem("%s is not used, and was put aside as %s: %v", name, to, reason)
 }
 
 // Ban makes a change by hand last. Once it has returned without an error it is there after a power loss. After an error it may be or
 // not, and the next change writes all anew.
-func (s *Store) Ban(id string, out bool) error {
+func (s *Store) Ban(id string, banned bool) error {
 	if len(id) > MaxIDBytes {
 		return fmt.Errorf("state: an id of %d bytes; %d at most", len(id), MaxIDBytes)
 	}
-	if out && !s.bans[id] && len(s.bans) >= MaxBans {
+	if banned && !s.bans[id] && len(s.bans) >= MaxBans {
 		return fmt.Errorf("state: %d backends are out; no more are kept", len(s.bans))
 	}
-	was := s.bans[id]
-	if out {
+	wasBanned := s.bans[id]
+	if banned {
 		s.bans[id] = true
 	} else {
 		delete(s.bans, id)
 	}
-	if s.log == nil || s.count >= mostChanges {
-		return s.begin()
+	if s.log == nil || s.changes >= maxLogChanges {
+		return s.rewriteLog()
 	}
-	if was == out {
+	if wasBanned == banned {
 		return nil // it is there already: whoever began the log or appended has had a yes, or the log is begun anew
 	}
-	text, err := piece(change{ID: id, Out: out})
+	text, err := encodeRecord(logRecord{ID: id, Banned: banned})
 	if err == nil {
 		if _, err = s.log.Write(text); err == nil {
 			err = s.log.Sync()
@@ -339,14 +339,14 @@
 	}
 	if err != nil {
 		// What stands in the file now nobody knows, also after a later sync that works (an error is told once).
-		s.drop()
+		s.closeLog()
 		return fmt.Errorf("state: %w", err)
 	}
-	s.count++
+	s.changes++
 	return nil
 }
 
-func piece(c change) ([]byte, error) {
+func encodeRecord(c logRecord) ([]byte, error) {
 	text, err := cbor.Marshal(c)
 	if err != nil {
 		return nil, err
@@ -354,7 +354,7 @@
 	return sealed.Append(nil, text), nil
 }
 
-func (s *Store) drop() {
+func (s *Store) closeLog() {
 	if s.log != nil {
 		s.log.Close()
 		s.log = nil
@@ -362,9 +362,9 @@
 }
 
 // begin begins the log anew with all that is out.
-func (s *Store) begin() error {
-	s.drop()
-	text, err := piece(change{Owner: &s.own, All: slices.Sorted(maps.Keys(s.bans))})
+func (s *Store) rewriteLog() error {
+	s.closeLog()
+	text, err := encodeRecord(logRecord{Owner: &s.owner, Bans: slices.Sorted(maps.Keys(s.bans))})
 	if err == nil {
 		err = s.replace(bansFile, text)
 	}
@@ -374,13 +374,13 @@
 	if s.log, err = s.files.Append(bansFile); err != nil {
 		s.log = nil // it holds; the next change begins it anew
 	}
-	s.count = 0
+	s.changes = 0
 	return nil
 }
 
 // replace writes a file whole or not at all.
 func (s *Store) replace(name string, text []byte) error {
-	f, err := s.files.Create(name + next)
+	f, err := s.files.Create(name + tempSuffix)
 	if err != nil {
 		return err
 	}
@@ -392,7 +392,7 @@
 		err = closed
 	}
 	if err == nil {
-		err = s.files.Rename(name+next, name)
+		err = s.files.Rename(name+tempSuffix, name)
 	}
 	if err == nil {
 		err = s.files.SyncDir()
@@ -402,14 +402,14 @@
 
 // Save makes what was learned last, in place of what was there.
 func (s *Store) Save(l *Learned) error {
-	own := *l
-	own.Owner = s.own
-	text, err := cbor.Marshal(&own)
+	owned := *l
+	owned.Owner = s.owner
+	text, err := cbor.Marshal(&owned)
 	if err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
-	if len(text) > mostLearned {
-		return fmt.Errorf("state: %d bytes of what was learned; %d at most", len(text), mostLearned)
+	if len(text) > maxLearnedBytes {
+		return fmt.Errorf("state: %d bytes of what was learned; %d at most", len(text), maxLearnedBytes)
 	}
 	if err := s.replace(learnedFile, sealed.Append(make([]byte, 0, sealed.HeaderBytes+len(text)), text)); err != nil {
 		return fmt.Errorf("state: %w", err)
@@ -421,4 +421,4 @@
 func (s *Store) Bans() []string { return slices.Sorted(maps.Keys(s.bans)) }
 
 // Close lets go of the files.
-func (s *Store) Close() { s.drop() }
+func (s *Store) Close() { s.closeLog() }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -32,57 +32,57 @@
 }
 
 // life is one start of a proxy with random changes until the power goes, and what was acknowledged meanwhile.
-type life struct {
-	bans  map[string]bool // acknowledged
-	doubt map[string]bool // ids whose last change was not
-	saved int             // the last that was acknowledged
-	tried int
+type session struct {
+	bans        map[string]bool // acknowledged
+	unconfirmed map[string]bool // ids whose last change was not
+	lastSaved   int             // the last that was acknowledged
+	lastTried   int
 }
 
-func (l *life) live(t *testing.T, disk *crashfs.FS, dice *rand.Rand) {
+func (ses *session) run(t *testing.T, disk *crashfs.FS, rng *rand.Rand) {
 	s, found := state.Open(disk, "n1")
-	l.check(t, found)
-	l.bans = map[string]bool{}
+	ses.check(t, found)
+	ses.bans = map[string]bool{}
 	for _, id := range found.Bans {
-		l.bans[id] = true
+		ses.bans[id] = true
 	}
-	clear(l.doubt)
+	clear(ses.unconfirmed)
 	for !disk.PoweredOff() {
-		if dice.IntN(4) == 0 {
-			l.tried++
-			if s.Save(learned(l.tried)) == nil {
-				l.saved = l.tried
+		if rng.IntN(4) == 0 {
+			ses.lastTried++
+			if s.Save(learned(ses.lastTried)) == nil {
+				ses.lastSaved = ses.lastTried
 			}
 			continue
 		}
-		id, out := fmt.Sprint("b", dice.IntN(6)), dice.IntN(2) == 0
+		id, out := fmt.Sprint("b", rng.IntN(6)), rng.IntN(2) == 0
 		if s.Ban(id, out) != nil {
-			l.doubt[id] = true
+			ses.unconfirmed[id] = true
 			continue
 		}
 		// A yes to one change says that all before it are there too, also those that got no yes.
-		if l.bans[id] = out; !out {
-			delete(l.bans, id)
+		if ses.bans[id] = out; !out {
+			delete(ses.bans, id)
 		}
-		delete(l.doubt, id)
+		delete(ses.unconfirmed, id)
 	}
 	s.Close()
 }
 
 // check holds what a start finds against what was acknowledged.
-func (l *life) check(t *testing.T, f *state.Contents) {
+func (ses *session) check(t *testing.T, f *state.Contents) {
 	t.Helper()
 	for i := range 6 {
 		id := fmt.Sprint("b", i)
-		if has := slices.Contains(f.Bans, id); has != l.bans[id] && !l.doubt[id] {
-			t.Fatalf("%s: out is %v, and %v was acknowledged; %q", id, has, l.bans[id], f.Problems)
+		if has := slices.Contains(f.Bans, id); has != ses.bans[id] && !ses.unconfirmed[id] {
+			t.Fatalf("%s: out is %v, and %v was acknowledged; %q", id, has, ses.bans[id], f.Problems)
 		}
 	}
 	switch got := f.Learned; {
-	case got == nil && l.saved > 0:
-		t.Fatalf("what was saved as %d is gone: %q", l.saved, f.Problems)
-	case got != nil && (got.Knowledge.Seq < int64(l.saved) || got.Knowledge.Seq > int64(l.tried) || len(got.Knowledge.Addresses) != 3):
-		t.Fatalf("learned %d, of %d saved and %d tried", got.Knowledge.Seq, l.saved, l.tried)
+	case got == nil && ses.lastSaved > 0:
+		t.Fatalf("what was saved as %d is gone: %q", ses.lastSaved, f.Problems)
+	case got != nil && (got.Knowledge.Seq < int64(ses.lastSaved) || got.Knowledge.Seq > int64(ses.lastTried) || len(got.Knowledge.Addresses) != 3):
+		t.Fatalf("learned %d, of %d saved and %d tried", got.Knowledge.Seq, ses.lastSaved, ses.lastTried)
 	}
 	for _, trouble := range f.Problems {
 		if !strings.Contains(trouble, "torn") {
@@ -98,16 +98,16 @@
 	for call := 1; call <= 40; call++ {
 		for seed := range uint64(40) {
 			disk := crashfs.New(seed)
-			dice := rand.New(rand.NewPCG(seed, uint64(call)))
-			l := &life{bans: map[string]bool{}, doubt: map[string]bool{}}
+			rng := rand.New(rand.NewPCG(seed, uint64(call)))
+			ses := &session{bans: map[string]bool{}, unconfirmed: map[string]bool{}}
 			for range 3 {
 				disk.LosePowerIn(call)
-				l.live(t, disk, dice)
+				ses.run(t, disk, rng)
 				disk.Restore()
 				points++
 			}
 			_, found := state.Open(disk, "n1")
-			l.check(t, found)
+			ses.check(t, found)
 		}
 	}
 	if points < 1000 {
@@ -116,11 +116,11 @@
 }
 
 // TestCheckerFindsALostYes: with a disk that says that it has synced and has not, the check above finds what is lost.
-func TestCheckerFindsALostYes(t *testing.T) {
+func TestCheckFindsLostAcknowledgement(t *testing.T) {
 	lost := 0
 	for seed := range uint64(40) {
 		disk := crashfs.New(seed)
-		s, _ := state.Open(liar{disk}, "n1")
+		s, _ := state.Open(unsyncedFS{disk}, "n1")
 		for i := range 4 {
 			if err := s.Ban(fmt.Sprint("b", i), true); err != nil {
 				t.Fatal(err)
@@ -138,21 +138,21 @@
 	}
 }
 
-type liar struct{ *crashfs.FS }
+type unsyncedFS struct{ *crashfs.FS }
 
-func (l liar) SyncDir() error { return nil }
-func (l liar) Create(name string) (state.File, error) {
+func (l unsyncedFS) SyncDir() error { return nil }
+func (l unsyncedFS) Create(name string) (state.File, error) {
 	f, err := l.FS.Create(name)
-	return lie{f}, err
+	return unsyncedFile{f}, err
 }
-func (l liar) Append(name string) (state.File, error) {
+func (l unsyncedFS) Append(name string) (state.File, error) {
 	f, err := l.FS.Append(name)
-	return lie{f}, err
+	return unsyncedFile{f}, err
 }
 
-type lie struct{ state.File }
+type unsyncedFile struct{ state.File }
 
-func (lie) Sync() error { return nil }
+func (unsyncedFile) Sync() error { return nil }
 
 // TestDiskThatFails: after each failure no yes is given for what is not there, and once the disk works again all is kept.
 func TestDiskThatFails(t *testing.T) {
@@ -181,8 +181,8 @@
 }
 
 // TestFoldersThatAreNotAsTheyWere: none keeps a proxy from starting, each is told, and what can be saved is.
-func TestFoldersThatAreNotAsTheyWere(t *testing.T) {
-	whole := func(name string) *crashfs.FS {
+func TestDamagedAndForeignFiles(t *testing.T) {
+	intact := func(name string) *crashfs.FS {
 		disk := crashfs.New(1)
 		s, _ := state.Open(disk, name)
 		for i := range 5 {
@@ -198,23 +198,23 @@
 		}
 		return text
 	}
-	bans, learns := read(whole("n1"), "bans"), read(whole("n1"), "learned")
-	bent := func(text []byte, at int) []byte { b := slices.Clone(text); b[at] ^= 4; return b }
+	bans, learns := read(intact("n1"), "bans"), read(intact("n1"), "learned")
+	flipBit := func(text []byte, at int) []byte { b := slices.Clone(text); b[at] ^= 4; return b }
 	for name, c := range map[string]struct {
 		bans, learned []byte
-		least         int // bans found
-		knows         bool
-		told          string
+		minBans       int // bans found
+		hasLearned    bool
+		problem       string
 	}{
 		"whole":                     {bans, learns, 5, true, ""},
 		"empty":                     {[]byte{}, []byte{}, 0, false, "learned is not used, and was put aside"},
-		"another proxy's":           {read(whole("n2"), "bans"), read(whole("n2"), "learned"), 0, false, `it is "n2"'s`},
+		"another proxy's":           {read(intact("n2"), "bans"), read(intact("n2"), "learned"), 0, false, `it is "n2"'s`},
 		"torn end of bans":          {bans[:len(bans)-3], learns, 4, true, "was torn"},
-		"a bent byte in the middle": {bent(bans, len(bans)/2), learns, 4, true, "bans were saved from it"},
-		"a bent beginning":          {bent(bans, 12), learns, 4, true, "bans were saved from it"},
+		"a bent byte in the middle": {flipBit(bans, len(bans)/2), learns, 4, true, "bans were saved from it"},
+		"a bent beginning":          {flipBit(bans, 12), learns, 4, true, "bans were saved from it"},
 		"zeros behind the bans":     {append(slices.Clone(bans), make([]byte, 100)...), learns, 5, true, "was torn"},
 		"torn learned":              {bans, learns[:len(learns)/2], 5, false, "learned is not used"},
-		"bent learned":              {bans, bent(learns, len(learns)/2), 5, false, "checksum"},
+		"bent learned":              {bans, flipBit(learns, len(learns)/2), 5, false, "checksum"},
 		"more behind learned":       {bans, append(slices.Clone(learns), 1), 5, false, "bytes too many"},
 		"garbage":                   {[]byte("GET / HTTP/1.1"), []byte("hello"), 0, false, "bans is not used"},
 	} {
@@ -223,11 +223,11 @@
 			disk.Put("bans", c.bans)
 			disk.Put("learned", c.learned)
 			s, f := state.Open(disk, "n1")
-			if len(f.Bans) < c.least || (f.Learned != nil) != c.knows {
+			if len(f.Bans) < c.minBans || (f.Learned != nil) != c.hasLearned {
 				t.Errorf("%q; learned %v; %q", f.Bans, f.Learned != nil, f.Problems)
 			}
-			if told := strings.Join(f.Problems, "\n"); !strings.Contains(told, c.told) || c.told == "" && told != "" {
-				t.Errorf("told %q; wanted %q", told, c.told)
+			if problems := strings.Join(f.Problems, "\n"); !strings.Contains(problems, c.problem) || c.problem == "" && problems != "" {
+				t.Errorf("told %q; wanted %q", problems, c.problem)
 			}
 			if err := s.Ban("new", true); err != nil {
 				t.Error(err)
@@ -265,8 +265,8 @@
 func TestAge(t *testing.T) {
 	h := time.Hour
 	for name, c := range map[string]struct {
-		was, is     state.Stamp
-		least, most time.Duration
+		written, now state.Stamp
+		min, max     time.Duration
 	}{
 		"the same start":               {state.Stamp{Wall: 100 * h, Machine: "a", Running: 5 * h}, state.Stamp{Wall: 3 * h, Machine: "a", Running: 6 * h}, h, h},
 		"another start":                {state.Stamp{Wall: 100 * h, Machine: "a", Running: 5 * h}, state.Stamp{Wall: 102 * h, Machine: "b", Running: h}, h, 2 * h},
@@ -274,7 +274,7 @@
 		"a clock that stood meanwhile": {state.Stamp{Wall: 100 * h, Machine: "a"}, state.Stamp{Wall: 100*h + 1, Machine: "b", Running: h}, h, state.UnknownAge},
 		"no clocks":                    {state.Stamp{}, state.Stamp{}, 0, state.UnknownAge},
 	} {
-		if a := state.AgeOf(c.was, c.is); a.Min != c.least || a.Max != c.most {
+		if a := state.AgeOf(c.written, c.now); a.Min != c.min || a.Max != c.max {
 			t.Errorf("%s: %v", name, a)
 		}
 	}
@@ -282,7 +282,7 @@
 
 // TestKeeperAndAFolder: what a keeper was told is in the folder; a folder is held by one process; a disk that stands delays nobody
 // for longer than they wait.
-func TestKeeperAndAFolder(t *testing.T) {
+func TestWriterAndFolder(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	folder, err := state.OpenFolder(path)
 	if err != nil {
@@ -314,8 +314,8 @@
 		t.Fatal(err)
 	}
 
-	stands := &standing{FS: crashfs.New(1), stand: make(chan struct{})}
-	s, _ = state.Open(stands, "n1")
+	hung := &hungFS{FS: crashfs.New(1), release: make(chan struct{})}
+	s, _ = state.Open(hung, "n1")
 	k = state.StartWriter(s, time.Hour, func(context.Context) *state.Learned { return nil }, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
@@ -325,17 +325,17 @@
 		}
 	}
 	k.Close() // returns, though the disk stands
-	close(stands.stand)
+	close(hung.release)
 }
 
 // standing is a disk whose calls do not return.
-type standing struct {
+type hungFS struct {
 	*crashfs.FS
-	stand chan struct{}
+	release chan struct{}
 }
 
-func (s *standing) Create(name string) (state.File, error) {
-	<-s.stand
+func (s *hungFS) Create(name string) (state.File, error) {
+	<-s.release
 	return s.FS.Create(name)
 }
 
