--- a/internal/cluster/revival/beliefs.go
+++ b/internal/cluster/revival/beliefs.go
@@ -1,6 +1,6 @@
-// Package revival decides how a proxy comes back: what it believes of what it knew before, what it asks of others, in which order
-// it takes up its work, and how much of which class it lets in until the backends are warm. It has no I/O and no clock; events with
-// their time go in, decisions come out, and equal settings, seed and events give equal decisions.
+// Package revival decides how a proxy recovers after a start: which saved state it reuses, what it asks other proxies, in which order
+// it resumes its work, and how much of each class it admits until the backends are warm. It has no I/O and no clock: it takes events
+// with their times and returns decisions, and equal settings, seed and events give equal decisions.
 package revival
 
 import (
@@ -11,36 +11,36 @@
 	"brasswell/internal/state"
 )
 
-// Kind is what a start is one of.
+// Kind is the kind of a start.
 type Kind uint8
 
 // The kinds of starts.
 const (
 	Undecided Kind = iota
-	// Restart: this proxy alone was away. Backends are as they were, and others know.
+	// Restart means that only this proxy was down. The backends have not changed, and other proxies know the current state.
 	Restart
-	// Return: all were away, or nobody can say that they were not. Nobody's memory of the backends holds.
+	// FleetRestart means that all proxies were down, or that this cannot be ruled out. No proxy's state of the backends is valid.
 	FleetRestart
 )
 
 func (k Kind) String() string { return [...]string{"undecided", "restart", "return"}[k] }
 
-// Belief is something that was known before.
+// StateItem is one part of the state that a proxy had before its start.
 type StateItem uint8
 
-// The beliefs.
+// The state items.
 const (
-	List         StateItem = iota // which backends there are, and where
-	Bans                          // backends out by hand
-	Drains                        // backends that drain
-	StartTimes                    // when backends were started, and so who is warm
-	Budgets                       // cold tokens, quota tokens, the budget of repeats
-	Health                        // who failed, is slow, is avoided
-	ClassStats                    // how long answers take, by class; how long callers wait
-	Throughput                    // how much was let in, and how much was answered
-	WarmRate                      // what one warm backend answered of this proxy's requests: what cold ones' budgets are measured by
-	AgreedRules                   // rules and numbers of the fleet
-	OpenRequests                  // what was open, and which keys had been sent
+	List         StateItem = iota // which backends exist, and their addresses
+	Bans                          // backends taken out by the operator
+	Drains                        // draining backends
+	StartTimes                    // when backends were started, and so which of them are warm
+	Budgets                       // cold tokens, quota tokens, the retry budget
+	Health                        // which backends failed, are slow or are ejected
+	ClassStats                    // how long answers take, by class; how long callers wait for them
+	Throughput                    // the concurrency limit, and how many requests a second were answered
+	WarmRate                      // requests a second that one warm backend answered for this proxy; budgets of cold backends are a share of it
+	AgreedRules                   // agreed rules and member numbers of the fleet
+	OpenRequests                  // open requests, and the idempotency keys that had been sent
 	numStateItems
 )
 
@@ -48,7 +48,7 @@
 
 func (b StateItem) String() string { return stateItemNames[b] }
 
-// Beliefs are all of them, in order.
+// StateItems returns all state items, in order.
 func StateItems() (all []StateItem) {
 	for b := range numStateItems {
 		all = append(all, b)
@@ -56,14 +56,14 @@
 	return all
 }
 
-// Trust is what becomes of a belief.
+// Trust says how a saved state item is used after a start.
 type Trust uint8
 
-// The trusts.
+// The ways to use a saved state item.
 const (
-	Reused      Trust = iota // as it was
-	Provisional              // as it was, until what comes says otherwise
-	Refetched                // of others; nothing rests on what was known
+	Reused      Trust = iota // used unchanged
+	Provisional              // used unchanged until newer information replaces it
+	Refetched                // requested from other proxies; the saved value is not used
 	Discarded
 )
 
@@ -72,41 +72,42 @@
 }
 
 const (
-	// recently is up to when health and levels still say something of backends that have run on.
+	// maxHealthAge is the age up to which health and throughput still describe backends that have kept running.
 	maxHealthAge = time.Minute
-	// lessonsLast is for how long times of answers are worth more than no times.
+	// maxClassStatsAge is the age up to which saved response times are better than none.
 	maxClassStatsAge = 30 * 24 * time.Hour
-	// paceLasts is for how long the proxies' paces of one time add up to what backends take: after that there may be more proxies, and
-	// each would go by what it had when there were fewer.
+	// maxWarmRateAge is the age up to which the rates that the proxies saved add up to the capacity of the backends. Later the fleet may
+	// have more proxies, and each would still use its rate from the smaller fleet.
 	maxWarmRateAge = 24 * time.Hour
-	// leastPace is what all proxies together begin with for each backend, as requests a second to a warm one. With nothing, no cold
-	// backend would ever be sent a first request, and nothing be learned of its pace, until it is warm.
+	// minFleetWarmRate is the rate that all proxies together start with for each warm backend, in requests a second. At 0, a cold
+	// backend would get no request until it is warm, and so its rate would not be measured.
 	minFleetWarmRate = 4
-	// usualSlice is how many backends a proxy cuts from the list, where the list is long.
+	// typicalSubset is how many backends a proxy uses when the list is long.
 	typicalSubset = 8
 )
 
-// Judge says what becomes of a belief of some age. It is the table of docs/operators/recovery.md.
+// TrustIn returns how a state item of the given age is used. It implements the table in docs/operators/recovery.md.
 func TrustIn(k Kind, age state.Age, b StateItem) Trust {
 	switch b {
 	case Bans:
-		// Staff took them out, and only staff puts them back, however long that takes.
+		// An operator took these backends out, and only an operator puts them back, however long that takes.
 		return Reused
 	case List, Drains:
-		// A list of any age is better than none, as discovery may come back last; what it leaves out is not sent to, what it has too
-		// much refuses connections. Who drained then has gone, or was started anew and is listed as such.
+		// A list of any age is better than none, as discovery may recover last: backends that are missing from the list get no requests,
+		// and backends that no longer exist refuse connections. A backend that was draining then has left, or has been restarted and
+		// the new list shows it.
 		return Provisional
 	case AgreedRules, OpenRequests:
-		// The accord has its own files and leases. Keys are not kept: see the design note.
+		// The consensus code has its own files and leases. Idempotency keys are not saved: see the design note.
 		return map[StateItem]Trust{AgreedRules: Refetched, OpenRequests: Discarded}[b]
 	case StartTimes:
-		// A backend that was warm before a power loss is cold after it, whatever any disk or discovery says.
+		// A backend that was warm before a power loss is cold after it, even if the disk or discovery says otherwise.
 		if k == FleetRestart {
 			return Discarded
 		}
 		return Provisional
 	case Budgets:
-		return Discarded // to begin with none is never too much
+		return Discarded // starting with empty budgets never sends too much
 	case ClassStats:
 		if age.Max <= maxClassStatsAge || k == Restart && age.Min <= maxHealthAge {
 			return Provisional
@@ -126,10 +127,11 @@
 	return Discarded
 }
 
-// Revive returns what a proxy begins with, from what it knew. now is of the clock that backends' starts are told in, and lost the
-// moment before which no start of a backend is believed, in the same clock: 0 for a Restart. instances is how many proxies there are.
+// InitialState returns the state that a proxy starts with, derived from its saved state. now is a reading of the clock in which the
+// start times of backends are given. trustedSince is a reading of the same clock: earlier start times of backends are not trusted. It is
+// 0 for a Restart. instances is the number of proxies.
 func InitialState(k Kind, age state.Age, bans []string, saved *state.Learned, now time.Duration, instances int) (initial handover.State, trustedSince time.Duration) {
-	initial.Seq = -1 // the whole list is asked for: versions may be counted anew
+	initial.Seq = -1 // requests the whole list, as discovery may have restarted its version numbers
 	initial.Balancer.Banned, initial.Balancer.ServedAt = bans, now
 	defer func() {
 		b := &initial.Balancer
@@ -160,7 +162,7 @@
 		if healthy {
 			next.FailRun, next.FailRate, next.Slow, next.Ejections = s.FailRun, s.FailRate, s.Slow, s.Ejections
 			if s.Ejected > 0 {
-				next.Ejected = min(s.Ejected, now+maxHealthAge) // a clock that was set back must not keep it out for a year
+				next.Ejected = min(s.Ejected, now+maxHealthAge) // a clock that was set back must not eject the backend for a year
 			}
 		}
 		b.Servers = append(b.Servers, next)
--- a/internal/cluster/revival/revival.go
+++ b/internal/cluster/revival/revival.go
@@ -14,15 +14,15 @@
 	"brasswell/internal/strict"
 )
 
-// Step is how far a proxy has come back. Each waits for something, and for a stated time at most.
+// Step is a step of the recovery. Each step waits for something, with a time limit.
 type Step uint8
 
 // The steps, in order.
 const (
-	Peers     Step = iota // who else is just starting
-	Rules                 // a lease on the agreed rules
-	Lists                 // a list from discovery
-	Admitting             // classes are let in as the backends get warm
+	Peers     Step = iota // asks other proxies whether they are starting too
+	Rules                 // waits for a lease on the agreed rules
+	Lists                 // waits for a list from discovery
+	Admitting             // admits classes as the backends become warm
 	Done
 )
 
@@ -30,66 +30,66 @@
 	return [...]string{"asks who else starts", "waits for the agreed rules", "waits for a list", "lets classes in", "done"}[s]
 }
 
-// Class is one class of requests.
+// Class is a class of requests.
 type Class struct {
 	Name  string
-	Value float64 // of one request
+	Value float64 // of one request, relative to the other classes
 }
 
-// Times bound the steps.
+// Times holds the time limits of the steps.
 type Times struct {
-	Peers time.Duration // others are asked for so long
-	Rules time.Duration // a lease is waited for
-	Lists time.Duration // a list is waited for
-	// Young is how long a proxy counts as just started.
+	Peers time.Duration // how long other proxies are asked
+	Rules time.Duration // how long to wait for a lease
+	Lists time.Duration // how long to wait for a list
+	// JustStarted is how long a proxy counts as just started.
 	JustStarted time.Duration
-	// Slack is by which factor Opening may take longer than the backends' warm-up.
+	// WarmUpFactor times the backends' warm-up time is the time limit of Admitting.
 	WarmUpFactor float64
 }
 
-// DefaultTimes fit one site.
+// DefaultTimes returns the times for a fleet at one site.
 func DefaultTimes() Times {
 	return Times{Peers: time.Second, Rules: 2 * time.Second, Lists: time.Second, JustStarted: time.Minute, WarmUpFactor: 1.3}
 }
 
-// Settings are what a core is told.
+// Settings are the settings of a Core.
 type Settings struct {
 	Name            string
-	InstanceID      uint64 // drawn at each start
-	Standalone      bool   // there are no others to ask: one instance, or no view of the fleet
-	FleetSize       int    // how many proxies there are, this one included; 0 where that is not known
-	UsesRules       bool   // rules are agreed on, so a lease is waited for
-	SameMachineBoot bool   // the machine has run on since what was known was written: it has not lost its power
+	InstanceID      uint64 // random, new at each start
+	Standalone      bool   // there are no other proxies to ask: one instance, or no membership view
+	FleetSize       int    // number of proxies, including this one; 0 if unknown
+	UsesRules       bool   // the fleet agrees on rules, so this proxy waits for a lease
+	SameMachineBoot bool   // the machine has not been rebooted since the state was saved, so it had no power loss
 	Classes         []Class
-	// ColdFrom and WarmUp say how a backend gets warm: from that share of what it can do to all of it, evenly.
+	// ColdCapacity and WarmUp say how a backend warms up: its capacity grows linearly from the share ColdCapacity to 1 within WarmUp.
 	ColdCapacity float64
 	WarmUp       time.Duration
-	// Demand is what was asked for before, by class, in requests a second; nil where that is not known.
+	// Demand is the request rate before the start, by class, in requests a second; nil if unknown.
 	Demand []float64
 	Times  Times
 
-	// Each takes one defence out, so that a checker can be seen to find what it guards against.
-	NoFleetRestart    bool // every start is held to be a restart of one
-	NoStagedAdmission bool // all classes are let in at once
+	// Each of these disables one defence, so that a test can show that its checker detects the failure that the defence prevents.
+	NoFleetRestart    bool // every start is treated as a Restart
+	NoStagedAdmission bool // all classes are admitted at once
 }
 
-// Report is what a proxy tells another of its start.
+// Report is what a proxy sends to another about its start.
 type Report struct {
 	Name         string        `cbor:"1,keyasint" json:"name"`
 	InstanceID   uint64        `cbor:"2,keyasint" json:"boot"`
-	Uptime       time.Duration `cbor:"3,keyasint" json:"up"` // since its start
+	Uptime       time.Duration `cbor:"3,keyasint" json:"up"` // time since its start
 	Step         Step          `cbor:"4,keyasint" json:"step"`
 	Kind         Kind          `cbor:"5,keyasint" json:"kind"`
-	AdmittingFor time.Duration `cbor:"6,keyasint,omitempty" json:"open,omitempty"` // how long the first one that it knows of has been letting classes in
-	Reply        bool          `cbor:"7,keyasint,omitempty" json:"-"`              // an answer, to which none is due
+	AdmittingFor time.Duration `cbor:"6,keyasint,omitempty" json:"open,omitempty"` // how long the first proxy that it knows of has been admitting classes
+	Reply        bool          `cbor:"7,keyasint,omitempty" json:"-"`              // an answer, which is not answered itself
 }
 
-// Encode writes a report.
+// Encode encodes the report.
 func (r *Report) Encode() ([]byte, error) { return cbor.Marshal(r) }
 
 var decMode = strict.CBOR(cbor.DecOptions{TagsMd: cbor.TagsForbidden, MaxNestedLevels: 4, MaxArrayElements: 16, MaxMapPairs: 16})
 
-// Decode reads a report from outside, and says what is wrong with it.
+// Decode decodes and validates a report received from the network.
 func Decode(b []byte) (*Report, error) {
 	r := &Report{}
 	if err := decMode.Unmarshal(b, r); err != nil {
@@ -97,69 +97,68 @@
 	}
 	switch {
 	case r.Name == "" || len(r.Name) > view.MostName:
-		return nil, fmt.Errorf("revival: a name of %d bytes", len(r.Name))
+		return nil, fmt.Errorf("revival: name has %d bytes", len(r.Name))
 	case r.Uptime < 0 || r.AdmittingFor < 0 || r.AdmittingFor > r.Uptime+maxAdmittingLead:
-		return nil, errors.New("revival: times that cannot be")
+		return nil, errors.New("revival: impossible times")
 	case r.Step > Done || r.Kind > FleetRestart:
-		return nil, fmt.Errorf("revival: no step %d of kind %d", r.Step, r.Kind)
+		return nil, fmt.Errorf("revival: unknown step %d or kind %d", r.Step, r.Kind)
 	}
 	return r, nil
 }
 
 const (
-	// mostAhead is how much longer than it runs itself a proxy may say that others have been letting in.
+	// maxAdmittingLead is how much longer than its own uptime a proxy may report that others have been admitting.
 	maxAdmittingLead = time.Hour
-	// askEvery is between two rounds of questions before it is decided what this start is, and followEvery after it.
+	// queryInterval is the time between two rounds of queries until the kind of this start is decided, and lateQueryInterval after that.
 	queryInterval     = 150 * time.Millisecond
 	lateQueryInterval = time.Second
-	// askMost others are asked in one round.
+	// maxQueriedPeers is how many proxies are asked in one round.
 	maxQueriedPeers = 12
-	// mostPeers reports are remembered.
+	// maxPeers is how many proxies' reports are kept.
 	maxPeers = 4096
-	// planEvery is between two plans of what is let in.
+	// planInterval is the time between two updates of the admitted shares.
 	planInterval = 250 * time.Millisecond
-	// headroom is by how much what is let in at first may be over what the backends are thought to take.
+	// headroom is the ratio of the load that is admitted at first to the estimated capacity of the backends.
 	headroom = 1.25
-	// trickle of a class that is shut is let in, so that what it would need is seen.
+	// minShare of a class is admitted even while the class waits, so that its cost can be measured.
 	minShare = 0.02
-	// openStep is by how much the share of the worthiest class that is not wholly let in grows in a plan's time without trouble, and
-	// shutShare what is left of a lesser one's share after trouble.
+	// shareStep is added at each update to the share of the most valuable class that is not admitted in full, unless a class is
+	// overloaded. The shares of classes less valuable than an overloaded one are multiplied by shareBackoff.
 	shareStep, shareBackoff = 0.34, 0.5
-	// troubled is the share of a class's requests, once let in, that must be lost for it to be in trouble, and fewest how many must
-	// have come.
+	// A class is overloaded if more than overloadRatio of its admitted requests fail, out of at least minSamples.
 	overloadRatio, minSamples = 0.1, 4
 )
 
-// Count is what became of a class's requests since the last one.
+// Count holds the outcomes of a class's requests since the previous count.
 type Count struct {
 	Received float64
-	Admitted float64 // let in
-	Failed   float64 // of these, refused or failed
+	Admitted float64 // requests that were not rejected
+	Failed   float64 // admitted requests that were refused or failed
 }
 
-// Host carries out what a core decides. Its methods are called from within the core's own and must not call back.
+// Host carries out the decisions of a Core. Its methods are called from the Core's methods and must not call the Core.
 type Host interface {
-	// Tell sends a report to a proxy by its name; it may be lost.
+	// SendReport sends a report to the named proxy; it may be lost.
 	SendReport(to string, r *Report)
-	// Begin takes up what is known, by the kind of this start. It is called once. Where it is a return, others have been letting
-	// classes in for so long, so backends may have been warming up since then.
+	// RestoreState restores the saved state, as the kind of this start permits. It is called once. At a fleet restart, admittingFor is
+	// how long other proxies have been admitting classes, so backends may have been warming up since then.
 	RestoreState(k Kind, ago time.Duration)
-	// Admit replaces the shares of the classes' requests that are let in.
+	// SetShares replaces the shares of the classes' requests that are admitted.
 	SetShares(shares []float64)
-	// Moved tells that a step has been taken, and why.
+	// StepChanged reports a new step and the reason for it.
 	StepChanged(to Step, why string)
 }
 
 type peer struct {
 	instanceID   uint64
-	uptime       time.Duration // at heard
+	uptime       time.Duration // at receivedAt
 	step         Step
 	kind         Kind
-	admittingFor time.Duration // at heard
-	receivedAt   time.Duration // when it was heard
+	admittingFor time.Duration // at receivedAt
+	receivedAt   time.Duration // when the last report arrived
 }
 
-// Core is one proxy's way back. It is not safe for concurrent use.
+// Core is the recovery of one proxy. It is not safe for concurrent use.
 type Core struct {
 	settings  Settings
 	host      Host
@@ -167,24 +166,24 @@
 	startedAt time.Duration
 	now       time.Duration
 	step      Step
-	stepStart time.Duration // that it is in this step
+	stepStart time.Duration // when the current step began
 	kind      Kind
 	why       string
 
-	members     []string // others who are held to live
+	members     []string // the other proxies that are considered alive
 	peers       map[string]peer
-	nextQuery   time.Duration // when others are asked next
-	nextPlan    time.Duration // when the next plan is due
+	nextQuery   time.Duration // when other proxies are asked next
+	nextPlan    time.Duration // when the shares are updated next
 	hasLease    bool
 	hasList     bool
-	startTimes  []time.Duration // of the backends in service, as far as they are believed, on this core's clock
-	maxBackends int             // backends that there have been at one time, before or now
-	byValue     []int           // classes by worth
-	counts      []Count         // since the last plan, by class
+	startTimes  []time.Duration // of the backends in service, as far as they are trusted, on the clock of this Core
+	maxBackends int             // the most backends that were in service at any one time
+	byValue     []int           // indexes of the classes, most valuable first
+	counts      []Count         // since the last update of the shares, by class
 	shares      []float64
 }
 
-// New returns the core of a proxy that starts now.
+// New returns the Core of a proxy that starts now.
 func New(now time.Duration, s Settings, seed uint64, host Host) *Core {
 	c := &Core{
 		settings: s, host: host, rng: rand.New(rand.NewPCG(seed, s.InstanceID)), startedAt: now, now: now, stepStart: now, peers: map[string]peer{}, nextQuery: now, nextPlan: now,
@@ -198,7 +197,7 @@
 	return c
 }
 
-// Next is when Wake is to be called at the latest.
+// Next returns when Tick must be called at the latest.
 func (c *Core) Next() time.Duration {
 	next := c.stepStart + planInterval
 	switch c.step {
@@ -219,7 +218,7 @@
 	return next
 }
 
-// Wake does what is due.
+// Tick does what is due.
 func (c *Core) Tick(now time.Duration) {
 	c.now = now
 	if !c.settings.Standalone && now >= c.nextQuery && c.step != Done {
@@ -228,7 +227,7 @@
 	c.advance()
 }
 
-// askOthers tells some of the others of this start; each answers.
+// queryPeers reports this start to some of the other proxies; each of them answers.
 func (c *Core) queryPeers() {
 	interval := lateQueryInterval
 	if c.step == Peers {
@@ -246,7 +245,7 @@
 	return &Report{Name: c.settings.Name, InstanceID: c.settings.InstanceID, Uptime: c.now - c.startedAt, Step: c.step, Kind: c.kind, AdmittingFor: c.admittingFor(), Reply: reply}
 }
 
-// opened is for how long the first proxy of this return that is known of has been letting classes in; 0 while none is.
+// admittingFor returns how long the first known proxy of this fleet restart has been admitting classes; 0 if none is.
 func (c *Core) admittingFor() (longest time.Duration) {
 	if c.step == Admitting {
 		longest = c.now - c.stepStart
@@ -262,20 +261,20 @@
 	return longest
 }
 
-// SetMembers says who else is held to live, by name.
+// SetMembers sets the names of the proxies that are considered alive.
 func (c *Core) SetMembers(now time.Duration, names []string) {
 	c.now = now
 	c.members = slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == c.settings.Name })
 	if c.step == Peers {
-		c.nextQuery = min(c.nextQuery, now) // somebody new may know
+		c.nextQuery = min(c.nextQuery, now) // a new member may know of running proxies
 	}
 }
 
-// Heard takes in another proxy's report.
+// ReceiveReport processes another proxy's report.
 func (c *Core) ReceiveReport(now time.Duration, r *Report) {
 	c.now = now
 	if r.Name == c.settings.Name {
-		return // another process under this name: the view tells of it
+		return // another process with this name; the membership view reports it
 	}
 	if _, known := c.peers[r.Name]; known || len(c.peers) < maxPeers {
 		c.peers[r.Name] = peer{instanceID: r.InstanceID, uptime: r.Uptime, step: r.Step, kind: r.Kind, admittingFor: r.AdmittingFor, receivedAt: now}
@@ -286,13 +285,14 @@
 	c.advance()
 }
 
-// Leased says that rules which keepers vouch for are acted on.
+// SetLeased records that this proxy holds a lease on the agreed rules.
 func (c *Core) SetLeased(now time.Duration) {
 	c.now, c.hasLease = now, true
 	c.advance()
 }
 
-// Listed says that discovery has told a list, and when the backends in service were born, as far as that is believed.
+// SetList records the start times of the backends in service, as far as they are trusted. fresh says whether the list came from
+// discovery during this start.
 func (c *Core) SetList(now time.Duration, fresh bool, startTimes []time.Duration) {
 	c.now = now
 	c.hasList = c.hasList || fresh
@@ -301,7 +301,7 @@
 	c.advance()
 }
 
-// Counted takes in what has become of requests since it was called last, by class.
+// AddCounts adds the outcomes of requests since its last call, by class.
 func (c *Core) AddCounts(now time.Duration, counts []Count) {
 	c.now = now
 	for i := range min(len(counts), len(c.counts)) {
@@ -310,7 +310,7 @@
 	}
 }
 
-// advance takes the steps that are due.
+// advance performs the step changes that are due.
 func (c *Core) advance() {
 	for {
 		before := c.step
@@ -320,20 +320,20 @@
 		case Rules:
 			switch late := c.now-c.stepStart >= c.settings.Times.Rules; {
 			case !c.settings.UsesRules:
-				c.setStep(Lists, "no rules are agreed on")
+				c.setStep(Lists, "the fleet agrees on no rules")
 			case c.hasLease:
 				c.setStep(Lists, "holds a lease on the agreed rules")
 			case late:
-				c.setStep(Lists, "no keeper vouches for the rules in time: goes on carefully with those from before")
+				c.setStep(Lists, "no voter granted a lease in time: continues cautiously with the saved rules")
 			}
 		case Lists:
 			switch late := c.now-c.stepStart >= c.settings.Times.Lists; {
 			case c.hasList:
-				c.startAdmitting("discovery has told a list")
+				c.startAdmitting("discovery sent a list")
 			case late && len(c.startTimes) > 0:
-				c.startAdmitting("discovery tells no list in time: goes on with the one from before")
+				c.startAdmitting("discovery sent no list in time: continues with the saved one")
 			case late:
-				c.startAdmitting("there is no list, of any age: opens when one comes")
+				c.startAdmitting("there is no list, not even a saved one: admits requests once a list arrives")
 			}
 		case Admitting:
 			c.updateShares()
@@ -349,12 +349,12 @@
 	c.host.StepChanged(to, why)
 }
 
-// decide says what this start is one of, as soon as that is clear or others have been asked for long enough.
+// decideKind sets the kind of this start as soon as it is clear or the time to ask other proxies is over.
 func (c *Core) decideKind() {
 	late := c.now-c.stepStart >= c.settings.Times.Peers
 	running, justStarted := 0, 0
 	for _, p := range c.peers {
-		// Who has just started and found that the fleet runs on is as good as one that has: a rolling restart is no return.
+		// A proxy that has just started and found the fleet running counts as running: a rolling restart is not a fleet restart.
 		if p.kind == Restart || p.uptime+c.now-p.receivedAt >= c.settings.Times.JustStarted && (p.kind != FleetRestart || p.step == Done) {
 			running++
 		} else {
@@ -363,22 +363,23 @@
 	}
 	switch {
 	case c.settings.NoFleetRestart:
-		c.setKind(Restart, "returns are not told from restarts")
+		c.setKind(Restart, "fleet restarts are not detected")
 	case c.settings.Standalone && c.settings.SameMachineBoot:
-		c.setKind(Restart, "there are no others, and this machine has kept its power")
+		c.setKind(Restart, "there are no other proxies, and this machine was not rebooted")
 	case c.settings.Standalone:
-		c.setKind(FleetRestart, "there are no others, and this machine may have lost its power")
+		c.setKind(FleetRestart, "there are no other proxies, and this machine may have lost power")
 	case running > justStarted && 2*(running+justStarted) > len(c.members) && len(c.members) > 0:
-		c.setKind(Restart, fmt.Sprintf("%d of %d others that were heard have been running on", running, running+justStarted))
+		c.setKind(Restart, fmt.Sprintf("%d of the %d other proxies that reported were already running", running, running+justStarted))
 	case running == 0 && c.settings.FleetSize > 1 && 2*(justStarted+1) > c.settings.FleetSize:
-		c.setKind(FleetRestart, fmt.Sprintf("%d others of %d have just started too, which are most", justStarted, c.settings.FleetSize))
+		c.setKind(FleetRestart, fmt.Sprintf("%d other proxies of a fleet of %d have just started too: a majority, with this one", justStarted, c.settings.FleetSize))
 	case late && running > justStarted:
-		c.setKind(Restart, fmt.Sprintf("%d of %d others that were heard have been running on", running, running+justStarted))
+		c.setKind(Restart, fmt.Sprintf("%d of the %d other proxies that reported were already running", running, running+justStarted))
 	case late && running+justStarted > 0:
-		c.setKind(FleetRestart, fmt.Sprintf("%d of %d others that were heard have just started too", justStarted, running+justStarted))
+		c.setKind(FleetRestart, fmt.Sprintf("%d of the %d other proxies that reported have just started too", justStarted, running+justStarted))
 	case late:
-		// Nobody alone believes that it is alone: the others may be behind a cut, and come back just now.
-		c.setKind(FleetRestart, "no other was heard")
+		// A proxy that gets no report does not conclude that it alone restarted: the others may be in another network partition, and
+		// be starting at this moment.
+		c.setKind(FleetRestart, "no other proxy reported")
 	}
 }
 
@@ -388,10 +389,10 @@
 	c.setStep(Rules, why)
 }
 
-// open begins to let classes in.
+// startAdmitting begins to admit requests.
 func (c *Core) startAdmitting(why string) {
 	if c.kind == Restart || c.settings.NoStagedAdmission {
-		// Backends are warm, or found to be cold one by one, and others serve beside.
+		// Backends are warm, or are found to be cold one by one, and the other proxies serve too.
 		c.setShares(func(int) float64 { return 1 })
 		c.setStep(Done, why)
 		return
@@ -400,18 +401,18 @@
 	c.setStep(Admitting, why)
 }
 
-// bound is how long classes are let in one after another.
+// maxAdmitting returns the time limit of Admitting, in which classes are admitted one after another.
 func (c *Core) maxAdmitting() time.Duration {
 	return time.Duration(c.settings.Times.WarmUpFactor * float64(c.settings.WarmUp))
 }
 
-// admit lets classes in, the worthiest first: at first as much as the backends are thought to take, and then more while nothing of
-// what is let in is lost, and less of the lesser classes where a worthier one loses.
+// updateShares admits classes, the most valuable first. It starts with the estimated capacity of the backends, raises the shares while
+// no class is overloaded, and lowers those of all classes less valuable than an overloaded one.
 //
-// It guards cold backends against all callers who come back in one second, and holds against the searches among them. What the
-// backends can do is known only by a guess, so it is found out as TCP finds a path's rate (additive increase, multiplicative decrease;
-// Chiu and Jain 1989). It harms where requests are lost for another cause than want of room: then lesser classes wait until the
-// stated end in vain.
+// It protects cold backends when all callers return within one second, and protects requests of a valuable class, such as holds, from
+// a surge of less valuable ones, such as searches. The capacity of the backends is only an estimate, so the shares are adjusted as TCP adjusts its rate (additive increase,
+// multiplicative decrease; Chiu and Jain 1989). The drawback: if requests fail for another reason than lack of capacity, less
+// valuable classes wait until the time limit for no benefit.
 func (c *Core) updateShares() {
 	if c.now < c.nextPlan {
 		return
@@ -422,7 +423,7 @@
 	switch {
 	case c.now-c.stepStart >= c.maxAdmitting():
 		c.setShares(func(int) float64 { return 1 })
-		c.setStep(Done, "the backends have had the time to get warm")
+		c.setStep(Done, "the time limit for the warm-up of the backends is over")
 		return
 	case c.capacity() >= 1:
 		c.setShares(func(int) float64 { return 1 })
@@ -448,14 +449,15 @@
 		case place == overloaded || !growing:
 			return share
 		case share < 1:
-			growing = false // lesser ones wait until this one is wholly in
+			growing = false // less valuable classes wait until this one is admitted in full
 			return min(share+shareStep, 1)
 		}
 		return share
 	})
 }
 
-// guess lets in what was asked for before, as far as the backends are thought to take it by now if they took all of it before.
+// setInitialShares admits the demand from before the start, up to the estimated current capacity of the backends. The estimate assumes
+// that the warm backends could serve all of that demand.
 func (c *Core) setInitialShares() {
 	capacity, total := c.capacity(), 0.0
 	for _, d := range c.settings.Demand {
@@ -464,7 +466,7 @@
 	remaining := headroom * capacity * total
 	c.setShares(func(place int) float64 {
 		if place == 0 && total == 0 {
-			return 1 // nothing is known: the worthiest alone
+			return 1 // the demand is unknown: only the most valuable class
 		}
 		wanted := 0.0
 		if class := c.byValue[place]; class < len(c.settings.Demand) {
@@ -479,7 +481,7 @@
 	})
 }
 
-// level is what the backends can do by now, of what all of them do warm.
+// capacity returns the estimated current capacity of the backends, as a share of the capacity of all of them when warm.
 func (c *Core) capacity() float64 {
 	if c.maxBackends == 0 {
 		return 0
@@ -494,13 +496,13 @@
 	}
 	capacity := sum / float64(c.maxBackends)
 	if c.settings.WarmUp > 0 {
-		// All follow the one that began first, so that who starts late does not hold back what others let in.
+		// All proxies follow the one that began to admit first, so that one that starts late does not admit less than the others.
 		capacity = max(capacity, c.settings.ColdCapacity+(1-c.settings.ColdCapacity)*min(float64(c.admittingFor())/float64(c.settings.WarmUp), 1)*float64(len(c.startTimes))/float64(c.maxBackends))
 	}
 	return capacity
 }
 
-// letIn sets the shares by the classes' places in the order of worth. No class has more than a worthier one.
+// setShares sets the shares by the classes' places in the order of value. No class gets a higher share than a more valuable one.
 func (c *Core) setShares(share func(place int) float64) {
 	shares := make([]float64, len(c.byValue))
 	limit := 1.0
@@ -514,20 +516,20 @@
 	}
 }
 
-// Status is how a proxy has come back, for people.
+// Status is the state of the recovery, for operators.
 type Status struct {
 	Step         Step
 	Kind         Kind
-	Why          string        // of the last step
-	InStep       time.Duration // in this step
-	MaxRemaining time.Duration // from now, when the step is over at the latest; 0 for a step that waits for nothing
-	Capacity     float64       // what the backends can do by now, as far as known
+	Why          string        // reason for the last step change
+	InStep       time.Duration // time spent in this step
+	MaxRemaining time.Duration // time until the step ends at the latest; 0 for a step without a limit
+	Capacity     float64       // estimated current capacity of the backends, 1 when all are warm
 	Shares       []float64     // by class
-	JustStarted  int           // others that have just started
+	JustStarted  int           // other proxies that have just started
 	Running      int
 }
 
-// Status says how far this proxy has come back.
+// Status returns the state of the recovery.
 func (c *Core) Status(now time.Duration) Status {
 	c.now = now
 	s := Status{Step: c.step, Kind: c.kind, Why: c.why, InStep: now - c.stepStart, Capacity: c.capacity(), Shares: c.shares}
@@ -545,5 +547,5 @@
 	return s
 }
 
-// Step is how far this proxy has come back.
+// Step returns the current step.
 func (c *Core) Step() Step { return c.step }
--- a/internal/cluster/revival/revival_test.go
+++ b/internal/cluster/revival/revival_test.go
@@ -15,11 +15,11 @@
 )
 
 var (
-	returns = flag.Int("returns", 60, "how many returns are played")
-	proxies = flag.Int("proxies", 20, "how many proxies return in each")
+	returns = flag.Int("returns", 60, "number of simulated fleet restarts")
+	proxies = flag.Int("proxies", 20, "number of proxies in each")
 )
 
-// classes are in the order of a settings file, which is not that of worth. What was asked for is 100 a second in sum.
+// classes are in the order of a settings file, which differs from the order of value. The demand is 100 requests a second in total.
 var (
 	classes = []Class{{"search", 1}, {"hold", 10}, {"record", 4}}
 	demand  = []float64{60, 15, 25}
@@ -27,7 +27,8 @@
 
 const sec = time.Second
 
-// site is many proxies on one clock. Others hear of a proxy some time after it has started; messages take 1 ms, and a part is lost.
+// fleet simulates many proxies on one clock. The other proxies learn of a new member some time after its start. Messages take 1 ms, and
+// some are lost.
 type fleet struct {
 	t        testing.TB
 	now      time.Duration
@@ -38,7 +39,7 @@
 	lossRate float64
 }
 
-// one is one proxy of it.
+// member is one proxy of a fleet.
 type member struct {
 	fleet      *fleet
 	name       string
@@ -48,7 +49,7 @@
 	shares     []float64
 	steps      []Step
 	stepTimes  []time.Duration
-	firstAdmit time.Duration // when anything was let in first
+	firstAdmit time.Duration // when requests were admitted first
 }
 
 func (o *member) SendReport(to string, r *Report) {
@@ -76,11 +77,11 @@
 		o.firstAdmit = o.fleet.now
 	}
 	o.shares = slices.Clone(shares)
-	// Whoever is worth more is let in no less.
+	// A more valuable class must not get a smaller share.
 	for i := range classes {
 		for j := range classes {
 			if classes[i].Value > classes[j].Value && shares[i] < shares[j] {
-				o.fleet.t.Errorf("%s lets in %v of %s and %v of %s", o.name, shares[i], classes[i].Name, shares[j], classes[j].Name)
+				o.fleet.t.Errorf("%s admits %v of %s and %v of %s", o.name, shares[i], classes[i].Name, shares[j], classes[j].Name)
 			}
 		}
 	}
@@ -102,7 +103,7 @@
 			}
 			o.core = New(s.now, conf, seed, o)
 			s.scheduleTick(o)
-			// Discovery answers after some time, or late.
+			// Discovery answers after up to 2 s, which may be after the time limit of the step.
 			s.queue.Push(s.now+time.Duration(s.rng.Float64()*float64(2*sec)), func() { o.core.SetList(s.now, true, startTimes(s.now)) })
 		})
 		s.queue.Push(o.start+300*time.Millisecond, func() { s.updateMembers() })
@@ -110,7 +111,7 @@
 	return s
 }
 
-// members tells each proxy who lives.
+// updateMembers notifies each proxy of the live members.
 func (s *fleet) updateMembers() {
 	var living []string
 	for _, p := range s.members {
@@ -147,16 +148,16 @@
 	s.now = until
 }
 
-// bound is how long after its start a proxy is done at the latest.
+// maxStartup returns how long a proxy may take from its start until it is done.
 func maxStartup() time.Duration {
 	t := DefaultTimes()
 	return t.Peers + t.Rules + t.Lists + time.Duration(t.WarmUpFactor*float64(10*sec)) + 2*planInterval
 }
 
-// comeback is a return of all proxies over some seconds, before backends that come back cold over eight. What they can do when warm
-// nobody knows: 1.2 to 3 times what is asked for. They serve what is let in as it comes, not by worth, and callers come three times
-// as often at first. earned is the worth that they serve, as a share of what they could have earned with the worthiest alone before
-// them.
+// simulateFleetRestart restarts all proxies over some seconds, with backends that come back cold over 8 s. The proxies don't know the
+// warm capacity of the backends: it is 1.2 to 3 times the demand. Backends serve requests in the order of their arrival, without regard
+// to value, and the demand is three times as high at first. valueShare is the value of the served requests, as a share of the value that
+// the backends could have served if the most valuable requests had come first.
 func simulateFleetRestart(t testing.TB, seed uint64, n int, set func(i int, s *Settings)) (s *fleet, valueShare float64) {
 	spread := time.Duration(seed%5) * 4 * sec
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -209,7 +210,7 @@
 				if p.firstAdmit > 0 {
 					counts := make([]Count, len(classes))
 					for class := range counts {
-						asked := surge * demand[class] * 20 // enough to count
+						asked := surge * demand[class] * 20 // enough to reach minSamples
 						counts[class] = Count{asked, p.shares[class] * asked, p.shares[class] * asked * (1 - served)}
 					}
 					p.core.AddCounts(s.now, counts)
@@ -221,8 +222,8 @@
 	return s, value / maxValue
 }
 
-// TestReturns: each proxy takes a return of all for one, holds go before searches, most is earned that the backends can earn, and
-// no step is waited in past its bound.
+// TestFleetRestarts checks that each proxy detects a fleet restart, that more valuable classes are admitted first, that the backends
+// serve most of the value that they can, and that no step exceeds its time limit.
 func TestFleetRestarts(t *testing.T) {
 	var all []float64
 	for seed := range uint64(*returns) {
@@ -230,47 +231,48 @@
 		all = append(all, valueShare)
 		for _, p := range s.members {
 			if p.kind != FleetRestart {
-				t.Fatalf("seed %d: %s takes a return for a %v: %s", seed, p.name, p.kind, p.core.why)
+				t.Fatalf("seed %d: %s takes a fleet restart for a %v: %s", seed, p.name, p.kind, p.core.why)
 			}
 			if last := p.stepTimes[len(p.stepTimes)-1] - p.start; p.steps[len(p.steps)-1] != Done || last > maxStartup() {
-				t.Fatalf("seed %d: %s is at %v after %v", seed, p.name, p.steps, last)
+				t.Fatalf("seed %d: %s has taken the steps %v after %v", seed, p.name, p.steps, last)
 			}
 			if p.shares[0] != 1 || p.firstAdmit-p.start > 5*sec {
-				t.Fatalf("seed %d: %s lets %v in at the end, and the first after %v", seed, p.name, p.shares, p.firstAdmit-p.start)
+				t.Fatalf("seed %d: %s admits shares %v at the end, and the first request after %v", seed, p.name, p.shares, p.firstAdmit-p.start)
 			}
 		}
 	}
 	slices.Sort(all)
-	t.Logf("of the worth that backends could have earned: worst %.3f, p10 %.3f, p50 %.3f", all[0], all[len(all)/10], all[len(all)/2])
+	t.Logf("share of the value that the backends could have served: worst %.3f, p10 %.3f, p50 %.3f", all[0], all[len(all)/10], all[len(all)/2])
 	if all[len(all)/10] < 0.8 {
-		t.Errorf("%.3f of the worth that backends could have earned, at the tenth worst", all[len(all)/10])
+		t.Errorf("the 10th percentile of the served value is %.3f of the possible value, want at least 0.8", all[len(all)/10])
 	}
 }
 
-// TestWithoutTheDefences: starts that are taken for restarts, and classes that are let in all at once, earn less.
+// TestDefencesRaiseServedValue checks that the backends serve less value if fleet restarts are not detected, or if all classes are
+// admitted at once.
 func TestDefencesRaiseServedValue(t *testing.T) {
 	mean := func(set func(i int, s *Settings)) (sum float64) {
 		const runs = 10
 		for seed := range uint64(runs) {
-			_, valueShare := simulateFleetRestart(t, 5*seed, 8, set) // those in which all come at one moment
+			_, valueShare := simulateFleetRestart(t, 5*seed, 8, set) // the seeds with which all proxies start at the same time
 			sum += valueShare / runs
 		}
 		return sum
 	}
 	with := mean(nil)
 	for name, set := range map[string]func(int, *Settings){
-		"returns told": func(_ int, s *Settings) { s.NoFleetRestart = true }, "order": func(_ int, s *Settings) { s.NoStagedAdmission = true },
+		"fleet restart detection": func(_ int, s *Settings) { s.NoFleetRestart = true }, "staged admission": func(_ int, s *Settings) { s.NoStagedAdmission = true },
 	} {
 		without := mean(set)
-		t.Logf("%.3f with all, %.3f without %s", with, without, name)
+		t.Logf("%.3f with all defences, %.3f without %s", with, without, name)
 		if without > with-0.03 {
-			t.Errorf("%.3f is earned without %s, and %.3f with it: nothing is found", without, name, with)
+			t.Errorf("the served value is %.3f without %s and %.3f with it: the simulation does not show its effect", without, name, with)
 		}
 	}
 }
 
-// TestRestarts: some of a running fleet come back, up to nearly half of it at one moment; each takes it for a restart, and is done
-// well before it would have asked in vain.
+// TestRestarts restarts some proxies of a running fleet, up to a third of it at once. Each must recognise a restart and finish well
+// before the time limits of its steps.
 func TestRestarts(t *testing.T) {
 	for seed := range uint64(100) {
 		n, restarted := 12, 1+int(seed%4)
@@ -283,14 +285,14 @@
 		s.run(10*time.Minute + 10*sec)
 		for _, p := range s.members[:restarted] {
 			if p.kind != Restart || p.core.step != Done || p.firstAdmit-p.start > 4*sec {
-				t.Fatalf("seed %d, %d restarted: %s takes it for a %v (%s), at %v, and lets in after %v", seed, restarted, p.name, p.kind, p.core.why, p.core.step, p.firstAdmit-p.start)
+				t.Fatalf("seed %d, %d restarted: %s takes it for a %v (%s), is at step %v, and admits requests after %v", seed, restarted, p.name, p.kind, p.core.why, p.core.step, p.firstAdmit-p.start)
 			}
 		}
 	}
 }
 
-// TestRollingRestart: all of a running fleet are restarted, one after another within the time in which each counts as just started.
-// None of them takes it for a return.
+// TestRollingRestart restarts all proxies of a running fleet, one after another, within the time in which each counts as just started.
+// None of them may take it for a fleet restart.
 func TestRollingRestart(t *testing.T) {
 	const n = 12
 	s := newFleet(t, 1, n, func(_ int, s *Settings) { s.FleetSize = n }, func(i int) time.Duration { return time.Duration(i) * time.Millisecond }, func(time.Duration) []time.Duration { return make([]time.Duration, 40) })
@@ -312,29 +314,29 @@
 	}
 }
 
-// TestNobodyAloneBelievesItIsAlone: one that hears nobody takes it for a return, and serves within its bound all the same; so does one
-// that has no others at all, unless its machine has kept its power.
+// TestNoPeersMeansFleetRestart checks that a proxy that gets no report assumes a fleet restart, and still serves within its time limit.
+// The same holds for a fleet of one, unless its machine has not been rebooted.
 func TestNoPeersMeansFleetRestart(t *testing.T) {
 	for name, c := range map[string]struct {
 		set  func(i int, s *Settings)
 		want Kind
 	}{
-		"hears nobody":            {func(_ int, s *Settings) { s.UsesRules = true }, FleetRestart},
-		"one of one":              {func(_ int, s *Settings) { s.Standalone = true }, FleetRestart},
-		"one of one, power kept":  {func(_ int, s *Settings) { s.Standalone, s.SameMachineBoot = true, true }, Restart},
-		"one of two":              {func(_ int, s *Settings) { s.FleetSize = 2 }, FleetRestart},
-		"nothing known of before": {func(_ int, s *Settings) { s.Standalone, s.Demand = true, nil }, FleetRestart},
+		"no reports":              {func(_ int, s *Settings) { s.UsesRules = true }, FleetRestart},
+		"fleet of one":            {func(_ int, s *Settings) { s.Standalone = true }, FleetRestart},
+		"fleet of one, no reboot": {func(_ int, s *Settings) { s.Standalone, s.SameMachineBoot = true, true }, Restart},
+		"fleet of two":            {func(_ int, s *Settings) { s.FleetSize = 2 }, FleetRestart},
+		"no saved state":          {func(_ int, s *Settings) { s.Standalone, s.Demand = true, nil }, FleetRestart},
 	} {
 		s := newFleet(t, 1, 1, c.set, func(int) time.Duration { return 0 }, func(time.Duration) []time.Duration { return make([]time.Duration, 10) })
 		s.run(maxStartup() + sec)
 		p := s.members[0]
 		if p.kind != c.want || p.core.step != Done || p.firstAdmit > 5*sec || p.shares[0] != 1 {
-			t.Errorf("%s: a %v, %v at the end, lets in after %v", name, p.kind, p.core.step, p.firstAdmit)
+			t.Errorf("%s: a %v, step %v at the end, admits requests after %v", name, p.kind, p.core.step, p.firstAdmit)
 		}
 	}
 }
 
-// TestNothingNeverCame: no list, no keepers; no step waits for ever, and what comes at last is taken.
+// TestStepsEndWithoutListOrLease checks that no step waits forever if neither a list nor a lease arrives.
 func TestStepsEndWithoutListOrLease(t *testing.T) {
 	o := &member{fleet: &fleet{t: t, rng: rand.New(rand.NewPCG(1, 1))}, name: "n1"}
 	c := New(0, Settings{Name: "n1", Standalone: true, UsesRules: true, Classes: classes, ColdCapacity: 0.3, WarmUp: 10 * sec, Times: DefaultTimes()}, 1, o)
@@ -342,7 +344,7 @@
 		o.fleet.now = now
 		c.Tick(now)
 		if c.Next() <= now {
-			t.Fatalf("it is to be woken at %v again, in step %v", now, c.step)
+			t.Fatalf("Next returns %v again, in step %v", now, c.step)
 		}
 	}
 	if !slices.Equal(o.steps, []Step{Rules, Lists, Admitting, Done}) {
@@ -350,7 +352,7 @@
 	}
 }
 
-// TestWhatIsBelieved holds Revive to the table of Judge.
+// TestInitialStateFollowsTrust checks InitialState against the table of TrustIn.
 func TestInitialStateFollowsTrust(t *testing.T) {
 	now := 1000 * time.Hour
 	saved := &state.Learned{Knowledge: handover.State{
@@ -372,31 +374,31 @@
 	}{
 		{Restart, fresh, true, true, 3}, {Restart, old, true, false, 0}, {Restart, unknown, true, false, 3}, {FleetRestart, fresh, false, false, 3}, {FleetRestart, unknown, false, false, 0},
 	} {
-		got, trustedSince := InitialState(c.kind, c.age, []string{"by hand"}, saved, now, 10)
+		got, trustedSince := InitialState(c.kind, c.age, []string{"by operator"}, saved, now, 10)
 		b := &got.Balancer
-		if !slices.Equal(b.Banned, []string{"by hand"}) || len(b.Servers) != 2 || b.Servers[1].Entry.State != balance.Draining || got.Seq != -1 || len(b.Quota) > 0 || b.Retries != 0 {
+		if !slices.Equal(b.Banned, []string{"by operator"}) || len(b.Servers) != 2 || b.Servers[1].Entry.State != balance.Draining || got.Seq != -1 || len(b.Quota) > 0 || b.Retries != 0 {
 			t.Errorf("%v, %v: %+v", c.kind, c.age, got)
 		}
 		a := b.Servers[0]
 		if warm := a.Entry.Boot == now-time.Hour && trustedSince == 0; warm != c.warm || !c.warm && (a.Entry.Boot != now || trustedSince != now) || a.ColdTokens != 0 || a.Resumed > now {
-			t.Errorf("%v, %v: %+v, lost %v", c.kind, c.age, a, trustedSince)
+			t.Errorf("%v, %v: %+v, start times trusted since %v", c.kind, c.age, a, trustedSince)
 		}
 		if healthy := a.FailRun == 5 && b.Limit == 50; healthy != c.healthy || a.Ejected > now+maxHealthAge {
 			t.Errorf("%v, %v: %+v, limit %v", c.kind, c.age, a, b.Limit)
 		}
 		if rate := map[bool]float64{true: 12, false: minFleetWarmRate / 10.}[c.age.Max <= maxWarmRateAge]; b.Warm != rate {
-			t.Errorf("%v, %v: a pace of %v, wanted %v", c.kind, c.age, b.Warm, rate)
+			t.Errorf("%v, %v: warm rate %v, want %v", c.kind, c.age, b.Warm, rate)
 		}
 		if len(b.Classes) != c.classStats {
-			t.Errorf("%v, %v: %d lessons", c.kind, c.age, len(b.Classes))
+			t.Errorf("%v, %v: %d class stats", c.kind, c.age, len(b.Classes))
 		}
 	}
 	if got, _ := InitialState(FleetRestart, unknown, []string{"x"}, nil, now, 10); got.Seq != -1 || !slices.Equal(got.Balancer.Banned, []string{"x"}) {
-		t.Errorf("with nothing learned: %+v", got)
+		t.Errorf("without saved state: %+v", got)
 	}
 	for _, b := range StateItems() {
 		if b.String() == "" || TrustIn(FleetRestart, unknown, b).String() == "" {
-			t.Errorf("belief %d has no name", b)
+			t.Errorf("state item %d has no name", b)
 		}
 	}
 }
@@ -417,7 +419,7 @@
 			c.Tick(now)
 		}
 		if c.step != Done {
-			t.Fatalf("one message holds a proxy in %v for ever: %+v", c.step, r)
+			t.Fatalf("one message keeps a proxy in step %v forever: %+v", c.step, r)
 		}
 	})
 }
--- a/internal/recovery/admission.go
+++ b/internal/recovery/admission.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// plan is what is let in.
+// plan holds the shares of requests that are admitted.
 type plan struct {
 	shares     []float64
 	admitAll   bool
 	ready      bool
-	retryAfter time.Duration // for how long the others are asked to stay away, in the middle
+	retryAfter time.Duration // Retry-After of rejected requests, before it is randomized
 }
 
 func (n *Node) admitAll() {
@@ -18,8 +18,8 @@
 	n.plan.Store(&plan{shares: shares, admitAll: true, ready: true})
 }
 
-// Admit says whether a request of a class is let in now. What is turned away is told to come back at a time of its own, so that the
-// callers of a whole site do not come back at one.
+// Admit reports whether a request of a class is admitted now. A rejected request gets a random retry delay, so that the callers of a
+// whole site do not retry at the same time.
 func (n *Node) Admit(class int) (ok bool, retryAfter time.Duration) {
 	p := n.plan.Load()
 	if p.admitAll || class >= 0 && class < len(p.shares) && p.shares[class] > 0 && n.rng.draw() < p.shares[class] {
@@ -31,5 +31,5 @@
 	return false, time.Duration((0.5 + 0.5*n.rng.draw()) * float64(p.retryAfter))
 }
 
-// Ready says whether anybody is let in.
+// Ready reports whether any requests are admitted.
 func (n *Node) Ready() bool { return n.plan.Load().ready }
--- a/internal/recovery/admit_test.go
+++ b/internal/recovery/admit_test.go
@@ -9,13 +9,13 @@
 	"brasswell/balance"
 )
 
-// admission is what a caller was told at the door.
+// admitResult is the result of one admission.
 type admitResult struct {
 	in   bool
 	wait time.Duration
 }
 
-// admissions are what callers are told by a node with a seed that lets half of a class in.
+// admitResults returns the results of a node with the given seed that admits half of the requests of a class.
 func admitResults(t *testing.T, seed uint64, requests int) (results []admitResult) {
 	t.Helper()
 	n := Open(Config{
@@ -24,7 +24,7 @@
 	}, nil)
 	defer n.Close()
 	host{n}.SetShares([]float64{0.5})
-	defer host{n}.SetShares([]float64{0}) // no proxy has begun, so there is nothing to keep on disk
+	defer host{n}.SetShares([]float64{0}) // no proxy has started, so there is no state to save
 	for range requests {
 		in, wait := n.Admit(0)
 		results = append(results, admitResult{in, wait})
@@ -32,18 +32,18 @@
 	return results
 }
 
-// TestAdmissionIsDrawnFromTheSeed: who is let in while a proxy comes back, and for how long the others are asked to stay away, can be
-// played again from its seed, and differs between proxies.
+// TestAdmissionIsDrawnFromTheSeed checks that admission decisions and retry delays during recovery are reproducible from the seed, and
+// that they differ between proxies with different seeds.
 func TestAdmissionIsDrawnFromTheSeed(t *testing.T) {
 	const callers = 200
 	first := admitResults(t, 1, callers)
 	if again := admitResults(t, 1, callers); !slices.Equal(first, again) {
-		t.Error("equal seeds admit other callers, or ask them to stay away for other times")
+		t.Error("equal seeds give different admissions or retry delays")
 	}
 	if other := admitResults(t, 2, callers); slices.Equal(first, other) {
-		t.Error("two seeds admit the same callers")
+		t.Error("different seeds give the same admissions and retry delays")
 	}
 	if !slices.ContainsFunc(first, func(a admitResult) bool { return a.in }) || !slices.ContainsFunc(first, func(a admitResult) bool { return !a.in }) {
-		t.Errorf("none of both kinds among %d callers", callers)
+		t.Errorf("the results of %d requests are all admitted or all rejected", callers)
 	}
 }
--- a/internal/recovery/demand.go
+++ b/internal/recovery/demand.go
@@ -6,11 +6,12 @@
 	"brasswell/internal/cluster/revival"
 )
 
-// tally is what has become of requests so far, by class.
+// totals counts the outcomes of requests so far, by class.
 type totals struct{ received, failed, rejected []int64 }
 
 func (n *Node) totals() (t totals) {
-	// What is turned away is counted before it is lost, and so read after: it is never taken for lost by the balancer.
+	// A rejected request is counted in n.rejected before the proxy counts it as failed. Reading n.rejected second makes sure that no
+	// rejected request is taken for one that the balancer failed to serve.
 	t.received, t.failed = n.proxy.Outcomes()
 	t.rejected = make([]int64, len(n.rejected))
 	for i := range n.rejected {
@@ -19,7 +20,7 @@
 	return t
 }
 
-// since is what has come after an earlier one.
+// since returns the outcomes since earlier totals.
 func (t totals) since(earlier totals) []revival.Count {
 	counts := make([]revival.Count, len(t.received))
 	for i := range counts {
@@ -29,7 +30,7 @@
 	return counts
 }
 
-// rest measures what is asked for, for the next start.
+// measureDemand measures the demand, which the next start uses.
 func (n *Node) measureDemand() {
 	previous := n.totals()
 	for {
@@ -45,8 +46,7 @@
 	}
 }
 
-// demanded smooths what is asked for over half a minute or so: a surge of callers who come again is not what the next start is to
-// expect.
+// updateDemand smooths the demand over about half a minute, so that the next start does not expect a short surge of retries.
 func (n *Node) updateDemand(counts []revival.Count, elapsed time.Duration) {
 	const weight = 1. / 30
 	n.mu.Lock()
--- a/internal/recovery/dice.go
+++ b/internal/recovery/dice.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// admissionStream keeps these draws apart from others that are made from the same seed.
+// admissionStream makes these random numbers independent of others from the same seed.
 const admissionStream = 0xd002
 
-// dice are draws from a seed, for many goroutines.
+// lockedRand is a seeded random source that is safe for concurrent use.
 type lockedRand struct {
 	mu     sync.Mutex
 	source *rand.Rand
@@ -18,7 +18,7 @@
 	return &lockedRand{source: rand.New(rand.NewPCG(seed, admissionStream))}
 }
 
-// draw returns a number from 0 to below 1.
+// draw returns a random number in [0, 1).
 func (d *lockedRand) draw() float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/recovery/folder.go
+++ b/internal/recovery/folder.go
@@ -9,9 +9,9 @@
 	"brasswell/internal/state"
 )
 
-// learned is what the keeper writes.
+// learnedState returns the state that the writer saves; nil if there is nothing to save yet.
 func (n *Node) learnedState(context.Context) *state.Learned {
-	if !n.plan.Load().ready { // before it has begun, the proxy knows less than the disk
+	if !n.plan.Load().ready { // before it admits requests, the proxy knows less than the disk
 		return nil
 	}
 	l := &state.Learned{Written: state.Now(), Knowledge: n.proxy.State(), Demand: map[string]float64{}}
@@ -23,8 +23,8 @@
 	return l
 }
 
-// Keep makes a change by hand last, and returns once it is there. joined says that another process of this proxy, which holds the
-// folder, has been told.
+// PersistBan writes a change by the operator to disk and returns once it is durable. joined says that another process of this proxy,
+// which holds the folder, has been notified.
 func (n *Node) PersistBan(ctx context.Context, id string, banned, joined bool) error {
 	n.mu.Lock()
 	w := n.writer
@@ -38,7 +38,7 @@
 	return w.Ban(ctx, id, banned)
 }
 
-// openLater takes the folder once the process before this one has let go of it.
+// openWhenReleased opens the folder once the previous process has released it.
 func (n *Node) openWhenReleased() {
 	for {
 		select {
@@ -52,10 +52,11 @@
 		}
 		store, saved := state.Open(folder, n.config.Name)
 		if !n.joined {
-			// The process before was still ending, and nothing has been heard of it: what it has kept was said to it, and holds.
+			// The previous process was still shutting down, and this one got no state from it: the bans that it saved came from an
+			// operator and stay in force.
 			n.proxy.Ban(saved.Bans)
 		}
-		// What was said by hand meanwhile is newer than what the folder holds.
+		// Changes by the operator in the meantime are newer than the contents of the folder.
 		now := n.proxy.Banned()
 		for _, id := range now {
 			if !slices.Contains(saved.Bans, id) {
@@ -68,12 +69,12 @@
 			}
 		}
 		if err != nil {
-			n.config.Log.Error(LogFolder, "what", "bans by hand cannot be written", "error", err)
+			n.config.Log.Error(LogFolder, "what", "operator bans cannot be written", "error", err)
 		}
 		n.mu.Lock()
 		n.folder, n.writer = folder, state.StartWriter(store, n.config.Options.SaveInterval, n.learnedState, n.config.Log)
 		n.mu.Unlock()
-		n.config.Log.Info(LogFolder, "what", "taken over from the process before")
+		n.config.Log.Info(LogFolder, "what", "taken over from the previous process")
 		return
 	}
 }
--- a/internal/recovery/host.go
+++ b/internal/recovery/host.go
@@ -9,7 +9,7 @@
 	"brasswell/internal/state"
 )
 
-// host is the core's side of a node; its methods run on the owner.
+// host implements revival.Host for a Node. Its methods run on the goroutine that owns the core.
 type host struct{ *Node }
 
 func (h host) SendReport(to string, r *revival.Report) {
@@ -35,13 +35,13 @@
 	h.mu.Unlock()
 	h.config.Log.Info(LogBegin, "kind", k.String(), "backends", len(initial.Balancer.Servers), "bans", len(initial.Balancer.Banned), "age", ageText(h.saved.Learned, h.age))
 	h.proxy.RestoreState(initial, trustedSince)
-	h.ListUpdated(false) // the core is at work, and hears of it after this call
+	h.ListUpdated(false) // this call comes from the core, so the event is handled after it
 }
 
 func ageText(l *state.Learned, a state.Age) string {
 	switch {
 	case l == nil:
-		return "nothing from before"
+		return "no saved state"
 	case a.Max == state.UnknownAge:
 		return fmt.Sprintf("%v at least", a.Min.Round(time.Second))
 	}
@@ -55,7 +55,8 @@
 		p.ready = p.ready || s > 0
 	}
 	if h.config.Balancer.RetryAfter {
-		// Until the next class or so; who is told less comes too often, and who is told more is not believed.
+		// This is about the time until the next class is admitted. With less, clients retry too often; more than MaxRetryAfter is not
+		// followed by clients.
 		p.retryAfter = min(h.config.Balancer.WarmUp/time.Duration(max(len(shares), 1)), h.config.Balancer.MaxRetryAfter)
 	}
 	h.plan.Store(p)
--- a/internal/recovery/node.go
+++ b/internal/recovery/node.go
@@ -1,5 +1,5 @@
-// Package recovery brings a proxy back after a start: it puts the decisions (package revival), the disk (package state) and the
-// fleet's link together. One goroutine owns the core, another the disk; what serves asks one atomic plan.
+// Package recovery runs the recovery of a proxy after a start. It connects the decisions (package revival), the disk (package state)
+// and the connections to the fleet. One goroutine owns the core, another the disk; request handling reads one atomic plan.
 package recovery
 
 import (
@@ -18,7 +18,7 @@
 	"brasswell/internal/state"
 )
 
-// The log's lines, which package rig reads back.
+// Log messages, which package rig parses.
 const (
 	LogStep   = "recovery: step"
 	LogBegin  = "recovery: begins"
@@ -26,43 +26,44 @@
 )
 
 const (
-	// mostWaiting events stand before the owner; messages beyond are dropped, as the network would.
+	// maxQueuedEvents is the length of the queue of the goroutine that owns the core; events beyond it are dropped, as the network
+	// might drop their messages.
 	maxQueuedEvents = 256
-	// lookEvery is between two looks at the proxy while it comes back, and restEvery after that.
+	// pollInterval is how often the state of the proxy is read during recovery, and donePollInterval after it.
 	pollInterval     = 50 * time.Millisecond
 	donePollInterval = time.Second
-	// heldEvery is between tries for a folder that the process before still holds.
+	// lockRetryInterval is the time between attempts to open a folder that the previous process still holds.
 	lockRetryInterval = 200 * time.Millisecond
 )
 
-// Side is the proxy's side. Its methods may be called at any time.
+// Proxy is what a Node uses of the proxy. Its methods must be safe for concurrent use.
 type Proxy interface {
-	// Begin takes up what is known. No start of a backend before lost is believed from then on. It is called once.
-	RestoreState(k handover.State, lost time.Duration)
-	// Now is the time of the clock that backends' starts are told in.
+	// RestoreState applies saved state. After it, no start time of a backend before trustedSince is trusted. It is called once.
+	RestoreState(k handover.State, trustedSince time.Duration)
+	// Now returns the time on the clock that start times of backends refer to.
 	Now() time.Duration
-	// Known is what this proxy knows now. It may take its time.
+	// State returns the current state of this proxy. It may be slow.
 	State() handover.State
-	// Outcomes are how many requests have come so far, by class, and how many of them were not served.
+	// Outcomes returns how many requests have arrived so far, by class, and how many of them were not served.
 	Outcomes() (asked, lost []int64)
-	// Births are when the backends in service were started.
+	// StartTimes returns the start times of the backends in service.
 	StartTimes() []time.Duration
-	// Leased says whether keepers vouch for the agreed rules.
+	// Leased reports whether this proxy holds a lease on the agreed rules.
 	Leased() bool
-	// Banned are the backends out by hand.
+	// Banned returns the backends taken out by the operator.
 	Banned() []string
-	// Ban takes backends out by hand, as was said before this start, also where no list has named them yet.
+	// Ban takes backends out as the operator did before this start, including backends that no list has named yet.
 	Ban(ids []string)
 }
 
-// Config is what a node is told.
+// Config is the configuration of a Node.
 type Config struct {
 	Options    Options
 	Name       string
 	InstanceID uint64
 	Seed       uint64
 	Instances  int
-	UsesRules  bool // rules are agreed on
+	UsesRules  bool // the fleet agrees on rules
 	Classes    []string
 	Balancer   balance.Settings
 	Log        *slog.Logger
@@ -70,7 +71,7 @@
 
 type event func(c *revival.Core, now time.Duration)
 
-// Node is this process's way back. Its methods may be called at any time.
+// Node runs the recovery of this process. Its methods are safe for concurrent use.
 type Node struct {
 	config    Config
 	carrier   cluster.Carrier // nil for none
@@ -79,20 +80,20 @@
 	age       state.Age
 	plan      atomic.Pointer[plan]
 	events    chan event
-	rng       *lockedRand // of admissions
+	rng       *lockedRand // for admission
 
-	// turned is how many requests were not let in, by class.
+	// rejected counts the requests that were not admitted, by class.
 	rejected []atomic.Int64
 
 	// Set by Start:
 	proxy  Proxy
-	core   *revival.Core // the owner's
-	joined bool          // it goes on where a running process is
+	core   *revival.Core // used only by run and the events that it executes
+	joined bool          // this process continues the work of a running one
 
 	mu             sync.Mutex
 	folder         *state.Folder
 	writer         *state.Writer
-	awaitingFolder bool // for a folder that another process holds
+	awaitingFolder bool // another process holds the folder
 	addresses      map[string]string
 	itemTrust      []ItemTrust
 	demand         []float64
@@ -102,7 +103,7 @@
 	running sync.WaitGroup
 }
 
-// Open reads the folder. Nothing in it, and no fault of it, keeps a proxy from starting.
+// Open reads the folder. Neither its contents nor an error in reading it prevents a proxy from starting.
 func Open(c Config, carrier cluster.Carrier) *Node {
 	n := &Node{config: c, carrier: carrier, startedAt: time.Now(), saved: &state.Contents{}, events: make(chan event, maxQueuedEvents), rng: newLockedRand(c.Seed), demand: make([]float64, len(c.Classes)), rejected: make([]atomic.Int64, len(c.Classes))}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
@@ -115,9 +116,9 @@
 	if err != nil {
 		n.awaitingFolder = errors.Is(err, state.ErrLocked)
 		if n.awaitingFolder {
-			c.Log.Info(LogFolder, "what", "is held by another process, and taken once that lets go of it; until then bans by hand do not last", "error", err)
+			c.Log.Info(LogFolder, "what", "is held by another process and will be opened when released; until then operator bans are not persistent", "error", err)
 		} else {
-			c.Log.Error(LogFolder, "what", "cannot be used; this start knows nothing of before, and bans by hand will not last", "error", err)
+			c.Log.Error(LogFolder, "what", "cannot be used; this start has no saved state, and operator bans will not be persistent", "error", err)
 		}
 		return n
 	}
@@ -135,7 +136,8 @@
 	return n
 }
 
-// Start begins the way back of a proxy. joined says that it goes on where a running process is, so there is no way to go.
+// Start begins the recovery of a proxy. joined says that this process continues the work of a running one, so it admits all requests
+// at once.
 func (n *Node) Start(side Proxy, joined bool) {
 	n.proxy = side
 	c := &n.config
@@ -172,7 +174,7 @@
 
 func (n *Node) now() time.Duration { return time.Since(n.startedAt) }
 
-// own is the goroutine that the core belongs to.
+// run is the goroutine that owns the core.
 func (n *Node) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -210,7 +212,7 @@
 func (n *Node) receive(body []byte) {
 	r, err := revival.Decode(body)
 	if err != nil {
-		n.config.Log.Debug("recovery: a message is dropped", "error", err)
+		n.config.Log.Debug("recovery: invalid message dropped", "error", err)
 		return
 	}
 	n.enqueue(func(c *revival.Core, now time.Duration) { c.ReceiveReport(now, r) })
@@ -231,17 +233,18 @@
 	n.enqueue(func(c *revival.Core, now time.Duration) { c.SetMembers(now, living) })
 }
 
-// Listed says that a list has come from discovery, or from before; it must not be called with the proxy's locks held.
+// ListUpdated notifies the core of a list; fresh says that it came from discovery and is not a saved one. It must not be called with
+// the proxy's locks held.
 func (n *Node) ListUpdated(fresh bool) {
 	births := n.proxy.StartTimes()
-	ahead := n.now() - n.proxy.Now() // of the core's clock
+	ahead := n.now() - n.proxy.Now() // offset of the core's clock
 	for i := range births {
 		births[i] += ahead
 	}
 	n.enqueue(func(c *revival.Core, now time.Duration) { c.SetList(now, fresh, births) })
 }
 
-// Close ends the way back, writes what is known a last time and lets go of the folder.
+// Close stops the recovery, saves the state a last time and releases the folder.
 func (n *Node) Close() {
 	n.cancel()
 	n.running.Wait()
--- a/internal/recovery/options.go
+++ b/internal/recovery/options.go
@@ -6,7 +6,7 @@
 	"brasswell/internal/operator"
 )
 
-// Options are what an operator may set about recovery.
+// Options are the settings of the [recovery] section of the operator file.
 type Options struct {
 	Enabled bool // the file has the section
 
@@ -15,12 +15,12 @@
 	JustStarted  time.Duration
 }
 
-// DefaultOptions hold where the file has the section and leaves a key out.
+// DefaultOptions returns the values of keys that the section leaves out.
 func DefaultOptions() Options {
 	return Options{SaveInterval: 5 * time.Second, JustStarted: time.Minute}
 }
 
-// Section describes the options to the operator file.
+// Section describes the options for the operator file.
 func (o *Options) Section() operator.Section {
 	return operator.Section{
 		Name:    "recovery",
--- a/internal/recovery/report.go
+++ b/internal/recovery/report.go
@@ -14,35 +14,35 @@
 	"brasswell/internal/state"
 )
 
-// Trusted is what became of one thing that was known before.
+// ItemTrust says how one item of saved state is used.
 type ItemTrust struct {
 	Item  string `json:"what"`
 	Trust string `json:"how"`
 }
 
-// Report is how a proxy has come back, as operators read it.
+// Report is the state of the recovery, as shown to operators.
 type Report struct {
 	Name        string             `json:"name"`
 	Step        string             `json:"step"`
 	Kind        string             `json:"kind"`
 	Why         string             `json:"why"`
 	ForS        float64            `json:"for_s"`
-	UntilS      float64            `json:"until_s"` // at the latest; 0 where nothing is waited for
-	Capacity    float64            `json:"level"`   // what the backends can do by now
-	Shares      map[string]float64 `json:"shares"`  // of each class that is let in
+	UntilS      float64            `json:"until_s"` // limit of this step; 0 if it waits for nothing
+	Capacity    float64            `json:"level"`   // estimated current capacity of the backends, 1 when all are warm
+	Shares      map[string]float64 `json:"shares"`  // admitted share of each class
 	JustStarted int                `json:"young"`
 	Running     int                `json:"old"`
 	Age         string             `json:"age"`
-	Bans        int                `json:"bans"` // found on disk
+	Bans        int                `json:"bans"` // number of bans found on disk
 	Trusted     []ItemTrust        `json:"trusted,omitempty"`
 	Disk        state.Stats        `json:"disk"`
 	Problems    []string           `json:"trouble,omitempty"`
 }
 
-// ErrNoAnswer is that of a question to a process that ends.
+// ErrNoAnswer is returned by Status if the process shuts down or the context ends first.
 var ErrNoAnswer = errors.New("recovery: no answer")
 
-// Status says how far this proxy has come back, as JSON.
+// Status returns a Report as JSON.
 func (n *Node) Status(ctx context.Context) ([]byte, error) {
 	p := n.plan.Load()
 	r := Report{Name: n.config.Name, Step: revival.Done.String(), Kind: "upgrade", Shares: map[string]float64{}, Age: ageText(n.saved.Learned, n.age), Bans: len(n.saved.Bans), Problems: n.saved.Problems}
@@ -71,14 +71,14 @@
 	w := n.writer
 	n.mu.Unlock()
 	if w == nil {
-		r.Problems = append(slices.Clone(r.Problems), "the folder is not held: bans by hand will not last")
+		r.Problems = append(slices.Clone(r.Problems), "the folder is not open: operator bans will not be persistent")
 	} else if r.Disk = w.Stats(); r.Disk.Problem != "" {
 		r.Problems = append(slices.Clone(r.Problems), "the folder cannot be written: "+r.Disk.Problem)
 	}
 	return json.Marshal(r)
 }
 
-// ReadReport reads a report as a console writes it.
+// ReadReport parses a report as written by the console.
 func ReadReport(text string) (*Report, error) {
 	r := &Report{}
 	if err := json.Unmarshal([]byte(text), r); err != nil {
@@ -87,7 +87,7 @@
 	return r, nil
 }
 
-// Text is the report for people.
+// Text formats the report for operators.
 func (r *Report) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: %s (%s), for %.1f s", r.Name, r.Step, r.Kind, r.ForS)
@@ -98,23 +98,23 @@
 	for _, t := range r.Problems {
 		fmt.Fprintf(&b, "TROUBLE: %s\n", t)
 	}
-	fmt.Fprintf(&b, "others: %d have just started, %d run on; backends can do %.0f%% by now\n", r.JustStarted, r.Running, 100*min(r.Capacity, 1))
+	fmt.Fprintf(&b, "other proxies: %d have just started, %d are running; current capacity of the backends: %.0f%%\n", r.JustStarted, r.Running, 100*min(r.Capacity, 1))
 	names := make([]string, 0, len(r.Shares))
 	for name := range r.Shares {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		fmt.Fprintf(&b, "  %-20s %3.0f%% let in\n", name, 100*r.Shares[name])
+		fmt.Fprintf(&b, "  %-20s %3.0f%% admitted\n", name, 100*r.Shares[name])
 	}
-	fmt.Fprintf(&b, "from before: %s, %d backends out by hand\n", r.Age, r.Bans)
+	fmt.Fprintf(&b, "saved state: %s, %d backends taken out by the operator\n", r.Age, r.Bans)
 	for _, t := range r.Trusted {
 		fmt.Fprintf(&b, "  %-26s %s\n", t.Item, t.Trust)
 	}
 	return b.String()
 }
 
-// Figures appends what is counted to the console's figures.
+// Figures appends the metrics of the recovery to the text of the console.
 func (n *Node) Figures(text []byte) []byte {
 	p := n.plan.Load()
 	least := 1.0
--- a/internal/sealed/sealed.go
+++ b/internal/sealed/sealed.go
@@ -1,6 +1,6 @@
-// Package sealed writes pieces of bytes so that a reader can tell whole ones from torn or bent ones: a length and a CRC-32C
-// (Castagnoli, RFC 3720 appendix B.4) before each, both of four bytes, big-endian. An empty piece is none: a row of zeros, as a file
-// system leaves them at the end of a file after a power loss, would be many.
+// Package sealed writes records so that a reader can detect torn or corrupt ones. Each record starts with its length and a CRC-32C
+// (Castagnoli, RFC 3720 appendix B.4), both four bytes, big-endian. An empty record is invalid: otherwise a run of zeros, as a file system
+// may leave at the end of a file after a power loss, would be read as many empty records.
 package sealed
 
 import (
@@ -10,18 +10,18 @@
 	"io"
 )
 
-// HeadBytes stand before each piece.
+// HeaderBytes is the length of the header before each record.
 const HeaderBytes = 8
 
-// Why a piece cannot be read.
+// Errors of Read, besides those of its reader.
 var (
-	ErrChecksum = errors.New("checksum does not fit")
-	ErrTooLong  = errors.New("too long")
+	ErrChecksum = errors.New("checksum mismatch")
+	ErrTooLong  = errors.New("record too long")
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Append adds a piece to text.
+// Append appends a record to dst.
 func Append(dst, record []byte) []byte {
 	var head [HeaderBytes]byte
 	binary.BigEndian.PutUint32(head[:], uint32(len(record)))
@@ -29,14 +29,14 @@
 	return append(append(dst, head[:]...), record...)
 }
 
-// Write writes a piece with one call.
+// Write writes a record with one call of w.Write.
 func Write(w io.Writer, record []byte) error {
 	_, err := w.Write(Append(make([]byte, 0, HeaderBytes+len(record)), record))
 	return err
 }
 
-// Read reads a piece of at most so many bytes. Memory is taken as the bytes come, not as they are announced. At a clean end the
-// error is io.EOF, and within a piece io.ErrUnexpectedEOF.
+// Read reads a record of at most maxBytes bytes. It allocates memory as data arrives, not by the announced length. It returns io.EOF if
+// the input ends between records, and io.ErrUnexpectedEOF if it ends within a record.
 func Read(r io.Reader, maxBytes int) ([]byte, error) {
 	var head [HeaderBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
--- a/internal/state/crashfs/crashfs.go
+++ b/internal/state/crashfs/crashfs.go
@@ -1,7 +1,7 @@
-// Package crashfs is a folder in memory that loses power: what was not synced is then lost, torn or there, as it comes, and names
-// that were not synced are the old or the new ones. It also fills up, fails and is slow where a test says so.
+// Package crashfs is an in-memory folder that simulates power losses: data that was not synced is then lost, torn or kept at random, and
+// names that were not synced are the old or the new ones. A test can also make its calls fail, for example with ENOSPC.
 //
-// It is a stand-in for a file system, stricter than most: POSIX promises no more (a file's sync says nothing of its name).
+// It is stricter than most file systems, and guarantees no more than POSIX does: syncing a file does not make its name durable.
 package crashfs
 
 import (
@@ -15,31 +15,31 @@
 	"brasswell/internal/state"
 )
 
-// ErrPower is that of every call once the power is gone.
-var ErrPowerLost = errors.New("crashfs: the power is gone")
+// ErrPowerLost is returned by every call after the power loss.
+var ErrPowerLost = errors.New("crashfs: power lost")
 
 type inode struct {
 	durable, now []byte
 }
 
-// step is a change of names that is not synced.
+// nameChange is a change of names that is not synced.
 type nameChange struct {
 	name string
 	node *inode // nil for a removal
-	from string // of a rename
+	from string // old name, for a rename
 }
 
-// FS is a folder. Its methods may be called at any time.
+// FS is a folder. Its methods are safe for concurrent use.
 type FS struct {
 	mu         sync.Mutex
-	names      map[string]*inode // now
+	names      map[string]*inode // current names
 	durable    map[string]*inode
 	pending    []nameChange
 	rng        *rand.Rand
 	poweredOff bool
 	calls      int
-	powerOffAt int   // the call that the power is lost in; 0 for none
-	fail       error // of each write, sync and change of names
+	powerOffAt int   // the number of the call in which power is lost; 0 for none
+	fail       error // error of each write, sync and change of names
 	syncs      int
 	bytes      int64
 }
@@ -49,39 +49,39 @@
 	return &FS{names: map[string]*inode{}, durable: map[string]*inode{}, rng: rand.New(rand.NewPCG(seed, 0xc4a5))}
 }
 
-// Fail has each call that changes something fail from now on; nil ends that.
+// Fail makes each call that changes something fail with err; nil ends that.
 func (f *FS) Fail(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fail = err
 }
 
-// LosePowerIn has the power lost within the n-th call from now on that changes something.
+// LosePowerIn simulates a power loss within the n-th call from now that changes something.
 func (f *FS) LosePowerIn(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.powerOffAt = f.calls + n
 }
 
-// Off says whether the power is gone.
+// PoweredOff reports whether power is lost.
 func (f *FS) PoweredOff() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.poweredOff
 }
 
-// Counts are the calls that changed something, the syncs among them, and the bytes written.
+// Counts returns the numbers of calls that changed something, of syncs, and of bytes written.
 func (f *FS) Counts() (calls, syncs int, bytes int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls, f.syncs, f.bytes
 }
 
-// Restore brings the power back: what is there is what has lasted.
+// Restore ends the power loss. Only data that survived it remains.
 func (f *FS) Restore() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, s := range f.pending { // each may have lasted, in order
+	for _, s := range f.pending { // each may have survived, in order
 		if f.rng.IntN(2) == 0 {
 			continue
 		}
@@ -101,7 +101,7 @@
 	f.poweredOff, f.powerOffAt, f.fail = false, 0, nil
 }
 
-// lasted is what is left of a file: all that was synced, and of the rest a part, maybe with bytes that nobody wrote.
+// survivingBytes returns what is left of a file: all synced bytes, and a random part of the others, possibly corrupted.
 func (f *FS) survivingBytes(n *inode) []byte {
 	if len(n.now) < len(n.durable) || !slices.Equal(n.now[:len(n.durable)], n.durable) {
 		if f.rng.IntN(2) == 0 {
@@ -113,7 +113,7 @@
 	kept := slices.Clone(n.now[:len(n.durable)+f.rng.IntN(len(rest)+1)])
 	if more := len(kept) - len(n.durable); more > 0 {
 		switch f.rng.IntN(4) {
-		case 0: // zeros, as where the length lasted and the bytes did not
+		case 0: // zeros, as when the length was durable but the data was not
 			clear(kept[len(n.durable)+f.rng.IntN(more):])
 		case 1:
 			kept[len(n.durable)+f.rng.IntN(more)] ^= byte(1 << f.rng.IntN(8))
@@ -122,7 +122,7 @@
 	return kept
 }
 
-// begin counts a call that changes something; dying says that the power is lost within it.
+// startCall counts a call that changes something. powerLost says that power is lost within it.
 func (f *FS) startCall() (powerLost bool, err error) {
 	if f.poweredOff {
 		return false, ErrPowerLost
@@ -135,7 +135,7 @@
 	return false, f.fail
 }
 
-// ReadFile returns a file.
+// ReadFile returns the contents of a file.
 func (f *FS) ReadFile(name string) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -149,7 +149,7 @@
 	return slices.Clone(n.now), nil
 }
 
-// Put sets a file as if it had lasted.
+// Put creates a file whose name and contents are durable.
 func (f *FS) Put(name string, text []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -157,7 +157,7 @@
 	f.names[name], f.durable[name] = n, n
 }
 
-// Create makes a file.
+// Create creates a file, or replaces an existing one by an empty one.
 func (f *FS) Create(name string) (state.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -170,7 +170,7 @@
 	return &file{f, n}, nil
 }
 
-// Append opens a file.
+// Append opens an existing file to write at its end.
 func (f *FS) Append(name string) (state.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -184,7 +184,7 @@
 	return &file{f, n}, nil
 }
 
-// Truncate cuts a file, which lasts.
+// Truncate truncates a file durably.
 func (f *FS) Truncate(name string, size int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -200,7 +200,7 @@
 	return err
 }
 
-// Rename puts a file under another name.
+// Rename renames a file.
 func (f *FS) Rename(from, to string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -218,14 +218,14 @@
 	return err
 }
 
-// Names are those of all files.
+// Names returns the names of all files.
 func (f *FS) Names() ([]string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Sorted(maps.Keys(f.names)), nil
 }
 
-// SyncDir makes the names last.
+// SyncDir makes the names of the files durable.
 func (f *FS) SyncDir() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -250,7 +250,7 @@
 	n := len(b)
 	if err != nil {
 		n = 0
-		if powerLost || f.rng.IntN(2) == 0 { // a part of it may be there
+		if powerLost || f.rng.IntN(2) == 0 { // a part of the data may be written
 			n = f.rng.IntN(len(b) + 1)
 		}
 	}
--- a/internal/state/files.go
+++ b/internal/state/files.go
@@ -14,31 +14,31 @@
 	"brasswell/internal/clock"
 )
 
-// FS is what a store needs of a file system: one folder. Package crashfs has one that loses power.
+// FS is the part of a file system that a Store uses: one folder. Package crashfs implements one that simulates power losses.
 type FS interface {
-	// ReadFile returns a file; fs.ErrNotExist where there is none.
+	// ReadFile returns the contents of a file, or fs.ErrNotExist.
 	ReadFile(name string) ([]byte, error)
-	// Create makes a file anew, or an empty one of one that is there.
+	// Create creates a file, or truncates an existing one.
 	Create(name string) (File, error)
-	// Append opens a file to write behind its end.
+	// Append opens an existing file to write at its end.
 	Append(name string) (File, error)
 	Truncate(name string, size int64) error
 	Rename(from, to string) error
-	// Names are those of all files.
+	// Names returns the names of all files.
 	Names() ([]string, error)
-	// SyncDir makes last which names there are, and of which files.
+	// SyncDir makes the names of the files durable.
 	SyncDir() error
 }
 
-// File is one that is written.
+// File is a file open for writing.
 type File interface {
 	io.Writer
-	// Sync makes last what was written.
+	// Sync makes the written data durable.
 	Sync() error
 	Close() error
 }
 
-// Folder is a folder of the machine's, held by one process at a time.
+// Folder is a folder on disk, which one process at a time holds locked.
 type Folder struct {
 	path string
 	lock *os.File
@@ -46,10 +46,10 @@
 
 const lockFile = "lock"
 
-// ErrHeld is that of a folder which another process holds.
-var ErrLocked = errors.New("another process holds the folder: is a second proxy set to it, or an upgrade under way?")
+// ErrLocked is returned by OpenFolder if another process holds the folder.
+var ErrLocked = errors.New("another process holds the folder: is a second proxy configured with it, or is an upgrade in progress?")
 
-// OpenFolder makes a folder if it is not there, and holds it until Close.
+// OpenFolder creates a folder if it does not exist, and locks it until Close.
 func OpenFolder(path string) (*Folder, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("state: %w", err)
@@ -68,12 +68,12 @@
 	return &Folder{path: path, lock: lock}, nil
 }
 
-// Close lets go of the folder.
+// Close releases the folder.
 func (f *Folder) Close() error { return f.lock.Close() }
 
 func (f *Folder) filePath(name string) string { return filepath.Join(f.path, name) }
 
-// ReadFile returns a file of at most mostLearned bytes and their head: a longer one is none of a store's.
+// ReadFile returns at most maxLearnedBytes of a file, and 1 KiB for the record header: no file of a Store is longer.
 func (f *Folder) ReadFile(name string) ([]byte, error) {
 	file, err := os.Open(f.filePath(name))
 	if err != nil {
@@ -87,17 +87,17 @@
 	return text, nil
 }
 
-// Create makes a file.
+// Create creates a file, or truncates an existing one.
 func (f *Folder) Create(name string) (File, error) {
 	return os.OpenFile(f.filePath(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 }
 
-// Append opens a file to write behind its end.
+// Append opens an existing file to write at its end.
 func (f *Folder) Append(name string) (File, error) {
 	return os.OpenFile(f.filePath(name), os.O_APPEND|os.O_WRONLY, 0o600)
 }
 
-// Truncate cuts a file, and returns once that lasts.
+// Truncate truncates a file and returns once that is durable.
 func (f *Folder) Truncate(name string, size int64) error {
 	file, err := os.OpenFile(f.filePath(name), os.O_WRONLY, 0)
 	if err != nil {
@@ -110,10 +110,10 @@
 	return file.Sync()
 }
 
-// Rename puts a file under another name, in place of what has that.
+// Rename renames a file, and replaces an existing file of the new name.
 func (f *Folder) Rename(from, to string) error { return os.Rename(f.filePath(from), f.filePath(to)) }
 
-// Names are those of a store's files.
+// Names returns the names of a Store's files.
 func (f *Folder) Names() (names []string, err error) {
 	entries, err := os.ReadDir(f.path)
 	if err != nil {
@@ -127,7 +127,7 @@
 	return names, nil
 }
 
-// SyncDir makes the names last.
+// SyncDir makes the names of the files durable.
 func (f *Folder) SyncDir() error {
 	d, err := os.Open(f.path)
 	if err != nil {
@@ -137,7 +137,7 @@
 	return d.Sync()
 }
 
-// Now is the moment by all clocks.
+// Now returns the current time on all clocks.
 func Now() Stamp {
 	s := Stamp{Wall: clock.Wall()}
 	if id, err := os.ReadFile("/proc/sys/kernel/random/boot_id"); err == nil {
--- a/internal/state/keeper.go
+++ b/internal/state/keeper.go
@@ -8,25 +8,26 @@
 	"time"
 )
 
-// LogDisk is the line about a folder.
+// LogDisk is the log message about the folder.
 const LogDisk = "state: folder"
 
 const (
-	// mostWaiting changes wait for the disk at one time.
+	// maxQueuedChanges is how many changes may wait for the disk.
 	maxQueuedChanges = 64
-	// retryAfter a failure learned things are tried again.
+	// retryDelay is the minimum time from a failed save to the next attempt.
 	retryDelay = 5 * time.Second
-	// closeTime bounds the end.
+	// closeTimeout limits the duration of Close.
 	closeTimeout = time.Second
 )
 
-// ErrNotKept is that of a change by hand that holds in this process, and may be gone after a power loss.
-var ErrNotPersisted = errors.New("it holds here, and is not on disk: after a power loss it would be gone. See the log for the folder")
+// ErrNotPersisted is the error of an operator change that is in force in this process but may be lost in a power loss.
+var ErrNotPersisted = errors.New("the change is in force but not on disk, so a power loss would undo it. See the log about the folder")
 
-// Keeper keeps a proxy's state from a goroutine of its own. What serves never waits for it. Its methods may be called at any time.
+// Writer writes a proxy's state to disk in its own goroutine, so that request handling never waits for the disk. Its methods are safe
+// for concurrent use.
 type Writer struct {
 	every   time.Duration
-	collect func(context.Context) *Learned // what is known now; nil for nothing new
+	collect func(context.Context) *Learned // returns the current state; nil if there is nothing to save
 	log     *slog.Logger
 	changes chan banRequest
 	ctx     context.Context
@@ -43,17 +44,18 @@
 	done   chan error
 }
 
-// Figures are what a keeper has done.
+// Stats are the statistics of a Writer.
 type Stats struct {
 	Saves    int64         `json:"saves"`
 	Changes  int64         `json:"changes"`
 	Failures int64         `json:"failures"`
-	Slowest  time.Duration `json:"slowest_ns"` // the longest that the disk has taken for one thing
-	Problem  string        `json:"trouble"`    // what is wrong with the folder now; "" for nothing
+	Slowest  time.Duration `json:"slowest_ns"` // the longest duration of one disk operation
+	Problem  string        `json:"trouble"`    // current error of the folder; "" if none
 	SavedAt  time.Time     `json:"saved_at"`
 }
 
-// Keep begins to keep a folder. learn is called from the keeper's goroutine; it may take its time.
+// StartWriter starts a Writer that saves the result of collect at each interval. collect is called from the Writer's goroutine and may
+// be slow.
 func StartWriter(s *Store, every time.Duration, learn func(context.Context) *Learned, log *slog.Logger) *Writer {
 	w := &Writer{every: every, collect: learn, log: log, changes: make(chan banRequest, maxQueuedChanges)}
 	w.ctx, w.cancel = context.WithCancel(context.Background())
@@ -64,14 +66,14 @@
 	return w
 }
 
-// Ban makes a change by hand last. It returns without an error once that is on disk, and with one if that could not be, or not
-// before ctx is done.
+// Ban writes an operator change to disk. It returns nil once the change is durable, and an error if the write failed or did not finish
+// before ctx was done.
 func (w *Writer) Ban(ctx context.Context, id string, banned bool) error {
 	req := banRequest{id, banned, make(chan error, 1)}
 	select {
 	case w.changes <- req:
 	default:
-		return ErrNotPersisted // the disk stands
+		return ErrNotPersisted // the disk does not respond
 	}
 	select {
 	case err := <-req.done:
@@ -119,7 +121,7 @@
 	return err == nil
 }
 
-// noted takes down what became of one thing, and tells people where that has changed.
+// recordResult counts the result of one disk operation, and logs when the folder becomes faulty or recovers.
 func (w *Writer) recordResult(start time.Time, err error, count func(*Stats)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -135,21 +137,21 @@
 	}
 	switch {
 	case previous == "" && err != nil:
-		w.log.Error(LogDisk, "what", "cannot be written; this proxy serves on, and its next start will know less", "error", err)
+		w.log.Error(LogDisk, "what", "cannot be written; this proxy continues to serve, but its next start will have older saved state", "error", err)
 	case previous != "" && err == nil:
-		w.log.Info(LogDisk, "what", "is written again")
+		w.log.Info(LogDisk, "what", "can be written again")
 	}
 }
 
-// Figures are what has been done so far.
+// Stats returns the statistics so far.
 func (w *Writer) Stats() Stats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.stats
 }
 
-// Close saves a last time and lets go of the folder. It does not wait for a disk that stands for longer than closeTime: a process
-// that is to end must. The goroutine then ends with its call.
+// Close saves the state a last time and closes the files. It waits for a disk that does not respond for at most closeTimeout, because
+// the process must be able to exit. The goroutine then ends when its disk operation returns.
 func (w *Writer) Close() {
 	w.cancel()
 	ended := make(chan struct{})
@@ -160,6 +162,6 @@
 	select {
 	case <-ended:
 	case <-time.After(closeTimeout):
-		w.log.Error(LogDisk, "what", "does not answer; what was learned last is not written")
+		w.log.Error(LogDisk, "what", "does not respond; the latest learned state is not saved")
 	}
 }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,12 +1,12 @@
-// Package state keeps what one proxy knows for its next start: backends that were taken out by hand, and what it has learned. It is
-// two files in a folder of this proxy alone.
+// Package state saves the state of one proxy for its next start: the backends that the operator took out, and what the proxy has
+// learned. The state is two files in a folder of this proxy alone.
 //
-//	bans      a log: what is out as a whole, then each change. A change holds once it has returned.
-//	learned   what the proxy knew some seconds ago, replaced whole or not at all.
+//	bans      a log: first all bans, then each change. A change is durable once the call that makes it has returned.
+//	learned   a snapshot of what the proxy knew some seconds ago, replaced atomically.
 //
-// No file keeps a proxy from starting: a torn end is cut, and what is broken, another proxy's or a later version's is put aside
-// under another name and told. Memory is bounded by the files' bounds. A Store works on its files while it is called; a Keeper
-// does so from a goroutine of its own, so that no disk is ever waited for by what serves.
+// No file prevents a proxy from starting: a torn end is cut off, and a file that is corrupt, of another proxy or of a later version is
+// renamed and reported. The limits on file sizes limit the memory. A Store accesses its files within its calls; a Writer does so in its
+// own goroutine, so that request handling never waits for a disk.
 package state
 
 import (
@@ -30,47 +30,47 @@
 const (
 	bansFile    = "bans"
 	learnedFile = "learned"
-	tempSuffix  = ".next" // of a file that is to take another's place
+	tempSuffix  = ".next" // suffix of a file that will replace another
 
-	// form is that of both files. A later one is not read; there is no earlier one.
+	// formatVersion is the format of both files. Later formats are not read; there is no earlier one.
 	formatVersion = 1
-	// MostBans ids are kept.
+	// MaxBans is how many bans are kept.
 	MaxBans = 4096
-	// MostID is the longest, in bytes.
+	// MaxIDBytes is the maximum length of an id.
 	MaxIDBytes = 256
-	// mostLearned and mostChange bound a file's pieces, in bytes.
+	// maxLearnedBytes and maxRecordBytes limit the records in the two files.
 	maxLearnedBytes = 64 << 20
 	maxRecordBytes  = 4 << 20
-	// mostChanges are appended before the log is begun anew.
+	// maxLogChanges is how many changes are appended before the log is rewritten.
 	maxLogChanges = 1024
-	// mostAside files of one name are kept aside; the oldest makes room.
+	// maxSetAside is how many unusable files of one name are kept; a further one replaces the last of them.
 	maxSetAside = 3
 )
 
-// Owner says whose files they are.
+// Owner identifies the proxy and the format of a file.
 type Owner struct {
 	Form int    `cbor:"1,keyasint"`
-	Name string `cbor:"2,keyasint"` // of the proxy
+	Name string `cbor:"2,keyasint"` // name of the proxy
 }
 
-// Stamp is when something was written, by all the clocks that there are. None of them is trusted alone: see Age.
+// Stamp is the time of a write on all available clocks. None of them is trusted alone: see AgeOf.
 type Stamp struct {
 	Wall    time.Duration `cbor:"1,keyasint"` // Unix time
-	Machine string        `cbor:"2,keyasint"` // the id of the machine's start
-	Running time.Duration `cbor:"3,keyasint"` // since then, sleep included
+	Machine string        `cbor:"2,keyasint"` // the kernel's boot id
+	Running time.Duration `cbor:"3,keyasint"` // time since the boot, including suspend
 }
 
-// Age is how long ago something was written.
+// Age is the time since a write.
 type Age struct {
-	// Least and Most bound it. Most is Unknown where no clock can be believed: after a power loss a machine's clock may be years off.
+	// Min and Max are its bounds. Max is UnknownAge if no clock can be trusted: after a power loss a machine's clock may be years off.
 	Min, Max time.Duration
 }
 
-// Unknown is longer than any age.
+// UnknownAge is longer than any age.
 const UnknownAge = time.Duration(1<<63 - 1)
 
-// Since is how old something is now. Within one start of the machine that is exact. Across starts at least the time since this
-// start has passed; the wall clock's word is taken for the most only where it is possible.
+// AgeOf returns the age of a write. Within one boot of the machine it is exact. Across boots, the minimum is the time since the current
+// boot, and the wall clock gives the maximum only if it does not contradict that minimum.
 func AgeOf(written, now Stamp) Age {
 	if written.Machine != "" && written.Machine == now.Machine && now.Running >= written.Running {
 		d := now.Running - written.Running
@@ -83,44 +83,44 @@
 	return a
 }
 
-// Learned is what a proxy knew at a moment: the same as what a process hands over to the next at an upgrade.
+// Learned is a snapshot of what a proxy knows: the same state that a process hands over to its successor at an upgrade.
 type Learned struct {
 	Owner     Owner          `cbor:"1,keyasint"`
 	Written   Stamp          `cbor:"2,keyasint"`
 	Knowledge handover.State `cbor:"3,keyasint"`
-	// Demand is what callers asked for, in requests a second, by class name.
+	// Demand is the rate of requests from callers, in requests a second, by class name.
 	Demand map[string]float64 `cbor:"4,keyasint,omitempty"`
 }
 
-// change is a piece of the bans' log.
+// logRecord is a record of the bans log.
 type logRecord struct {
-	Owner  *Owner   `cbor:"1,keyasint,omitempty"` // of the first piece alone
-	Bans   []string `cbor:"2,keyasint,omitempty"` // of the first piece: all that are out
+	Owner  *Owner   `cbor:"1,keyasint,omitempty"` // only in the first record
+	Bans   []string `cbor:"2,keyasint,omitempty"` // only in the first record: all banned backends
 	ID     string   `cbor:"3,keyasint,omitempty"`
 	Banned bool     `cbor:"4,keyasint,omitempty"`
 }
 
-// Found is what a folder held at a start.
+// Contents is what Open found in a folder.
 type Contents struct {
-	Bans    []string // in order
-	Learned *Learned // nil for none
-	// Trouble is what was not as it should be, for people; what was put aside is named.
+	Bans    []string // sorted
+	Learned *Learned // nil if there is none
+	// Problems describes faults of the folder for operators, and names the files that were renamed.
 	Problems []string
 }
 
 var decMode = strict.CBOR(cbor.DecOptions{MaxArrayElements: 1 << 17, MaxMapPairs: 1 << 17, MaxNestedLevels: 16})
 
-// Store is a folder's files. It is not safe for concurrent use.
+// Store accesses the files of a folder. It is not safe for concurrent use.
 type Store struct {
 	files   FS
 	owner   Owner
 	bans    map[string]bool
-	log     File // nil where the next change begins the log anew
-	changes int  // of changes in it
+	log     File // nil if the next change must rewrite the log
+	changes int  // number of changes in the log
 }
 
-// Open reads a folder's files and mends what it can. It does not fail: where the folder cannot be read or written, Found says so
-// and each write does.
+// Open reads the files of a folder and repairs what it can. It does not fail: if the folder cannot be read or written, Contents.Problems
+// says so, and each later write returns an error.
 func Open(files FS, name string) (*Store, *Contents) {
 	s := &Store{files: files, owner: Owner{formatVersion, name}, bans: map[string]bool{}}
 	f := &Contents{}
@@ -135,8 +135,8 @@
 	if errors.Is(err, fs.ErrNotExist) {
 		return
 	}
-	if err != nil { // the next change begins the log anew, and must not take the place of what may be read another day
-		s.setAside(f, bansFile, fmt.Errorf("it cannot be read, so bans by hand from before are not known: %w", err))
+	if err != nil { // the next change rewrites the log, and must not overwrite a file that may be readable later
+		s.setAside(f, bansFile, fmt.Errorf("it cannot be read, so earlier operator bans are unknown: %w", err))
 		return
 	}
 	bans, validLen, remaining, err := readBans(text, s.owner)
@@ -144,31 +144,31 @@
 	case errors.Is(err, errForeign):
 		s.setAside(f, bansFile, err)
 	case err != nil:
-		// What stands behind the broken place was acknowledged too, and is kept; the next change writes all anew.
+		// Changes after the corrupt part were acknowledged too, and are kept. The log is rewritten at once, or else by the next change.
 		s.bans = bans
 		s.setAside(f, bansFile, fmt.Errorf("%w; %d bans were saved from it", err, len(bans)))
 		if err := s.rewriteLog(); err != nil {
-			f.addProblem("the bans that were saved cannot be written: %v", err)
+			f.addProblem("the recovered bans cannot be written: %v", err)
 		}
 	default:
 		s.bans = bans
-		if remaining > 0 { // an end that was torn: nobody was told that it holds
-			f.addProblem("the end of the bans' log was torn: %d bytes of a change that nobody was told of are cut off", remaining)
+		if remaining > 0 { // a torn end: the change was not acknowledged
+			f.addProblem("the end of the bans log was torn: %d bytes of a change that was not acknowledged are cut off", remaining)
 			err = s.files.Truncate(bansFile, int64(validLen))
 		}
 		if err == nil && validLen > 0 {
 			s.log, err = s.files.Append(bansFile)
 		}
 		if err != nil {
-			s.log = nil // the next change begins it anew
+			s.log = nil // the next change rewrites the log
 		}
 	}
 }
 
-var errForeign = errors.New("another proxy's, or of another version of the program")
+var errForeign = errors.New("it belongs to another proxy or another version of the program")
 
-// readBans reads a log. whole is how many bytes of it make sense from its beginning on, and rest what stands behind them. An error
-// is errNotMine, or says that something in the middle is broken; bans are then all that could be made out.
+// readBans reads a log. validLen is the length of its valid beginning, and remaining the number of bytes after that. An error is
+// errForeign, or says that the log is corrupt before its end; bans are then those that could be recovered.
 func readBans(data []byte, owner Owner) (bans map[string]bool, validLen, remaining int, err error) {
 	bans = map[string]bool{}
 	first, broken, budget := true, false, maxHashedBytes
@@ -185,8 +185,8 @@
 			for _, id := range c.Bans {
 				bans[id] = true
 			}
-		} else if first && !broken { // behind a broken beginning a change is worth saving: to ban too much is the smaller harm
-			return errors.New("no beginning")
+		} else if first && !broken { // after a corrupt first record, changes are still recovered: banning too many backends is the smaller harm
+			return errors.New("the first record is missing")
 		} else if c.Banned {
 			bans[c.ID] = true
 		} else {
@@ -210,26 +210,26 @@
 			}
 			continue
 		}
-		// Whether this is a torn end or a broken middle shows in whether a whole piece stands behind it.
+		// If a valid record follows, the log is corrupt in the middle; if not, its end is torn.
 		at = nextRecord(data, at+1, &budget)
 		if at < len(data) {
 			broken = true
 		}
 	}
 	if broken || first && len(data) > 0 {
-		return bans, validLen, len(data) - validLen, fmt.Errorf("broken at byte %d", validLen)
+		return bans, validLen, len(data) - validLen, fmt.Errorf("corrupt at byte %d", validLen)
 	}
 	return bans, validLen, len(data) - validLen, nil
 }
 
-// Behind a broken place pieces of up to mostSaved bytes are looked for, which changes are, and no more than hashMost bytes are hashed
-// for that: a start must not hang on a file that somebody has filled with what looks like beginnings of pieces.
+// After a corrupt part of the log, records of up to maxSalvagedBytes are searched for, which is enough for changes. The search hashes at
+// most maxHashedBytes, so that a file full of apparent record headers cannot block a start.
 const (
 	maxSalvagedBytes = 1 << 10
 	maxHashedBytes   = 16 << 20
 )
 
-// nextPiece looks for a whole piece from a place on; the end of text if there is none. budget is how much may still be hashed.
+// nextRecord returns the offset of the next valid record, or len(text) if there is none. budget is how many bytes may still be hashed.
 func nextRecord(text []byte, from int, budget *int) int {
 	for ; from+sealed.HeaderBytes < len(text) && *budget > 0; from++ {
 		length := int(binary.BigEndian.Uint32(text[from:]))
@@ -250,7 +250,7 @@
 	case errors.Is(err, fs.ErrNotExist):
 		return
 	case err != nil:
-		f.addProblem("what was learned before cannot be read: %v", err)
+		f.addProblem("the learned state cannot be read: %v", err)
 		return
 	}
 	l, err := readLearned(text)
@@ -287,7 +287,7 @@
 	f.Problems = append(f.Problems, fmt.Sprintf(format, a...))
 }
 
-// aside puts a file that is not to be used under another name.
+// setAside renames a file that cannot be used.
 func (s *Store) setAside(f *Contents, name string, reason error) {
 	names, err := s.files.Names()
 	if err != nil {
@@ -300,7 +300,7 @@
 			to = candidate
 		}
 	}
-	if to == "" { // the first of them was the first trouble, and tells most; the last makes room
+	if to == "" { // the first file shows the original fault and tells most, so the last one is replaced
 		to = fmt.Sprintf("%s.aside-%d", name, maxSetAside)
 	}
 	if err := s.files.Rename(name, to); err != nil {
@@ -310,14 +310,14 @@
 	f.addProblem("%s is not used, and was put aside as %s: %v", name, to, reason)
 }
 
-// Ban makes a change by hand last. Once it has returned without an error it is there after a power loss. After an error it may be or
-// not, and the next change writes all anew.
+// Ban makes an operator change durable. If it returns nil, the change survives a power loss. After an error the change may be on disk or
+// not, and the next change rewrites the log.
 func (s *Store) Ban(id string, banned bool) error {
 	if len(id) > MaxIDBytes {
-		return fmt.Errorf("state: an id of %d bytes; %d at most", len(id), MaxIDBytes)
+		return fmt.Errorf("state: id has %d bytes, the maximum is %d", len(id), MaxIDBytes)
 	}
 	if banned && !s.bans[id] && len(s.bans) >= MaxBans {
-		return fmt.Errorf("state: %d backends are out; no more are kept", len(s.bans))
+		return fmt.Errorf("state: %d backends are banned already, which is the maximum", len(s.bans))
 	}
 	wasBanned := s.bans[id]
 	if banned {
@@ -329,7 +329,7 @@
 		return s.rewriteLog()
 	}
 	if wasBanned == banned {
-		return nil // it is there already: whoever began the log or appended has had a yes, or the log is begun anew
+		return nil // durable already: while s.log is open, all earlier writes have succeeded
 	}
 	text, err := encodeRecord(logRecord{ID: id, Banned: banned})
 	if err == nil {
@@ -338,7 +338,7 @@
 		}
 	}
 	if err != nil {
-		// What stands in the file now nobody knows, also after a later sync that works (an error is told once).
+		// The contents of the file are unknown now, even if a later sync succeeds, as the kernel reports a write error only once.
 		s.closeLog()
 		return fmt.Errorf("state: %w", err)
 	}
@@ -361,7 +361,7 @@
 	}
 }
 
-// begin begins the log anew with all that is out.
+// rewriteLog replaces the log by one with all current bans.
 func (s *Store) rewriteLog() error {
 	s.closeLog()
 	text, err := encodeRecord(logRecord{Owner: &s.owner, Bans: slices.Sorted(maps.Keys(s.bans))})
@@ -372,13 +372,13 @@
 		return fmt.Errorf("state: %w", err)
 	}
 	if s.log, err = s.files.Append(bansFile); err != nil {
-		s.log = nil // it holds; the next change begins it anew
+		s.log = nil // the change is durable; the next one rewrites the log
 	}
 	s.changes = 0
 	return nil
 }
 
-// replace writes a file whole or not at all.
+// replace replaces a file atomically.
 func (s *Store) replace(name string, text []byte) error {
 	f, err := s.files.Create(name + tempSuffix)
 	if err != nil {
@@ -400,7 +400,7 @@
 	return err
 }
 
-// Save makes what was learned last, in place of what was there.
+// Save makes the learned state durable and replaces the earlier one.
 func (s *Store) Save(l *Learned) error {
 	owned := *l
 	owned.Owner = s.owner
@@ -409,7 +409,7 @@
 		return fmt.Errorf("state: %w", err)
 	}
 	if len(text) > maxLearnedBytes {
-		return fmt.Errorf("state: %d bytes of what was learned; %d at most", len(text), maxLearnedBytes)
+		return fmt.Errorf("state: the learned state has %d bytes, the maximum is %d", len(text), maxLearnedBytes)
 	}
 	if err := s.replace(learnedFile, sealed.Append(make([]byte, 0, sealed.HeaderBytes+len(text)), text)); err != nil {
 		return fmt.Errorf("state: %w", err)
@@ -417,8 +417,8 @@
 	return nil
 }
 
-// Bans are the backends that are out, in order.
+// Bans returns the banned backends, sorted.
 func (s *Store) Bans() []string { return slices.Sorted(maps.Keys(s.bans)) }
 
-// Close lets go of the files.
+// Close closes the files.
 func (s *Store) Close() { s.closeLog() }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -31,11 +31,11 @@
 	return l
 }
 
-// life is one start of a proxy with random changes until the power goes, and what was acknowledged meanwhile.
+// session is one run of a proxy with random changes until a power loss. It holds which changes were acknowledged.
 type session struct {
 	bans        map[string]bool // acknowledged
-	unconfirmed map[string]bool // ids whose last change was not
-	lastSaved   int             // the last that was acknowledged
+	unconfirmed map[string]bool // ids whose last change was not acknowledged
+	lastSaved   int             // the last snapshot whose save was acknowledged
 	lastTried   int
 }
 
@@ -60,7 +60,7 @@
 			ses.unconfirmed[id] = true
 			continue
 		}
-		// A yes to one change says that all before it are there too, also those that got no yes.
+		// An acknowledged change implies that all earlier changes are durable too, including those that were not acknowledged.
 		if ses.bans[id] = out; !out {
 			delete(ses.bans, id)
 		}
@@ -69,30 +69,30 @@
 	s.Close()
 }
 
-// check holds what a start finds against what was acknowledged.
+// check compares the state that a start finds with what was acknowledged.
 func (ses *session) check(t *testing.T, f *state.Contents) {
 	t.Helper()
 	for i := range 6 {
 		id := fmt.Sprint("b", i)
 		if has := slices.Contains(f.Bans, id); has != ses.bans[id] && !ses.unconfirmed[id] {
-			t.Fatalf("%s: out is %v, and %v was acknowledged; %q", id, has, ses.bans[id], f.Problems)
+			t.Fatalf("%s: banned is %v, but %v was acknowledged; %q", id, has, ses.bans[id], f.Problems)
 		}
 	}
 	switch got := f.Learned; {
 	case got == nil && ses.lastSaved > 0:
-		t.Fatalf("what was saved as %d is gone: %q", ses.lastSaved, f.Problems)
+		t.Fatalf("the saved state %d is lost: %q", ses.lastSaved, f.Problems)
 	case got != nil && (got.Knowledge.Seq < int64(ses.lastSaved) || got.Knowledge.Seq > int64(ses.lastTried) || len(got.Knowledge.Addresses) != 3):
-		t.Fatalf("learned %d, of %d saved and %d tried", got.Knowledge.Seq, ses.lastSaved, ses.lastTried)
+		t.Fatalf("found state %d; the last acknowledged is %d, the last attempted %d", got.Knowledge.Seq, ses.lastSaved, ses.lastTried)
 	}
 	for _, trouble := range f.Problems {
 		if !strings.Contains(trouble, "torn") {
-			t.Fatalf("a power loss alone is told as %q", trouble)
+			t.Fatalf("a power loss is reported as %q", trouble)
 		}
 	}
 }
 
-// TestPowerLossAtEveryCall: the power goes within each of the first calls that change anything, for many draws of what is lost, and
-// then again and again in later starts. What was acknowledged is there, what was not may be, and each start comes up.
+// TestPowerLossAtEveryCall loses power within each of the first 40 calls that change files, with many random choices of what is lost, and
+// then again in later starts. Acknowledged changes must survive, others may, and each start must succeed.
 func TestPowerLossAtEveryCall(t *testing.T) {
 	points := 0
 	for call := 1; call <= 40; call++ {
@@ -111,11 +111,11 @@
 		}
 	}
 	if points < 1000 {
-		t.Errorf("%d power losses", points)
+		t.Errorf("%d power losses, want at least 1000", points)
 	}
 }
 
-// TestCheckerFindsALostYes: with a disk that says that it has synced and has not, the check above finds what is lost.
+// TestCheckFindsLostAcknowledgement checks that crashfs loses acknowledged changes if the disk reports syncs that it has not done.
 func TestCheckFindsLostAcknowledgement(t *testing.T) {
 	lost := 0
 	for seed := range uint64(40) {
@@ -134,7 +134,7 @@
 		}
 	}
 	if lost == 0 {
-		t.Error("a disk that syncs nothing loses nothing: the stand-in checks nothing")
+		t.Error("a disk that syncs nothing loses nothing, so crashfs cannot reveal a missing sync")
 	}
 }
 
@@ -154,7 +154,7 @@
 
 func (unsyncedFile) Sync() error { return nil }
 
-// TestDiskThatFails: after each failure no yes is given for what is not there, and once the disk works again all is kept.
+// TestDiskThatFails checks that a failed write is never acknowledged, and that all bans are durable once the disk works again.
 func TestDiskThatFails(t *testing.T) {
 	disk := crashfs.New(1)
 	s, _ := state.Open(disk, "n1")
@@ -180,7 +180,7 @@
 	}
 }
 
-// TestFoldersThatAreNotAsTheyWere: none keeps a proxy from starting, each is told, and what can be saved is.
+// TestDamagedAndForeignFiles checks that no such file prevents a start, that each is reported, and that readable bans are recovered.
 func TestDamagedAndForeignFiles(t *testing.T) {
 	intact := func(name string) *crashfs.FS {
 		disk := crashfs.New(1)
@@ -202,21 +202,21 @@
 	flipBit := func(text []byte, at int) []byte { b := slices.Clone(text); b[at] ^= 4; return b }
 	for name, c := range map[string]struct {
 		bans, learned []byte
-		minBans       int // bans found
+		minBans       int // minimum number of bans found
 		hasLearned    bool
 		problem       string
 	}{
-		"whole":                     {bans, learns, 5, true, ""},
-		"empty":                     {[]byte{}, []byte{}, 0, false, "learned is not used, and was put aside"},
-		"another proxy's":           {read(intact("n2"), "bans"), read(intact("n2"), "learned"), 0, false, `it is "n2"'s`},
-		"torn end of bans":          {bans[:len(bans)-3], learns, 4, true, "was torn"},
-		"a bent byte in the middle": {flipBit(bans, len(bans)/2), learns, 4, true, "bans were saved from it"},
-		"a bent beginning":          {flipBit(bans, 12), learns, 4, true, "bans were saved from it"},
-		"zeros behind the bans":     {append(slices.Clone(bans), make([]byte, 100)...), learns, 5, true, "was torn"},
-		"torn learned":              {bans, learns[:len(learns)/2], 5, false, "learned is not used"},
-		"bent learned":              {bans, flipBit(learns, len(learns)/2), 5, false, "checksum"},
-		"more behind learned":       {bans, append(slices.Clone(learns), 1), 5, false, "bytes too many"},
-		"garbage":                   {[]byte("GET / HTTP/1.1"), []byte("hello"), 0, false, "bans is not used"},
+		"whole":                       {bans, learns, 5, true, ""},
+		"empty":                       {[]byte{}, []byte{}, 0, false, "learned is not used, and was put aside"},
+		"another proxy's":             {read(intact("n2"), "bans"), read(intact("n2"), "learned"), 0, false, `it is "n2"'s`},
+		"torn end of bans":            {bans[:len(bans)-3], learns, 4, true, "was torn"},
+		"a flipped bit in the middle": {flipBit(bans, len(bans)/2), learns, 4, true, "bans were saved from it"},
+		"a flipped bit at the start":  {flipBit(bans, 12), learns, 4, true, "bans were saved from it"},
+		"zeros after the bans":        {append(slices.Clone(bans), make([]byte, 100)...), learns, 5, true, "was torn"},
+		"torn learned":                {bans, learns[:len(learns)/2], 5, false, "learned is not used"},
+		"flipped bit in learned":      {bans, flipBit(learns, len(learns)/2), 5, false, "checksum"},
+		"extra byte after learned":    {bans, append(slices.Clone(learns), 1), 5, false, "bytes too many"},
+		"garbage":                     {[]byte("GET / HTTP/1.1"), []byte("hello"), 0, false, "bans is not used"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			disk := crashfs.New(1)
@@ -227,13 +227,13 @@
 				t.Errorf("%q; learned %v; %q", f.Bans, f.Learned != nil, f.Problems)
 			}
 			if problems := strings.Join(f.Problems, "\n"); !strings.Contains(problems, c.problem) || c.problem == "" && problems != "" {
-				t.Errorf("told %q; wanted %q", problems, c.problem)
+				t.Errorf("problems %q; want %q", problems, c.problem)
 			}
 			if err := s.Ban("new", true); err != nil {
 				t.Error(err)
 			}
 			if _, again := state.Open(disk, "n1"); !slices.Contains(again.Bans, "new") || len(again.Bans) != len(f.Bans)+1 || len(again.Problems) > 0 {
-				t.Errorf("after it: %q, %q", again.Bans, again.Problems)
+				t.Errorf("after a further ban: bans %q, problems %q", again.Bans, again.Problems)
 			}
 		})
 	}
@@ -248,17 +248,17 @@
 		}
 	}
 	if err := s.Ban("one more", true); err == nil {
-		t.Error("one more is taken")
+		t.Error("a ban beyond MaxBans is accepted")
 	}
 	if err := s.Ban(strings.Repeat("x", state.MaxIDBytes+1), true); err == nil {
-		t.Error("an id of any length is taken")
+		t.Error("an id longer than MaxIDBytes is accepted")
 	}
 	text, _ := disk.ReadFile("bans")
 	if len(text) > 200<<10 {
-		t.Errorf("%d bytes", len(text))
+		t.Errorf("the bans log has %d bytes", len(text))
 	}
 	if _, f := state.Open(disk, "n1"); len(f.Bans) != state.MaxBans {
-		t.Errorf("%d found", len(f.Bans))
+		t.Errorf("%d bans found", len(f.Bans))
 	}
 }
 
@@ -268,11 +268,11 @@
 		written, now state.Stamp
 		min, max     time.Duration
 	}{
-		"the same start":               {state.Stamp{Wall: 100 * h, Machine: "a", Running: 5 * h}, state.Stamp{Wall: 3 * h, Machine: "a", Running: 6 * h}, h, h},
-		"another start":                {state.Stamp{Wall: 100 * h, Machine: "a", Running: 5 * h}, state.Stamp{Wall: 102 * h, Machine: "b", Running: h}, h, 2 * h},
-		"a clock set back":             {state.Stamp{Wall: 100 * h, Machine: "a", Running: 5 * h}, state.Stamp{Wall: 3 * h, Machine: "b", Running: h}, h, state.UnknownAge},
-		"a clock that stood meanwhile": {state.Stamp{Wall: 100 * h, Machine: "a"}, state.Stamp{Wall: 100*h + 1, Machine: "b", Running: h}, h, state.UnknownAge},
-		"no clocks":                    {state.Stamp{}, state.Stamp{}, 0, state.UnknownAge},
+		"the same boot":        {state.Stamp{Wall: 100 * h, Machine: "a", Running: 5 * h}, state.Stamp{Wall: 3 * h, Machine: "a", Running: 6 * h}, h, h},
+		"another boot":         {state.Stamp{Wall: 100 * h, Machine: "a", Running: 5 * h}, state.Stamp{Wall: 102 * h, Machine: "b", Running: h}, h, 2 * h},
+		"a clock set back":     {state.Stamp{Wall: 100 * h, Machine: "a", Running: 5 * h}, state.Stamp{Wall: 3 * h, Machine: "b", Running: h}, h, state.UnknownAge},
+		"a clock that stopped": {state.Stamp{Wall: 100 * h, Machine: "a"}, state.Stamp{Wall: 100*h + 1, Machine: "b", Running: h}, h, state.UnknownAge},
+		"no clocks":            {state.Stamp{}, state.Stamp{}, 0, state.UnknownAge},
 	} {
 		if a := state.AgeOf(c.written, c.now); a.Min != c.min || a.Max != c.max {
 			t.Errorf("%s: %v", name, a)
@@ -280,8 +280,8 @@
 	}
 }
 
-// TestKeeperAndAFolder: what a keeper was told is in the folder; a folder is held by one process; a disk that stands delays nobody
-// for longer than they wait.
+// TestWriterAndFolder checks that the folder contains what was passed to the writer, that only one process can hold a folder, and that a
+// disk that does not respond delays no caller beyond its context.
 func TestWriterAndFolder(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	folder, err := state.OpenFolder(path)
@@ -289,7 +289,7 @@
 		t.Fatal(err)
 	}
 	if _, err := state.OpenFolder(path); !errors.Is(err, state.ErrLocked) {
-		t.Errorf("held twice: %v", err)
+		t.Errorf("the folder was opened twice: %v", err)
 	}
 	s, _ := state.Open(folder, "n1")
 	k := state.StartWriter(s, time.Hour, func(context.Context) *state.Learned { return learned(7) }, slog.New(slog.DiscardHandler))
@@ -319,16 +319,16 @@
 	k = state.StartWriter(s, time.Hour, func(context.Context) *state.Learned { return nil }, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	for range 200 { // more than may wait
+	for range 200 { // more than maxQueuedChanges
 		if err := k.Ban(ctx, "b", true); !errors.Is(err, state.ErrNotPersisted) {
 			t.Fatal(err)
 		}
 	}
-	k.Close() // returns, though the disk stands
+	k.Close() // returns although the disk does not respond
 	close(hung.release)
 }
 
-// standing is a disk whose calls do not return.
+// hungFS is a file system whose Create does not return until it is released.
 type hungFS struct {
 	*crashfs.FS
 	release chan struct{}
@@ -367,7 +367,7 @@
 	})
 }
 
-// BenchmarkSave is a snapshot of 10,000 servers: writing it, and reading it at a start.
+// BenchmarkSave measures writing a snapshot of 10,000 servers, reading it at a start, and writing a ban.
 func BenchmarkSave(b *testing.B) {
 	l := learned(1)
 	for i := range 10_000 {
