--- a/internal/cluster/revival/revival.go
+++ b/internal/cluster/revival/revival.go
@@ -410,9 +410,9 @@
 // no class is overloaded, and lowers those of all classes less valuable than an overloaded one.
 //
 // It protects cold backends when all callers return within one second, and protects requests of a valuable class, such as holds, from
-// a surge of less valuable ones, such as searches. The capacity of the backends is only an estimate, so the shares are adjusted as TCP adjusts its rate (additive increase,
-// multiplicative decrease; Chiu and Jain 1989). The drawback: if requests fail for another reason than lack of capacity, less
-// valuable classes wait until the time limit for no benefit.
+// a surge of less valuable ones, such as searches. The capacity of the backends is only an estimate, so the shares are adjusted as TCP
+// adjusts its rate (additive increase, multiplicative decrease; Chiu and Jain 1989). The drawback: if requests fail for another reason
+// than lack of capacity, less valuable classes wait until the time limit for no benefit.
 func (c *Core) updateShares() {
 	if c.now < c.nextPlan {
 		return
@@ -526,7 +526,7 @@
 	Capacity     float64       // estimated current capacity of the backends, 1 when all are warm
 	Shares       []float64     // by class
 	JustStarted  int           // other proxies that have just started
-	Running      int
+	Running      int           // other proxies that were running before
 }
 
 // Status returns the state of the recovery.
--- a/internal/cluster/revival/revival_test.go
+++ b/internal/cluster/revival/revival_test.go
@@ -16,7 +16,7 @@
 
 var (
 	returns = flag.Int("returns", 60, "number of simulated fleet restarts")
-	proxies = flag.Int("proxies", 20, "number of proxies in each")
+	proxies = flag.Int("proxies", 20, "number of proxies in each simulation")
 )
 
 // classes are in the order of a settings file, which differs from the order of value. The demand is 100 requests a second in total.
@@ -271,8 +271,8 @@
 	}
 }
 
-// TestRestarts restarts some proxies of a running fleet, up to a third of it at once. Each must recognise a restart and finish well
-// before the time limits of its steps.
+// TestRestarts restarts some proxies of a running fleet, up to a third of it at once. Each must recognise a restart, be done, and admit
+// requests within 4 s of its start.
 func TestRestarts(t *testing.T) {
 	for seed := range uint64(100) {
 		n, restarted := 12, 1+int(seed%4)
@@ -315,7 +315,7 @@
 }
 
 // TestNoPeersMeansFleetRestart checks that a proxy that gets no report assumes a fleet restart, and still serves within its time limit.
-// The same holds for a fleet of one, unless its machine has not been rebooted.
+// The same holds for a fleet of one, but not if its machine has kept running since the state was saved.
 func TestNoPeersMeansFleetRestart(t *testing.T) {
 	for name, c := range map[string]struct {
 		set  func(i int, s *Settings)
--- a/internal/recovery/host.go
+++ b/internal/recovery/host.go
@@ -55,8 +55,8 @@
 		p.ready = p.ready || s > 0
 	}
 	if h.config.Balancer.RetryAfter {
-		// This is about the time until the next class is admitted. With less, clients retry too often; more than MaxRetryAfter is not
-		// followed by clients.
+		// This is about the time until the next class is admitted. With a shorter delay clients retry too often, and they ignore a delay
+		// above MaxRetryAfter.
 		p.retryAfter = min(h.config.Balancer.WarmUp/time.Duration(max(len(shares), 1)), h.config.Balancer.MaxRetryAfter)
 	}
 	h.plan.Store(p)
--- a/internal/state/crashfs/crashfs.go
+++ b/internal/state/crashfs/crashfs.go
@@ -15,7 +15,7 @@
 	"brasswell/internal/state"
 )
 
-// ErrPowerLost is returned by every call after the power loss.
+// ErrPowerLost is returned by the call in which power is lost, and by later ones until Restore.
 var ErrPowerLost = errors.New("crashfs: power lost")
 
 type inode struct {
@@ -70,7 +70,7 @@
 	return f.poweredOff
 }
 
-// Counts returns the numbers of calls that changed something, of syncs, and of bytes written.
+// Counts returns the number of calls that changed something, the number of completed syncs among them, and the bytes written.
 func (f *FS) Counts() (calls, syncs int, bytes int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -31,7 +31,7 @@
 	return l
 }
 
-// session is one run of a proxy with random changes until a power loss. It holds which changes were acknowledged.
+// session runs a proxy with random changes until a power loss, and records which changes were acknowledged.
 type session struct {
 	bans        map[string]bool // acknowledged
 	unconfirmed map[string]bool // ids whose last change was not acknowledged
