--- a/internal/cluster/agreement/node.go
+++ b/internal/cluster/agreement/node.go
@@ -328,14 +328,14 @@
 }
 
 // members takes in who of the fleet is there, and where.
-func (n *Node) members(s view.Standing) {
+func (n *Node) members(s view.Snapshot) {
 	addresses, living := s.Addresses()
 	n.addresses.Store(&addresses)
 	select {
 	case n.events <- func(c *accord.Core, now time.Duration) {
 		c.SetPeers(living)
 		if n.planner != nil {
-			n.planner.See(now, living)
+			n.planner.SetLiving(now, living)
 		}
 	}:
 	default: // the next change brings them
@@ -350,7 +350,7 @@
 	CarryLatest(to, topic string, body []byte)
 }
 
-var _ latestCarrier = cluster.Part{}
+var _ latestCarrier = cluster.Endpoint{}
 
 func (h host) Send(to string, m *accord.Message) {
 	address := (*h.addresses.Load())[to]
--- a/internal/cluster/revival/revival.go
+++ b/internal/cluster/revival/revival.go
@@ -96,7 +96,7 @@
 		return nil, fmt.Errorf("revival: %w", err)
 	}
 	switch {
-	case r.Name == "" || len(r.Name) > view.MostName:
+	case r.Name == "" || len(r.Name) > view.MaxNameBytes:
 		return nil, fmt.Errorf("revival: name has %d bytes", len(r.Name))
 	case r.Uptime < 0 || r.AdmittingFor < 0 || r.AdmittingFor > r.Uptime+maxAdmittingLead:
 		return nil, errors.New("revival: impossible times")
@@ -142,7 +142,7 @@
 	SendReport(to string, r *Report)
 	// RestoreState restores the saved state, as the kind of this start permits. It is called once. At a fleet restart, admittingFor is
 	// how long other proxies have been admitting classes, so backends may have been warming up since then.
-	RestoreState(k Kind, ago time.Duration)
+	RestoreState(k Kind, admittingFor time.Duration)
 	// SetShares replaces the shares of the classes' requests that are admitted.
 	SetShares(shares []float64)
 	// StepChanged reports a new step and the reason for it.
@@ -533,9 +533,9 @@
 func (c *Core) Status(now time.Duration) Status {
 	c.now = now
 	s := Status{Step: c.step, Kind: c.kind, Why: c.why, InStep: now - c.stepStart, Capacity: c.capacity(), Shares: c.shares}
-	bound := map[Step]time.Duration{Peers: c.settings.Times.Peers, Rules: c.settings.Times.Rules, Lists: c.settings.Times.Lists, Admitting: c.maxAdmitting()}[c.step]
-	if bound > 0 {
-		s.MaxRemaining = max(bound-s.InStep, 0)
+	limit := map[Step]time.Duration{Peers: c.settings.Times.Peers, Rules: c.settings.Times.Rules, Lists: c.settings.Times.Lists, Admitting: c.maxAdmitting()}[c.step]
+	if limit > 0 {
+		s.MaxRemaining = max(limit-s.InStep, 0)
 	}
 	for _, p := range c.peers {
 		if p.uptime+now-p.receivedAt >= c.settings.Times.JustStarted {
--- a/internal/cluster/revival/revival_test.go
+++ b/internal/cluster/revival/revival_test.go
@@ -52,8 +52,8 @@
 	firstAdmit time.Duration // when requests were admitted first
 }
 
-func (o *member) SendReport(to string, r *Report) {
-	s := o.fleet
+func (m *member) SendReport(to string, r *Report) {
+	s := m.fleet
 	if s.rng.Float64() < s.lossRate {
 		return
 	}
@@ -71,42 +71,42 @@
 		}
 	})
 }
-func (o *member) RestoreState(k Kind, _ time.Duration) { o.kind = k }
-func (o *member) SetShares(shares []float64) {
-	if o.firstAdmit == 0 {
-		o.firstAdmit = o.fleet.now
+func (m *member) RestoreState(k Kind, _ time.Duration) { m.kind = k }
+func (m *member) SetShares(shares []float64) {
+	if m.firstAdmit == 0 {
+		m.firstAdmit = m.fleet.now
 	}
-	o.shares = slices.Clone(shares)
+	m.shares = slices.Clone(shares)
 	// A more valuable class must not get a smaller share.
 	for i := range classes {
 		for j := range classes {
 			if classes[i].Value > classes[j].Value && shares[i] < shares[j] {
-				o.fleet.t.Errorf("%s admits %v of %s and %v of %s", o.name, shares[i], classes[i].Name, shares[j], classes[j].Name)
+				m.fleet.t.Errorf("%s admits %v of %s and %v of %s", m.name, shares[i], classes[i].Name, shares[j], classes[j].Name)
 			}
 		}
 	}
 }
-func (o *member) StepChanged(to Step, _ string) {
-	o.steps, o.stepTimes = append(o.steps, to), append(o.stepTimes, o.fleet.now)
+func (m *member) StepChanged(to Step, _ string) {
+	m.steps, m.stepTimes = append(m.steps, to), append(m.stepTimes, m.fleet.now)
 }
 
 func newFleet(t testing.TB, seed uint64, n int, set func(i int, s *Settings), start func(i int) time.Duration, startTimes func(now time.Duration) []time.Duration) *fleet {
 	s := &fleet{t: t, rng: rand.New(rand.NewPCG(seed, 0)), lossRate: 0.05, byName: map[string]*member{}}
 	for i := range n {
-		o := &member{fleet: s, name: fmt.Sprint("n", i+1), start: start(i)}
-		s.members = append(s.members, o)
-		s.byName[o.name] = o
-		s.queue.Push(o.start, func() {
-			conf := Settings{Name: o.name, InstanceID: s.rng.Uint64(), Classes: classes, ColdCapacity: 0.3, WarmUp: 10 * sec, Demand: demand, Times: DefaultTimes()}
+		m := &member{fleet: s, name: fmt.Sprint("n", i+1), start: start(i)}
+		s.members = append(s.members, m)
+		s.byName[m.name] = m
+		s.queue.Push(m.start, func() {
+			conf := Settings{Name: m.name, InstanceID: s.rng.Uint64(), Classes: classes, ColdCapacity: 0.3, WarmUp: 10 * sec, Demand: demand, Times: DefaultTimes()}
 			if set != nil {
 				set(i, &conf)
 			}
-			o.core = New(s.now, conf, seed, o)
-			s.scheduleTick(o)
+			m.core = New(s.now, conf, seed, m)
+			s.scheduleTick(m)
 			// Discovery answers after up to 2 s, which may be after the time limit of the step.
-			s.queue.Push(s.now+time.Duration(s.rng.Float64()*float64(2*sec)), func() { o.core.SetList(s.now, true, startTimes(s.now)) })
+			s.queue.Push(s.now+time.Duration(s.rng.Float64()*float64(2*sec)), func() { m.core.SetList(s.now, true, startTimes(s.now)) })
 		})
-		s.queue.Push(o.start+300*time.Millisecond, func() { s.updateMembers() })
+		s.queue.Push(m.start+300*time.Millisecond, func() { s.updateMembers() })
 	}
 	return s
 }
@@ -161,16 +161,16 @@
 func simulateFleetRestart(t testing.TB, seed uint64, n int, set func(i int, s *Settings)) (s *fleet, valueShare float64) {
 	spread := time.Duration(seed%5) * 4 * sec
 	rng := rand.New(rand.NewPCG(seed, 1))
-	born := make([]time.Duration, 40)
-	for i := range born {
-		born[i] = time.Duration(rng.Float64() * float64(8*sec))
+	backendStarts := make([]time.Duration, 40)
+	for i := range backendStarts {
+		backendStarts[i] = time.Duration(rng.Float64() * float64(8*sec))
 	}
 	s = newFleet(t, seed, n, func(i int, conf *Settings) {
 		if conf.FleetSize = n; set != nil {
 			set(i, conf)
 		}
 	}, func(int) time.Duration { return time.Duration(rng.Float64() * float64(spread)) }, func(now time.Duration) (in []time.Duration) {
-		for _, b := range born {
+		for _, b := range backendStarts {
 			if b <= now {
 				in = append(in, b)
 			}
@@ -183,9 +183,9 @@
 	for at := time.Duration(0); at < spread+maxStartup(); at += step {
 		s.queue.Push(at, func() {
 			capacity := 0.0
-			for _, b := range born {
+			for _, b := range backendStarts {
 				if b <= s.now {
-					capacity += warmRate / float64(len(born)) * (0.3 + 0.7*min(float64(s.now-b)/float64(10*sec), 1)) * step.Seconds()
+					capacity += warmRate / float64(len(backendStarts)) * (0.3 + 0.7*min(float64(s.now-b)/float64(10*sec), 1)) * step.Seconds()
 				}
 			}
 			surge := max(3-2*s.now.Seconds()/10, 1) * step.Seconds()
@@ -200,18 +200,18 @@
 			}
 			served := min(capacity/max(all, 1e-9), 1)
 			for _, class := range []int{1, 2, 0} {
-				most := min(surge*demand[class], capacity)
-				capacity -= most
+				possible := min(surge*demand[class], capacity)
+				capacity -= possible
 				if s.now > spread+4*sec {
-					value, maxValue = value+in[class]*served*classes[class].Value, maxValue+most*classes[class].Value
+					value, maxValue = value+in[class]*served*classes[class].Value, maxValue+possible*classes[class].Value
 				}
 			}
 			for _, p := range s.members {
 				if p.firstAdmit > 0 {
 					counts := make([]Count, len(classes))
 					for class := range counts {
-						asked := surge * demand[class] * 20 // enough to reach minSamples
-						counts[class] = Count{asked, p.shares[class] * asked, p.shares[class] * asked * (1 - served)}
+						received := surge * demand[class] * 20 // enough to reach minSamples
+						counts[class] = Count{received, p.shares[class] * received, p.shares[class] * received * (1 - served)}
 					}
 					p.core.AddCounts(s.now, counts)
 				}
@@ -338,17 +338,17 @@
 
 // TestStepsEndWithoutListOrLease checks that no step waits forever if neither a list nor a lease arrives.
 func TestStepsEndWithoutListOrLease(t *testing.T) {
-	o := &member{fleet: &fleet{t: t, rng: rand.New(rand.NewPCG(1, 1))}, name: "n1"}
-	c := New(0, Settings{Name: "n1", Standalone: true, UsesRules: true, Classes: classes, ColdCapacity: 0.3, WarmUp: 10 * sec, Times: DefaultTimes()}, 1, o)
+	m := &member{fleet: &fleet{t: t, rng: rand.New(rand.NewPCG(1, 1))}, name: "n1"}
+	c := New(0, Settings{Name: "n1", Standalone: true, UsesRules: true, Classes: classes, ColdCapacity: 0.3, WarmUp: 10 * sec, Times: DefaultTimes()}, 1, m)
 	for now := time.Duration(0); now < maxStartup(); now = c.Next() {
-		o.fleet.now = now
+		m.fleet.now = now
 		c.Tick(now)
 		if c.Next() <= now {
 			t.Fatalf("Next returns %v again, in step %v", now, c.step)
 		}
 	}
-	if !slices.Equal(o.steps, []Step{Rules, Lists, Admitting, Done}) {
-		t.Errorf("steps %v at %v", o.steps, o.stepTimes)
+	if !slices.Equal(m.steps, []Step{Rules, Lists, Admitting, Done}) {
+		t.Errorf("steps %v at %v", m.steps, m.stepTimes)
 	}
 }
 
@@ -411,11 +411,11 @@
 		if err != nil {
 			return
 		}
-		o := &member{fleet: &fleet{t: t, rng: rand.New(rand.NewPCG(1, 1)), lossRate: 1}, name: "n0"}
-		c := New(0, Settings{Name: "n0", Classes: classes, WarmUp: 10 * sec, Times: DefaultTimes()}, 1, o)
+		m := &member{fleet: &fleet{t: t, rng: rand.New(rand.NewPCG(1, 1)), lossRate: 1}, name: "n0"}
+		c := New(0, Settings{Name: "n0", Classes: classes, WarmUp: 10 * sec, Times: DefaultTimes()}, 1, m)
 		c.ReceiveReport(sec/2, r)
 		for now := sec; now < maxStartup(); now = max(c.Next(), now+planInterval) {
-			o.fleet.now = now
+			m.fleet.now = now
 			c.Tick(now)
 		}
 		if c.step != Done {
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -33,7 +33,7 @@
 		},
 		Addresses: map[string]string{"s1": "127.0.0.1:7070"}, Seq: 41, OpenIDs: []string{"a", "b"}, CallerConns: 12,
 		LongestDeadline: 2 * time.Second, LatencyP95: 80 * time.Millisecond,
-		Lists: lists.Carried{Held: []string{"s1"}, LetGo: []time.Duration{time.Second}},
+		Lists: lists.Snapshot{Held: []string{"s1"}, LetGo: []time.Duration{time.Second}},
 	}
 }
 
--- a/internal/proxy/recovery.go
+++ b/internal/proxy/recovery.go
@@ -84,7 +84,7 @@
 // Recovery says how this process has come back, as JSON.
 func (d desk) Recovery(ctx context.Context) ([]byte, error) {
 	if d.recovery == nil {
-		return nil, console.ErrNone
+		return nil, console.ErrDisabled
 	}
 	ctx, cancel := context.WithTimeout(ctx, fleetTime)
 	defer cancel()
--- a/internal/recovery/node.go
+++ b/internal/recovery/node.go
@@ -45,7 +45,7 @@
 	// State returns the current state of this proxy. It may be slow.
 	State() handover.State
 	// Outcomes returns how many requests have arrived so far, by class, and how many of them were not served.
-	Outcomes() (asked, lost []int64)
+	Outcomes() (received, failed []int64)
 	// StartTimes returns the start times of the backends in service.
 	StartTimes() []time.Duration
 	// Leased reports whether this proxy holds a lease on the agreed rules.
@@ -138,8 +138,8 @@
 
 // Start begins the recovery of a proxy. joined says that this process continues the work of a running one, so it admits all requests
 // at once.
-func (n *Node) Start(side Proxy, joined bool) {
-	n.proxy = side
+func (n *Node) Start(proxy Proxy, joined bool) {
+	n.proxy = proxy
 	c := &n.config
 	s := revival.Settings{
 		Name: c.Name, InstanceID: c.InstanceID, Standalone: n.carrier == nil || c.Instances == 1, UsesRules: c.UsesRules, FleetSize: c.Instances,
@@ -178,8 +178,8 @@
 func (n *Node) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	measured, asked := n.now(), n.totals()
-	counted := asked
+	demandAt, demandTotals := n.now(), n.totals()
+	previous := demandTotals
 	for {
 		interval := pollInterval
 		if n.core.Step() == revival.Done {
@@ -198,12 +198,12 @@
 		if n.proxy.Leased() {
 			n.core.SetLeased(now)
 		}
-		tally := n.totals()
-		n.core.AddCounts(now, tally.since(counted))
-		counted = tally
-		if elapsed := now - measured; elapsed >= time.Second {
-			n.updateDemand(tally.since(asked), elapsed)
-			measured, asked = now, tally
+		current := n.totals()
+		n.core.AddCounts(now, current.since(previous))
+		previous = current
+		if elapsed := now - demandAt; elapsed >= time.Second {
+			n.updateDemand(current.since(demandTotals), elapsed)
+			demandAt, demandTotals = now, current
 		}
 		n.core.Tick(now)
 	}
@@ -225,7 +225,7 @@
 	}
 }
 
-func (n *Node) setMembers(s view.Standing) {
+func (n *Node) setMembers(s view.Snapshot) {
 	addresses, living := s.Addresses()
 	n.mu.Lock()
 	n.addresses = addresses
@@ -236,12 +236,12 @@
 // ListUpdated notifies the core of a list; fresh says that it came from discovery and is not a saved one. It must not be called with
 // the proxy's locks held.
 func (n *Node) ListUpdated(fresh bool) {
-	births := n.proxy.StartTimes()
-	ahead := n.now() - n.proxy.Now() // offset of the core's clock
-	for i := range births {
-		births[i] += ahead
+	startTimes := n.proxy.StartTimes()
+	offset := n.now() - n.proxy.Now() // offset of the core's clock
+	for i := range startTimes {
+		startTimes[i] += offset
 	}
-	n.enqueue(func(c *revival.Core, now time.Duration) { c.SetList(now, fresh, births) })
+	n.enqueue(func(c *revival.Core, now time.Duration) { c.SetList(now, fresh, startTimes) })
 }
 
 // Close stops the recovery, saves the state a last time and releases the folder.
--- a/internal/recovery/report.go
+++ b/internal/recovery/report.go
@@ -117,11 +117,11 @@
 // Figures appends the metrics of the recovery to the text of the console.
 func (n *Node) Figures(text []byte) []byte {
 	p := n.plan.Load()
-	least := 1.0
+	minShare := 1.0
 	for _, s := range p.shares {
-		least = min(least, s)
+		minShare = min(minShare, s)
 	}
-	text = figures.AppendLine(text, "recovery_least_share_percent", int64(100*least), 'g')
+	text = figures.AppendLine(text, "recovery_least_share_percent", int64(100*minShare), 'g')
 	n.mu.Lock()
 	w := n.writer
 	n.mu.Unlock()
--- a/internal/state/keeper.go
+++ b/internal/state/keeper.go
@@ -26,13 +26,13 @@
 // Writer writes a proxy's state to disk in its own goroutine, so that request handling never waits for the disk. Its methods are safe
 // for concurrent use.
 type Writer struct {
-	every   time.Duration
-	collect func(context.Context) *Learned // returns the current state; nil if there is nothing to save
-	log     *slog.Logger
-	changes chan banRequest
-	ctx     context.Context
-	cancel  context.CancelFunc
-	running sync.WaitGroup
+	saveInterval time.Duration
+	collect      func(context.Context) *Learned // returns the current state; nil if there is nothing to save
+	log          *slog.Logger
+	changes      chan banRequest
+	ctx          context.Context
+	cancel       context.CancelFunc
+	running      sync.WaitGroup
 
 	mu    sync.Mutex
 	stats Stats
@@ -56,8 +56,8 @@
 
 // StartWriter starts a Writer that saves the result of collect at each interval. collect is called from the Writer's goroutine and may
 // be slow.
-func StartWriter(s *Store, every time.Duration, learn func(context.Context) *Learned, log *slog.Logger) *Writer {
-	w := &Writer{every: every, collect: learn, log: log, changes: make(chan banRequest, maxQueuedChanges)}
+func StartWriter(s *Store, saveInterval time.Duration, collect func(context.Context) *Learned, log *slog.Logger) *Writer {
+	w := &Writer{saveInterval: saveInterval, collect: collect, log: log, changes: make(chan banRequest, maxQueuedChanges)}
 	w.ctx, w.cancel = context.WithCancel(context.Background())
 	w.running.Go(func() {
 		defer s.Close()
@@ -88,7 +88,7 @@
 }
 
 func (w *Writer) run(s *Store) {
-	timer := time.NewTimer(w.every)
+	timer := time.NewTimer(w.saveInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -101,7 +101,7 @@
 			w.recordResult(start, err, func(f *Stats) { f.Changes++ })
 			req.done <- err
 		case <-timer.C:
-			wait := w.every
+			wait := w.saveInterval
 			if !w.save(s) {
 				wait = max(wait, retryDelay)
 			}
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -171,7 +171,7 @@
 // errForeign, or says that the log is corrupt before its end; bans are then those that could be recovered.
 func readBans(data []byte, owner Owner) (bans map[string]bool, validLen, remaining int, err error) {
 	bans = map[string]bool{}
-	first, broken, budget := true, false, maxHashedBytes
+	first, corrupt, budget := true, false, maxHashedBytes
 	apply := func(record []byte) error {
 		var c logRecord
 		if err := decMode.Unmarshal(record, &c); err != nil {
@@ -185,7 +185,7 @@
 			for _, id := range c.Bans {
 				bans[id] = true
 			}
-		} else if first && !broken { // after a corrupt first record, changes are still recovered: banning too many backends is the smaller harm
+		} else if first && !corrupt { // after a corrupt first record, changes are still recovered: banning too many backends is the smaller harm
 			return errors.New("the first record is missing")
 		} else if c.Banned {
 			bans[c.ID] = true
@@ -205,7 +205,7 @@
 		}
 		if err == nil {
 			at += sealed.HeaderBytes + len(record)
-			if !broken {
+			if !corrupt {
 				validLen = at
 			}
 			continue
@@ -213,10 +213,10 @@
 		// If a valid record follows, the log is corrupt in the middle; if not, its end is torn.
 		at = nextRecord(data, at+1, &budget)
 		if at < len(data) {
-			broken = true
+			corrupt = true
 		}
 	}
-	if broken || first && len(data) > 0 {
+	if corrupt || first && len(data) > 0 {
 		return bans, validLen, len(data) - validLen, fmt.Errorf("corrupt at byte %d", validLen)
 	}
 	return bans, validLen, len(data) - validLen, nil
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -55,13 +55,13 @@
 			}
 			continue
 		}
-		id, out := fmt.Sprint("b", rng.IntN(6)), rng.IntN(2) == 0
-		if s.Ban(id, out) != nil {
+		id, banned := fmt.Sprint("b", rng.IntN(6)), rng.IntN(2) == 0
+		if s.Ban(id, banned) != nil {
 			ses.unconfirmed[id] = true
 			continue
 		}
 		// An acknowledged change implies that all earlier changes are durable too, including those that were not acknowledged.
-		if ses.bans[id] = out; !out {
+		if ses.bans[id] = banned; !banned {
 			delete(ses.bans, id)
 		}
 		delete(ses.unconfirmed, id)
@@ -84,9 +84,9 @@
 	case got != nil && (got.Knowledge.Seq < int64(ses.lastSaved) || got.Knowledge.Seq > int64(ses.lastTried) || len(got.Knowledge.Addresses) != 3):
 		t.Fatalf("found state %d; the last acknowledged is %d, the last attempted %d", got.Knowledge.Seq, ses.lastSaved, ses.lastTried)
 	}
-	for _, trouble := range f.Problems {
-		if !strings.Contains(trouble, "torn") {
-			t.Fatalf("a power loss is reported as %q", trouble)
+	for _, problem := range f.Problems {
+		if !strings.Contains(problem, "torn") {
+			t.Fatalf("a power loss is reported as %q", problem)
 		}
 	}
 }
