--- a/internal/cluster/revival/revival.go
+++ b/internal/cluster/revival/revival.go
@@ -218,7 +218,7 @@
 	return next
 }
 
-// Tick does what is due.
+// Tick performs the actions that are due.
 func (c *Core) Tick(now time.Duration) {
 	c.now = now
 	if !c.settings.Standalone && now >= c.nextQuery && c.step != Done {
@@ -333,7 +333,7 @@
 			case late && len(c.startTimes) > 0:
 				c.startAdmitting("discovery sent no list in time: continues with the saved one")
 			case late:
-				c.startAdmitting("there is no list, not even a saved one: admits requests once a list arrives")
+				c.startAdmitting("there is no list, not even a saved one: admits classes once a list arrives")
 			}
 		case Admitting:
 			c.updateShares()
--- a/internal/cluster/revival/revival_test.go
+++ b/internal/cluster/revival/revival_test.go
@@ -154,7 +154,7 @@
 	return t.Peers + t.Rules + t.Lists + time.Duration(t.WarmUpFactor*float64(10*sec)) + 2*planInterval
 }
 
-// simulateFleetRestart restarts all proxies over some seconds, with backends that come back cold over 8 s. The proxies don't know the
+// simulateFleetRestart restarts all proxies over some seconds, with backends that restart cold over 8 s. The proxies don't know the
 // warm capacity of the backends: it is 1.2 to 3 times the demand. Backends serve requests in the order of their arrival, without regard
 // to value, and the demand is three times as high at first. valueShare is the value of the served requests, as a share of the value that
 // the backends could have served if the most valuable requests had come first.
