--- a/internal/cluster/revival/revival.go
+++ b/internal/cluster/revival/revival.go
@@ -14,15 +14,15 @@
 	"brasswell/internal/strict"
 )
 
-// Step is how far a proxy has come back. Each waits for something, and for a stated time at most.
+// Step is a step of the recovery. Each step waits for something, with a time limit.
 type Step uint8
 
 // The steps, in order.
 const (
-	Peers     Step = iota // who else is just starting
-	Rules                 // a lease on the agreed rules
-	Lists                 // a list from discovery
-	Admitting             // classes are let in as the backends get warm
+	Peers     Step = iota // asks other proxies whether they are starting too
+	Rules                 // waits for a lease on the agreed rules
+	Lists                 // waits for a list from discovery
+	Admitting             // admits classes as the backends become warm
 	Done
 )
 
@@ -30,255 +30,254 @@
 	return [...]string{"asks who else starts", "waits for the agreed rules", "waits for a list", "lets classes in", "done"}[s]
 }
 
-// Class is one class of requests.
+// Class is a class of requests.
 type Class struct {
 	Name  string
-	Value float64 // of one request
+	Value float64 // of one request, relative to the other classes
 }
 
-// Times bound the steps.
+// Times holds the time limits of the steps.
 type Times struct {
-	Peers time.Duration // others are asked for so long
-	Rules time.Duration // a lease is waited for
-	Lists time.Duration // a list is waited for
-	// Young is how long a proxy counts as just started.
+	Peers time.Duration // how long other proxies are asked
+	Rules time.Duration // how long to wait for a lease
+	Lists time.Duration // how long to wait for a list
+	// JustStarted is how long a proxy counts as just started.
 	JustStarted time.Duration
-	// Slack is by which factor Opening may take longer than the backends' warm-up.
+	// WarmUpFactor times the backends' warm-up time is the time limit of Admitting.
 	WarmUpFactor float64
 }
 
-// DefaultTimes fit one site.
+// DefaultTimes returns the times for a fleet at one site.
 func DefaultTimes() Times {
 	return Times{Peers: time.Second, Rules: 2 * time.Second, Lists: time.Second, JustStarted: time.Minute, WarmUpFactor: 1.3}
 }
 
-// Settings are what a core is told.
+// Settings are the settings of a Core.
 type Settings struct {
 	Name            string
-	InstanceID      uint64 // drawn at each start
-	Standalone      bool   // there are no others to ask: one instance, or no view of the fleet
-	FleetSize       int    // how many proxies there are, this one included; 0 where that is not known
-	UsesRules       bool   // rules are agreed on, so a lease is waited for
-	SameMachineBoot bool   // the machine has run on since what was known was written: it has not lost its power
+	InstanceID      uint64 // random, new at each start
+	Standalone      bool   // there are no other proxies to ask: one instance, or no membership view
+	FleetSize       int    // number of proxies, including this one; 0 if unknown
+	UsesRules       bool   // the fleet agrees on rules, so this proxy waits for a lease
+	SameMachineBoot bool   // the machine has not been rebooted since the state was saved, so it had no power loss
 	Classes         []Class
-	// ColdFrom and WarmUp say how a backend gets warm: from that share of what it can do to all of it, evenly.
+	// ColdCapacity and WarmUp say how a backend warms up: its capacity grows linearly from the share ColdCapacity to 1 within WarmUp.
 	ColdCapacity float64
 	WarmUp       time.Duration
-	// Demand is what was asked for before, by class, in requests a second; nil where that is not known.
+	// Demand is the request rate before the start, by class, in requests a second; nil if unknown.
 	Demand []float64
 	Times  Times
 
-	// Each takes one defence out, so that a checker can be seen to find what it guards against.
-	NoFleetRestart    bool // every start is held to be a restart of one
-	NoStagedAdmission bool // all classes are let in at once
+	// Each of these disables one defence, so that a test can show that its checker detects the failure that the defence prevents.
+	NoFleetRestart    bool // every start is treated as a Restart
+	NoStagedAdmission bool // all classes are admitted at once
 }
 
-// Report is what a proxy tells another of its start.
+// Report is what a proxy sends to another about its start.
 type Report struct {
 	Name         string        `cbor:"1,keyasint" json:"name"`
 	InstanceID   uint64        `cbor:"2,keyasint" json:"boot"`
-	Uptime       time.Duration `cbor:"3,keyasint" json:"up"` // since its start
+	Uptime       time.Duration `cbor:"3,keyasint" json:"up"` // time since its start
 	Step         Step          `cbor:"4,keyasint" json:"step"`
 	Kind         Kind          `cbor:"5,keyasint" json:"kind"`
-	AdmittingFor time.Duration `cbor:"6,keyasint,omitempty" json:"open,omitempty"` // how long the first one that it knows of has been letting classes in
-	Reply        bool          `cbor:"7,keyasint,omitempty" json:"-"`              // an answer, to which none is due
+	AdmittingFor time.Duration `cbor:"6,keyasint,omitempty" json:"open,omitempty"` // how long the first proxy that it knows of has been admitting classes
+	Reply        bool          `cbor:"7,keyasint,omitempty" json:"-"`              // an answer, which is not answered itself
 }
 
-// Encode writes a report.
+// Encode encodes the report.
 func (r *Report) Encode() ([]byte, error) { return cbor.Marshal(r) }
 
-var reading = strict.CBOR(cbor.DecOptions{TagsMd: cbor.TagsForbidden, MaxNestedLevels: 4, MaxArrayElements: 16, MaxMapPairs: 16})
+var decMode = strict.CBOR(cbor.DecOptions{TagsMd: cbor.TagsForbidden, MaxNestedLevels: 4, MaxArrayElements: 16, MaxMapPairs: 16})
 
-// Decode reads a report from outside, and says what is wrong with it.
+// Decode decodes and validates a report received from the network.
 func Decode(b []byte) (*Report, error) {
 	r := &Report{}
-	if err := reading.Unmarshal(b, r); err != nil {
+	if err := decMode.Unmarshal(b, r); err != nil {
 		return nil, fmt.Errorf("revival: %w", err)
 	}
 	switch {
 	case r.Name == "" || len(r.Name) > view.MaxNameBytes:
-		return nil, fmt.Errorf("revival: a name of %d bytes", len(r.Name))
-	case r.Uptime < 0 || r.AdmittingFor < 0 || r.AdmittingFor > r.Uptime+mostAhead:
-		return nil, errors.New("revival: times that cannot be")
+		return nil, fmt.Errorf("revival: name has %d bytes", len(r.Name))
+	case r.Uptime < 0 || r.AdmittingFor < 0 || r.AdmittingFor > r.Uptime+maxAdmittingLead:
+		return nil, errors.New("revival: impossible times")
 	case r.Step > Done || r.Kind > FleetRestart:
-		return nil, fmt.Errorf("revival: no step %d of kind %d", r.Step, r.Kind)
+		return nil, fmt.Errorf("revival: unknown step %d or kind %d", r.Step, r.Kind)
 	}
 	return r, nil
 }
 
 const (
-	// mostAhead is how much longer than it runs itself a proxy may say that others have been letting in.
-	mostAhead = time.Hour
-	// askEvery is between two rounds of questions before it is decided what this start is, and followEvery after it.
-	askEvery    = 150 * time.Millisecond
-	followEvery = time.Second
-	// askMost others are asked in one round.
-	askMost = 12
-	// mostPeers reports are remembered.
-	mostPeers = 4096
-	// planEvery is between two plans of what is let in.
-	planEvery = 250 * time.Millisecond
-	// headroom is by how much what is let in at first may be over what the backends are thought to take.
+	// maxAdmittingLead is how much longer than its own uptime a proxy may report that others have been admitting.
+	maxAdmittingLead = time.Hour
+	// queryInterval is the time between two rounds of queries until the kind of this start is decided, and lateQueryInterval after that.
+	queryInterval     = 150 * time.Millisecond
+	lateQueryInterval = time.Second
+	// maxQueriedPeers is how many proxies are asked in one round.
+	maxQueriedPeers = 12
+	// maxPeers is how many proxies' reports are kept.
+	maxPeers = 4096
+	// planInterval is the time between two updates of the admitted shares.
+	planInterval = 250 * time.Millisecond
+	// headroom is the ratio of the load that is admitted at first to the estimated capacity of the backends.
 	headroom = 1.25
-	// trickle of a class that is shut is let in, so that what it would need is seen.
-	trickle = 0.02
-	// openStep is by how much the share of the worthiest class that is not wholly let in grows in a plan's time without trouble, and
-	// shutShare what is left of a lesser one's share after trouble.
-	openStep, shutShare = 0.34, 0.5
-	// troubled is the share of a class's requests, once let in, that must be lost for it to be in trouble, and fewest how many must
-	// have come.
-	troubled, fewest = 0.1, 4
+	// minShare of a class is admitted even while the class waits, so that its cost can be measured.
+	minShare = 0.02
+	// shareStep is added at each update to the share of the most valuable class that is not admitted in full, unless a class is
+	// overloaded. The shares of classes less valuable than an overloaded one are multiplied by shareBackoff.
+	shareStep, shareBackoff = 0.34, 0.5
+	// A class is overloaded if more than overloadRatio of its admitted requests fail, out of at least minSamples.
+	overloadRatio, minSamples = 0.1, 4
 )
 
-// Count is what became of a class's requests since the last one.
+// Count holds the outcomes of a class's requests since the previous count.
 type Count struct {
 	Received float64
-	Admitted float64 // let in
-	Failed   float64 // of these, refused or failed
+	Admitted float64 // requests that were not rejected
+	Failed   float64 // admitted requests that were refused or failed
 }
 
-// Host carries out what a core decides. Its methods are called from within the core's own and must not call back.
+// Host carries out the decisions of a Core. Its methods are called from the Core's methods and must not call the Core.
 type Host interface {
-	// Tell sends a report to a proxy by its name; it may be lost.
+	// SendReport sends a report to the named proxy; it may be lost.
 	SendReport(to string, r *Report)
-	// Begin takes up what is known, by the kind of this start. It is called once. Where it is a return, others have been letting
-	// classes in for so long, so backends may have been warming up since then.
-	RestoreState(k Kind, ago time.Duration)
-	// Admit replaces the shares of the classes' requests that are let in.
+	// RestoreState restores the saved state, as the kind of this start permits. It is called once. At a fleet restart, admittingFor is
+	// how long other proxies have been admitting classes, so backends may have been warming up since then.
+	RestoreState(k Kind, admittingFor time.Duration)
+	// SetShares replaces the shares of the classes' requests that are admitted.
 	SetShares(shares []float64)
-	// Moved tells that a step has been taken, and why.
+	// StepChanged reports a new step and the reason for it.
 	StepChanged(to Step, why string)
 }
 
 type peer struct {
-	boot uint64
-	up   time.Duration // at heard
-	step Step
-	kind Kind
-	open time.Duration // at heard
-	at   time.Duration // when it was heard
+	instanceID   uint64
+	uptime       time.Duration // at receivedAt
+	step         Step
+	kind         Kind
+	admittingFor time.Duration // at receivedAt
+	receivedAt   time.Duration // when the last report arrived
 }
 
-// Core is one proxy's way back. It is not safe for concurrent use.
+// Core is the recovery of one proxy. It is not safe for concurrent use.
 type Core struct {
-	set   Settings
-	host  Host
-	rng   *rand.Rand
-	began time.Duration
-	now   time.Duration
-	step  Step
-	since time.Duration // that it is in this step
-	kind  Kind
-	why   string
-
-	members []string // others who are held to live
-	peers   map[string]peer
-	ask     time.Duration // when others are asked next
-	plan    time.Duration // when the next plan is due
-	leased  bool
-	listed  bool
-	births  []time.Duration // of the backends in service, as far as they are believed, on this core's clock
-	most    int             // backends that there have been at one time, before or now
-	order   []int           // classes by worth
-	counts  []Count         // since the last plan, by class
-	shares  []float64
-}
-
-// New returns the core of a proxy that starts now.
+	settings  Settings
+	host      Host
+	rng       *rand.Rand
+	startedAt time.Duration
+	now       time.Duration
+	step      Step
+	stepStart time.Duration // when the current step began
+	kind      Kind
+	why       string
+
+	members     []string // the other proxies that are considered alive
+	peers       map[string]peer
+	nextQuery   time.Duration // when other proxies are asked next
+	nextPlan    time.Duration // when the shares are updated next
+	hasLease    bool
+	hasList     bool
+	startTimes  []time.Duration // of the backends in service, as far as they are trusted, on the clock of this Core
+	maxBackends int             // the most backends that were in service at any one time
+	byValue     []int           // indexes of the classes, most valuable first
+	counts      []Count         // since the last update of the shares, by class
+	shares      []float64
+}
+
+// New returns the Core of a proxy that starts now.
 func New(now time.Duration, s Settings, seed uint64, host Host) *Core {
 	c := &Core{
-		set: s, host: host, rng: rand.New(rand.NewPCG(seed, s.InstanceID)), began: now, now: now, since: now, peers: map[string]peer{}, ask: now, plan: now,
+		settings: s, host: host, rng: rand.New(rand.NewPCG(seed, s.InstanceID)), startedAt: now, now: now, stepStart: now, peers: map[string]peer{}, nextQuery: now, nextPlan: now,
 		counts: make([]Count, len(s.Classes)), shares: make([]float64, len(s.Classes)),
 	}
 	for i := range s.Classes {
-		c.order = append(c.order, i)
+		c.byValue = append(c.byValue, i)
 	}
-	slices.SortStableFunc(c.order, func(a, b int) int { return cmp.Compare(s.Classes[b].Value, s.Classes[a].Value) })
+	slices.SortStableFunc(c.byValue, func(a, b int) int { return cmp.Compare(s.Classes[b].Value, s.Classes[a].Value) })
 	c.advance()
 	return c
 }
 
-// Next is when Wake is to be called at the latest.
+// Next returns when Tick must be called at the latest.
 func (c *Core) Next() time.Duration {
-	next := c.since + planEvery
+	next := c.stepStart + planInterval
 	switch c.step {
 	case Peers:
-		next = c.since + c.set.Times.Peers
+		next = c.stepStart + c.settings.Times.Peers
 	case Rules:
-		next = c.since + c.set.Times.Rules
+		next = c.stepStart + c.settings.Times.Rules
 	case Lists:
-		next = c.since + c.set.Times.Lists
+		next = c.stepStart + c.settings.Times.Lists
 	case Admitting:
-		next = c.plan
+		next = c.nextPlan
 	case Done:
 		return c.now + time.Hour
 	}
-	if !c.set.Standalone {
-		next = min(next, c.ask)
+	if !c.settings.Standalone {
+		next = min(next, c.nextQuery)
 	}
 	return next
 }
 
-// Wake does what is due.
+// Tick performs the actions that are due.
 func (c *Core) Tick(now time.Duration) {
 	c.now = now
-	if !c.set.Standalone && now >= c.ask && c.step != Done {
-		c.askOthers()
+	if !c.settings.Standalone && now >= c.nextQuery && c.step != Done {
+		c.queryPeers()
 	}
 	c.advance()
 }
 
-// askOthers tells some of the others of this start; each answers.
-func (c *Core) askOthers() {
-	every := followEvery
+// queryPeers reports this start to some of the other proxies; each of them answers.
+func (c *Core) queryPeers() {
+	interval := lateQueryInterval
 	if c.step == Peers {
-		every = askEvery
+		interval = queryInterval
 	}
-	c.ask = c.now + every - time.Duration(c.rng.Float64()*float64(every)/4)
-	some := slices.Clone(c.members)
-	c.rng.Shuffle(len(some), func(i, j int) { some[i], some[j] = some[j], some[i] })
-	for _, name := range some[:min(len(some), askMost)] {
+	c.nextQuery = c.now + interval - time.Duration(c.rng.Float64()*float64(interval)/4)
+	queried := slices.Clone(c.members)
+	c.rng.Shuffle(len(queried), func(i, j int) { queried[i], queried[j] = queried[j], queried[i] })
+	for _, name := range queried[:min(len(queried), maxQueriedPeers)] {
 		c.host.SendReport(name, c.report(false))
 	}
 }
 
 func (c *Core) report(reply bool) *Report {
-	return &Report{Name: c.set.Name, InstanceID: c.set.InstanceID, Uptime: c.now - c.began, Step: c.step, Kind: c.kind, AdmittingFor: c.opened(), Reply: reply}
+	return &Report{Name: c.settings.Name, InstanceID: c.settings.InstanceID, Uptime: c.now - c.startedAt, Step: c.step, Kind: c.kind, AdmittingFor: c.admittingFor(), Reply: reply}
 }
 
-// opened is for how long the first proxy of this return that is known of has been letting classes in; 0 while none is.
-func (c *Core) opened() (longest time.Duration) {
+// admittingFor returns how long the first known proxy of this fleet restart has been admitting classes; 0 if none is.
+func (c *Core) admittingFor() (longest time.Duration) {
 	if c.step == Admitting {
-		longest = c.now - c.since
+		longest = c.now - c.stepStart
 	}
 	if c.kind != FleetRestart {
 		return longest
 	}
 	for _, p := range c.peers {
-		if p.kind == FleetRestart && p.open > 0 && p.step != Done {
-			longest = max(longest, p.open+c.now-p.at)
+		if p.kind == FleetRestart && p.admittingFor > 0 && p.step != Done {
+			longest = max(longest, p.admittingFor+c.now-p.receivedAt)
 		}
 	}
 	return longest
 }
 
-// SetMembers says who else is held to live, by name.
+// SetMembers sets the names of the proxies that are considered alive.
 func (c *Core) SetMembers(now time.Duration, names []string) {
 	c.now = now
-	c.members = slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == c.set.Name })
+	c.members = slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == c.settings.Name })
 	if c.step == Peers {
-		c.ask = min(c.ask, now) // somebody new may know
+		c.nextQuery = min(c.nextQuery, now) // a new member may know of running proxies
 	}
 }
 
-// Heard takes in another proxy's report.
+// ReceiveReport processes another proxy's report.
 func (c *Core) ReceiveReport(now time.Duration, r *Report) {
 	c.now = now
-	if r.Name == c.set.Name {
-		return // another process under this name: the view tells of it
+	if r.Name == c.settings.Name {
+		return // another process with this name; the membership view reports it
 	}
-	if _, known := c.peers[r.Name]; known || len(c.peers) < mostPeers {
-		c.peers[r.Name] = peer{boot: r.InstanceID, up: r.Uptime, step: r.Step, kind: r.Kind, open: r.AdmittingFor, at: now}
+	if _, known := c.peers[r.Name]; known || len(c.peers) < maxPeers {
+		c.peers[r.Name] = peer{instanceID: r.InstanceID, uptime: r.Uptime, step: r.Step, kind: r.Kind, admittingFor: r.AdmittingFor, receivedAt: now}
 	}
 	if !r.Reply {
 		c.host.SendReport(r.Name, c.report(true))
@@ -286,22 +285,23 @@
 	c.advance()
 }
 
-// Leased says that rules which keepers vouch for are acted on.
+// SetLeased records that this proxy holds a lease on the agreed rules.
 func (c *Core) SetLeased(now time.Duration) {
-	c.now, c.leased = now, true
+	c.now, c.hasLease = now, true
 	c.advance()
 }
 
-// Listed says that discovery has told a list, and when the backends in service were born, as far as that is believed.
-func (c *Core) SetList(now time.Duration, fresh bool, births []time.Duration) {
+// SetList records the start times of the backends in service, as far as they are trusted. fresh says whether the list came from
+// discovery during this start.
+func (c *Core) SetList(now time.Duration, fresh bool, startTimes []time.Duration) {
 	c.now = now
-	c.listed = c.listed || fresh
-	c.births = births
-	c.most = max(c.most, len(births))
+	c.hasList = c.hasList || fresh
+	c.startTimes = startTimes
+	c.maxBackends = max(c.maxBackends, len(startTimes))
 	c.advance()
 }
 
-// Counted takes in what has become of requests since it was called last, by class.
+// AddCounts adds the outcomes of requests since its last call, by class.
 func (c *Core) AddCounts(now time.Duration, counts []Count) {
 	c.now = now
 	for i := range min(len(counts), len(c.counts)) {
@@ -310,33 +310,33 @@
 	}
 }
 
-// advance takes the steps that are due.
+// advance performs the step changes that are due.
 func (c *Core) advance() {
 	for {
 		before := c.step
 		switch c.step {
 		case Peers:
-			c.decide()
+			c.decideKind()
 		case Rules:
-			switch late := c.now-c.since >= c.set.Times.Rules; {
-			case !c.set.UsesRules:
-				c.move(Lists, "no rules are agreed on")
-			case c.leased:
-				c.move(Lists, "holds a lease on the agreed rules")
+			switch late := c.now-c.stepStart >= c.settings.Times.Rules; {
+			case !c.settings.UsesRules:
+				c.setStep(Lists, "the fleet agrees on no rules")
+			case c.hasLease:
+				c.setStep(Lists, "holds a lease on the agreed rules")
 			case late:
-				c.move(Lists, "no keeper vouches for the rules in time: goes on carefully with those from before")
+				c.setStep(Lists, "no voter granted a lease in time: continues cautiously with the saved rules")
 			}
 		case Lists:
-			switch late := c.now-c.since >= c.set.Times.Lists; {
-			case c.listed:
-				c.open("discovery has told a list")
-			case late && len(c.births) > 0:
-				c.open("discovery tells no list in time: goes on with the one from before")
+			switch late := c.now-c.stepStart >= c.settings.Times.Lists; {
+			case c.hasList:
+				c.startAdmitting("discovery sent a list")
+			case late && len(c.startTimes) > 0:
+				c.startAdmitting("discovery sent no list in time: continues with the saved one")
 			case late:
-				c.open("there is no list, of any age: opens when one comes")
+				c.startAdmitting("there is no list, not even a saved one: admits classes once a list arrives")
 			}
 		case Admitting:
-			c.admit()
+			c.updateShares()
 		}
 		if c.step == before {
 			return
@@ -344,169 +344,171 @@
 	}
 }
 
-func (c *Core) move(to Step, why string) {
-	c.step, c.since, c.why = to, c.now, why
+func (c *Core) setStep(to Step, why string) {
+	c.step, c.stepStart, c.why = to, c.now, why
 	c.host.StepChanged(to, why)
 }
 
-// decide says what this start is one of, as soon as that is clear or others have been asked for long enough.
-func (c *Core) decide() {
-	late := c.now-c.since >= c.set.Times.Peers
-	old, young := 0, 0
+// decideKind sets the kind of this start as soon as it is clear or the time to ask other proxies is over.
+func (c *Core) decideKind() {
+	late := c.now-c.stepStart >= c.settings.Times.Peers
+	running, justStarted := 0, 0
 	for _, p := range c.peers {
-		// Who has just started and found that the fleet runs on is as good as one that has: a rolling restart is no return.
-		if p.kind == Restart || p.up+c.now-p.at >= c.set.Times.JustStarted && (p.kind != FleetRestart || p.step == Done) {
-			old++
+		// A proxy that has just started and found the fleet running counts as running: a rolling restart is not a fleet restart.
+		if p.kind == Restart || p.uptime+c.now-p.receivedAt >= c.settings.Times.JustStarted && (p.kind != FleetRestart || p.step == Done) {
+			running++
 		} else {
-			young++
+			justStarted++
 		}
 	}
 	switch {
-	case c.set.NoFleetRestart:
-		c.begin(Restart, "returns are not told from restarts")
-	case c.set.Standalone && c.set.SameMachineBoot:
-		c.begin(Restart, "there are no others, and this machine has kept its power")
-	case c.set.Standalone:
-		c.begin(FleetRestart, "there are no others, and this machine may have lost its power")
-	case old > young && 2*(old+young) > len(c.members) && len(c.members) > 0:
-		c.begin(Restart, fmt.Sprintf("%d of %d others that were heard have been running on", old, old+young))
-	case old == 0 && c.set.FleetSize > 1 && 2*(young+1) > c.set.FleetSize:
-		c.begin(FleetRestart, fmt.Sprintf("%d others of %d have just started too, which are most", young, c.set.FleetSize))
-	case late && old > young:
-		c.begin(Restart, fmt.Sprintf("%d of %d others that were heard have been running on", old, old+young))
-	case late && old+young > 0:
-		c.begin(FleetRestart, fmt.Sprintf("%d of %d others that were heard have just started too", young, old+young))
+	case c.settings.NoFleetRestart:
+		c.setKind(Restart, "fleet restarts are not detected")
+	case c.settings.Standalone && c.settings.SameMachineBoot:
+		c.setKind(Restart, "there are no other proxies, and this machine was not rebooted")
+	case c.settings.Standalone:
+		c.setKind(FleetRestart, "there are no other proxies, and this machine may have lost power")
+	case running > justStarted && 2*(running+justStarted) > len(c.members) && len(c.members) > 0:
+		c.setKind(Restart, fmt.Sprintf("%d of the %d other proxies that reported were already running", running, running+justStarted))
+	case running == 0 && c.settings.FleetSize > 1 && 2*(justStarted+1) > c.settings.FleetSize:
+		c.setKind(FleetRestart, fmt.Sprintf("%d other proxies of a fleet of %d have just started too: a majority, with this one", justStarted, c.settings.FleetSize))
+	case late && running > justStarted:
+		c.setKind(Restart, fmt.Sprintf("%d of the %d other proxies that reported were already running", running, running+justStarted))
+	case late && running+justStarted > 0:
+		c.setKind(FleetRestart, fmt.Sprintf("%d of the %d other proxies that reported have just started too", justStarted, running+justStarted))
 	case late:
-		// Nobody alone believes that it is alone: the others may be behind a cut, and come back just now.
-		c.begin(FleetRestart, "no other was heard")
+		// A proxy that gets no report does not conclude that it alone restarted: the others may be in another network partition, and
+		// be starting at this moment.
+		c.setKind(FleetRestart, "no other proxy reported")
 	}
 }
 
-func (c *Core) begin(k Kind, why string) {
+func (c *Core) setKind(k Kind, why string) {
 	c.kind = k
-	c.host.RestoreState(k, c.opened())
-	c.move(Rules, why)
+	c.host.RestoreState(k, c.admittingFor())
+	c.setStep(Rules, why)
 }
 
-// open begins to let classes in.
-func (c *Core) open(why string) {
-	if c.kind == Restart || c.set.NoStagedAdmission {
-		// Backends are warm, or found to be cold one by one, and others serve beside.
-		c.letIn(func(int) float64 { return 1 })
-		c.move(Done, why)
+// startAdmitting begins to admit requests.
+func (c *Core) startAdmitting(why string) {
+	if c.kind == Restart || c.settings.NoStagedAdmission {
+		// Backends are warm, or are found to be cold one by one, and the other proxies serve too.
+		c.setShares(func(int) float64 { return 1 })
+		c.setStep(Done, why)
 		return
 	}
-	c.plan = c.now
-	c.move(Admitting, why)
+	c.nextPlan = c.now
+	c.setStep(Admitting, why)
 }
 
-// bound is how long classes are let in one after another.
-func (c *Core) bound() time.Duration {
-	return time.Duration(c.set.Times.WarmUpFactor * float64(c.set.WarmUp))
+// maxAdmitting returns the time limit of Admitting, in which classes are admitted one after another.
+func (c *Core) maxAdmitting() time.Duration {
+	return time.Duration(c.settings.Times.WarmUpFactor * float64(c.settings.WarmUp))
 }
 
-// admit lets classes in, the worthiest first: at first as much as the backends are thought to take, and then more while nothing of
-// what is let in is lost, and less of the lesser classes where a worthier one loses.
+// updateShares admits classes, the most valuable first. It starts with the estimated capacity of the backends, raises the shares while
+// no class is overloaded, and lowers those of all classes less valuable than an overloaded one.
 //
-// It guards cold backends against all callers who come back in one second, and holds against the searches among them. What the
-// backends can do is known only by a guess, so it is found out as TCP finds a path's rate (additive increase, multiplicative decrease;
-// Chiu and Jain 1989). It harms where requests are lost for another cause than want of room: then lesser classes wait until the
-// stated end in vain.
-func (c *Core) admit() {
-	if c.now < c.plan {
+// It protects cold backends when all callers return within one second, and protects requests of a valuable class, such as holds, from
+// a surge of less valuable ones, such as searches. The capacity of the backends is only an estimate, so the shares are adjusted as TCP
+// adjusts its rate (additive increase, multiplicative decrease; Chiu and Jain 1989). The drawback: if requests fail for another reason
+// than lack of capacity, less valuable classes wait until the time limit for no benefit.
+func (c *Core) updateShares() {
+	if c.now < c.nextPlan {
 		return
 	}
-	c.plan = c.now + planEvery
+	c.nextPlan = c.now + planInterval
 	counts := c.counts
 	c.counts = make([]Count, len(counts))
 	switch {
-	case c.now-c.since >= c.bound():
-		c.letIn(func(int) float64 { return 1 })
-		c.move(Done, "the backends have had the time to get warm")
+	case c.now-c.stepStart >= c.maxAdmitting():
+		c.setShares(func(int) float64 { return 1 })
+		c.setStep(Done, "the time limit for the warm-up of the backends is over")
 		return
-	case c.level() >= 1:
-		c.letIn(func(int) float64 { return 1 })
-		c.move(Done, "the backends are warm")
+	case c.capacity() >= 1:
+		c.setShares(func(int) float64 { return 1 })
+		c.setStep(Done, "the backends are warm")
 		return
 	case slices.Max(c.shares) == 0:
-		c.guess()
+		c.setInitialShares()
 		return
 	}
-	trouble := len(c.order)
-	for place, class := range c.order {
-		if n := counts[class]; n.Admitted >= fewest && n.Failed > troubled*n.Admitted {
-			trouble = place
+	overloaded := len(c.byValue)
+	for place, class := range c.byValue {
+		if n := counts[class]; n.Admitted >= minSamples && n.Failed > overloadRatio*n.Admitted {
+			overloaded = place
 			break
 		}
 	}
 	growing := true
-	c.letIn(func(place int) float64 {
-		share := c.shares[c.order[place]]
+	c.setShares(func(place int) float64 {
+		share := c.shares[c.byValue[place]]
 		switch {
-		case place > trouble:
-			return max(share*shutShare, trickle)
-		case place == trouble || !growing:
+		case place > overloaded:
+			return max(share*shareBackoff, minShare)
+		case place == overloaded || !growing:
 			return share
 		case share < 1:
-			growing = false // lesser ones wait until this one is wholly in
-			return min(share+openStep, 1)
+			growing = false // less valuable classes wait until this one is admitted in full
+			return min(share+shareStep, 1)
 		}
 		return share
 	})
 }
 
-// guess lets in what was asked for before, as far as the backends are thought to take it by now if they took all of it before.
-func (c *Core) guess() {
-	level, before := c.level(), 0.0
-	for _, d := range c.set.Demand {
-		before += d
+// setInitialShares admits the demand from before the start, up to the estimated current capacity of the backends. The estimate assumes
+// that the warm backends could serve all of that demand.
+func (c *Core) setInitialShares() {
+	capacity, total := c.capacity(), 0.0
+	for _, d := range c.settings.Demand {
+		total += d
 	}
-	left := headroom * level * before
-	c.letIn(func(place int) float64 {
-		if place == 0 && before == 0 {
-			return 1 // nothing is known: the worthiest alone
+	remaining := headroom * capacity * total
+	c.setShares(func(place int) float64 {
+		if place == 0 && total == 0 {
+			return 1 // the demand is unknown: only the most valuable class
 		}
-		wants := 0.0
-		if class := c.order[place]; class < len(c.set.Demand) {
-			wants = c.set.Demand[class]
+		wanted := 0.0
+		if class := c.byValue[place]; class < len(c.settings.Demand) {
+			wanted = c.settings.Demand[class]
 		}
-		share := trickle
-		if wants > 0 {
-			share = min(max(left/wants, trickle), 1)
+		share := minShare
+		if wanted > 0 {
+			share = min(max(remaining/wanted, minShare), 1)
 		}
-		left = max(left-wants, 0)
+		remaining = max(remaining-wanted, 0)
 		return share
 	})
 }
 
-// level is what the backends can do by now, of what all of them do warm.
-func (c *Core) level() float64 {
-	if c.most == 0 {
+// capacity returns the estimated current capacity of the backends, as a share of the capacity of all of them when warm.
+func (c *Core) capacity() float64 {
+	if c.maxBackends == 0 {
 		return 0
 	}
 	sum := 0.0
-	for _, born := range c.births {
+	for _, startTime := range c.startTimes {
 		warm := 1.0
-		if c.set.WarmUp > 0 {
-			warm = min(max(float64(c.now-born)/float64(c.set.WarmUp), 0), 1)
+		if c.settings.WarmUp > 0 {
+			warm = min(max(float64(c.now-startTime)/float64(c.settings.WarmUp), 0), 1)
 		}
-		sum += c.set.ColdCapacity + (1-c.set.ColdCapacity)*warm
+		sum += c.settings.ColdCapacity + (1-c.settings.ColdCapacity)*warm
 	}
-	level := sum / float64(c.most)
-	if c.set.WarmUp > 0 {
-		// All follow the one that began first, so that who starts late does not hold back what others let in.
-		level = max(level, c.set.ColdCapacity+(1-c.set.ColdCapacity)*min(float64(c.opened())/float64(c.set.WarmUp), 1)*float64(len(c.births))/float64(c.most))
+	capacity := sum / float64(c.maxBackends)
+	if c.settings.WarmUp > 0 {
+		// All proxies follow the one that began to admit first, so that one that starts late does not admit less than the others.
+		capacity = max(capacity, c.settings.ColdCapacity+(1-c.settings.ColdCapacity)*min(float64(c.admittingFor())/float64(c.settings.WarmUp), 1)*float64(len(c.startTimes))/float64(c.maxBackends))
 	}
-	return level
+	return capacity
 }
 
-// letIn sets the shares by the classes' places in the order of worth. No class has more than a worthier one.
-func (c *Core) letIn(share func(place int) float64) {
-	shares := make([]float64, len(c.order))
-	most := 1.0
-	for place, class := range c.order {
-		most = min(most, share(place))
-		shares[class] = most
+// setShares sets the shares by the classes' places in the order of value. No class gets a higher share than a more valuable one.
+func (c *Core) setShares(share func(place int) float64) {
+	shares := make([]float64, len(c.byValue))
+	limit := 1.0
+	for place, class := range c.byValue {
+		limit = min(limit, share(place))
+		shares[class] = limit
 	}
 	if !slices.Equal(shares, c.shares) {
 		c.shares = shares
@@ -514,29 +516,29 @@
 	}
 }
 
-// Status is how a proxy has come back, for people.
+// Status is the state of the recovery, for operators.
 type Status struct {
 	Step         Step
 	Kind         Kind
-	Why          string        // of the last step
-	InStep       time.Duration // in this step
-	MaxRemaining time.Duration // from now, when the step is over at the latest; 0 for a step that waits for nothing
-	Capacity     float64       // what the backends can do by now, as far as known
+	Why          string        // reason for the last step change
+	InStep       time.Duration // time spent in this step
+	MaxRemaining time.Duration // time until the step ends at the latest; 0 for a step without a limit
+	Capacity     float64       // estimated current capacity of the backends, 1 when all are warm
 	Shares       []float64     // by class
-	JustStarted  int           // others that have just started
-	Running      int
+	JustStarted  int           // other proxies that have just started
+	Running      int           // other proxies that were running before
 }
 
-// Status says how far this proxy has come back.
+// Status returns the state of the recovery.
 func (c *Core) Status(now time.Duration) Status {
 	c.now = now
-	s := Status{Step: c.step, Kind: c.kind, Why: c.why, InStep: now - c.since, Capacity: c.level(), Shares: c.shares}
-	bound := map[Step]time.Duration{Peers: c.set.Times.Peers, Rules: c.set.Times.Rules, Lists: c.set.Times.Lists, Admitting: c.bound()}[c.step]
-	if bound > 0 {
-		s.MaxRemaining = max(bound-s.InStep, 0)
+	s := Status{Step: c.step, Kind: c.kind, Why: c.why, InStep: now - c.stepStart, Capacity: c.capacity(), Shares: c.shares}
+	limit := map[Step]time.Duration{Peers: c.settings.Times.Peers, Rules: c.settings.Times.Rules, Lists: c.settings.Times.Lists, Admitting: c.maxAdmitting()}[c.step]
+	if limit > 0 {
+		s.MaxRemaining = max(limit-s.InStep, 0)
 	}
 	for _, p := range c.peers {
-		if p.up+now-p.at >= c.set.Times.JustStarted {
+		if p.uptime+now-p.receivedAt >= c.settings.Times.JustStarted {
 			s.Running++
 		} else {
 			s.JustStarted++
@@ -545,5 +547,5 @@
 	return s
 }
 
-// Step is how far this proxy has come back.
+// Step returns the current step.
 func (c *Core) Step() Step { return c.step }
