--- a/internal/backends/options.go
+++ b/internal/backends/options.go
@@ -30,15 +30,15 @@
 func (o *Options) Section() operator.Section {
 	return operator.Section{
 		Name:   "backends",
-		Doc:    "What is expected of backends' answers and connections.",
-		Absent: "the defaults hold.",
+		Doc:    "Time limits for backends' responses and connections.",
+		Absent: "the defaults apply.",
 		Keys: []operator.Key{
 			operator.Duration("answer_timeout", &o.AnswerTimeout, 10*time.Millisecond, time.Minute,
-				"How long an answer that has begun may be silent before it is given up. Raise it for backends that send an answer as they compute it.").OnReload(),
+				"How long a response may stall after it has begun before it is abandoned. Raise it for backends that send a response while they compute it.").OnReload(),
 			operator.Duration("stream_silence", &o.StreamIdleTimeout, 100*time.Millisecond, time.Hour,
-				"How long a backend may be silent, or take nothing, within a message over 64 KiB, which is passed on while it comes.").OnReload(),
+				"How long a backend may send nothing, or accept nothing, within a message over 64 KiB, which is streamed.").OnReload(),
 			operator.Duration("settle", &o.SettleTime, 0, time.Second,
-				"How long a connection rests after an answer, so that stray bytes behind it cannot pass for the next one. 0 trusts the backends.").OnReload(),
+				"How long a connection stays unused after a response, so that excess bytes after it cannot be mistaken for the next response. 0 trusts the backends to send none.").OnReload(),
 		},
 	}
 }
--- a/internal/cluster/agreement/options.go
+++ b/internal/cluster/agreement/options.go
@@ -37,16 +37,16 @@
 func (o *Options) Section() operator.Section {
 	return operator.Section{
 		Name:    "rules",
-		Doc:     "Rules that the proxies of the fleet agree on: backends taken out everywhere, and settings with versions. It needs [fleet].",
-		Absent:  "this proxy acts on its own files and on what is said at its own console.",
+		Doc:     "Rules that the proxies of the fleet agree on: backends taken out everywhere, and settings with versions. It requires [fleet].",
+		Absent:  "this proxy uses only its own files and the commands given at its own console.",
 		Present: &o.Enabled,
 		Keys: []operator.Key{
-			operator.List("keepers", &o.Voters, checkVoterName, "The names of 3, 5 or 7 proxies that hold the rules, the same list in the same order at all. The first founds. Put them where they do not fail together.").MustBeSet(),
-			operator.Path("folder", &o.Folder, "A folder that lasts, of this proxy alone. A keeper needs it; others know from it at a start what they last acted on.").MustBeSet(),
-			operator.Duration("lease", &o.Lease, 500*time.Millisecond, time.Minute, "How long a proxy acts on rules that no keeper has vouched for since; the same at all. A shorter one makes changes quicker while a proxy is lost, and costs more messages."),
-			operator.Float("list_drop", &o.MaxListDrop, 0.01, 1, "The share of the backends in service that lists may leave out within a minute. What leaves out more is held back, and all are gone on with, until ctl rules drop accepts it, they are listed again, or traffic finds them gone. Backends that drain are always left at once. 1 holds nothing back."),
-			operator.Bool("numbers", &o.AssignNumbers, "The proxies' own numbers, by which each cuts its backends, follow who lives: 10 s after some have died or come back, the free numbers are dealt out anew. Set it alike at all keepers."),
-			operator.Choice("without_lease", &o.WithoutLease, []string{Serve, Refuse}, "What a proxy does whose lease has run out. serve: it goes on with what it last knew, and repeats no request that may have run. refuse: it refuses all, so that it can never act against a newer rule."),
+			operator.List("keepers", &o.Voters, checkVoterName, "The names of the 3, 5 or 7 proxies that store the rules and vote on them, the same list in the same order at all proxies. The first one creates the log of the rules. Place them where they do not fail together.").MustBeSet(),
+			operator.Path("folder", &o.Folder, "A persistent folder, used by this proxy alone. A keeper requires it; other proxies read from it at a start which rules they last applied.").MustBeSet(),
+			operator.Duration("lease", &o.Lease, 500*time.Millisecond, time.Minute, "How long a proxy applies rules without a renewal from the keepers; the same at all proxies. A shorter lease makes changes faster while a proxy is unreachable, and costs more messages."),
+			operator.Float("list_drop", &o.MaxListDrop, 0.01, 1, "The share of the backends in service that lists may leave out within a minute. If they leave out more, the missing backends are all kept in use until ctl rules drop accepts their removal, they are listed again, or traffic shows that they are gone. Backends that the list marks as draining are always left at once. 1 switches this off."),
+			operator.Bool("numbers", &o.AssignNumbers, "Whether the proxies' own numbers, from which each computes its subset of the backends, follow which proxies are alive: 10 s after some have failed or returned, the free numbers are reassigned. Set it to the same value at all keepers."),
+			operator.Choice("without_lease", &o.WithoutLease, []string{Serve, Refuse}, "What a proxy does once its lease has expired. serve: it continues with the rules that it last knew, and repeats no request that may have been executed. refuse: it refuses all requests, so that it can never violate a newer rule."),
 		},
 		Check: o.check,
 	}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -26,7 +26,7 @@
 	Values    operator.Values // what the file sets
 }
 
-// Listener is a further place to take requests, with a balancer and a server list of its own.
+// Listener is an additional address to accept requests at, with its own balancer and server list.
 type Listener struct {
 	Name, Listen, Discovery string
 	Settings                string  // a file with its settings object; "" for those of the first listener
@@ -55,7 +55,7 @@
 	check := s.Check
 	s.Check = func() []operator.Problem {
 		if o.Fleet.Name == "" {
-			return []operator.Problem{{Key: "keepers", Text: "there is no [fleet] before this section, over which proxies could agree; add it above"}}
+			return []operator.Problem{{Key: "keepers", Text: "there is no [fleet] before this section, and proxies need it to agree; add it above"}}
 		}
 		return check()
 	}
@@ -65,17 +65,17 @@
 func (o *Operator) listeners() operator.Section {
 	return operator.Section{
 		Name:       "listener",
-		Doc:        "A further place to take requests, with a balancer and a server list of its own. The listeners share nothing but the process.",
-		Absent:     "the proxy listens where the platform says, and nowhere else.",
+		Doc:        "An additional address to accept requests at, with its own balancer and server list. Listeners share only the process.",
+		Absent:     "the proxy listens only at the address that the platform sets.",
 		MostTables: mostListeners,
 		Each: func() ([]operator.Key, func() []operator.Problem) {
 			l := &Listener{Share: 0.25}
 			return []operator.Key{
-				operator.Name("name", &l.Name, "What logs call it.").MustBeSet(),
-				operator.Address("listen", &l.Listen, "Where callers connect.").MustBeSet(),
-				operator.Address("discovery", &l.Discovery, "Where its server list comes from.").MustBeSet(),
-				operator.Path("settings", &l.Settings, "A JSON file with its settings object, in the platform's form; empty for the first listener's."),
-				operator.Float("share", &l.Share, 0.01, 0.9, "Its part of the process's memory and sockets."),
+				operator.Name("name", &l.Name, "Its name in logs.").MustBeSet(),
+				operator.Address("listen", &l.Listen, "The address at which callers connect.").MustBeSet(),
+				operator.Address("discovery", &l.Discovery, "The address of the discovery that provides its server list.").MustBeSet(),
+				operator.Path("settings", &l.Settings, "A JSON file with its settings object, in the platform's format; empty to use the first listener's."),
+				operator.Float("share", &l.Share, 0.01, 0.9, "Its share of the process's memory and sockets."),
 			}, func() []operator.Problem { return o.addListener(l) }
 		},
 	}
@@ -88,9 +88,9 @@
 		left -= other.Share
 		switch {
 		case other.Name == l.Name:
-			return []operator.Problem{{Key: "name", Text: fmt.Sprintf("%q is taken by another [[listener]]; name each differently", l.Name)}}
+			return []operator.Problem{{Key: "name", Text: fmt.Sprintf("%q is already the name of another [[listener]]; give each its own name", l.Name)}}
 		case other.Listen == l.Listen:
-			return []operator.Problem{{Key: "listen", Text: fmt.Sprintf("%s is taken by [[listener]] %s; give each its own", l.Listen, other.Name)}}
+			return []operator.Problem{{Key: "listen", Text: fmt.Sprintf("%s is already used by [[listener]] %s; give each its own", l.Listen, other.Name)}}
 		}
 	}
 	const rounding = 1e-9
--- a/internal/description/description.go
+++ b/internal/description/description.go
@@ -59,13 +59,13 @@
 	a := &r.d.App
 	a.Memory, a.Sockets = 64<<20, 512
 	return operator.Section{
-		Name: "app", Doc: "The application.", Absent: "the file is no description.",
+		Name: "app", Doc: "The application.", Absent: "the file is not a description.",
 		Keys: []operator.Key{
-			operator.Name("name", &r.d.Name, "What others call it.").MustBeSet(),
-			operator.Address("listen", &r.d.Listen, "Where the sidecar takes callers.").MustBeSet(),
-			operator.Address("serves", &r.d.Serves, "Where the application itself listens.").MustBeSet(),
-			operator.Size("memory", &a.Memory, 16<<20, 64<<30, "What the sidecar may use."),
-			operator.Int("sockets", &a.Sockets, 64, 1<<20, "Descriptors that the sidecar may hold."),
+			operator.Name("name", &r.d.Name, "Its name, by which others refer to it.").MustBeSet(),
+			operator.Address("listen", &r.d.Listen, "The address at which the sidecar accepts callers.").MustBeSet(),
+			operator.Address("serves", &r.d.Serves, "The address at which the application itself listens.").MustBeSet(),
+			operator.Size("memory", &a.Memory, 16<<20, 64<<30, "How much memory the sidecar may use."),
+			operator.Int("sockets", &a.Sockets, 64, 1<<20, "How many descriptors the sidecar may have open."),
 		},
 		Check: func() []operator.Problem {
 			var found []operator.Problem
@@ -101,24 +101,24 @@
 
 func (r *reading) routes() operator.Section {
 	return operator.Section{
-		Name: "route", Doc: "One kind of request and what it does.", Absent: "nothing is served.", MostTables: mostRoutes,
+		Name: "route", Doc: "One kind of request, and what it does.", Absent: "nothing is served.", MostTables: mostRoutes,
 		Each: func() ([]operator.Key, func() []operator.Problem) {
 			x, m, headers := &derive.Route{Wanted: time.Second, GiveUp: 2 * time.Second}, &route.Route{}, []string(nil)
 			return []operator.Key{
-					operator.Name("name", &x.Name, "What logs call it.").MustBeSet(),
-					operator.List("methods", &m.Methods, nil, "Its methods; none stands for all."),
-					operator.Text("path", &m.Path, "Its path, with {name} for one segment and {rest...} for all that follow.").MustBeSet(),
-					operator.List("headers", &headers, headerProblem, `Headers that it asks for, as "Name: value", or "Name" for any value.`),
-					operator.List("reads", &x.Reads, nil, "What it looks at."),
-					operator.List("writes", &x.Writes, nil, "What it changes."),
-					operator.Choice("repeat", &x.Repeat, []string{"", "safe", "keyed", "never"}, "What its people believe of repeating it; it is checked against what it writes."),
-					operator.Text("key", &x.Key, "The header with the key under which repeats are dropped."),
-					operator.Choice("group", &x.Group, []string{"", "all", "zone", "cell"}, "Which servers share what they know of keys."),
+					operator.Name("name", &x.Name, "Its name in logs.").MustBeSet(),
+					operator.List("methods", &m.Methods, nil, "Its methods; an empty list means all."),
+					operator.Text("path", &m.Path, "Its path, with {name} for one segment and {rest...} for all that follow it.").MustBeSet(),
+					operator.List("headers", &headers, headerProblem, `Headers that it requires, as "Name: value", or "Name" for any value.`),
+					operator.List("reads", &x.Reads, nil, "The data that it reads."),
+					operator.List("writes", &x.Writes, nil, "The data that it changes."),
+					operator.Choice("repeat", &x.Repeat, []string{"", "safe", "keyed", "never"}, "Whether its authors consider it safe to repeat; checked against what it writes."),
+					operator.Text("key", &x.Key, "The header with the key by which repeats are recognized and dropped."),
+					operator.Choice("group", &x.Group, []string{"", "all", "zone", "cell"}, "Which servers share their knowledge of keys."),
 					operator.Duration("window", &x.Window, 0, derive.MaxTime, "How long they remember a key."),
-					operator.Duration("wanted", &x.Wanted, derive.MinTime, derive.MaxTime, "An answer later than this is of no use.").MustBeSet(),
+					operator.Duration("wanted", &x.Wanted, derive.MinTime, derive.MaxTime, "The time after which a response is of no use.").MustBeSet(),
 					operator.Duration("give_up", &x.GiveUp, derive.MinTime, derive.MaxTime, "How long a caller waits.").MustBeSet(),
-					operator.Float("worth", &x.Value, 0, 1e6, "Against the other routes; 0 for derived."),
-					operator.Size("body", &x.Body, 0, 1<<30, "Its longest body."),
+					operator.Float("worth", &x.Value, 0, 1e6, "Its value relative to the other routes; 0 to derive it."),
+					operator.Size("body", &x.Body, 0, 1<<30, "The maximum size of its body."),
 					operator.List("uses", &x.Uses, nil, "Services that it calls, one after the other."),
 				}, func() []operator.Problem {
 					for _, h := range headers {
@@ -151,10 +151,10 @@
 			s, share := &Service{}, 0.0
 			return []operator.Key{
 					operator.Name("name", &s.Name, "Its name, which routes use.").MustBeSet(),
-					operator.Address("listen", &s.Listen, "Where the sidecar takes the application's calls to it.").MustBeSet(),
+					operator.Address("listen", &s.Listen, "The address at which the sidecar accepts the application's calls to it.").MustBeSet(),
 					operator.List("servers", &s.Servers, addressProblem, "Its servers."),
-					operator.Address("discovery", &s.Discovery, "Where its server list comes from, instead of servers."),
-					operator.Float("share", &share, 0, 1, "Its part of what the services may take of the sidecar; 0 for an even one."),
+					operator.Address("discovery", &s.Discovery, "The address of the discovery that provides its server list, instead of servers."),
+					operator.Float("share", &share, 0, 1, "Its share of what services may use of the sidecar; 0 for an equal share."),
 				}, func() []operator.Problem {
 					return r.addService(s, share)
 				}
@@ -191,7 +191,7 @@
 	known := len(s.Servers)
 	switch {
 	case s.Discovery != "" && known > 0:
-		wrong("servers", "both servers and discovery; which holds would be a guess; leave one out")
+		wrong("servers", "both servers and discovery; which one applies would be a guess; leave one out")
 	case s.Discovery == "" && known == 0:
 		wrong("servers", "neither servers nor discovery; every call would fail; list its servers or name its discovery")
 	}
--- a/internal/discovery/options.go
+++ b/internal/discovery/options.go
@@ -41,13 +41,13 @@
 func (o *Options) Section() operator.Section {
 	return operator.Section{
 		Name:   "discovery",
-		Doc:    "How the server list is asked for.",
-		Absent: "the defaults hold.",
+		Doc:    "How the server list is requested.",
+		Absent: "the defaults apply.",
 		Keys: []operator.Key{
 			operator.Duration("hold", &o.Hold, 50*time.Millisecond, time.Minute,
-				"How long a watch waits for news. Shorter finds a silent discovery sooner and costs it more calls.").OnReload(),
+				"How long a watch waits for a change. A shorter time detects an unresponsive discovery sooner and costs it more calls.").OnReload(),
 			operator.Duration("slack", &o.Slack, 50*time.Millisecond, 10*time.Second,
-				"How long after that a call counts as silent and is made again.").OnReload(),
+				"How long after hold a call without an answer counts as overdue and is made again.").OnReload(),
 		},
 		Check: func() []operator.Problem {
 			if most := notifiedWithin - answerReserve - plan.HedgeDelay; o.Hold+o.Slack > most {
--- a/internal/front/options.go
+++ b/internal/front/options.go
@@ -39,43 +39,43 @@
 func (o *Options) Section() operator.Section {
 	return operator.Section{
 		Name:   "callers",
-		Doc:    "How long callers may take, and how much they may send.",
-		Absent: "the defaults hold.",
+		Doc:    "Limits on how long callers may take and how much they may send.",
+		Absent: "the defaults apply.",
 		Keys: []operator.Key{
 			operator.Duration("head_timeout", &o.HeadTimeout, 50*time.Millisecond, time.Minute,
-				"How long a request's head may take, and how long a connection may stay silent at first."),
+				"How long a request's head may take, and how long a new connection may send nothing."),
 			operator.Duration("body_timeout", &o.BodyTimeout, 50*time.Millisecond, time.Minute,
-				"How long the body behind a head may bring nothing.").OnReload(),
+				"How long a request's body may stall.").OnReload(),
 			operator.Size("body_rate", &o.BodyRate, 1, 1<<30,
-				"How much of a body must come in a second, on the whole; a body that comes more slowly is given up.").OnReload(),
+				"How much of a body must arrive per second, on average; a slower body is abandoned.").OnReload(),
 			operator.Duration("body_grace", &o.BodyGrace, 0, time.Hour,
-				"How long a body may take beyond what body_rate allows.").OnReload(),
+				"How long a body may take in addition to the time that body_rate allows.").OnReload(),
 			operator.Duration("idle_timeout", &o.IdleTimeout, 100*time.Millisecond, time.Hour,
-				"How long a connection may idle between requests."),
+				"How long a connection may be idle between requests."),
 			operator.Duration("once_idle", &o.OnceIdle, 100*time.Millisecond, time.Hour,
-				"How long a connection that has carried a single request may idle once others come.").OnReload(),
+				"How long a connection that has carried a single request may be idle once new connections arrive.").OnReload(),
 			operator.Duration("park_after", &o.ParkAfter, 0, time.Hour,
-				"How long a connection idles before it is held without buffers and goroutines, for a dearer next request. 0 holds none so."),
+				"How long a connection is idle before it is parked, which frees its buffers and goroutines but makes its next request more expensive. 0 parks none."),
 			operator.Duration("write_timeout", &o.WriteTimeout, 50*time.Millisecond, time.Minute,
-				"How long a caller may leave its answer untaken.").OnReload(),
+				"How long a caller may leave its response unread.").OnReload(),
 			operator.Duration("stream_timeout", &o.StreamTimeout, 100*time.Millisecond, time.Hour,
-				"How long a caller may take nothing of an answer over 64 KiB, which is passed on while it comes.").OnReload(),
+				"How long a caller may read nothing of a response over 64 KiB, which is streamed.").OnReload(),
 			operator.Size("stream_rate", &o.StreamRate, 1, 1<<30,
-				"How much of such an answer a caller must take in a second, on the whole.").OnReload(),
-			operator.Size("max_head", &o.MaxHead, 1<<10, 1<<20, "The longest head of a request."),
+				"How much of a streamed response a caller must read per second, on average.").OnReload(),
+			operator.Size("max_head", &o.MaxHead, 1<<10, 1<<20, "The maximum size of a request's head."),
 		},
 		Check: func() []operator.Problem {
 			if o.ParkAfter >= o.IdleTimeout {
 				return []operator.Problem{{Key: "park_after", Text: "not below idle_timeout (" + o.IdleTimeout.String() +
-					"), so it would never count; lower it or raise idle_timeout"}}
+					"), so it would have no effect; lower it or raise idle_timeout"}}
 			}
 			if o.ParkAfter > 0 && o.ParkAfter < minParkAfter {
 				return []operator.Problem{{Key: "park_after", Text: "below " + minParkAfter.String() +
-					", so that callers who are about to ask again would be parked; raise it, or set 0 to park none"}}
+					", so connections whose callers are about to send another request would be parked; raise it, or set 0 to park none"}}
 			}
 			if o.OnceIdle > o.IdleTimeout {
 				return []operator.Problem{{Key: "once_idle", Text: "longer than idle_timeout (" + o.IdleTimeout.String() +
-					"), so it would never count; lower it or raise idle_timeout"}}
+					"), so it would have no effect; lower it or raise idle_timeout"}}
 			}
 			return nil
 		},
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -28,16 +28,16 @@
 	return operator.Section{
 		Name:   "log",
 		Doc:    "What is written to standard error, and how much of it.",
-		Absent: "the defaults hold.",
+		Absent: "the defaults apply.",
 		Keys: []operator.Key{
-			operator.Choice("level", &o.Level, []string{"debug", "info", "warn", "error"}, "The least level that is written.").OnReload(),
-			operator.Choice("format", &o.Format, []string{"text", "json"}, "Lines for people, or JSON for programs."),
-			operator.Int("per_second", &o.PerSecond, 1, 10000, "Lines a second; the others are counted and dropped.").OnReload(),
-			operator.Int("burst", &o.Burst, 1, 100000, "Lines at once.").OnReload(),
+			operator.Choice("level", &o.Level, []string{"debug", "info", "warn", "error"}, "The lowest level that is written.").OnReload(),
+			operator.Choice("format", &o.Format, []string{"text", "json"}, "Text lines for people, or JSON for programs."),
+			operator.Int("per_second", &o.PerSecond, 1, 10000, "How many lines may be written per second; the others are counted and dropped.").OnReload(),
+			operator.Int("burst", &o.Burst, 1, 100000, "How many lines may be written at once.").OnReload(),
 		},
 		Check: func() []operator.Problem {
 			if o.Burst < o.PerSecond {
-				return []operator.Problem{{Key: "burst", Text: "below per_second, so that many lines a second could never be written; raise it"}}
+				return []operator.Problem{{Key: "burst", Text: "below per_second, so that rate could never be reached; raise it"}}
 			}
 			return nil
 		},
--- a/internal/operator/parse.go
+++ b/internal/operator/parse.go
@@ -111,7 +111,7 @@
 		return
 	}
 	if at := tooDeep(p.text); at >= 0 {
-		p.find(at, "", "brackets are nested over %d deep; no setting needs more than one level", maxNesting)
+		p.find(at, "", "brackets are nested more than %d deep; no setting needs more than one level", maxNesting)
 		return
 	}
 	// The TOML parser ends at the first fault in the syntax. What stands on later lines is read all the same, so
@@ -245,13 +245,13 @@
 		p.find(at, "", "unknown section [%s]%s", name, p.didYouMeanSection(name))
 		return
 	case sec.Each == nil && array:
-		p.find(at, "", "[[%s]] where [%s] belongs: there is one of it", name, name)
+		p.find(at, "", "[[%s]] where [%s] is expected: the section occurs only once", name, name)
 		return
 	case sec.Each != nil && !array:
-		p.find(at, "", "[%s] where [[%s]] belongs: there may be several", name, name)
+		p.find(at, "", "[%s] where [[%s]] is expected: the section may occur several times", name, name)
 		return
 	case sec.Each == nil && p.tables[name] > 0:
-		p.find(at, "", "[%s] stands twice; put its keys into one table", name)
+		p.find(at, "", "[%s] occurs twice; put its keys into one table", name)
 		return
 	case sec.Each != nil && p.tables[name] >= sec.MostTables:
 		p.find(at, "", "more than %d [[%s]]", sec.MostTables, name)
@@ -303,14 +303,14 @@
 			p.find(at, "", "%s is a section; write it as [%s] on a line of its own", path[0], path[0])
 			return
 		}
-		p.find(at, "", "%s stands before any section%s", path[0], p.homeOf(path[0]))
+		p.find(at, "", "%s is set before any section%s", path[0], p.homeOf(path[0]))
 		return
 	case p.section == nil:
 		p.find(at, "", "%s: write its section as [%s] on a line of its own", strings.Join(path, "."), path[0])
 		return
 	case len(path) > 1:
 		p.unsound = true
-		p.find(at, "", "%s.%s: settings have no parts", p.path, strings.Join(path, "."))
+		p.find(at, "", "%s.%s: dotted keys are not allowed within a section", p.path, strings.Join(path, "."))
 		return
 	}
 	name, full := path[0], p.path+"."+path[0]
@@ -390,7 +390,7 @@
 	if near := nearest(name, known); near != "" {
 		return fmt.Sprintf("; did you mean [%s]?", near)
 	}
-	return "; known are " + strings.Join(known, ", ")
+	return "; known names are " + strings.Join(known, ", ")
 }
 
 func (p *parsing) didYouMeanKey(name string) string {
@@ -404,7 +404,7 @@
 	if home := p.homeOf(name); home != "" {
 		return home
 	}
-	return "; known are " + strings.Join(known, ", ")
+	return "; known names are " + strings.Join(known, ", ")
 }
 
 // homeOf says which section has a key of that name, if one does.
--- a/internal/operator/value.go
+++ b/internal/operator/value.go
@@ -47,7 +47,7 @@
 }
 
 func wrongType(t token, want kind, example string) string {
-	return fmt.Sprintf("%s where %s belongs; write one such as %s", t.kind, want, example)
+	return fmt.Sprintf("%s where %s is expected; write one such as %s", t.kind, want, example)
 }
 
 // Duration is a time with its unit, between least and most.
@@ -86,7 +86,7 @@
 	}
 	got, err := time.ParseDuration(t.text)
 	if err != nil {
-		return fmt.Sprintf("%q is no duration; units are ms, s, m and h, as in %s", t.text, d.example())
+		return fmt.Sprintf("%q is not a duration; units are ms, s, m and h, as in %s", t.text, d.example())
 	}
 	if got < d.least || got > d.most {
 		return fmt.Sprintf("%s is out of range; allowed is %s", t.text, d.allowed())
@@ -133,7 +133,7 @@
 	}
 	got, err := humanize.ParseBytes(t.text)
 	if err != nil || strings.ContainsAny(t.text, ", ") {
-		return fmt.Sprintf("%q is no size; units are B, KiB, MiB and GiB, as in %s", t.text, s.example())
+		return fmt.Sprintf("%q is not a size; units are B, KiB, MiB and GiB, as in %s", t.text, s.example())
 	}
 	if got > math.MaxInt64 || int64(got) < s.least || int64(got) > s.most {
 		return fmt.Sprintf("%s is out of range; allowed is %s", t.text, s.allowed())
@@ -287,7 +287,7 @@
 	}
 	_, port, err := net.SplitHostPort(t.text)
 	if n, portErr := strconv.ParseUint(port, 10, 16); err != nil || portErr != nil || n > math.MaxUint16 {
-		return fmt.Sprintf(`%q is no address; write host:port, such as "127.0.0.1:8080"`, t.text)
+		return fmt.Sprintf(`%q is not an address; write host:port, such as "127.0.0.1:8080"`, t.text)
 	}
 	*a = address(t.text)
 	return ""
@@ -318,14 +318,14 @@
 		return !(r >= 'a' && r <= 'z' || r >= '0' && r <= '9' || r == '-')
 	})
 	if !sound {
-		return fmt.Sprintf("%q is no name; allowed is %s", t.text, w.allowed())
+		return fmt.Sprintf("%q is not a valid name; allowed is %s", t.text, w.allowed())
 	}
 	*w = word(t.text)
 	return ""
 }
 
 func (w *word) typeName() string { return "name" }
-func (w *word) allowed() string  { return "a to z, 0 to 9 and -, from a letter, 40 at most" }
+func (w *word) allowed() string  { return "a to z, 0 to 9 and -, starting with a letter, 40 at most" }
 func (w *word) text() string     { return strconv.Quote(string(*w)) }
 func (w *word) schema() map[string]any {
 	return map[string]any{"type": "string", "pattern": `^[a-z][a-z0-9-]{0,39}$`}
@@ -346,12 +346,12 @@
 		return wrongType(t, aList, `["one", "two"]`)
 	}
 	if len(t.items) > maxItems {
-		return fmt.Sprintf("%d entries; allowed are %d at most", len(t.items), maxItems)
+		return fmt.Sprintf("%d entries; at most %d are allowed", len(t.items), maxItems)
 	}
 	got := make([]string, 0, len(t.items))
 	for i, item := range t.items {
 		if item.kind != aString {
-			return fmt.Sprintf("entry %d is %s where a string belongs", i+1, item.kind)
+			return fmt.Sprintf("entry %d is %s where a string is expected", i+1, item.kind)
 		}
 		if l.check != nil {
 			if problem := l.check(item.text); problem != "" {
@@ -391,7 +391,7 @@
 	case t.kind != aString:
 		return wrongType(t, aString, `"text"`)
 	case len(t.text) > maxPhrase:
-		return fmt.Sprintf("%d bytes; allowed are %d at most", len(t.text), maxPhrase)
+		return fmt.Sprintf("%d bytes; at most %d are allowed", len(t.text), maxPhrase)
 	}
 	*p = phrase(t.text)
 	return ""
@@ -418,7 +418,7 @@
 	case t.kind != aString:
 		return wrongType(t, "a file's name", `"/etc/brasswell/settings.json"`)
 	case len(t.text) > maxPath || strings.ContainsRune(t.text, 0):
-		return fmt.Sprintf("no file has such a name; allowed are %d bytes, none of them 0", maxPath)
+		return fmt.Sprintf("not a valid file name; at most %d bytes are allowed, none of them 0", maxPath)
 	}
 	*p = path(t.text)
 	return ""
