--- a/internal/channel/options.go
+++ b/internal/channel/options.go
@@ -52,7 +52,7 @@
 		Absent:  "requests for a channel are refused.",
 		Present: &o.Enabled,
 		Keys: []operator.Key{
-			operator.Int("most", &o.MaxChannels, 1, 1<<20, "How many channels may be open at one time. Each uses two sockets, and the limit must leave enough sockets for requests."),
+			operator.Int("most", &o.MaxChannels, 1, 1<<20, "How many channels may be open at one time. Each uses two sockets, of which the process's limit must leave enough for requests."),
 			operator.Int("tenant", &o.MaxTenantChannels, 0, 1<<20, "How many of them one tenant may have, and all callers without a known tenant together. 0 sets no limit."),
 			operator.Size("memory", &o.Memory, 64<<10, 1<<40, "How much memory all channels together may use for messages in transit. Senders wait while it is used up."),
 			operator.Size("socket_buffer", &o.SocketBuffer, 4<<10, 16<<20, "The size of the kernel's buffer for each socket and direction of a channel. An idle channel uses none of it."),
