--- a/internal/callers/listener.go
+++ b/internal/callers/listener.go
@@ -18,7 +18,7 @@
 	drained    atomic.Bool   // nothing more is accepted after Stop
 	closed     chan struct{} // closed by Close
 
-	// Begin of the first and end of the last pause in a run of temporary accept errors; used by Accept only.
+	// Start of the first and end of the last pause in a run of temporary accept errors; used by Accept only.
 	failuresBegin, failuresEnd time.Time
 	closeOnce                  sync.Once
 }
--- a/internal/proxy/recovery.go
+++ b/internal/proxy/recovery.go
@@ -16,7 +16,7 @@
 
 var _ recovery.Proxy = recoverySide{}
 
-// Begin restores the recovered state and begins to follow discovery. If discovery is followed already, its list is newer,
+// RestoreState restores the recovered state and begins to follow discovery. If discovery is followed already, its list is newer,
 // and only the bans are restored.
 func (s recoverySide) RestoreState(state handover.State, lost time.Duration) {
 	if s.followState.hasBegun() {
--- a/internal/rig/scale/result/result.go
+++ b/internal/rig/scale/result/result.go
@@ -112,7 +112,7 @@
 	Proposed int    `json:"proposed"`
 	Agreed   int    `json:"agreed"`
 	Never    int    `json:"never"` // agreed, and not in force at all reachable members when the run ended
-	// InForce is from the proposal until the last member that lives and can be reached acts on it alone; Known until the last one knows it.
+	// InForceS is from the proposal until the last member that lives and can be reached acts on it alone; KnownS until the last one knows it.
 	InForceS Quantiles `json:"in_force_s"`
 	KnownS   Quantiles `json:"known_s"`
 	// HealedS is from the end of a cut until the last member that was cut off acts on all changes.
--- a/internal/rig/soak/member.go
+++ b/internal/rig/soak/member.go
@@ -25,7 +25,7 @@
 	memoryMB               = 64
 	// addressesOfDiscovery is how many addresses discovery has for each process; new configurations name them in turn.
 	addressesOfDiscovery = 3
-	// killAfter a SIGTERM SIGKILL comes: the longest deadline and killSlack, as early as may be.
+	// SIGKILL comes after a SIGTERM by the longest deadline and killSlack, as early as may be.
 	killSlack = 700 * time.Millisecond
 	// comingTime is for how long after a SIGTERM new connections go on coming.
 	comingTime = 300 * time.Millisecond
