--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -114,7 +114,7 @@
 		first.OnMemoryShare = ownMemory
 		first.Inherited = os.NewFile(uintptr(c.SocketFD), "RELAY_SOCKET_FD")
 	}
-	if r.operator.Fleet.On {
+	if r.operator.Fleet.Enabled {
 		if r.fleet, err = r.join(c, first.HandoverDir != ""); err != nil {
 			return nil, err
 		}
@@ -124,7 +124,7 @@
 		o := &r.operator.Fleet
 		r.rules, err = agreement.Open(agreement.Config{
 			Options: r.operator.Rules, Fleet: o.Name, Name: c.Name, InstanceID: rand.Uint64(), Seed: c.SeedNumber, Log: r.log.Logger,
-		}, r.fleet.Part(cluster.RulesPart))
+		}, r.fleet.Endpoint(cluster.AgreementKind))
 		if err != nil {
 			r.fleet.Close(false)
 			return nil, err
@@ -165,7 +165,7 @@
 		return nil, err
 	}
 	if r.fleet != nil {
-		r.fleet.Follow(func(s view.Standing) {
+		r.fleet.Follow(func(s view.Snapshot) {
 			c := parts.Of(&s)
 			for _, p := range r.proxies {
 				p.SetFleet(c)
@@ -204,7 +204,7 @@
 		return nil, errors.New("[fleet]: a member needs a name; set RELAY_NAME, or name in the platform's file")
 	}
 	return cluster.Open(cluster.Config{
-		Options: r.operator.Fleet, Name: c.Name, Seed: c.SeedNumber, Boot: rand.Uint64(), Succeeds: upgrade, Log: r.log.Logger,
+		Options: r.operator.Fleet, Name: c.Name, Seed: c.SeedNumber, InstanceID: rand.Uint64(), ReplacesProcess: upgrade, Log: r.log.Logger,
 	})
 }
 
@@ -212,7 +212,7 @@
 func (r *running) revive(c *config.Platform, first proxy.Config) *recovery.Node {
 	var carrier cluster.Carrier
 	if r.fleet != nil {
-		carrier = r.fleet.Part(cluster.StartPart)
+		carrier = r.fleet.Endpoint(cluster.RecoveryKind)
 	}
 	return recovery.Open(recovery.Config{
 		Options: r.operator.Recovery, Name: c.Name, Boot: rand.Uint64(), Seed: c.SeedNumber, Instances: first.Settings.Balancer.Instances,
--- a/internal/cluster/agreement/node.go
+++ b/internal/cluster/agreement/node.go
@@ -328,7 +328,7 @@
 }
 
 // members takes in who of the fleet is there, and where.
-func (n *Node) members(s view.Standing) {
+func (n *Node) members(s view.Snapshot) {
 	addresses, living := s.Addresses()
 	n.addresses.Store(&addresses)
 	select {
@@ -350,7 +350,7 @@
 	CarryLatest(to, topic string, body []byte)
 }
 
-var _ latestCarrier = cluster.Part{}
+var _ latestCarrier = cluster.Endpoint{}
 
 func (h host) Send(to string, m *accord.Message) {
 	address := (*h.addresses.Load())[to]
--- a/internal/cluster/agreement/node_test.go
+++ b/internal/cluster/agreement/node_test.go
@@ -48,8 +48,8 @@
 	e.nodes[e.name] = take
 }
 
-func (e end) Follow(f func(view.Standing)) {
-	var s view.Standing
+func (e end) Follow(f func(view.Snapshot)) {
+	var s view.Snapshot
 	for _, n := range []string{"a", "b", "c", "d"} {
 		s.Members = append(s.Members, view.Member{Record: view.Record{Name: n, Address: n, State: view.Alive}})
 	}
--- a/internal/cluster/codec/codec.go
+++ b/internal/cluster/codec/codec.go
@@ -31,11 +31,11 @@
 	// Version of what this program writes. It reads its neighbours, older and newer, too.
 	Version = 1
 	// MostDatagram is the longest datagram: it fits one packet on the usual networks.
-	MostDatagram = 1200
+	MaxDatagramBytes = 1200
 	// MostParcel is the longest parcel: what another part of the program wants carried, unread.
-	MostParcel = 4 << 20
+	MaxPayloadBytes = 4 << 20
 	// MostTable is the longest table: 4,096 records of the longest kind.
-	MostTable = 1 << 20
+	MaxTableBytes = 1 << 20
 
 	first      = 1 // there is none before
 	headerSize = 20
@@ -44,11 +44,11 @@
 
 // What can be wrong with what has come.
 var (
-	ErrGarbage = errors.New("not a fleet's message")
-	ErrFleet   = errors.New("another fleet's")
-	ErrVersion = errors.New("of a version that this program does not read")
-	ErrTorn    = errors.New("damaged on the way: its checksum is wrong")
-	ErrLong    = errors.New("longer than allowed")
+	ErrMalformed  = errors.New("not a fleet's message")
+	ErrOtherFleet = errors.New("another fleet's")
+	ErrVersion    = errors.New("of a version that this program does not read")
+	ErrCorrupt    = errors.New("damaged on the way: its checksum is wrong")
+	ErrTooLong    = errors.New("longer than allowed")
 )
 
 var (
@@ -92,11 +92,11 @@
 func (c Codec) header(kind [3]byte, h []byte) (int, error) {
 	switch {
 	case len(h) < headerSize || [3]byte(h[:3]) != kind:
-		return 0, ErrGarbage
+		return 0, ErrMalformed
 	case h[3] < max(Version-1, first) || h[3] > Version+1:
 		return 0, fmt.Errorf("%w (%d; this is %d)", ErrVersion, h[3], Version)
 	case binary.BigEndian.Uint64(h[4:]) != c.fleet:
-		return 0, ErrFleet
+		return 0, ErrOtherFleet
 	}
 	return int(binary.BigEndian.Uint32(h[12:])), nil
 }
@@ -108,7 +108,7 @@
 	case err != nil:
 		return nil, err
 	case n != len(frame)-headerSize || sum(frame) != binary.BigEndian.Uint32(frame[16:]):
-		return nil, ErrTorn
+		return nil, ErrCorrupt
 	}
 	return frame[headerSize:], nil
 }
@@ -119,7 +119,7 @@
 		return err
 	}
 	if err := reading.Unmarshal(body, into); err != nil {
-		return fmt.Errorf("%w: %w", ErrGarbage, err)
+		return fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return nil
 }
@@ -131,7 +131,7 @@
 	case err != nil:
 		return nil, err
 	case n > most:
-		return nil, fmt.Errorf("%d bytes: %w", n, ErrLong)
+		return nil, fmt.Errorf("%d bytes: %w", n, ErrTooLong)
 	}
 	// The length is only said so far, so room is made as bytes come.
 	body, err := io.ReadAll(io.LimitReader(r, int64(n)))
@@ -142,62 +142,62 @@
 }
 
 // Message writes a datagram. News that do not fit are left out, the last ones first.
-func (c Codec) Message(m *view.Message) ([]byte, error) {
+func (c Codec) EncodeMessage(m *view.Message) ([]byte, error) {
 	for {
 		body, err := cbor.Marshal(m)
 		if err != nil {
 			return nil, fmt.Errorf("message: %w", err)
 		}
-		if headerSize+len(body) <= MostDatagram {
+		if headerSize+len(body) <= MaxDatagramBytes {
 			return c.frame(datagrams, body), nil
 		}
-		if len(m.News) == 0 {
-			return nil, fmt.Errorf("message: %w", ErrLong)
+		if len(m.Updates) == 0 {
+			return nil, fmt.Errorf("message: %w", ErrTooLong)
 		}
-		m.News = m.News[:len(m.News)-1]
+		m.Updates = m.Updates[:len(m.Updates)-1]
 	}
 }
 
 // ReadMessage reads a datagram. What it returns is Sound.
-func (c Codec) ReadMessage(datagram []byte) (*view.Message, error) {
-	if len(datagram) > MostDatagram {
-		return nil, ErrLong
+func (c Codec) DecodeMessage(datagram []byte) (*view.Message, error) {
+	if len(datagram) > MaxDatagramBytes {
+		return nil, ErrTooLong
 	}
 	m := &view.Message{}
 	if err := c.open(datagrams, datagram, m); err != nil {
 		return nil, err
 	}
-	if err := m.Sound(); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrGarbage, err)
+	if err := m.Validate(); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return m, nil
 }
 
 // Table writes a table.
-func (c Codec) Table(t []view.Record) ([]byte, error) {
+func (c Codec) EncodeTable(t []view.Record) ([]byte, error) {
 	body, err := cbor.Marshal(t)
 	if err != nil {
 		return nil, fmt.Errorf("table: %w", err)
 	}
-	if len(body) > MostTable {
-		return nil, fmt.Errorf("table of %d records: %w", len(t), ErrLong)
+	if len(body) > MaxTableBytes {
+		return nil, fmt.Errorf("table of %d records: %w", len(t), ErrTooLong)
 	}
 	return c.frame(tables, body), nil
 }
 
 // Parcel writes what another part of the program wants carried.
-func (c Codec) Parcel(body []byte) ([]byte, error) {
-	if len(body) > MostParcel {
-		return nil, fmt.Errorf("parcel of %d bytes: %w", len(body), ErrLong)
+func (c Codec) EncodePayload(body []byte) ([]byte, error) {
+	if len(body) > MaxPayloadBytes {
+		return nil, fmt.Errorf("parcel of %d bytes: %w", len(body), ErrTooLong)
 	}
 	return c.frame(parcels, body), nil
 }
 
 // IsParcel says whether a frame that begins so is a parcel.
-func IsParcel(frame []byte) bool { return len(frame) >= headerSize && [3]byte(frame[:3]) == parcels }
+func IsPayload(frame []byte) bool { return len(frame) >= headerSize && [3]byte(frame[:3]) == parcels }
 
 // ReadParcel reads a frame that holds a parcel.
-func (c Codec) ReadParcel(frame []byte) ([]byte, error) { return c.body(parcels, frame) }
+func (c Codec) DecodePayload(frame []byte) ([]byte, error) { return c.body(parcels, frame) }
 
 // ReadStream reads one frame from a stream, and nothing beyond it: a parcel, or a table, whose records are Sound.
 func (c Codec) ReadStream(r io.Reader) (table []view.Record, parcel []byte, err error) {
@@ -205,15 +205,15 @@
 	if _, err := io.ReadFull(r, h[:]); err != nil {
 		return nil, nil, fmt.Errorf("stream: %w", err)
 	}
-	if !IsParcel(h[:]) {
+	if !IsPayload(h[:]) {
 		table, err = c.readTable(h, r)
 		return table, nil, err
 	}
-	frame, err := c.read(parcels, h, r, MostParcel)
+	frame, err := c.read(parcels, h, r, MaxPayloadBytes)
 	if err != nil {
 		return nil, nil, fmt.Errorf("parcel: %w", err)
 	}
-	parcel, err = c.ReadParcel(frame)
+	parcel, err = c.DecodePayload(frame)
 	return nil, parcel, err
 }
 
@@ -227,7 +227,7 @@
 }
 
 func (c Codec) readTable(h [headerSize]byte, r io.Reader) ([]view.Record, error) {
-	frame, err := c.read(tables, h, r, MostTable)
+	frame, err := c.read(tables, h, r, MaxTableBytes)
 	if err != nil {
 		return nil, fmt.Errorf("table: %w", err)
 	}
@@ -236,8 +236,8 @@
 		return nil, fmt.Errorf("table: %w", err)
 	}
 	for i := range t {
-		if err := t[i].Sound(); err != nil {
-			return nil, fmt.Errorf("table: %w: %d: %w", ErrGarbage, i, err)
+		if err := t[i].Validate(); err != nil {
+			return nil, fmt.Errorf("table: %w: %d: %w", ErrMalformed, i, err)
 		}
 	}
 	return t, nil
--- a/internal/cluster/codec/codec_test.go
+++ b/internal/cluster/codec/codec_test.go
@@ -15,24 +15,24 @@
 )
 
 func record(name string, s view.State) view.Record {
-	return view.Record{Name: name, Boot: 1 << 63, Incarnation: 7, State: s, Address: "127.0.0.1:7946", By: "n9"}
+	return view.Record{Name: name, InstanceID: 1 << 63, Incarnation: 7, State: s, Address: "127.0.0.1:7946", By: "n9"}
 }
 
 func message() *view.Message {
 	target := record("n3", view.Suspect)
 	return &view.Message{
 		Kind: view.Request, Seq: 1 << 62, From: record("n1", view.Alive), Digest: 99, Target: &target,
-		News: []view.Record{record("n4", view.Dead), record("n5", view.Left)},
+		Updates: []view.Record{record("n4", view.Dead), record("n5", view.Left)},
 	}
 }
 
 func TestMessagesComeBackWhole(t *testing.T) {
 	c := New("shelf")
-	text, err := c.Message(message())
+	text, err := c.EncodeMessage(message())
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := c.ReadMessage(text)
+	got, err := c.DecodeMessage(text)
 	if err != nil || !reflect.DeepEqual(got, message()) {
 		t.Errorf("%+v, %v", got, err)
 	}
@@ -42,25 +42,25 @@
 // TestWhatComesWrongIsToldApart: each damage has its error, and each bit that is turned is found.
 func TestWhatComesWrongIsToldApart(t *testing.T) {
 	c := New("shelf")
-	text, _ := c.Message(message())
+	text, _ := c.EncodeMessage(message())
 	for i := range 8 * len(text) {
 		bent := bytes.Clone(text)
 		bent[i/8] ^= 1 << (i % 8)
-		if _, err := c.ReadMessage(bent); err == nil {
+		if _, err := c.DecodeMessage(bent); err == nil {
 			t.Errorf("bit %d turned, and it is read", i)
 		}
 	}
-	if _, err := New("other").ReadMessage(text); !errors.Is(err, ErrFleet) {
+	if _, err := New("other").DecodeMessage(text); !errors.Is(err, ErrOtherFleet) {
 		t.Errorf("another fleet's: %v", err)
 	}
-	if _, err := c.ReadMessage(text[:len(text)-1]); !errors.Is(err, ErrTorn) {
+	if _, err := c.DecodeMessage(text[:len(text)-1]); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("short: %v", err)
 	}
-	if _, err := c.ReadMessage(append(bytes.Clone(text), make([]byte, MostDatagram)...)); !errors.Is(err, ErrLong) {
+	if _, err := c.DecodeMessage(append(bytes.Clone(text), make([]byte, MaxDatagramBytes)...)); !errors.Is(err, ErrTooLong) {
 		t.Errorf("long: %v", err)
 	}
-	table, _ := c.Table([]view.Record{record("n1", view.Alive)})
-	if _, err := c.ReadMessage(table); !errors.Is(err, ErrGarbage) {
+	table, _ := c.EncodeTable([]view.Record{record("n1", view.Alive)})
+	if _, err := c.DecodeMessage(table); !errors.Is(err, ErrMalformed) {
 		t.Errorf("a table as a message: %v", err)
 	}
 }
@@ -78,12 +78,12 @@
 	c := New("shelf")
 	from := map[int]any{1: "n1", 2: 5, 3: 1, 4: 1, 5: "127.0.0.1:1", 77: "what this version does not know"}
 	for v, want := range map[byte]error{Version: nil, Version + 1: nil, Version + 2: ErrVersion, 0: ErrVersion, 255: ErrVersion} {
-		m, err := c.ReadMessage(version(c, v, map[int]any{1: 1, 2: 9, 3: from, 99: []int{1}}))
+		m, err := c.DecodeMessage(version(c, v, map[int]any{1: 1, 2: 9, 3: from, 99: []int{1}}))
 		if !errors.Is(err, want) || want == nil && (m.From.Name != "n1" || m.Seq != 9) {
 			t.Errorf("version %d: %+v, %v", v, m, err)
 		}
 	}
-	if _, err := c.ReadMessage(version(c, Version+1, map[int]any{1: 50, 3: from})); !errors.Is(err, ErrGarbage) {
+	if _, err := c.DecodeMessage(version(c, Version+1, map[int]any{1: 50, 3: from})); !errors.Is(err, ErrMalformed) {
 		t.Errorf("a kind of the future: %v", err)
 	}
 }
@@ -92,13 +92,13 @@
 	c := New("shelf")
 	m := message()
 	for i := range 100 {
-		m.News = append(m.News, record(fmt.Sprintf("%s-%d", strings.Repeat("n", 50), i), view.Alive))
+		m.Updates = append(m.Updates, record(fmt.Sprintf("%s-%d", strings.Repeat("n", 50), i), view.Alive))
 	}
-	text, err := c.Message(m)
-	if err != nil || len(text) > MostDatagram {
+	text, err := c.EncodeMessage(m)
+	if err != nil || len(text) > MaxDatagramBytes {
 		t.Fatalf("%d bytes, %v", len(text), err)
 	}
-	if got, err := c.ReadMessage(text); err != nil || len(got.News) < 5 {
+	if got, err := c.DecodeMessage(text); err != nil || len(got.Updates) < 5 {
 		t.Errorf("%+v, %v", got, err)
 	}
 }
@@ -109,7 +109,7 @@
 	for i := range 2000 {
 		want = append(want, record(fmt.Sprintf("n%d", i), view.Alive))
 	}
-	text, err := c.Table(want)
+	text, err := c.EncodeTable(want)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -124,28 +124,28 @@
 	}
 	huge := bytes.Clone(text)
 	binary.BigEndian.PutUint32(huge[12:], 1<<31)
-	if _, err := c.ReadTable(bytes.NewReader(huge)); !errors.Is(err, ErrLong) {
+	if _, err := c.ReadTable(bytes.NewReader(huge)); !errors.Is(err, ErrTooLong) {
 		t.Errorf("a length of 2 GiB: %v", err)
 	}
 }
 
 func FuzzReadMessage(f *testing.F) {
 	c := New("shelf")
-	text, _ := c.Message(message())
+	text, _ := c.EncodeMessage(message())
 	f.Add(text[headerSize:])
 	f.Add([]byte{0xa1, 0x01, 0x9f})
 	f.Add([]byte{0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		c.ReadMessage(body)
-		m, err := c.ReadMessage(c.frame(datagrams, body)) // past the checksum, which guards nothing against intent
+		c.DecodeMessage(body)
+		m, err := c.DecodeMessage(c.frame(datagrams, body)) // past the checksum, which guards nothing against intent
 		if err != nil {
 			return
 		}
-		again, err := c.Message(m)
+		again, err := c.EncodeMessage(m)
 		if err != nil {
 			t.Fatalf("%+v is read and cannot be written: %v", m, err)
 		}
-		if _, err := c.ReadMessage(again); err != nil {
+		if _, err := c.DecodeMessage(again); err != nil {
 			t.Fatalf("%+v is not read again: %v", m, err)
 		}
 	})
@@ -153,7 +153,7 @@
 
 func FuzzReadTable(f *testing.F) {
 	c := New("shelf")
-	text, _ := c.Table([]view.Record{record("n1", view.Alive)})
+	text, _ := c.EncodeTable([]view.Record{record("n1", view.Alive)})
 	f.Add(text[headerSize:])
 	f.Fuzz(func(t *testing.T, body []byte) {
 		c.ReadTable(bytes.NewReader(body))
--- a/internal/cluster/folder.go
+++ b/internal/cluster/folder.go
@@ -118,7 +118,7 @@
 
 // replace writes the file whole or not at all.
 func (f *folder) replace(table []view.Record) error {
-	text, err := f.codec.Table(table)
+	text, err := f.codec.EncodeTable(table)
 	if err != nil {
 		return err
 	}
--- a/internal/cluster/link/link.go
+++ b/internal/cluster/link/link.go
@@ -45,9 +45,9 @@
 	// Datagram takes a message from an address.
 	Datagram(from string, m *view.Message)
 	// Parcel takes what another part of the program at another member had carried here.
-	Parcel(body []byte)
+	Payload(body []byte)
 	// Asked takes another's table and returns one's own.
-	Asked(ctx context.Context, from string, table []view.Record) ([]view.Record, error)
+	Exchange(ctx context.Context, from string, table []view.Record) ([]view.Record, error)
 }
 
 // Config is where and for whom to listen.
@@ -140,7 +140,7 @@
 }
 
 func (l *Link) datagrams() {
-	var b [codec.MostDatagram + 1]byte
+	var b [codec.MaxDatagramBytes + 1]byte
 	for {
 		n, from, err := l.udp.ReadFromUDPAddrPort(b[:])
 		switch {
@@ -162,16 +162,16 @@
 			l.counts.flood.Add(1)
 			continue
 		}
-		if codec.IsParcel(b[:n]) {
-			body, err := l.codec.ReadParcel(bytes.Clone(b[:n]))
+		if codec.IsPayload(b[:n]) {
+			body, err := l.codec.DecodePayload(bytes.Clone(b[:n]))
 			if err != nil {
 				l.drop(err)
 				continue
 			}
-			l.handler.Parcel(body)
+			l.handler.Payload(body)
 			continue
 		}
-		m, err := l.codec.ReadMessage(b[:n])
+		m, err := l.codec.DecodeMessage(b[:n])
 		if err != nil {
 			l.drop(err)
 			continue
@@ -183,7 +183,7 @@
 // drop counts what could not be read.
 func (l *Link) drop(err error) {
 	switch {
-	case errors.Is(err, codec.ErrFleet):
+	case errors.Is(err, codec.ErrOtherFleet):
 		l.counts.foreign.Add(1)
 	case errors.Is(err, codec.ErrVersion):
 		l.counts.version.Add(1)
@@ -199,7 +199,7 @@
 		l.counts.unsent.Add(1)
 		return
 	}
-	text, err := l.codec.Message(m)
+	text, err := l.codec.EncodeMessage(m)
 	if err != nil {
 		l.counts.unsent.Add(1)
 		return
@@ -238,7 +238,7 @@
 	if !l.listed(at.Addr()) {
 		return nil, fmt.Errorf("exchange: %s is of no listed network", to)
 	}
-	text, err := l.codec.Table(table)
+	text, err := l.codec.EncodeTable(table)
 	if err != nil {
 		return nil, fmt.Errorf("exchange: %w", err)
 	}
@@ -313,14 +313,14 @@
 		return
 	}
 	if parcel != nil {
-		l.handler.Parcel(parcel)
+		l.handler.Payload(parcel)
 		return
 	}
-	own, err := l.handler.Asked(ctx, from.String(), table)
+	own, err := l.handler.Exchange(ctx, from.String(), table)
 	if err != nil {
 		return
 	}
-	if text, err := l.codec.Table(own); err == nil {
+	if text, err := l.codec.EncodeTable(own); err == nil {
 		l.writeStream(ctx, conn, from, text) // who is gone asks again
 	}
 }
--- a/internal/cluster/link/link_test.go
+++ b/internal/cluster/link/link_test.go
@@ -28,9 +28,9 @@
 
 func (e *ear) Datagram(_ string, m *view.Message) { e.came <- m }
 
-func (e *ear) Parcel(body []byte) { e.parcels <- body }
+func (e *ear) Payload(body []byte) { e.parcels <- body }
 
-func (e *ear) Asked(ctx context.Context, _ string, table []view.Record) ([]view.Record, error) {
+func (e *ear) Exchange(ctx context.Context, _ string, table []view.Record) ([]view.Record, error) {
 	if e.hold != nil {
 		select {
 		case <-e.hold:
@@ -58,7 +58,7 @@
 }
 
 func record(name string) view.Record {
-	return view.Record{Name: name, Boot: 1, Incarnation: 1, State: view.Alive, Address: "127.0.0.1:9"}
+	return view.Record{Name: name, InstanceID: 1, Incarnation: 1, State: view.Alive, Address: "127.0.0.1:9"}
 }
 
 // until waits until a count has come to what is wanted.
@@ -100,8 +100,8 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	own, _ := codec.New("shelf").Message(&view.Message{Kind: view.Ping, From: record("a")})
-	other, _ := codec.New("other").Message(&view.Message{Kind: view.Ping, From: record("a")})
+	own, _ := codec.New("shelf").EncodeMessage(&view.Message{Kind: view.Ping, From: record("a")})
+	other, _ := codec.New("other").EncodeMessage(&view.Message{Kind: view.Ping, From: record("a")})
 	future := append([]byte(nil), own...)
 	future[3] = 99
 	for _, b := range [][]byte{other, future, own[:len(own)-2], []byte("hello"), make([]byte, 4000), {}} {
@@ -219,24 +219,24 @@
 	to, from := listen(e), listen(&ear{})
 	for _, n := range []int{0, 1, 1100, 1200, 300_000} {
 		sent := bytes.Repeat([]byte{7}, n)
-		from.Carry(to.Addr(), sent)
+		from.SendPayload(to.Addr(), sent)
 		if got := <-e.parcels; !bytes.Equal(got, sent) {
 			t.Errorf("%d bytes came of %d", len(got), n)
 		}
 	}
-	from.Carry("192.0.2.1:7", []byte("to a network that is not listed"))
+	from.SendPayload("192.0.2.1:7", []byte("to a network that is not listed"))
 	if n := from.Counts().Unsent; n != 1 {
 		t.Errorf("%d unsent", n)
 	}
-	text, err := codec.New("shelf").Parcel([]byte("bent"))
+	text, err := codec.New("shelf").EncodePayload([]byte("bent"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	text[len(text)-1] ^= 1
-	if _, err := codec.New("shelf").ReadParcel(text); !errors.Is(err, codec.ErrTorn) {
+	if _, err := codec.New("shelf").DecodePayload(text); !errors.Is(err, codec.ErrCorrupt) {
 		t.Errorf("a bent one: %v", err)
 	}
-	if _, err := codec.New("another").ReadParcel(text); !errors.Is(err, codec.ErrFleet) {
+	if _, err := codec.New("another").DecodePayload(text); !errors.Is(err, codec.ErrOtherFleet) {
 		t.Errorf("another fleet's: %v", err)
 	}
 }
--- a/internal/cluster/link/parcels.go
+++ b/internal/cluster/link/parcels.go
@@ -109,22 +109,22 @@
 
 // Carry sends a parcel to an address: as a datagram if it fits one, by a stream otherwise. It does not block, and the parcel may be
 // lost.
-func (l *Link) Carry(to string, body []byte) { l.CarryLatest(to, "", body) }
+func (l *Link) SendPayload(to string, body []byte) { l.SendLatestPayload(to, "", body) }
 
 // CarryLatest does the same for a parcel that makes older ones of its topic to the same address useless: one that still waits for
 // its stream is not sent. Topic "" is that of parcels that take no other's place.
-func (l *Link) CarryLatest(to, topic string, body []byte) {
+func (l *Link) SendLatestPayload(to, topic string, body []byte) {
 	at, err := netip.ParseAddrPort(to)
 	if err != nil || !l.listed(at.Addr()) {
 		l.counts.unsent.Add(1)
 		return
 	}
-	text, err := l.codec.Parcel(body)
+	text, err := l.codec.EncodePayload(body)
 	if err != nil {
 		l.counts.unsent.Add(1)
 		return
 	}
-	if len(text) <= codec.MostDatagram {
+	if len(text) <= codec.MaxDatagramBytes {
 		l.emit(at, text)
 		return
 	}
--- a/internal/cluster/link/parcels_test.go
+++ b/internal/cluster/link/parcels_test.go
@@ -29,7 +29,7 @@
 		to = append(to, l.Addr())
 	}
 	for i, address := range to {
-		from.CarryLatest(address, "standing", bytes.Repeat([]byte{byte(i)}, size))
+		from.SendLatestPayload(address, "standing", bytes.Repeat([]byte{byte(i)}, size))
 	}
 	seen := map[byte]int{}
 	for range receivers {
@@ -89,9 +89,9 @@
 	const stuck = 4
 	long := make([]byte, 4<<20) // more than the sockets' buffers hold
 	for range stuck {
-		from.Carry(silent, long[:len(long)-1])
+		from.SendPayload(silent, long[:len(long)-1])
 	}
-	from.Carry(to.Addr(), long[:40_000])
+	from.SendPayload(to.Addr(), long[:40_000])
 	body, givenUp := <-ear.parcels, from.Counts().Unsent
 	if len(body) != 40_000 || givenUp > 0 {
 		t.Errorf("%d bytes came once %d were given up", len(body), givenUp)
@@ -106,7 +106,7 @@
 	const parcels = maxParcelStreams + 44
 	body := make([]byte, 190_000)
 	for range parcels {
-		from.Carry(silent, body)
+		from.SendPayload(silent, body)
 	}
 	var senders sync.WaitGroup
 	stop := make(chan struct{})
@@ -117,7 +117,7 @@
 				case <-stop:
 					return
 				default:
-					from.CarryLatest(silent, fmt.Sprint(i), body)
+					from.SendLatestPayload(silent, fmt.Sprint(i), body)
 				}
 			}
 		})
@@ -130,7 +130,7 @@
 	close(stop)
 	senders.Wait()
 	before := from.Counts().Unsent
-	from.Carry(silent, body)
+	from.SendPayload(silent, body)
 	if after := from.Counts().Unsent; after != before+1 {
 		t.Errorf("%d unsent, and %d after one more", before, after)
 	}
--- a/internal/cluster/model/model.go
+++ b/internal/cluster/model/model.go
@@ -17,14 +17,14 @@
 
 // Config is a fleet to be played.
 type Config struct {
-	Story *story.Story
-	Seeds int // how many members are named as seeds to all; 0 stands for 3
+	Scenario *story.Story
+	Seeds    int // how many members are named as seeds to all; 0 stands for 3
 	// Set changes each member's settings, to take defences out; may be nil.
-	Set func(*view.Settings)
+	Configure func(*view.Settings)
 	// Size is how many bytes a message takes; nil counts none.
 	Size func(*view.Message) int
 	// Watch is told of every change, in order; may be nil.
-	Watch func(now time.Duration, member string, c view.Change)
+	OnChange func(now time.Duration, member string, c view.Change)
 }
 
 // delay of a sound path.
@@ -72,19 +72,19 @@
 }
 
 // Figures are what a play has come to.
-type Figures struct {
+type Stats struct {
 	Datagrams int64
 	Bytes     int64
 	Exchanges int64
 	Events    int64
 	// Deaths are how often a member was held dead, and False those of living, unpaused members on sound paths.
-	Deaths, False int
-	Refuted       int
-	Settled       []Settling
+	Deaths, FalseDeaths int
+	Refuted             int
+	Convergences        []Convergence
 }
 
 // Settling is how long it took after an act until all living views were right again.
-type Settling struct {
+type Convergence struct {
 	Do   string
 	End  bool
 	At   time.Duration
@@ -104,37 +104,37 @@
 	byName  map[string]*process
 	truth   []bool // by member, whether it is there
 	wrong   int    // views of living processes that are wrong about somebody
-	open    *Settling
-	Figures Figures
+	open    *Convergence
+	Stats   Stats
 }
 
 // New returns a fleet whose members all start within the first period.
 func New(c Config) (*Fleet, error) {
-	if err := c.Story.Validate(); err != nil {
+	if err := c.Scenario.Validate(); err != nil {
 		return nil, err
 	}
 	if c.Seeds == 0 {
 		c.Seeds = 3
 	}
 	f := &Fleet{
-		config: c, network: faults.NewNetwork(c.Story.Seed), dice: rand.New(rand.NewPCG(c.Story.Seed, 7)),
+		config: c, network: faults.NewNetwork(c.Scenario.Seed), dice: rand.New(rand.NewPCG(c.Scenario.Seed, 7)),
 		layers: map[int]*faults.Layer{}, byAddr: map[string]*process{}, byName: map[string]*process{},
-		truth: make([]bool, c.Story.Members),
+		truth: make([]bool, c.Scenario.Members),
 	}
-	for i, name := range c.Story.Names() {
-		p := &process{name: name, address: fmt.Sprintf("127.1.%d.%d:7", i/250, 1+i%250), index: i, holds: make([]bool, c.Story.Members)}
+	for i, name := range c.Scenario.Names() {
+		p := &process{name: name, address: fmt.Sprintf("127.1.%d.%d:7", i/250, 1+i%250), index: i, holds: make([]bool, c.Scenario.Members)}
 		f.procs = append(f.procs, p)
 		f.byAddr[p.address], f.byName[name] = p, p
 	}
 	for _, p := range f.procs {
-		if !slices.Contains(c.Story.Late, p.name) {
+		if !slices.Contains(c.Scenario.Late, p.name) {
 			f.start(p)
 		}
 	}
-	for _, a := range c.Story.Acts() {
+	for _, a := range c.Scenario.Acts() {
 		f.push(event{at: a.At, kind: act, act: a})
 	}
-	f.open = &Settling{Do: "begin"}
+	f.open = &Convergence{Do: "begin"}
 	f.recount()
 	return f, nil
 }
@@ -151,11 +151,11 @@
 
 func (h host) Send(to string, m *view.Message) {
 	f := h.fleet
-	f.Figures.Datagrams++
+	f.Stats.Datagrams++
 	size := 100
 	if f.config.Size != nil {
 		size = f.config.Size(m)
-		f.Figures.Bytes += int64(size)
+		f.Stats.Bytes += int64(size)
 	}
 	q := f.byAddr[to]
 	if q == nil {
@@ -175,7 +175,7 @@
 
 func (h host) Exchange(to string) {
 	f := h.fleet
-	f.Figures.Exchanges++
+	f.Stats.Exchanges++
 	f.stream(h.proc, to, exchangeAsk, h.proc.view.Table())
 }
 
@@ -186,7 +186,7 @@
 	}
 	after, open := f.network.Stream(f.now, faults.Path{From: from.name, To: q.name}, 60*len(table))
 	if f.config.Size != nil {
-		f.Figures.Bytes += int64(60 * len(table))
+		f.Stats.Bytes += int64(60 * len(table))
 	}
 	if !open {
 		return
@@ -196,22 +196,22 @@
 
 func (h host) Changed(c view.Change) {
 	f, p := h.fleet, h.proc
-	if f.config.Watch != nil {
-		f.config.Watch(f.now, p.name, c)
+	if f.config.OnChange != nil {
+		f.config.OnChange(f.now, p.name, c)
 	}
 	q := f.byName[c.Name]
-	if q == nil || q == p || c.Why == view.Away {
+	if q == nil || q == p || c.Why == view.Paused {
 		return
 	}
 	switch {
 	case c.State == view.Dead:
-		f.Figures.Deaths++
-		grace := time.Duration(graceSuspicions) * time.Duration(f.config.Story.Period)
+		f.Stats.Deaths++
+		grace := time.Duration(graceSuspicions) * time.Duration(f.config.Scenario.Period)
 		if q.up && !q.paused && f.now-q.awake > grace && f.now-q.sound > grace && f.now-p.sound > grace {
-			f.Figures.False++
+			f.Stats.FalseDeaths++
 		}
 	case c.Was == view.Suspect && c.State == view.Alive:
-		f.Figures.Refuted++
+		f.Stats.Refuted++
 	}
 	f.hold(p, q.index, c.State == view.Alive || c.State == view.Suspect)
 }
@@ -246,7 +246,7 @@
 func (f *Fleet) settle() {
 	if f.wrong == 0 && f.open != nil {
 		f.open.Took = f.now - f.open.At
-		f.Figures.Settled = append(f.Figures.Settled, *f.open)
+		f.Stats.Convergences = append(f.Stats.Convergences, *f.open)
 		f.open = nil
 	}
 }
@@ -276,15 +276,15 @@
 	clear(p.holds)
 	f.truth[p.index] = true
 	s := view.Settings{
-		Name: p.name, Address: p.address, Boot: p.boot, Period: time.Duration(f.config.Story.Period), Most: 2*len(f.procs) + 16,
+		Name: p.name, Address: p.address, InstanceID: p.boot, Period: time.Duration(f.config.Scenario.Period), MaxMembers: 2*len(f.procs) + 16,
 	}
 	for i := range min(f.config.Seeds, len(f.procs)) {
 		s.Seeds = append(s.Seeds, f.procs[i].address)
 	}
-	if f.config.Set != nil {
-		f.config.Set(&s)
+	if f.config.Configure != nil {
+		f.config.Configure(&s)
 	}
-	v, err := view.New(f.now, s, f.config.Story.Seed+uint64(p.index)<<16+uint64(p.starts), host{f, p})
+	v, err := view.New(f.now, s, f.config.Scenario.Seed+uint64(p.index)<<16+uint64(p.starts), host{f, p})
 	if err != nil {
 		panic(err) // the settings are this package's own
 	}
@@ -316,7 +316,7 @@
 			break
 		}
 		f.now = at
-		f.Figures.Events++
+		f.Stats.Events++
 		if e.kind == act {
 			f.act(e.act)
 			continue
@@ -346,7 +346,7 @@
 		p.view.Wake(f.now)
 	case datagram:
 		m := *e.message
-		m.News = slices.Clone(m.News)
+		m.Updates = slices.Clone(m.Updates)
 		p.view.Receive(f.now, e.from, &m)
 	case exchangeAsk:
 		answer := p.view.Table()
@@ -375,13 +375,13 @@
 func (f *Fleet) act(a story.Act) {
 	if f.open != nil {
 		f.open.Took = -1
-		f.Figures.Settled = append(f.Figures.Settled, *f.open)
+		f.Stats.Convergences = append(f.Stats.Convergences, *f.open)
 	}
-	e := f.config.Story.Events[a.Event]
-	f.open = &Settling{Do: e.Do, End: a.End, At: a.At}
+	e := f.config.Scenario.Events[a.Event]
+	f.open = &Convergence{Do: e.Do, End: a.End, At: a.At}
 	switch {
 	case e.Network() && !a.End:
-		f.layers[a.Event] = f.network.Add(f.config.Story.Paths(e), e.Condition())
+		f.layers[a.Event] = f.network.Add(f.config.Scenario.Paths(e), e.Condition())
 		f.shake()
 	case e.Network():
 		f.network.Remove(f.layers[a.Event])
@@ -414,7 +414,7 @@
 func (f *Fleet) shake() {
 	since := f.now
 	for i := range f.layers {
-		if f.config.Story.Events[i].Condition().Cut {
+		if f.config.Scenario.Events[i].Condition().Cut {
 			since = never
 		}
 	}
@@ -450,10 +450,10 @@
 func (f *Fleet) Now() time.Duration { return f.now }
 
 // Right says whether all living, unpaused views hold just those that are there.
-func (f *Fleet) Right() bool { return f.wrong == 0 }
+func (f *Fleet) Converged() bool { return f.wrong == 0 }
 
 // Wrong are the living views that are wrong, with what is wrong with them, for people.
-func (f *Fleet) Wrong() []string {
+func (f *Fleet) Mismatches() []string {
 	var lines []string
 	for _, p := range f.procs {
 		if !p.up || p.paused {
@@ -461,7 +461,7 @@
 		}
 		for i, present := range p.holds {
 			if i != p.index && present != f.truth[i] {
-				lines = append(lines, fmt.Sprintf("%s holds %s %v", p.name, f.procs[i].name, p.view.Holds(f.procs[i].name)))
+				lines = append(lines, fmt.Sprintf("%s holds %s %v", p.name, f.procs[i].name, p.view.StateOf(f.procs[i].name)))
 			}
 		}
 	}
--- a/internal/cluster/model/model_test.go
+++ b/internal/cluster/model/model_test.go
@@ -26,35 +26,35 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Run(time.Duration(c.Story.Length))
+	f.Run(time.Duration(c.Scenario.Length))
 	return f
 }
 
 // right fails the test unless all living views are right at the end, and nobody was held dead falsely.
 func right(t *testing.T, f *Fleet) {
 	t.Helper()
-	if !f.Right() {
-		t.Errorf("%s, seed %d: at the end: %v", f.config.Story.Name, f.config.Story.Seed, f.Wrong())
+	if !f.Converged() {
+		t.Errorf("%s, seed %d: at the end: %v", f.config.Scenario.Name, f.config.Scenario.Seed, f.Mismatches())
 	}
-	if f.Figures.False > 0 {
-		t.Errorf("%s, seed %d: %d false deaths", f.config.Story.Name, f.config.Story.Seed, f.Figures.False)
+	if f.Stats.FalseDeaths > 0 {
+		t.Errorf("%s, seed %d: %d false deaths", f.config.Scenario.Name, f.config.Scenario.Seed, f.Stats.FalseDeaths)
 	}
 }
 
 // TestDrawnStories: whatever is drawn, the views agree in the end and hold nobody dead who lives on sound ways.
 func TestDrawnStories(t *testing.T) {
 	for seed := range seeds(60) {
-		right(t, play(t, Config{Story: story.Drawn(seed, 12, period, 40*time.Second)}))
+		right(t, play(t, Config{Scenario: story.Drawn(seed, 12, period, 40*time.Second)}))
 	}
 	if !slow {
-		right(t, play(t, Config{Story: story.Drawn(1, 100, period, 40*time.Second)}))
+		right(t, play(t, Config{Scenario: story.Drawn(1, 100, period, 40*time.Second)}))
 	}
 }
 
 // TestOneSeedOnePlay: equal seeds give equal plays, to the last change.
 func TestOneSeedOnePlay(t *testing.T) {
 	once := func() (lines []string) {
-		play(t, Config{Story: story.Drawn(7, 12, period, 30*time.Second), Watch: func(now time.Duration, member string, c view.Change) {
+		play(t, Config{Scenario: story.Drawn(7, 12, period, 30*time.Second), OnChange: func(now time.Duration, member string, c view.Change) {
 			lines = append(lines, fmt.Sprint(now, member, c))
 		}})
 		return lines
@@ -122,7 +122,7 @@
 	for _, s := range hard() {
 		for seed := range seeds(10) {
 			s.Seed = seed
-			right(t, play(t, Config{Story: s}))
+			right(t, play(t, Config{Scenario: s}))
 		}
 	}
 }
@@ -130,12 +130,12 @@
 // TestExactlyTwoCutApart: a cut between two that all others reach makes nobody dead, for nobody.
 func TestExactlyTwoCutApart(t *testing.T) {
 	for seed := range seeds(20) {
-		f := play(t, Config{Story: &story.Story{
+		f := play(t, Config{Scenario: &story.Story{
 			Name: "two", Members: 12, Seed: seed, Period: story.Duration(period), Length: story.Duration(40 * time.Second),
 			Events: []story.Event{{At: story.Duration(5 * time.Second), Do: story.Cut, Who: []string{"n1"}, With: []string{"n2"}}},
 		}})
-		if f.Figures.Deaths > 0 || !f.Right() {
-			t.Errorf("seed %d: %d deaths, %v", seed, f.Figures.Deaths, f.Wrong())
+		if f.Stats.Deaths > 0 || !f.Converged() {
+			t.Errorf("seed %d: %d deaths, %v", seed, f.Stats.Deaths, f.Mismatches())
 		}
 	}
 }
@@ -147,10 +147,10 @@
 			Name: "loss", Members: 12, Seed: seed, Period: story.Duration(period), Length: story.Duration(60 * time.Second),
 			Events: []story.Event{{At: story.Duration(5 * time.Second), For: story.Duration(40 * time.Second), Do: story.Lose, Size: 0.2}},
 		}
-		right(t, play(t, Config{Story: s}))
+		right(t, play(t, Config{Scenario: s}))
 		s.Events[0].Size = 0.5
-		if f := play(t, Config{Story: s}); !f.Right() {
-			t.Errorf("half of all lost, seed %d: %v", seed, f.Wrong())
+		if f := play(t, Config{Scenario: s}); !f.Converged() {
+			t.Errorf("half of all lost, seed %d: %v", seed, f.Mismatches())
 		}
 	}
 }
@@ -160,11 +160,11 @@
 	if slow {
 		t.Skip("a thousand views, played without the race detector")
 	}
-	f := play(t, Config{Story: &story.Story{
+	f := play(t, Config{Scenario: &story.Story{
 		Name: "joins", Members: 1000, Seed: 1, Period: story.Duration(period), Length: story.Duration(6 * time.Second),
 	}})
 	right(t, f)
-	t.Logf("all know all after %v", f.Figures.Settled[0].Took)
+	t.Logf("all know all after %v", f.Stats.Convergences[0].Took)
 }
 
 // TestEachDefenceCounts: without a defence the same seeds show what it is for; else this package would check nothing.
@@ -175,9 +175,9 @@
 	sum := func(seeds int, s story.Story, set func(*view.Settings)) (deaths int, wrong bool) {
 		for seed := range uint64(seeds) {
 			s.Seed = seed
-			f := play(t, Config{Story: &s, Set: set})
-			deaths += f.Figures.Deaths
-			wrong = wrong || !f.Right()
+			f := play(t, Config{Scenario: &s, Configure: set})
+			deaths += f.Stats.Deaths
+			wrong = wrong || !f.Converged()
 		}
 		return deaths, wrong
 	}
@@ -195,13 +195,13 @@
 	if _, wrong := sum(2, halves, nil); wrong {
 		t.Error("whole: halves do not come together")
 	}
-	if _, wrong := sum(2, halves, func(s *view.Settings) { s.NoReach, s.Seeds = true, nil }); !wrong {
+	if _, wrong := sum(2, halves, func(s *view.Settings) { s.NoDeadPings, s.Seeds = true, nil }); !wrong {
 		t.Error("without questions to the dead, and without seeds, halves come together")
 	}
 	// Suspicions that feed each other: what a refuted one brings must not grow without an end.
 	lossy.Members, lossy.Events[0].Size, lossy.Seed = 10, 0.3, 1
-	calm := play(t, Config{Story: &lossy}).Figures.Datagrams
-	if stirred := play(t, Config{Story: &lossy, Set: func(s *view.Settings) { s.NoCalm = true }}).Figures.Datagrams; stirred < 3*calm {
+	calm := play(t, Config{Scenario: &lossy}).Stats.Datagrams
+	if stirred := play(t, Config{Scenario: &lossy, Configure: func(s *view.Settings) { s.NoFalseSuspicionLimit = true }}).Stats.Datagrams; stirred < 3*calm {
 		t.Errorf("at 30%% lost %d datagrams, and %d where refuted suspicions change nothing", calm, stirred)
 	}
 }
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -50,12 +50,12 @@
 
 // Config is what a node is told.
 type Config struct {
-	Options Options
-	Name    string // this member's
-	Seed    uint64
-	Boot    uint64 // drawn at random at each start
+	Options    Options
+	Name       string // this member's
+	Seed       uint64
+	InstanceID uint64 // drawn at random at each start
 	// Succeeds: another process of this proxy may still hold the address, and will let go of it.
-	Succeeds bool
+	ReplacesProcess bool
 	// Path stands for the network between members in scale runs; nil for the network as it is.
 	Path link.Path
 	Log  *slog.Logger
@@ -77,7 +77,7 @@
 	exchanges chan struct{}
 	stirred   bool                                         // the view has changed since followers were told; the owner's
 	tell      time.Duration                                // when they may be told next; the owner's
-	followers []func(view.Standing)                        // the owner's
+	followers []func(view.Snapshot)                        // the owner's
 	parcels   [partKinds]atomic.Pointer[func(body []byte)] // by kind
 
 	ctx     context.Context
@@ -94,7 +94,7 @@
 	}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	l, err := n.listen()
-	if err != nil && !(c.Succeeds && errors.Is(err, syscall.EADDRINUSE)) {
+	if err != nil && !(c.ReplacesProcess && errors.Is(err, syscall.EADDRINUSE)) {
 		n.cancel()
 		return nil, err
 	}
@@ -105,7 +105,7 @@
 	n.folder = newFolder(c.Options.Folder, c.Options.Name, c.Log)
 	seeds := append(slices.Clone(c.Options.Seeds), n.folder.addresses(address)...)
 	n.view, err = view.New(0, view.Settings{
-		Name: c.Name, Address: address, Boot: c.Boot, Period: c.Options.Period, Seeds: seeds, Most: c.Options.Most,
+		Name: c.Name, Address: address, InstanceID: c.InstanceID, Period: c.Options.Period, Seeds: seeds, MaxMembers: c.Options.MaxMembers,
 	}, c.Seed, host{n})
 	if err != nil {
 		n.cancel()
@@ -187,7 +187,7 @@
 		n.folder.keep(n.view.Table())
 	}
 	if len(n.followers) > 0 {
-		standing := n.view.Standing(began)
+		standing := n.view.Snapshot(began)
 		for _, f := range n.followers {
 			f(standing)
 		}
@@ -222,7 +222,7 @@
 	}
 }
 
-func (h handler) Parcel(body []byte) {
+func (h handler) Payload(body []byte) {
 	if len(body) == 0 || body[0] == 0 || body[0] >= partKinds {
 		return // of a later version's part
 	}
@@ -231,7 +231,7 @@
 	}
 }
 
-func (h handler) Asked(ctx context.Context, from string, table []view.Record) (own []view.Record, err error) {
+func (h handler) Exchange(ctx context.Context, from string, table []view.Record) (own []view.Record, err error) {
 	if !h.ask(ctx, func(v *view.View, now time.Duration) {
 		own = v.Table()
 		v.Merge(now, table, sender(v, from))
@@ -244,7 +244,7 @@
 // sender is the name of who has sent from an address; the address where none is known. It is who accuses where a record
 // does not say.
 func sender(v *view.View, address string) string {
-	if name := v.At(address); name != "" {
+	if name := v.NameAt(address); name != "" {
 		return name
 	}
 	return address
@@ -285,24 +285,24 @@
 	h.stirred = true
 	log := h.config.Log
 	switch c.Why {
-	case view.Away:
+	case view.Paused:
 		log.Warn(LogSelf, "what", string(c.Why), "health", "what was believed is looked at again")
 	case view.Displaced, view.Duplicate:
-		log.Error(LogSelf, "what", string(c.Why), "address", c.Address, "boot", strconv.FormatUint(c.Boot, 16), "incarnation", c.Incarnation)
+		log.Error(LogSelf, "what", string(c.Why), "address", c.Address, "boot", strconv.FormatUint(c.InstanceID, 16), "incarnation", c.Incarnation)
 	case view.Retaken:
-		log.Warn(LogSelf, "what", string(c.Why), "boot", strconv.FormatUint(c.Boot, 16), "incarnation", c.Incarnation)
+		log.Warn(LogSelf, "what", string(c.Why), "boot", strconv.FormatUint(c.InstanceID, 16), "incarnation", c.Incarnation)
 	default:
 		was := "unknown"
 		if c.Was != 0 {
 			was = c.Was.String()
 		}
 		log.Info(LogMember, "member", c.Name, "state", c.State.String(), "was", was, "why", string(c.Why), "by", c.By,
-			"incarnation", c.Incarnation, "boot", strconv.FormatUint(c.Boot, 16), "address", c.Address)
+			"incarnation", c.Incarnation, "boot", strconv.FormatUint(c.InstanceID, 16), "address", c.Address)
 	}
 }
 
 // Part is a part of the program that talks to its like at other members, by parcels of its own. The kind stands before each.
-type Part struct {
+type Endpoint struct {
 	*Node
 	kind byte
 }
@@ -311,45 +311,45 @@
 type Carrier interface {
 	Carry(to string, body []byte)
 	OnParcel(take func(body []byte))
-	Follow(f func(view.Standing))
+	Follow(f func(view.Snapshot))
 }
 
-var _ Carrier = Part{}
+var _ Carrier = Endpoint{}
 
 // The kinds of parts.
 const (
-	RulesPart byte = iota + 1 // package agreement
-	StartPart                 // package recovery
+	AgreementKind byte = iota + 1 // package agreement
+	RecoveryKind                  // package recovery
 	partKinds
 )
 
 // Part is the part of a kind.
-func (n *Node) Part(kind byte) Part { return Part{n, kind} }
+func (n *Node) Endpoint(kind byte) Endpoint { return Endpoint{n, kind} }
 
 // Carry sends a parcel to a member's address. It does not block, and the parcel may be lost.
-func (p Part) Carry(to string, body []byte) {
+func (p Endpoint) Carry(to string, body []byte) {
 	if l := p.link.Load(); l != nil {
-		l.Carry(to, append([]byte{p.kind}, body...))
+		l.SendPayload(to, append([]byte{p.kind}, body...))
 	}
 }
 
 // CarryLatest does the same for a parcel of which only the newest of its topic counts: one that still waits to be sent to that address
 // is not.
-func (p Part) CarryLatest(to, topic string, body []byte) {
+func (p Endpoint) CarryLatest(to, topic string, body []byte) {
 	if l := p.link.Load(); l != nil {
-		l.CarryLatest(to, string([]byte{p.kind})+topic, append([]byte{p.kind}, body...))
+		l.SendLatestPayload(to, string([]byte{p.kind})+topic, append([]byte{p.kind}, body...))
 	}
 }
 
 // OnParcel has take called with each parcel of this kind that comes, from several goroutines; it must not block for long.
-func (p Part) OnParcel(take func(body []byte)) { p.parcels[p.kind].Store(&take) }
+func (p Endpoint) OnParcel(take func(body []byte)) { p.parcels[p.kind].Store(&take) }
 
 // Follow tells f how the view stands, now and after every change, in order and from one goroutine. Changes that come close together
 // are told as one. f must not block.
-func (n *Node) Follow(f func(view.Standing)) {
+func (n *Node) Follow(f func(view.Snapshot)) {
 	n.ask(n.ctx, func(v *view.View, now time.Duration) {
 		n.followers = append(n.followers, f)
-		f(v.Standing(now))
+		f(v.Snapshot(now))
 	})
 }
 
@@ -359,8 +359,8 @@
 }
 
 // Standing is how the view stands, and how long ago each member came into its state.
-func (n *Node) Standing(ctx context.Context) (s view.Standing, now time.Duration, ok bool) {
-	ok = n.ask(ctx, func(v *view.View, at time.Duration) { s, now = v.Standing(at), at })
+func (n *Node) Snapshot(ctx context.Context) (s view.Snapshot, now time.Duration, ok bool) {
+	ok = n.ask(ctx, func(v *view.View, at time.Duration) { s, now = v.Snapshot(at), at })
 	return s, now, ok
 }
 
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -41,8 +41,8 @@
 
 func join(t *testing.T, name string, boot uint64, o Options) *Node {
 	t.Helper()
-	o.Name, o.Networks, o.Period, o.Most = "shelf", []string{"127.0.0.0/8"}, 50*time.Millisecond, 100
-	n, err := Open(Config{Options: o, Name: name, Seed: boot, Boot: boot, Succeeds: true, Log: slog.New(slog.DiscardHandler)})
+	o.Name, o.Networks, o.Period, o.MaxMembers = "shelf", []string{"127.0.0.0/8"}, 50*time.Millisecond, 100
+	n, err := Open(Config{Options: o, Name: name, Seed: boot, InstanceID: boot, ReplacesProcess: true, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,7 +54,7 @@
 func holds(t *testing.T, n *Node, member string, s view.State) view.Member {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		standing, _, _ := n.Standing(t.Context())
+		standing, _, _ := n.Snapshot(t.Context())
 		for _, m := range standing.Members {
 			if m.Name == member && m.State == s {
 				return m
@@ -77,7 +77,7 @@
 		}
 	}
 	told := make(chan int, 1000)
-	a.Follow(func(s view.Standing) { told <- len(s.Members) })
+	a.Follow(func(s view.Snapshot) { told <- len(s.Members) })
 	if got := <-told; got != 3 {
 		t.Errorf("a follower is told of %d members at first", got)
 	}
@@ -88,7 +88,7 @@
 	if len(told) < 3 {
 		t.Errorf("a follower is told of %d changes", len(told))
 	}
-	if _, _, ok := b.Standing(context.Background()); ok {
+	if _, _, ok := b.Snapshot(context.Background()); ok {
 		t.Error("a closed node answers")
 	}
 }
@@ -102,7 +102,7 @@
 	next := join(t, "b", 3, Options{Listen: second, Seeds: []string{first}})
 	old.HandOver()
 	holds(t, next, "a", view.Alive)
-	for end := time.Now().Add(20 * time.Second); holds(t, a, "b", view.Alive).Boot != 3; {
+	for end := time.Now().Add(20 * time.Second); holds(t, a, "b", view.Alive).InstanceID != 3; {
 		if time.Now().After(end) {
 			t.Fatal("a does not see the new process")
 		}
@@ -113,7 +113,7 @@
 	first := place(t)
 	a := join(t, "a", 1, Options{Listen: first, Seeds: []string{"127.0.0.1:1"}})
 	b := join(t, "b", 2, Options{Listen: place(t), Seeds: []string{"127.0.0.1:1"}})
-	if s, _, _ := b.Standing(t.Context()); len(s.Members) != 1 {
+	if s, _, _ := b.Snapshot(t.Context()); len(s.Members) != 1 {
 		t.Errorf("%+v", s.Members)
 	}
 	b.SetSeeds([]string{first})
@@ -141,7 +141,7 @@
 			t.Fatal(err)
 		}
 		n := join(t, "c", 4, Options{Listen: place(t), Folder: folder})
-		if s, _, _ := n.Standing(t.Context()); len(s.Members) != 1 {
+		if s, _, _ := n.Snapshot(t.Context()); len(s.Members) != 1 {
 			t.Errorf("%s: %+v", name, s.Members)
 		}
 		n.Close(false)
@@ -165,7 +165,7 @@
 	holds(t, a, "b", view.Alive)
 	twin := join(t, "b", 3, Options{Listen: place(t), Seeds: []string{first}})
 	var r *Report
-	for end := time.Now().Add(20 * time.Second); r == nil || len(r.Trouble) < 2; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); r == nil || len(r.Problems) < 2; time.Sleep(5 * time.Millisecond) {
 		text, err := b.Status(t.Context())
 		if err != nil || time.Now().After(end) {
 			t.Fatalf("%v: %s", err, text)
@@ -199,11 +199,11 @@
 func TestOpenSaysWhatIsWrong(t *testing.T) {
 	o := DefaultOptions()
 	o.Listen = "192.0.2.1:7946" // no address of any machine
-	if _, err := Open(Config{Options: o, Name: "a", Boot: 1, Log: slog.New(slog.DiscardHandler)}); err == nil {
+	if _, err := Open(Config{Options: o, Name: "a", InstanceID: 1, Log: slog.New(slog.DiscardHandler)}); err == nil {
 		t.Error("it opens at an address that is not this machine's")
 	}
 	o.Listen = place(t)
-	if _, err := Open(Config{Options: o, Name: "", Boot: 1, Log: slog.New(slog.DiscardHandler)}); err == nil {
+	if _, err := Open(Config{Options: o, Name: "", InstanceID: 1, Log: slog.New(slog.DiscardHandler)}); err == nil {
 		t.Error("a member with no name")
 	}
 }
@@ -230,7 +230,7 @@
 	const changes, work = 90, 5 * time.Millisecond
 	n := join(t, "a", 1, Options{Listen: place(t), Seeds: []string{"127.0.0.1:9"}})
 	told := make(chan int, changes+2)
-	n.Follow(func(s view.Standing) {
+	n.Follow(func(s view.Snapshot) {
 		time.Sleep(work) // as much as it takes in a large fleet
 		select {
 		case told <- len(s.Members):
@@ -238,7 +238,7 @@
 		}
 	})
 	for i := range changes {
-		r := view.Record{Name: fmt.Sprintf("m%d", i), Boot: 1, Incarnation: 1, State: view.Alive, Address: "127.0.0.1:9"}
+		r := view.Record{Name: fmt.Sprintf("m%d", i), InstanceID: 1, Incarnation: 1, State: view.Alive, Address: "127.0.0.1:9"}
 		n.ask(t.Context(), func(v *view.View, now time.Duration) { v.Merge(now, []view.Record{r}, "m0") })
 	}
 	times := 0
--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -11,21 +11,21 @@
 
 // Options are what an operator may set about the view of the fleet.
 type Options struct {
-	On bool // the file has the section
+	Enabled bool // the file has the section
 
-	Name      string // the fleet's
-	Listen    string
-	Advertise string
-	Seeds     []string
-	Networks  []string
-	Period    time.Duration
-	Most      int
-	Folder    string
+	Name       string // the fleet's
+	Listen     string
+	Advertise  string
+	Seeds      []string
+	Networks   []string
+	Period     time.Duration
+	MaxMembers int
+	Folder     string
 }
 
 // DefaultOptions hold where the file has the section and leaves a key out.
 func DefaultOptions() Options {
-	return Options{Networks: []string{"127.0.0.0/8"}, Period: 300 * time.Millisecond, Most: 4096}
+	return Options{Networks: []string{"127.0.0.0/8"}, Period: 300 * time.Millisecond, MaxMembers: 4096}
 }
 
 // Section describes the options to the operator file.
@@ -34,7 +34,7 @@
 		Name:    "fleet",
 		Doc:     "A view of the fleet that the proxies keep themselves: who else is there. Nothing in it is secret, and nothing is signed.",
 		Absent:  "this proxy talks to no other, and opens nothing for it.",
-		Present: &o.On,
+		Present: &o.Enabled,
 		Keys: []operator.Key{
 			operator.Name("name", &o.Name, "The fleet's name, the same at all its proxies. What comes from another fleet is dropped.").MustBeSet(),
 			operator.Address("listen", &o.Listen, "Where the other proxies reach this one, by UDP and TCP: an IPv4 address of this machine, on no public network.").MustBeSet(),
@@ -42,7 +42,7 @@
 			operator.List("seeds", &o.Seeds, checkAddress, "Addresses of some proxies of the fleet, by which this one finds it. Its own may be among them. Three that do not fail together are enough.").OnReload(),
 			operator.List("networks", &o.Networks, checkNetwork, "The networks whose members may talk to this one, such as 10.1.0.0/16. What comes from others is dropped unread."),
 			operator.Duration("period", &o.Period, 20*time.Millisecond, time.Minute, "Between two questions to other proxies; the same at all. A dead proxy is found within ten of them or so."),
-			operator.Int("most", &o.Most, 2, 65536, "How many proxies are kept in mind, those that are gone included. Each takes about 1 KiB at most."),
+			operator.Int("most", &o.MaxMembers, 2, 65536, "How many proxies are kept in mind, those that are gone included. Each takes about 1 KiB at most."),
 			operator.Path("folder", &o.Folder, "A folder that lasts, of this proxy alone, where addresses of others are kept for the next start. Empty for none: then only seeds help."),
 		},
 		Check: o.check,
--- a/internal/cluster/parts/parts.go
+++ b/internal/cluster/parts/parts.go
@@ -23,7 +23,7 @@
 }
 
 // Of counts a view.
-func Of(s *view.Standing) Count {
+func Of(s *view.Snapshot) Count {
 	var c Count
 	for i := range s.Members {
 		switch s.Members[i].State {
--- a/internal/cluster/parts/parts_test.go
+++ b/internal/cluster/parts/parts_test.go
@@ -62,7 +62,7 @@
 
 func TestOfCountsAView(t *testing.T) {
 	m := func(s view.State) view.Member { return view.Member{Record: view.Record{State: s}} }
-	s := view.Standing{Members: []view.Member{m(view.Alive), m(view.Suspect), m(view.Dead), m(view.Left), m(view.Alive)}}
+	s := view.Snapshot{Members: []view.Member{m(view.Alive), m(view.Suspect), m(view.Dead), m(view.Left), m(view.Alive)}}
 	if got := Of(&s); got != (Count{3, 1, 1}) {
 		t.Errorf("%+v", got)
 	}
--- a/internal/cluster/report.go
+++ b/internal/cluster/report.go
@@ -16,14 +16,14 @@
 
 // Report is how this proxy sees its fleet, as operators read it.
 type Report struct {
-	Fleet   string        `json:"fleet"`
-	Self    Member        `json:"self"`
-	Settled bool          `json:"settled"` // nothing is in doubt, and those last heard from see the same
-	Digest  string        `json:"digest"`  // equal at two proxies that see the same
-	Doubt   int           `json:"doubt"`   // how much this proxy doubts itself; 0 for not at all
-	Members []Member      `json:"members"`
-	Trouble []string      `json:"trouble,omitempty"` // what an operator has to mend
-	Counts  []FigureCount `json:"counts"`
+	Fleet       string        `json:"fleet"`
+	Self        Member        `json:"self"`
+	Settled     bool          `json:"settled"` // nothing is in doubt, and those last heard from see the same
+	Digest      string        `json:"digest"`  // equal at two proxies that see the same
+	HealthScore int           `json:"doubt"`   // how much this proxy doubts itself; 0 for not at all
+	Members     []Member      `json:"members"`
+	Problems    []string      `json:"trouble,omitempty"` // what an operator has to mend
+	Counts      []FigureCount `json:"counts"`
 }
 
 // Member is one member in a Report.
@@ -32,7 +32,7 @@
 	Address     string     `json:"address"`
 	State       view.State `json:"state"`
 	Incarnation uint64     `json:"incarnation"`
-	Boot        string     `json:"boot"`
+	InstanceID  string     `json:"boot"`
 	By          string     `json:"by,omitempty"`
 	ForS        float64    `json:"for_s"` // so long in its state
 	Self        bool       `json:"self,omitempty"`
@@ -46,18 +46,18 @@
 
 func member(m view.Member, now time.Duration) Member {
 	return Member{
-		Name: m.Name, Address: m.Address, State: m.State, Incarnation: m.Incarnation, Boot: fmt.Sprintf("%x", m.Boot), By: m.By,
+		Name: m.Name, Address: m.Address, State: m.State, Incarnation: m.Incarnation, InstanceID: fmt.Sprintf("%x", m.InstanceID), By: m.By,
 		ForS: max((now - m.Since).Round(100*time.Millisecond).Seconds(), 0), Self: m.Self,
 	}
 }
 
 // Report returns how this proxy sees its fleet now.
 func (n *Node) Report(ctx context.Context) (*Report, error) {
-	s, now, ok := n.Standing(ctx)
+	s, now, ok := n.Snapshot(ctx)
 	if !ok {
 		return nil, errors.New("fleet: no answer")
 	}
-	r := &Report{Fleet: n.config.Options.Name, Settled: s.Settled, Digest: fmt.Sprintf("%016x", s.Digest), Doubt: s.Health}
+	r := &Report{Fleet: n.config.Options.Name, Settled: s.Settled, Digest: fmt.Sprintf("%016x", s.Digest), HealthScore: s.Health}
 	r.Self = member(view.Member{Record: s.Self, Self: true}, now)
 	for _, m := range s.Members {
 		one := member(m, now)
@@ -67,20 +67,20 @@
 		}
 	}
 	if s.Duplicate != nil {
-		r.Trouble = append(r.Trouble, fmt.Sprintf("another process goes by the name %s, at %s (boot %x): stop one, or name it differently", s.Duplicate.Name, s.Duplicate.Address, s.Duplicate.Boot))
+		r.Problems = append(r.Problems, fmt.Sprintf("another process goes by the name %s, at %s (boot %x): stop one, or name it differently", s.Duplicate.Name, s.Duplicate.Address, s.Duplicate.InstanceID))
 	}
 	if s.Displaced {
-		r.Trouble = append(r.Trouble, "others see that process under this name, and not this one")
+		r.Problems = append(r.Problems, "others see that process under this name, and not this one")
 	}
-	if s.Forgotten > 0 {
-		r.Trouble = append(r.Trouble, fmt.Sprintf("%d members were not taken in: raise fleet.most", s.Forgotten))
+	if s.Rejected > 0 {
+		r.Problems = append(r.Problems, fmt.Sprintf("%d members were not taken in: raise fleet.most", s.Rejected))
 	}
 	r.Counts = n.figures(s)
 	return r, nil
 }
 
 // figures are the counts, in the order in which they are shown.
-func (n *Node) figures(s view.Standing) []FigureCount {
+func (n *Node) figures(s view.Snapshot) []FigureCount {
 	by := map[view.State]int64{}
 	for _, m := range s.Members {
 		by[m.State]++
@@ -107,7 +107,7 @@
 
 // Figures appends the counts to the console's figures.
 func (n *Node) Figures(ctx context.Context, text []byte) []byte {
-	s, _, ok := n.Standing(ctx)
+	s, _, ok := n.Snapshot(ctx)
 	if !ok {
 		return text
 	}
@@ -141,11 +141,11 @@
 		state = "not settled"
 	}
 	fmt.Fprintf(&b, "fleet %s as %s sees it: %s, digest %s", r.Fleet, r.Self.Name, state, r.Digest)
-	if r.Doubt > 0 {
-		fmt.Fprintf(&b, ", doubts itself (%d)", r.Doubt)
+	if r.HealthScore > 0 {
+		fmt.Fprintf(&b, ", doubts itself (%d)", r.HealthScore)
 	}
 	b.WriteByte('\n')
-	for _, t := range r.Trouble {
+	for _, t := range r.Problems {
 		fmt.Fprintf(&b, "TROUBLE: %s\n", t)
 	}
 	members := slices.Clone(r.Members)
--- a/internal/cluster/revival/revival.go
+++ b/internal/cluster/revival/revival.go
@@ -96,7 +96,7 @@
 		return nil, fmt.Errorf("revival: %w", err)
 	}
 	switch {
-	case r.Name == "" || len(r.Name) > view.MostName:
+	case r.Name == "" || len(r.Name) > view.MaxNameBytes:
 		return nil, fmt.Errorf("revival: a name of %d bytes", len(r.Name))
 	case r.Up < 0 || r.Open < 0 || r.Open > r.Up+mostAhead:
 		return nil, errors.New("revival: times that cannot be")
--- a/internal/cluster/view/apply.go
+++ b/internal/cluster/view/apply.go
@@ -9,7 +9,7 @@
 func (v *View) apply(now time.Duration, r *Record, from string) {
 	if r.Name == v.self.Name {
 		v.applyOwn(now, r)
-		if !v.displaced || r.Boot == v.self.Boot {
+		if !v.displaced || r.InstanceID == v.self.InstanceID {
 			return
 		}
 	}
@@ -18,7 +18,7 @@
 		v.addMember(now, r)
 		return
 	}
-	same := r.Boot == m.Boot && r.Incarnation == m.Incarnation
+	same := r.InstanceID == m.InstanceID && r.Incarnation == m.Incarnation
 	switch {
 	case !same && !r.supersedes(&m.Record):
 	case r.State == Alive:
@@ -27,13 +27,13 @@
 			return
 		}
 		why, was := Refuted, m.State
-		if r.Boot != m.Boot {
+		if r.InstanceID != m.InstanceID {
 			why = Returned
 		} else if was == Suspect && m.ownSuspicion {
 			v.noteFalseSuspicion(now)
 		}
 		v.setRecord(now, m, *r, why)
-		if was == Dead && from == r.Name && !v.set.NoReach {
+		if was == Dead && from == r.Name && !v.set.NoDeadPings {
 			v.startExchange(now, v.set.Period, r.Address) // it may not be the only one that is back
 		}
 	case r.State == Left:
@@ -42,7 +42,7 @@
 		}
 	case m.State == Dead || m.State == Left:
 		if !same { // it has gone once more, meanwhile
-			v.setRecord(now, m, *r, Told)
+			v.setRecord(now, m, *r, Reported)
 		}
 	case r.State == Dead && m.State == Alive:
 		v.verifyDeath(now, m, r, from)
@@ -50,9 +50,9 @@
 		if !same {
 			alive := *r
 			alive.State, alive.By = Alive, ""
-			v.setRecord(now, m, alive, Told)
+			v.setRecord(now, m, alive, Reported)
 		}
-		v.raiseSuspicion(now, m, accuser(r, from), Told)
+		v.raiseSuspicion(now, m, accuser(r, from), Reported)
 		if m.State == Suspect && r.State == Dead && !m.deadElsewhere {
 			m.deadElsewhere = true
 			v.setSuspicionDeadline(now, m)
--- a/internal/cluster/view/health.go
+++ b/internal/cluster/view/health.go
@@ -35,7 +35,7 @@
 	v.heardAt = now
 	v.trustUntil = now + 2*v.set.Period
 	v.nextPeriod = now
-	v.host.Changed(Change{Record: v.self, Was: Alive, Why: Away})
+	v.host.Changed(Change{Record: v.self, Was: Alive, Why: Paused})
 }
 
 // degradeHealth worsens the local health score of Lifeguard.
--- a/internal/cluster/view/member.go
+++ b/internal/cluster/view/member.go
@@ -33,7 +33,7 @@
 	h.Write([]byte(r.Name))
 	var b [16]byte
 	for i := range 8 {
-		b[i], b[8+i] = byte(r.Boot>>(8*i)), byte(r.Incarnation>>(8*i))
+		b[i], b[8+i] = byte(r.InstanceID>>(8*i)), byte(r.Incarnation>>(8*i))
 	}
 	h.Write(b[:])
 	// The parts are put together by exclusive or, under which the last steps of FNV alone would be too alike.
@@ -45,7 +45,7 @@
 
 // addMember takes in a member that was unknown.
 func (v *View) addMember(now time.Duration, r *Record) {
-	if len(v.members) >= v.set.Most-1 && !v.evictGone() {
+	if len(v.members) >= v.set.MaxMembers-1 && !v.evictGone() {
 		v.forgotten++
 		return
 	}
@@ -62,7 +62,7 @@
 	v.host.Changed(Change{Record: m.Record, Why: Joined})
 	v.insertIntoRound(m)
 	if was.State == Suspect {
-		v.raiseSuspicion(now, m, was.By, Told)
+		v.raiseSuspicion(now, m, was.By, Reported)
 	}
 }
 
@@ -141,7 +141,7 @@
 
 // setRecord replaces the record of a member, and disseminates it.
 func (v *View) setRecord(now time.Duration, m *member, r Record, why Why) {
-	was, boot := m.State, m.Boot
+	was, boot := m.State, m.InstanceID
 	if m.place >= 0 {
 		v.removePresent(m)
 	}
@@ -160,7 +160,7 @@
 		v.gone = append(v.gone, m)
 	}
 	v.markChanged(now, m.Name)
-	if was == r.State && boot == r.Boot {
+	if was == r.State && boot == r.InstanceID {
 		return
 	}
 	m.since = now
--- a/internal/cluster/view/message.go
+++ b/internal/cluster/view/message.go
@@ -16,11 +16,11 @@
 	}
 	room := newsRoom
 	if of != nil && of.State != Alive {
-		m.News = append(m.News, *of)
+		m.Updates = append(m.Updates, *of)
 		room -= of.size()
 	}
 	if of == nil || of.State != Dead || m.Kind == Ack { // a dead one that does not answer would use the news up
-		m.News = v.takeNews(m.News, room)
+		m.Updates = v.takeNews(m.Updates, room)
 	}
 	v.host.Send(to, m)
 }
@@ -34,11 +34,11 @@
 	v.heardAt = now
 	said := v.self.Incarnation
 	v.receiveSender(now, from, m)
-	for i := range m.News {
-		v.apply(now, &m.News[i], m.From.Name)
+	for i := range m.Updates {
+		v.apply(now, &m.Updates[i], m.From.Name)
 	}
 	if v.self.Incarnation != said && m.Kind != Ping && !m.Relayed {
-		v.send(from, nil, &Message{Kind: News}) // who told of us what is not so hears it first
+		v.send(from, nil, &Message{Kind: Gossip}) // who told of us what is not so hears it first
 	}
 	switch m.Kind {
 	case Ping:
@@ -55,7 +55,7 @@
 
 // heldRecord is what this process holds of the sender of a record, if that is of the same start or later.
 func (v *View) heldRecord(r *Record) *Record {
-	if h := v.record(r.Name); h != nil && (h.Boot == r.Boot || h.supersedes(r)) {
+	if h := v.record(r.Name); h != nil && (h.InstanceID == r.InstanceID || h.supersedes(r)) {
 		return h
 	}
 	return nil
@@ -68,11 +68,11 @@
 		v.apply(now, &r, r.Name)
 		return
 	}
-	if r.Boot == v.self.Boot {
+	if r.InstanceID == v.self.InstanceID {
 		return // our own, come back
 	}
 	// There is no doubt: this name has another living process.
-	if v.duplicate == nil || v.duplicate.Boot != r.Boot {
+	if v.duplicate == nil || v.duplicate.InstanceID != r.InstanceID {
 		v.host.Changed(Change{Record: r, Was: Alive, Why: Duplicate})
 	}
 	v.duplicate, v.duplicateSeenAt = &r, now
--- a/internal/cluster/view/name.go
+++ b/internal/cluster/view/name.go
@@ -25,7 +25,7 @@
 	if v.displaced {
 		return
 	}
-	if r.Boot == v.self.Boot {
+	if r.InstanceID == v.self.InstanceID {
 		if r.State != Alive && r.Incarnation >= v.self.Incarnation {
 			v.degradeHealth(1) // others did not get our answer: perhaps we are slow
 			v.raiseIncarnation(now, r.Incarnation)
@@ -48,11 +48,11 @@
 		return
 	}
 	for _, a := range v.asked {
-		if a.claimant == r.Boot {
+		if a.claimant == r.InstanceID {
 			return // a ping verifies that already
 		}
 	}
-	v.ping(now, r.Address, nil, pendingPing{until: now + v.scaledByHealth(3*v.set.Period), claimant: r.Boot, claimIncarnation: r.Incarnation})
+	v.ping(now, r.Address, nil, pendingPing{until: now + v.scaledByHealth(3*v.set.Period), claimant: r.InstanceID, claimIncarnation: r.Incarnation})
 }
 
 // raiseIncarnation sets this process's incarnation above another, which refutes all records up to that.
--- a/internal/cluster/view/probe.go
+++ b/internal/cluster/view/probe.go
@@ -94,7 +94,7 @@
 func (v *View) probe(now time.Duration, m *member, of *Record, claimedBy string) {
 	v.seq++
 	p := probe{
-		seq: v.seq, name: m.Name, boot: m.Boot, incarnation: m.Incarnation,
+		seq: v.seq, name: m.Name, boot: m.InstanceID, incarnation: m.Incarnation,
 		deadline: now + v.scaledByHealth(v.set.Period), heardBefore: v.heardAt, claimedBy: claimedBy,
 	}
 	if !v.set.NoIndirect {
@@ -128,16 +128,16 @@
 		v.degradeHealth(1) // nobody at all has been heard: it may be us
 	}
 	m := v.members[p.name]
-	if m == nil || m.Boot != p.boot || m.place < 0 || now < v.trustUntil {
+	if m == nil || m.InstanceID != p.boot || m.place < 0 || now < v.trustUntil {
 		return
 	}
-	if m.Incarnation > p.incarnation && !v.set.NoCalm {
+	if m.Incarnation > p.incarnation && !v.set.NoFalseSuspicionLimit {
 		return // it has refuted since: it lives, and what was lost is the answer
 	}
-	v.raiseSuspicion(now, m, v.self.Name, Silent)
+	v.raiseSuspicion(now, m, v.self.Name, Unresponsive)
 	if p.claimedBy != "" && m.State == Suspect {
 		m.deadElsewhere = true
-		v.raiseSuspicion(now, m, p.claimedBy, Told)
+		v.raiseSuspicion(now, m, p.claimedBy, Reported)
 	}
 }
 
--- a/internal/cluster/view/standing.go
+++ b/internal/cluster/view/standing.go
@@ -6,9 +6,9 @@
 )
 
 // Standing is a snapshot of the view.
-func (v *View) Standing(now time.Duration) Standing {
-	s := Standing{
-		Self: v.self, Displaced: v.displaced, Health: v.health, Digest: v.digest, Forgotten: v.forgotten,
+func (v *View) Snapshot(now time.Duration) Snapshot {
+	s := Snapshot{
+		Self: v.self, Displaced: v.displaced, Health: v.health, Digest: v.digest, Rejected: v.forgotten,
 		Settled: len(v.suspect) == 0 && now-v.changedAt > quietPeriods*v.set.Period && v.digestsDifferSince == 0 &&
 			(len(v.present) == 0 || v.agreeing > 0) && !v.displaced,
 	}
@@ -42,7 +42,7 @@
 }
 
 // Holds is the state in which a name is held; 0 if it is unknown.
-func (v *View) Holds(name string) State {
+func (v *View) StateOf(name string) State {
 	if r := v.record(name); r != nil {
 		return r.State
 	}
@@ -50,7 +50,7 @@
 }
 
 // At is the name of the member that is reached at an address; "" if none is known.
-func (v *View) At(address string) string {
+func (v *View) NameAt(address string) string {
 	for _, m := range v.present {
 		if m.Address == address {
 			return m.Name
--- a/internal/cluster/view/suspicion.go
+++ b/internal/cluster/view/suspicion.go
@@ -31,7 +31,7 @@
 		r.State, r.By = Suspect, by
 		v.setRecord(now, m, r, why)
 		v.suspect[m.Name] = m
-		if !own && !v.set.NoPrompt && len(v.probes) < 2*mostWidth && v.chance(2*fleetPings/float64(len(v.present)+1)) {
+		if !own && !v.set.NoSuspectPings && len(v.probes) < 2*mostWidth && v.chance(2*fleetPings/float64(len(v.present)+1)) {
 			// Some look for themselves at once: it hears of the suspicion, and if they get no answer either, it is short.
 			v.probe(now, m, &m.Record, "")
 		}
@@ -64,7 +64,7 @@
 // It guards against suspicions that cause each other where datagrams are lost: at a loss of 30% each suspicion led to more than one
 // further one. It might harm where members die meanwhile: several that die at once are then found one after another.
 func (v *View) noteFalseSuspicion(now time.Duration) {
-	if v.set.NoCalm {
+	if v.set.NoFalseSuspicionLimit {
 		return
 	}
 	if v.falseSuspicions == 0 {
@@ -88,7 +88,7 @@
 	needed := min(confirmers, others)
 	d := most
 	switch have := len(m.accusers) - 1; {
-	case v.set.NoCorrection:
+	case v.set.NoEarlyConfirmation:
 	case m.deadElsewhere && m.ownSuspicion && have > 0:
 		d = least / 2 // another one's suspicion has run out, and it does not answer here either
 	case m.deadElsewhere || have >= needed:
--- a/internal/cluster/view/types.go
+++ b/internal/cluster/view/types.go
@@ -50,7 +50,7 @@
 // start and each refutation.
 type Record struct {
 	Name        string `cbor:"1,keyasint" json:"name"`
-	Boot        uint64 `cbor:"2,keyasint" json:"boot"`
+	InstanceID  uint64 `cbor:"2,keyasint" json:"boot"`
 	Incarnation uint64 `cbor:"3,keyasint" json:"incarnation"`
 	State       State  `cbor:"4,keyasint" json:"state"`
 	Address     string `cbor:"5,keyasint" json:"address"`
@@ -64,8 +64,8 @@
 	switch {
 	case r.Incarnation != o.Incarnation:
 		return r.Incarnation > o.Incarnation
-	case r.Boot != o.Boot:
-		return r.Boot > o.Boot
+	case r.InstanceID != o.InstanceID:
+		return r.InstanceID > o.InstanceID
 	default:
 		return r.State > o.State
 	}
@@ -73,22 +73,22 @@
 
 // Bounds of what a record may hold; what is longer is no record.
 const (
-	MostName    = 64 // bytes
-	MostAddress = 64 // bytes
+	MaxNameBytes    = 64 // bytes
+	MaxAddressBytes = 64 // bytes
 	// mostIncarnation is far more than refutations can reach. It guards against one who names a number near the end of
 	// the range, after which nothing could be refuted.
 	mostIncarnation = 1 << 48
 )
 
 // Sound says what is wrong with a record that has come from outside.
-func (r *Record) Sound() error {
+func (r *Record) Validate() error {
 	switch {
-	case r.Name == "" || len(r.Name) > MostName:
-		return fmt.Errorf("record: a name of %d bytes; 1 to %d are allowed", len(r.Name), MostName)
-	case r.Address == "" || len(r.Address) > MostAddress:
-		return fmt.Errorf("record of %.64q: an address of %d bytes; 1 to %d are allowed", r.Name, len(r.Address), MostAddress)
-	case len(r.By) > MostName:
-		return fmt.Errorf("record of %.64q: by %d bytes; %d at most are allowed", r.Name, len(r.By), MostName)
+	case r.Name == "" || len(r.Name) > MaxNameBytes:
+		return fmt.Errorf("record: a name of %d bytes; 1 to %d are allowed", len(r.Name), MaxNameBytes)
+	case r.Address == "" || len(r.Address) > MaxAddressBytes:
+		return fmt.Errorf("record of %.64q: an address of %d bytes; 1 to %d are allowed", r.Name, len(r.Address), MaxAddressBytes)
+	case len(r.By) > MaxNameBytes:
+		return fmt.Errorf("record of %.64q: by %d bytes; %d at most are allowed", r.Name, len(r.By), MaxNameBytes)
 	case !r.State.Known():
 		return fmt.Errorf("record of %.64q: no state %d", r.Name, r.State)
 	case r.Incarnation > mostIncarnation:
@@ -108,7 +108,7 @@
 	Ping Kind = iota + 1 // asks for an Ack with the same Seq
 	Ack
 	Request // asks to ping Target, and to pass its Ack on
-	News    // carries news and asks for nothing
+	Gossip  // carries news and asks for nothing
 	lastKind
 )
 
@@ -124,30 +124,30 @@
 	// Digest is that of the sender's view: see View.digest.
 	Digest uint64 `cbor:"4,keyasint,omitempty"`
 	// Target is whom a Request is about.
-	Target *Record  `cbor:"5,keyasint,omitempty"`
-	News   []Record `cbor:"6,keyasint,omitempty"`
+	Target  *Record  `cbor:"5,keyasint,omitempty"`
+	Updates []Record `cbor:"6,keyasint,omitempty"`
 	// Relayed marks an Ack that a third one passes on; its digest and address say nothing of who sent the datagram.
 	Relayed bool `cbor:"7,keyasint,omitempty"`
 }
 
 // Sound says what is wrong with a message that has come from outside.
-func (m *Message) Sound() error {
+func (m *Message) Validate() error {
 	if !m.Kind.Known() {
 		return fmt.Errorf("message: no kind %d", m.Kind)
 	}
-	if err := m.From.Sound(); err != nil {
+	if err := m.From.Validate(); err != nil {
 		return fmt.Errorf("from: %w", err)
 	}
 	if m.Kind == Request && m.Target == nil {
 		return fmt.Errorf("request: no target")
 	}
 	if m.Target != nil {
-		if err := m.Target.Sound(); err != nil {
+		if err := m.Target.Validate(); err != nil {
 			return fmt.Errorf("target: %w", err)
 		}
 	}
-	for i := range m.News {
-		if err := m.News[i].Sound(); err != nil {
+	for i := range m.Updates {
+		if err := m.Updates[i].Validate(); err != nil {
 			return fmt.Errorf("news %d: %w", i, err)
 		}
 	}
@@ -159,17 +159,17 @@
 
 // The reasons for a change.
 const (
-	Joined    Why = "joined"           // unknown until now
-	Returned  Why = "has started anew" // another start under a known name
-	Silent    Why = "did not answer"   // found by this process itself
-	Told      Why = "told"             // by whom, says By
-	Expired   Why = "nobody refuted"   // a suspicion ran out
-	Refuted   Why = "refuted"          // it says that it lives
-	Leaving   Why = "said that it goes"
-	Displaced Why = "its name is another's" // of this process: another one goes by its name
-	Retaken   Why = "its name is free"      // of this process, after that
-	Duplicate Why = "another process goes by this name"
-	Away      Why = "was away" // this process, for so long that what it believed may be over
+	Joined       Why = "joined"           // unknown until now
+	Returned     Why = "has started anew" // another start under a known name
+	Unresponsive Why = "did not answer"   // found by this process itself
+	Reported     Why = "told"             // by whom, says By
+	Expired      Why = "nobody refuted"   // a suspicion ran out
+	Refuted      Why = "refuted"          // it says that it lives
+	Leaving      Why = "said that it goes"
+	Displaced    Why = "its name is another's" // of this process: another one goes by its name
+	Retaken      Why = "its name is free"      // of this process, after that
+	Duplicate    Why = "another process goes by this name"
+	Paused       Why = "was away" // this process, for so long that what it believed may be over
 )
 
 // Change is one change of the view.
@@ -191,36 +191,36 @@
 
 // Settings are what a view is told. The zero values of the switches at the end leave every defence on.
 type Settings struct {
-	Name    string // of this member
-	Address string // where others reach it
-	Boot    uint64 // drawn at random at each start
+	Name       string // of this member
+	Address    string // where others reach it
+	InstanceID uint64 // drawn at random at each start
 	// Period is between two probes; all other times follow from it.
-	Period time.Duration
-	Seeds  []string // addresses of some members
-	Most   int      // members that are held, remembered ones included
+	Period     time.Duration
+	Seeds      []string // addresses of some members
+	MaxMembers int      // members that are held, remembered ones included
 
 	// Each takes one defence out, so that what it brings can be measured.
-	NoIndirect   bool // no probes through others
-	NoSuspicion  bool // who does not answer is dead at once
-	NoHealth     bool // no doubt in oneself
-	NoPrompt     bool // suspects are not asked by themselves; they hear of it by chance
-	NoDigest     bool // views are not compared
-	NoReach      bool // the dead are not asked whether they live
-	NoWidening   bool // one probe a period, also after failures
-	NoCalm       bool // refuted suspicions do not make it ask less widely
-	NoCorrection bool // suspicions last their longest, whoever confirms them
+	NoIndirect            bool // no probes through others
+	NoSuspicion           bool // who does not answer is dead at once
+	NoHealth              bool // no doubt in oneself
+	NoSuspectPings        bool // suspects are not asked by themselves; they hear of it by chance
+	NoDigest              bool // views are not compared
+	NoDeadPings           bool // the dead are not asked whether they live
+	NoWidening            bool // one probe a period, also after failures
+	NoFalseSuspicionLimit bool // refuted suspicions do not make it ask less widely
+	NoEarlyConfirmation   bool // suspicions last their longest, whoever confirms them
 }
 
 // Validate says what is wrong with the settings.
 func (s *Settings) Validate() error {
 	self := Record{Name: s.Name, Address: s.Address, State: Alive}
-	switch err := self.Sound(); {
+	switch err := self.Validate(); {
 	case err != nil:
 		return fmt.Errorf("view: %w", err)
 	case s.Period <= 0:
 		return fmt.Errorf("view: a period of %v is not above 0", s.Period)
-	case s.Most < 2:
-		return fmt.Errorf("view: %d members at most are too few to see anybody", s.Most)
+	case s.MaxMembers < 2:
+		return fmt.Errorf("view: %d members at most are too few to see anybody", s.MaxMembers)
 	}
 	return nil
 }
@@ -233,7 +233,7 @@
 }
 
 // Standing is how a view stands.
-type Standing struct {
+type Snapshot struct {
 	Self    Record
 	Members []Member // by name, this process among them; remembered ones too
 	// Settled: nothing is in doubt, nothing has changed for some periods, and those last heard from hold the same.
@@ -244,12 +244,12 @@
 	Duplicate *Record
 	Health    int    // 0 for well; how much this process doubts itself
 	Digest    uint64 // of who is there
-	Forgotten int    // records that were not taken for want of room
+	Rejected  int    // records that were not taken for want of room
 }
 
 // Addresses are those of all members by name, of the dead too, since they may be reached all the same; and living are the names of
 // those that are there.
-func (s *Standing) Addresses() (all map[string]string, living []string) {
+func (s *Snapshot) Addresses() (all map[string]string, living []string) {
 	all = make(map[string]string, len(s.Members))
 	for i := range s.Members {
 		m := &s.Members[i]
--- a/internal/cluster/view/view.go
+++ b/internal/cluster/view/view.go
@@ -86,8 +86,8 @@
 		return nil, err
 	}
 	v := &View{
-		set: s, host: host, rng: rand.New(rand.NewPCG(seed, s.Boot)),
-		self:    Record{Name: s.Name, Boot: s.Boot, Incarnation: 1, State: Alive, Address: s.Address},
+		set: s, host: host, rng: rand.New(rand.NewPCG(seed, s.InstanceID)),
+		self:    Record{Name: s.Name, InstanceID: s.InstanceID, Incarnation: 1, State: Alive, Address: s.Address},
 		members: map[string]*member{}, suspect: map[string]*member{}, asked: map[uint64]pendingPing{},
 		startedAt: now, width: 1, suspicionDue: never, heardAt: now, changedAt: now, backoff: 1, exchangedAt: now - exchangePeriods*s.Period,
 	}
@@ -155,10 +155,10 @@
 		v.probeNext(now)
 	}
 	all := float64(len(v.present) + 1)
-	if !v.set.NoPrompt {
+	if !v.set.NoSuspectPings {
 		v.pingSuspects(now, all)
 	}
-	if !v.set.NoReach {
+	if !v.set.NoDeadPings {
 		v.pingDead(now, all)
 	}
 	v.pingSeed(now, all)
@@ -177,7 +177,7 @@
 			return
 		}
 		if m := v.present[v.rng.IntN(len(v.present))]; m.State == Alive || v.chance(0.5) {
-			v.send(m.Address, &m.Record, &Message{Kind: News})
+			v.send(m.Address, &m.Record, &Message{Kind: Gossip})
 		}
 	}
 }
@@ -197,7 +197,7 @@
 	v.rng.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 	for _, m := range order[:min(len(order), 4*indirectProbes)] {
 		v.news.tell(v.self.Name)
-		v.send(m.Address, nil, &Message{Kind: News})
+		v.send(m.Address, nil, &Message{Kind: Gossip})
 	}
 	v.leaving = true
 }
--- a/internal/cluster/view/view_test.go
+++ b/internal/cluster/view/view_test.go
@@ -38,7 +38,7 @@
 }
 
 func of(name string, boot, incarnation uint64, s State) Record {
-	return Record{Name: name, Boot: boot, Incarnation: incarnation, State: s, Address: name + ":1"}
+	return Record{Name: name, InstanceID: boot, Incarnation: incarnation, State: s, Address: name + ":1"}
 }
 
 func open(t testing.TB, set Settings) (*View, *desk) {
@@ -46,9 +46,9 @@
 	if set.Name == "" {
 		set.Name = "me"
 	}
-	set.Address, set.Boot, set.Period = set.Name+":1", 7, p
-	if set.Most == 0 {
-		set.Most = 100
+	set.Address, set.InstanceID, set.Period = set.Name+":1", 7, p
+	if set.MaxMembers == 0 {
+		set.MaxMembers = 100
 	}
 	d := &desk{}
 	v, err := New(0, set, 1, d)
@@ -60,7 +60,7 @@
 
 // hear gives a view a message from a member about others.
 func hear(v *View, now time.Duration, from Record, kind Kind, news ...Record) {
-	v.Receive(now, from.Address, &Message{Kind: kind, Seq: 1, From: from, News: news})
+	v.Receive(now, from.Address, &Message{Kind: kind, Seq: 1, From: from, Updates: news})
 }
 
 // TestSuspicionIsRefuted: a lie about a living member is told to it with the question, and its answer clears it.
@@ -72,19 +72,19 @@
 	lie.By = "a"
 	hear(v, 0, b, Ping)
 	d.take()
-	hear(v, 1, a, News, lie)
-	if v.Holds("b") != Suspect {
-		t.Fatalf("b is held %v", v.Holds("b"))
+	hear(v, 1, a, Gossip, lie)
+	if v.StateOf("b") != Suspect {
+		t.Fatalf("b is held %v", v.StateOf("b"))
 	}
 	told := slices.ContainsFunc(d.take(), func(s sent) bool {
-		return s.to == b.Address && s.m.Kind == Ping && slices.ContainsFunc(s.m.News, func(r Record) bool { return r.Name == "b" && r.State == Suspect })
+		return s.to == b.Address && s.m.Kind == Ping && slices.ContainsFunc(s.m.Updates, func(r Record) bool { return r.Name == "b" && r.State == Suspect })
 	})
 	if !told {
 		t.Error("b is not told that it is suspect")
 	}
-	hear(v, 2, of("b", 2, 2, Alive), News)
-	if v.Holds("b") != Alive {
-		t.Errorf("refuted, b is held %v", v.Holds("b"))
+	hear(v, 2, of("b", 2, 2, Alive), Gossip)
+	if v.StateOf("b") != Alive {
+		t.Errorf("refuted, b is held %v", v.StateOf("b"))
 	}
 }
 
@@ -94,9 +94,9 @@
 	hear(v, 0, of("a", 1, 1, Alive), Ping)
 	hear(v, 0, of("b", 2, 1, Alive), Ping)
 	d.take()
-	hear(v, 1, of("a", 1, 1, Alive), News, of("b", 2, 1, Dead))
-	if v.Holds("b") != Alive {
-		t.Fatalf("b is held %v on a's word", v.Holds("b"))
+	hear(v, 1, of("a", 1, 1, Alive), Gossip, of("b", 2, 1, Dead))
+	if v.StateOf("b") != Alive {
+		t.Fatalf("b is held %v on a's word", v.StateOf("b"))
 	}
 	var seq uint64
 	for _, s := range d.take() {
@@ -136,14 +136,14 @@
 	if !slices.Equal(states, []State{Alive, Suspect, Dead}) || v.Present() != 1 {
 		t.Errorf("%v, %d present", states, v.Present())
 	}
-	s := v.Standing(40 * p)
+	s := v.Snapshot(40 * p)
 	if len(s.Members) != 2 || s.Members[0].State != Dead {
 		t.Errorf("%+v", s.Members)
 	}
 	// It is asked now and then, and back with its first word.
-	asked := slices.ContainsFunc(d.take(), func(s sent) bool { return s.to == "a:1" && len(s.m.News) == 1 && s.m.News[0].State == Dead })
-	if hear(v, 41*p, of("a", 1, 2, Alive), Ping); !asked || v.Holds("a") != Alive || len(d.exchanges) == 0 {
-		t.Errorf("asked %v, held %v, %d exchanges", asked, v.Holds("a"), len(d.exchanges))
+	asked := slices.ContainsFunc(d.take(), func(s sent) bool { return s.to == "a:1" && len(s.m.Updates) == 1 && s.m.Updates[0].State == Dead })
+	if hear(v, 41*p, of("a", 1, 2, Alive), Ping); !asked || v.StateOf("a") != Alive || len(d.exchanges) == 0 {
+		t.Errorf("asked %v, held %v, %d exchanges", asked, v.StateOf("a"), len(d.exchanges))
 	}
 }
 
@@ -151,7 +151,7 @@
 // each of them is dead in the end all the same.
 func TestManySuspectsCostNoLookEach(t *testing.T) {
 	const members, suspects, messages = 400, 300, 1000
-	v, _ := open(t, Settings{Most: 2 * members})
+	v, _ := open(t, Settings{MaxMembers: 2 * members})
 	var table []Record
 	for i := range members {
 		table = append(table, of(fmt.Sprintf("m%d", i), 1, 1, Alive))
@@ -161,11 +161,11 @@
 	for i := range suspects {
 		r := table[i]
 		r.State = Suspect
-		hear(v, 1, well[i%len(well)], News, r)
+		hear(v, 1, well[i%len(well)], Gossip, r)
 	}
 	before := v.suspicionScans
 	for i := range messages {
-		hear(v, 2, well[i%len(well)], News)
+		hear(v, 2, well[i%len(well)], Gossip)
 		v.Next()
 	}
 	if looks := v.suspicionScans - before; len(v.suspect) != suspects || looks > 0 {
@@ -182,7 +182,7 @@
 		t.Errorf("%d looks in %d wakes", looks, wakes)
 	}
 	for i := range suspects {
-		if held := v.Holds(table[i].Name); held != Dead {
+		if held := v.StateOf(table[i].Name); held != Dead {
 			t.Fatalf("%s is held %v after all suspicions are over", table[i].Name, held)
 		}
 	}
@@ -195,7 +195,7 @@
 	var begun [periods + 2]int // by period
 	for i := range uint64(views) {
 		d := &desk{}
-		v, err := New(0, Settings{Name: "me", Address: "me:1", Boot: i, Period: p, Most: 100}, i, d)
+		v, err := New(0, Settings{Name: "me", Address: "me:1", InstanceID: i, Period: p, MaxMembers: 100}, i, d)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -207,7 +207,7 @@
 			}
 			change := of(fmt.Sprintf("m%d", period), 1, 1, Alive)
 			d.exchanges = nil
-			v.Receive(now, "a:1", &Message{Kind: News, From: of("a", 1, 1, Alive), News: []Record{change}, Digest: 1})
+			v.Receive(now, "a:1", &Message{Kind: Gossip, From: of("a", 1, 1, Alive), Updates: []Record{change}, Digest: 1})
 			begun[period] += len(d.exchanges)
 		}
 	}
@@ -236,7 +236,7 @@
 		}
 	}
 	v.Wake(60 * p) // it was away since
-	if v.Standing(60*p).Health == 0 {
+	if v.Snapshot(60*p).Health == 0 {
 		t.Error("it does not doubt itself")
 	}
 	for now := 60 * p; now < 62*p; now += p / 10 {
@@ -254,15 +254,15 @@
 	v, _ := open(t, Settings{})
 	a := of("a", 1, 1, Alive)
 	for _, s := range []State{Suspect, Dead, Left} {
-		before := v.Standing(0).Self.Incarnation
-		hear(v, 0, a, News, of("me", 7, before, s))
-		if got := v.Standing(0).Self; got.Incarnation != before+1 || got.State != Alive {
+		before := v.Snapshot(0).Self.Incarnation
+		hear(v, 0, a, Gossip, of("me", 7, before, s))
+		if got := v.Snapshot(0).Self; got.Incarnation != before+1 || got.State != Alive {
 			t.Errorf("%v at %d: %+v", s, before, got)
 		}
 	}
-	before := v.Standing(0).Self.Incarnation
-	hear(v, 0, a, News, of("me", 7, mostIncarnation, Dead), of("me", 7, 1, Dead))
-	if got := v.Standing(0).Self.Incarnation; got != before {
+	before := v.Snapshot(0).Self.Incarnation
+	hear(v, 0, a, Gossip, of("me", 7, mostIncarnation, Dead), of("me", 7, 1, Dead))
+	if got := v.Snapshot(0).Self.Incarnation; got != before {
 		t.Errorf("%d, it was %d", got, before)
 	}
 }
@@ -271,11 +271,11 @@
 func TestRestartTakesItsName(t *testing.T) {
 	v, _ := open(t, Settings{})
 	hear(v, 0, of("a", 1, 1, Alive), Ack, of("me", 3, 90, Alive))
-	if got := v.Standing(0).Self; got.Incarnation != 91 || got.Boot != 7 {
+	if got := v.Snapshot(0).Self; got.Incarnation != 91 || got.InstanceID != 7 {
 		t.Errorf("%+v", got)
 	}
 	hear(v, p, of("a", 1, 1, Alive), Ack, of("me", 3, 91, Dead)) // the old one's death, found late
-	if got := v.Standing(p).Self; got.Incarnation <= 91 && got.Boot < 3 || v.Standing(p).Displaced {
+	if got := v.Snapshot(p).Self; got.Incarnation <= 91 && got.InstanceID < 3 || v.Snapshot(p).Displaced {
 		t.Errorf("%+v", got)
 	}
 }
@@ -294,7 +294,7 @@
 		d.take()
 		other := of("me", 99, 5, Alive)
 		other.Address = "other:1"
-		hear(v, late, of("a", 1, 1, Alive), News, other)
+		hear(v, late, of("a", 1, 1, Alive), Gossip, other)
 		for _, s := range d.take() {
 			if s.to == "other:1" && s.m.Kind == Ping {
 				return v, d, s.m.Seq
@@ -307,12 +307,12 @@
 	other := of("me", 99, 5, Alive)
 	other.Address = "other:1"
 	v.Receive(late+1, "other:1", &Message{Kind: Ack, Seq: seq, From: other})
-	s := v.Standing(late + 1)
-	if !s.Displaced || s.Duplicate == nil || s.Duplicate.Boot != 99 || len(s.Members) != 2 {
+	s := v.Snapshot(late + 1)
+	if !s.Displaced || s.Duplicate == nil || s.Duplicate.InstanceID != 99 || len(s.Members) != 2 {
 		t.Fatalf("answered: %+v", s)
 	}
-	hear(v, late+2, of("a", 1, 1, Alive), News, of("me", 99, 5, Left))
-	if s := v.Standing(late + 2); s.Displaced || s.Self.Incarnation != 6 || d.changes[len(d.changes)-1].Why != Retaken {
+	hear(v, late+2, of("a", 1, 1, Alive), Gossip, of("me", 99, 5, Left))
+	if s := v.Snapshot(late + 2); s.Displaced || s.Self.Incarnation != 6 || d.changes[len(d.changes)-1].Why != Retaken {
 		t.Errorf("left: %+v", s)
 	}
 
@@ -321,7 +321,7 @@
 		v.Wake(now)
 		hear(v, now, of("a", 1, 1, Alive), Ping)
 	}
-	if s := v.Standing(late + 30*p); s.Displaced || s.Self.Incarnation <= 5 {
+	if s := v.Snapshot(late + 30*p); s.Displaced || s.Self.Incarnation <= 5 {
 		t.Errorf("not answered: %+v", s)
 	}
 }
@@ -344,22 +344,22 @@
 
 // TestMembersAreBounded: beyond the bound the ones gone longest are forgotten, and then nobody is taken in.
 func TestMembersAreBounded(t *testing.T) {
-	v, _ := open(t, Settings{Most: 10})
+	v, _ := open(t, Settings{MaxMembers: 10})
 	for i := range 100 {
-		hear(v, 0, of(fmt.Sprintf("n%d", i), 1, 1, Alive), News)
+		hear(v, 0, of(fmt.Sprintf("n%d", i), 1, 1, Alive), Gossip)
 	}
-	if s := v.Standing(0); len(s.Members) != 10 || s.Forgotten != 91 {
-		t.Errorf("%d members, %d not taken", len(s.Members), s.Forgotten)
+	if s := v.Snapshot(0); len(s.Members) != 10 || s.Rejected != 91 {
+		t.Errorf("%d members, %d not taken", len(s.Members), s.Rejected)
 	}
-	hear(v, 0, of("n0", 1, 1, Left), News, of("n0", 1, 1, Left))
-	hear(v, 0, of("late", 1, 1, Alive), News)
-	if v.Holds("late") != Alive || v.Holds("n0") != 0 {
-		t.Errorf("late %v, n0 %v", v.Holds("late"), v.Holds("n0"))
+	hear(v, 0, of("n0", 1, 1, Left), Gossip, of("n0", 1, 1, Left))
+	hear(v, 0, of("late", 1, 1, Alive), Gossip)
+	if v.StateOf("late") != Alive || v.StateOf("n0") != 0 {
+		t.Errorf("late %v, n0 %v", v.StateOf("late"), v.StateOf("n0"))
 	}
 }
 
 func TestSettings(t *testing.T) {
-	for _, s := range []Settings{{}, {Name: "a", Address: "b:1", Most: 10}, {Name: "a", Address: "b:1", Period: p, Most: 1}, {Name: "a", Period: p, Most: 10}} {
+	for _, s := range []Settings{{}, {Name: "a", Address: "b:1", MaxMembers: 10}, {Name: "a", Address: "b:1", Period: p, MaxMembers: 1}, {Name: "a", Period: p, MaxMembers: 10}} {
 		if _, err := New(0, s, 1, &desk{}); err == nil {
 			t.Errorf("%+v is taken", s)
 		}
@@ -371,7 +371,7 @@
 func TestAnythingMayCome(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := &desk{}
-		v, err := New(0, Settings{Name: "n0", Address: "n0:1", Boot: 5, Period: p, Most: 12, Seeds: []string{"n1:1", "n0:1"}}, rapid.Uint64().Draw(t, "seed"), d)
+		v, err := New(0, Settings{Name: "n0", Address: "n0:1", InstanceID: 5, Period: p, MaxMembers: 12, Seeds: []string{"n1:1", "n0:1"}}, rapid.Uint64().Draw(t, "seed"), d)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -389,7 +389,7 @@
 			case 2:
 				m := &Message{Kind: Kind(rapid.IntRange(1, 4).Draw(t, "kind")), Seq: v.seq, From: record(), Digest: rapid.Uint64().Draw(t, "digest")}
 				for range rapid.IntRange(0, 4).Draw(t, "news") {
-					m.News = append(m.News, record())
+					m.Updates = append(m.Updates, record())
 				}
 				if m.Kind == Request {
 					r := record()
@@ -413,7 +413,7 @@
 			t.Fatalf("the suspicion of %s ends at %v, and the next one is due at %v", m.Name, m.deadline, v.suspicionDue)
 		}
 	}
-	s := v.Standing(0)
+	s := v.Snapshot(0)
 	var digest uint64
 	for i := range s.Members {
 		if m := &s.Members[i]; m.State.present() {
@@ -425,7 +425,7 @@
 		t.Fatalf("a standing out of order: %+v", s.Members)
 	case digest != v.digest:
 		t.Fatalf("digest %x, of who is there %x", v.digest, digest)
-	case len(v.members) > v.set.Most || len(v.probes) > 3*mostWidth || len(v.asked) > mostAsked:
+	case len(v.members) > v.set.MaxMembers || len(v.probes) > 3*mostWidth || len(v.asked) > mostAsked:
 		t.Fatalf("%d members, %d probes, %d asked", len(v.members), len(v.probes), len(v.asked))
 	case len(v.byName) != len(v.members) || !slices.IsSortedFunc(v.byName, func(a, b *member) int { return strings.Compare(a.Name, b.Name) }):
 		t.Fatalf("%d members, %d of them by name, or not in order", len(v.members), len(v.byName))
@@ -454,7 +454,7 @@
 func BenchmarkEvents(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			v, d := open(b, Settings{Most: 2 * n})
+			v, d := open(b, Settings{MaxMembers: 2 * n})
 			for i := range n {
 				hear(v, 0, of(fmt.Sprintf("n%d", i), uint64(i+1), 1, Alive), Ping)
 			}
@@ -483,16 +483,16 @@
 // BenchmarkStanding is a snapshot of a view of 1,400, which a change of the view takes.
 func BenchmarkStanding(b *testing.B) {
 	const members = 1400
-	v, _ := open(b, Settings{Most: members})
+	v, _ := open(b, Settings{MaxMembers: members})
 	table := make([]Record, 0, members)
 	for i := range members - 1 {
 		table = append(table, of(fmt.Sprintf("n%d", i), uint64(i+1), 1, Alive))
 	}
 	v.Merge(0, table, "n0")
-	if s := v.Standing(0); len(s.Members) != members {
+	if s := v.Snapshot(0); len(s.Members) != members {
 		b.Fatalf("%d members", len(s.Members))
 	}
 	for b.Loop() {
-		v.Standing(0)
+		v.Snapshot(0)
 	}
 }
--- a/internal/config/operator_test.go
+++ b/internal/config/operator_test.go
@@ -89,7 +89,7 @@
 	}
 	want := DefaultOperator()
 	want.Proxy.Channels.Enabled = true // the section itself turns them on
-	want.Fleet.On, want.Fleet.Name, want.Fleet.Listen, want.Fleet.Seeds = true, "shelf", "127.0.0.1:7946", []string{"127.0.0.2:7946"}
+	want.Fleet.Enabled, want.Fleet.Name, want.Fleet.Listen, want.Fleet.Seeds = true, "shelf", "127.0.0.1:7946", []string{"127.0.0.2:7946"}
 	want.Rules.Enabled, want.Rules.Voters, want.Rules.Folder = true, []string{"n1", "n2", "n3"}, "/var/lib/brasswell"
 	if !reflect.DeepEqual(o.Rules, want.Rules) {
 		t.Errorf("rules: %+v", o.Rules)
--- a/internal/proxy/following_test.go
+++ b/internal/proxy/following_test.go
@@ -21,7 +21,7 @@
 
 func (silentFleet) Carry(string, []byte)         {}
 func (silentFleet) OnParcel(func([]byte))        {}
-func (silentFleet) Follow(func(s view.Standing)) {}
+func (silentFleet) Follow(func(s view.Snapshot)) {}
 
 // stateFolder is a folder for what processes know. One that ends does not wait for a slow disk, and may still write when the test is over.
 func stateFolder(t *testing.T) string {
--- a/internal/recovery/node.go
+++ b/internal/recovery/node.go
@@ -223,7 +223,7 @@
 	}
 }
 
-func (n *Node) members(s view.Standing) {
+func (n *Node) members(s view.Snapshot) {
 	addresses, living := s.Addresses()
 	n.mu.Lock()
 	n.addresses = addresses
--- a/internal/rig/hollow/member.go
+++ b/internal/rig/hollow/member.go
@@ -21,14 +21,14 @@
 	log := slog.New(tap{m.watch})
 	var err error
 	m.node, err = cluster.Open(cluster.Config{
-		Options: h.viewOptions(s), Name: s.Name, Seed: h.fleet.Seed ^ Digest(s.Name), Boot: s.Boot, Path: h.network.From(Place{Zone: s.Zone}), Log: log,
+		Options: h.viewOptions(s), Name: s.Name, Seed: h.fleet.Seed ^ Digest(s.Name), InstanceID: s.Boot, Path: h.network.From(Place{Zone: s.Zone}), Log: log,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", s.Name, err)
 	}
 	m.rules, err = agreement.Open(agreement.Config{
 		Options: h.rulesOptions(s), Fleet: h.fleet.Name, Name: s.Name, InstanceID: s.Boot, Seed: h.fleet.Seed, Volatile: s.Folder == "", Log: log,
-	}, m.node.Part(cluster.RulesPart))
+	}, m.node.Endpoint(cluster.AgreementKind))
 	if err != nil {
 		m.node.Close(false)
 		return nil, fmt.Errorf("%s: %w", s.Name, err)
@@ -39,7 +39,7 @@
 
 func (h *Host) viewOptions(s Spec) cluster.Options {
 	o := cluster.DefaultOptions()
-	o.On, o.Name, o.Listen, o.Seeds, o.Period = true, h.fleet.Name, s.Address, h.fleet.Seeds, h.fleet.Period
+	o.Enabled, o.Name, o.Listen, o.Seeds, o.Period = true, h.fleet.Name, s.Address, h.fleet.Seeds, h.fleet.Period
 	return o
 }
 
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -266,7 +266,7 @@
 	time.Sleep(300 * time.Millisecond) // n4 is started by then; what follows waits for it
 	for _, m := range []string{"n3", "n4"} {
 		waitReady(t, r, m)
-		eventually(t, r, m, "told of the other", func(c *cluster.Report) bool { return len(c.Trouble) > 0 })
+		eventually(t, r, m, "told of the other", func(c *cluster.Report) bool { return len(c.Problems) > 0 })
 	}
 	eventually(t, r, "n1", "at rest", func(c *cluster.Report) bool { return c.Settled })
 	before := changes(r, "n1", "n3")
@@ -359,15 +359,15 @@
 				t.Error(err)
 				return
 			}
-			from := view.Record{Name: "liar", Boot: 1, Incarnation: 1, State: view.Left, Address: conn.LocalAddr().String()}
-			victim := view.Record{Name: "n2", Boot: r.Boot("n1", "n2"), Incarnation: 1 + n/4, State: view.Dead, Address: "127.0.0.1:1", By: "n3"}
-			lies := &view.Message{Kind: view.News, From: from, News: []view.Record{victim}}
-			text, err := own.Message(lies)
+			from := view.Record{Name: "liar", InstanceID: 1, Incarnation: 1, State: view.Left, Address: conn.LocalAddr().String()}
+			victim := view.Record{Name: "n2", InstanceID: r.Boot("n1", "n2"), Incarnation: 1 + n/4, State: view.Dead, Address: "127.0.0.1:1", By: "n3"}
+			lies := &view.Message{Kind: view.Gossip, From: from, Updates: []view.Record{victim}}
+			text, err := own.EncodeMessage(lies)
 			if err != nil {
 				t.Error(err)
 				return
 			}
-			foreign, _ := other.Message(lies)
+			foreign, _ := other.EncodeMessage(lies)
 			future := append([]byte(nil), text...)
 			future[3] = 200
 			for _, b := range [][]byte{text, foreign, future, []byte("GET / HTTP/1.1\r\n\r\n"), text[:30], {}} {
--- a/internal/rig/trial/trial.go
+++ b/internal/rig/trial/trial.go
@@ -97,12 +97,12 @@
 	"indirect":   func(s *view.Settings) { s.NoIndirect = true },
 	"suspicion":  func(s *view.Settings) { s.NoSuspicion = true },
 	"health":     func(s *view.Settings) { s.NoHealth = true },
-	"prompt":     func(s *view.Settings) { s.NoPrompt = true },
+	"prompt":     func(s *view.Settings) { s.NoSuspectPings = true },
 	"digest":     func(s *view.Settings) { s.NoDigest = true },
-	"reach":      func(s *view.Settings) { s.NoReach = true },
+	"reach":      func(s *view.Settings) { s.NoDeadPings = true },
 	"widening":   func(s *view.Settings) { s.NoWidening = true },
-	"correction": func(s *view.Settings) { s.NoCorrection = true },
-	"calm":       func(s *view.Settings) { s.NoCalm = true },
+	"correction": func(s *view.Settings) { s.NoEarlyConfirmation = true },
+	"calm":       func(s *view.Settings) { s.NoFalseSuspicionLimit = true },
 }
 
 // ruleDefences are those of an agreement's settings, for stories with keepers.
@@ -252,8 +252,8 @@
 	}
 	text := codec.New("model")
 	f, err := model.New(model.Config{
-		Story: s,
-		Set: func(v *view.Settings) {
+		Scenario: s,
+		Configure: func(v *view.Settings) {
 			for _, name := range c.Without {
 				if take := defences[name]; take != nil {
 					take(v)
@@ -261,7 +261,7 @@
 			}
 		},
 		Size: func(m *view.Message) int {
-			b, err := text.Message(m)
+			b, err := text.EncodeMessage(m)
 			if err != nil {
 				return 0
 			}
@@ -273,13 +273,13 @@
 	}
 	begun := time.Now()
 	f.Run(time.Duration(s.Length))
-	g := &f.Figures
-	run := &Run{Story: s, False: g.False, Deaths: g.Deaths, Refuted: g.Refuted, Datagrams: g.Datagrams, Bytes: g.Bytes, Events: g.Events, CPU: time.Since(begun)}
-	for _, one := range g.Settled {
+	g := &f.Stats
+	run := &Run{Story: s, False: g.FalseDeaths, Deaths: g.Deaths, Refuted: g.Refuted, Datagrams: g.Datagrams, Bytes: g.Bytes, Events: g.Events, CPU: time.Since(begun)}
+	for _, one := range g.Convergences {
 		run.Settled = append(run.Settled, history.Settling(one))
 	}
-	if !f.Right() {
-		run.Wrong = f.Wrong()
+	if !f.Converged() {
+		run.Wrong = f.Mismatches()
 		run.Explain = fmt.Sprintf("story %s, seed %d: at the end %v\n", s.Name, s.Seed, run.Wrong[:min(len(run.Wrong), 5)])
 	}
 	return run, nil
