--- a/internal/cluster/codec/codec.go
+++ b/internal/cluster/codec/codec.go
@@ -1,16 +1,16 @@
-// Package codec writes and reads what the proxies of one fleet say to each other, and what one of them keeps on disk. It
-// has no I/O. Nothing here is secret and nothing is signed: a fleet's name keeps fleets apart by mistake, not by intent.
+// Package codec encodes and decodes the messages between the proxies of one fleet, and the members file on disk. It opens no files or
+// sockets. Nothing is encrypted or signed: the hash of the fleet's name protects against mistakes, not against attacks.
 //
 // A datagram is a header of 20 bytes and a message in CBOR (RFC 8949):
 //
 //	bytes 0 to 2    "bwf"
 //	byte 3          version
 //	bytes 4 to 11   hash of the fleet's name (FNV-1a, 64 bits)
-//	bytes 12 to 15  length of what follows the header
+//	bytes 12 to 15  length of the body after the header
 //	bytes 16 to 19  CRC-32C of all other bytes
 //
-// A table, on a stream or in a file, has the same header with "bwt" and an array of records. Fields that a newer version
-// adds are passed over; a version that is neither this one nor a neighbour is not read.
+// A table, on a stream or in a file, has the same header with "bwt" and an array of records. A payload of another package has it with
+// "bwp". Unknown fields of a newer version are ignored; a version that is neither this one nor adjacent to it is rejected.
 package codec
 
 import (
@@ -28,27 +28,27 @@
 )
 
 const (
-	// Version of what this program writes. It reads its neighbours, older and newer, too.
+	// Version is the version that this program writes. It also reads the version before and the version after.
 	Version = 1
-	// MostDatagram is the longest datagram: it fits one packet on the usual networks.
+	// MaxDatagramBytes bounds a datagram, so that it fits one packet on common networks.
 	MaxDatagramBytes = 1200
-	// MostParcel is the longest parcel: what another part of the program wants carried, unread.
+	// MaxPayloadBytes bounds a payload, which another package of the program sends and this package does not interpret.
 	MaxPayloadBytes = 4 << 20
-	// MostTable is the longest table: 4,096 records of the longest kind.
+	// MaxTableBytes bounds a table: 4,096 records of maximum size.
 	MaxTableBytes = 1 << 20
 
-	oldestVersion = 1 // there is none before
+	oldestVersion = 1 // no version precedes it
 	headerSize    = 20
 	maxItems      = 1 << 13 // records in a table
 )
 
-// What can be wrong with what has come.
+// The errors of decoding.
 var (
-	ErrMalformed  = errors.New("not a fleet's message")
-	ErrOtherFleet = errors.New("another fleet's")
-	ErrVersion    = errors.New("of a version that this program does not read")
-	ErrCorrupt    = errors.New("damaged on the way: its checksum is wrong")
-	ErrTooLong    = errors.New("longer than allowed")
+	ErrMalformed  = errors.New("malformed fleet message")
+	ErrOtherFleet = errors.New("message of another fleet")
+	ErrVersion    = errors.New("unsupported protocol version")
+	ErrCorrupt    = errors.New("checksum mismatch")
+	ErrTooLong    = errors.New("too long")
 )
 
 var (
@@ -62,16 +62,17 @@
 	})
 )
 
-// Codec is one fleet's. It may be used from many goroutines.
+// Codec encodes and decodes the frames of one fleet. It is safe for concurrent use.
 type Codec struct{ fleet uint64 }
 
-// New returns the codec of a fleet by its name.
+// New returns the codec of the fleet with a name.
 func New(fleet string) Codec {
 	h := fnv.New64a()
 	h.Write([]byte(fleet))
 	return Codec{h.Sum64()}
 }
 
+// frame returns a frame of a kind: the header and a body.
 func (c Codec) frame(kind [3]byte, body []byte) []byte {
 	b := make([]byte, headerSize, headerSize+len(body))
 	copy(b, kind[:])
@@ -83,25 +84,25 @@
 	return b
 }
 
-// sum is the checksum of a frame but for the bytes that hold it.
+// checksum returns the checksum of a frame without the bytes that hold it.
 func checksum(frame []byte) uint32 {
 	return crc32.Update(crc32.Checksum(frame[:16], castagnoli), castagnoli, frame[headerSize:])
 }
 
-// header reads a frame's header and says how long its body is.
+// header checks a frame's header and returns the length of its body.
 func (c Codec) header(kind [3]byte, h []byte) (int, error) {
 	switch {
 	case len(h) < headerSize || [3]byte(h[:3]) != kind:
 		return 0, ErrMalformed
 	case h[3] < max(Version-1, oldestVersion) || h[3] > Version+1:
-		return 0, fmt.Errorf("%w (%d; this is %d)", ErrVersion, h[3], Version)
+		return 0, fmt.Errorf("%w %d; this program writes version %d", ErrVersion, h[3], Version)
 	case binary.BigEndian.Uint64(h[4:]) != c.fleet:
 		return 0, ErrOtherFleet
 	}
 	return int(binary.BigEndian.Uint32(h[12:])), nil
 }
 
-// body is what a whole frame holds.
+// body checks a complete frame and returns its body.
 func (c Codec) body(kind [3]byte, frame []byte) ([]byte, error) {
 	n, err := c.header(kind, frame)
 	switch {
@@ -113,6 +114,7 @@
 	return frame[headerSize:], nil
 }
 
+// decode checks a complete frame and decodes its CBOR body.
 func (c Codec) decode(kind [3]byte, frame []byte, into any) error {
 	body, err := c.body(kind, frame)
 	if err != nil {
@@ -124,7 +126,7 @@
 	return nil
 }
 
-// read reads the rest of a frame whose header has been read.
+// read reads the body of a frame whose header has been read, and returns the complete frame.
 func (c Codec) read(kind [3]byte, h [headerSize]byte, r io.Reader, most int) ([]byte, error) {
 	n, err := c.header(kind, h[:])
 	switch {
@@ -133,7 +135,7 @@
 	case n > most:
 		return nil, fmt.Errorf("%d bytes: %w", n, ErrTooLong)
 	}
-	// The length is only said so far, so room is made as bytes come.
+	// The length in the header is not verified yet, so memory is allocated only as bytes arrive.
 	body, err := io.ReadAll(io.LimitReader(r, int64(n)))
 	if err != nil {
 		return nil, err
@@ -141,7 +143,7 @@
 	return append(h[:], body...), nil
 }
 
-// Message writes a datagram. News that do not fit are left out, the last ones first.
+// EncodeMessage encodes a datagram. It removes updates that do not fit from m, the last ones first.
 func (c Codec) EncodeMessage(m *view.Message) ([]byte, error) {
 	for {
 		body, err := cbor.Marshal(m)
@@ -158,7 +160,7 @@
 	}
 }
 
-// ReadMessage reads a datagram. What it returns is Sound.
+// DecodeMessage decodes a datagram. The message has passed Validate.
 func (c Codec) DecodeMessage(datagram []byte) (*view.Message, error) {
 	if len(datagram) > MaxDatagramBytes {
 		return nil, ErrTooLong
@@ -173,7 +175,7 @@
 	return m, nil
 }
 
-// Table writes a table.
+// EncodeTable encodes a table.
 func (c Codec) EncodeTable(t []view.Record) ([]byte, error) {
 	body, err := cbor.Marshal(t)
 	if err != nil {
@@ -185,21 +187,21 @@
 	return c.frame(tables, body), nil
 }
 
-// Parcel writes what another part of the program wants carried.
+// EncodePayload encodes a payload of another package of the program.
 func (c Codec) EncodePayload(body []byte) ([]byte, error) {
 	if len(body) > MaxPayloadBytes {
-		return nil, fmt.Errorf("parcel of %d bytes: %w", len(body), ErrTooLong)
+		return nil, fmt.Errorf("payload of %d bytes: %w", len(body), ErrTooLong)
 	}
 	return c.frame(payloads, body), nil
 }
 
-// IsParcel says whether a frame that begins so is a parcel.
+// IsPayload reports whether a frame with this beginning holds a payload.
 func IsPayload(frame []byte) bool { return len(frame) >= headerSize && [3]byte(frame[:3]) == payloads }
 
-// ReadParcel reads a frame that holds a parcel.
+// DecodePayload returns the payload of a frame.
 func (c Codec) DecodePayload(frame []byte) ([]byte, error) { return c.body(payloads, frame) }
 
-// ReadStream reads one frame from a stream, and nothing beyond it: a parcel, or a table, whose records are Sound.
+// ReadStream reads one frame from a stream, and nothing beyond it: a payload, or a table whose records have passed Validate.
 func (c Codec) ReadStream(r io.Reader) (table []view.Record, parcel []byte, err error) {
 	var h [headerSize]byte
 	if _, err := io.ReadFull(r, h[:]); err != nil {
@@ -211,13 +213,13 @@
 	}
 	frame, err := c.read(payloads, h, r, MaxPayloadBytes)
 	if err != nil {
-		return nil, nil, fmt.Errorf("parcel: %w", err)
+		return nil, nil, fmt.Errorf("payload: %w", err)
 	}
 	parcel, err = c.DecodePayload(frame)
 	return nil, parcel, err
 }
 
-// ReadTable reads a table from a stream, and nothing beyond it. Its records are Sound.
+// ReadTable reads a table from a stream, and nothing beyond it. Its records have passed Validate.
 func (c Codec) ReadTable(r io.Reader) ([]view.Record, error) {
 	var h [headerSize]byte
 	if _, err := io.ReadFull(r, h[:]); err != nil {
--- a/internal/cluster/codec/codec_test.go
+++ b/internal/cluster/codec/codec_test.go
@@ -39,7 +39,7 @@
 	t.Logf("%d bytes", len(text))
 }
 
-// TestWhatComesWrongIsToldApart: each damage has its error, and each bit that is turned is found.
+// TestDecodingErrorsAreDistinguished: each kind of invalid frame returns its own error, and each single flipped bit is detected.
 func TestDecodingErrorsAreDistinguished(t *testing.T) {
 	c := New("shelf")
 	text, _ := c.EncodeMessage(message())
@@ -47,25 +47,25 @@
 		bent := bytes.Clone(text)
 		bent[i/8] ^= 1 << (i % 8)
 		if _, err := c.DecodeMessage(bent); err == nil {
-			t.Errorf("bit %d turned, and it is read", i)
+			t.Errorf("no error with bit %d flipped", i)
 		}
 	}
 	if _, err := New("other").DecodeMessage(text); !errors.Is(err, ErrOtherFleet) {
-		t.Errorf("another fleet's: %v", err)
+		t.Errorf("message of another fleet: %v", err)
 	}
 	if _, err := c.DecodeMessage(text[:len(text)-1]); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("short: %v", err)
+		t.Errorf("truncated: %v", err)
 	}
 	if _, err := c.DecodeMessage(append(bytes.Clone(text), make([]byte, MaxDatagramBytes)...)); !errors.Is(err, ErrTooLong) {
-		t.Errorf("long: %v", err)
+		t.Errorf("too long: %v", err)
 	}
 	table, _ := c.EncodeTable([]view.Record{record("n1", view.Alive)})
 	if _, err := c.DecodeMessage(table); !errors.Is(err, ErrMalformed) {
-		t.Errorf("a table as a message: %v", err)
+		t.Errorf("a table decoded as a message: %v", err)
 	}
 }
 
-// version words a frame as another version of the program would, with a field that this one does not know.
+// encodeAsVersion encodes a datagram as another version of the program would.
 func encodeAsVersion(c Codec, v byte, body any) []byte {
 	text, _ := cbor.Marshal(body)
 	f := c.frame(datagrams, text)
@@ -84,7 +84,7 @@
 		}
 	}
 	if _, err := c.DecodeMessage(encodeAsVersion(c, Version+1, map[int]any{1: 50, 3: from})); !errors.Is(err, ErrMalformed) {
-		t.Errorf("a kind of the future: %v", err)
+		t.Errorf("an unknown kind of message: %v", err)
 	}
 }
 
@@ -119,7 +119,7 @@
 	}
 	for _, n := range []int{0, 1, headerSize, headerSize + 1, len(text) / 2, len(text) - 1} {
 		if _, err := c.ReadTable(bytes.NewReader(text[:n])); err == nil {
-			t.Errorf("%d bytes of it are read", n)
+			t.Errorf("no error for a table cut to %d bytes", n)
 		}
 	}
 	huge := bytes.Clone(text)
@@ -137,16 +137,16 @@
 	f.Add([]byte{0x9b, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, body []byte) {
 		c.DecodeMessage(body)
-		m, err := c.DecodeMessage(c.frame(datagrams, body)) // past the checksum, which guards nothing against intent
+		m, err := c.DecodeMessage(c.frame(datagrams, body)) // with a valid checksum, which an attacker can compute
 		if err != nil {
 			return
 		}
 		again, err := c.EncodeMessage(m)
 		if err != nil {
-			t.Fatalf("%+v is read and cannot be written: %v", m, err)
+			t.Fatalf("%+v was decoded but cannot be encoded: %v", m, err)
 		}
 		if _, err := c.DecodeMessage(again); err != nil {
-			t.Fatalf("%+v is not read again: %v", m, err)
+			t.Fatalf("%+v cannot be decoded again: %v", m, err)
 		}
 	})
 }
--- a/internal/cluster/folder.go
+++ b/internal/cluster/folder.go
@@ -14,30 +14,30 @@
 	"brasswell/internal/cluster/view"
 )
 
-// membersFile holds addresses of the fleet as this process last knew it.
+// membersFile is the name of the file with the members that this process knew last.
 const membersFile = "members"
 
 const (
-	// keepEvery is between two writes of the folder.
+	// writeInterval is the minimum time between two writes of the file.
 	writeInterval = 2 * time.Second
-	// mostKept addresses are used from a folder.
+	// maxFolderAddresses bounds the addresses that are used from a folder.
 	maxFolderAddresses = 64
 )
 
-// folder keeps the members' addresses for the next start. They are only where to ask: nothing in it is believed, so a
-// folder that is lost, old, torn, another proxy's or another fleet's does no harm but to find fewer.
+// folder stores the members' addresses for the next start. They serve only as additional seeds and nothing in the file is trusted, so
+// a folder that is lost, outdated, corrupt, or that of another proxy or fleet only means that fewer members are found.
 type folder struct {
 	path  string
 	codec codec.Codec
 	log   *slog.Logger
 
-	pending   chan []view.Record // the latest, not written yet
+	pending   chan []view.Record // the latest table, not written yet
 	ending    chan struct{}
 	running   sync.WaitGroup
 	closeOnce sync.Once
 }
 
-// newFolder returns the folder at a path; "" keeps nothing.
+// newFolder returns the folder at a path; with an empty path nothing is stored.
 func newFolder(path, fleet string, log *slog.Logger) *folder {
 	f := &folder{codec: codec.New(fleet), log: log, pending: make(chan []view.Record, 1), ending: make(chan struct{})}
 	if path == "" {
@@ -48,10 +48,10 @@
 	return f
 }
 
-// used says whether anything is kept.
+// enabled reports whether anything is stored.
 func (f *folder) enabled() bool { return f.path != "" }
 
-// addresses are those that the folder holds, but for one's own.
+// addresses returns the stored addresses except this process's own.
 func (f *folder) addresses(own string) []string {
 	if !f.enabled() {
 		return nil
@@ -65,7 +65,7 @@
 		table, err = f.codec.ReadTable(bytes.NewReader(text))
 	}
 	if err != nil {
-		f.log.Warn(LogSelf, "what", "the folder is not used", "error", err)
+		f.log.Warn(LogSelf, "what", "the members file cannot be used", "error", err)
 		return nil
 	}
 	var addresses []string
@@ -77,10 +77,10 @@
 	return addresses
 }
 
-// keep has a table written before long, by a folder that is used. It does not block.
+// save queues a table to be written; the folder must be enabled. It does not block.
 func (f *folder) save(table []view.Record) {
 	select {
-	case <-f.pending: // overtaken
+	case <-f.pending: // replaced by the newer table
 	default:
 	}
 	select {
@@ -89,7 +89,7 @@
 	}
 }
 
-// write is the goroutine that the file belongs to.
+// write is the goroutine that writes the file.
 func (f *folder) write() {
 	failed := false
 	for {
@@ -106,7 +106,7 @@
 		}
 		err := f.replace(table)
 		if err != nil && !failed {
-			f.log.Warn(LogSelf, "what", "the folder cannot be written; the next start has only seeds", "error", err)
+			f.log.Warn(LogSelf, "what", "the members file cannot be written; the next start has only the configured seeds", "error", err)
 		}
 		failed = err != nil
 		select {
@@ -116,7 +116,7 @@
 	}
 }
 
-// replace writes the file whole or not at all.
+// replace replaces the file atomically.
 func (f *folder) replace(table []view.Record) error {
 	text, err := f.codec.EncodeTable(table)
 	if err != nil {
@@ -129,7 +129,7 @@
 	return os.Rename(next, f.path)
 }
 
-// close writes what has not been written, and ends.
+// close writes the pending table, if any, and ends the goroutine.
 func (f *folder) close() {
 	f.closeOnce.Do(func() { close(f.ending) })
 	f.running.Wait()
--- a/internal/cluster/link/link.go
+++ b/internal/cluster/link/link.go
@@ -1,8 +1,9 @@
-// Package link carries the messages of one fleet: datagrams over UDP, whole tables over TCP, both at one address. It
-// decides nothing. What comes from elsewhere, of another fleet or version, damaged or too often is counted and dropped.
+// Package link transports the messages of one fleet: datagrams over UDP, and whole tables and long payloads over TCP, both at one
+// address. It makes no decisions about members. Data from a network that is not listed, of another fleet or version, corrupt, or above
+// the rate limits is counted and dropped.
 //
-// There are no secrets and no signatures: who can send from a listed network can say anything. The list of networks, the
-// fleet's name and the bounds keep out mistakes, floods and strays, and nothing else.
+// Nothing is encrypted or signed: any host in a listed network can send any message. The list of networks, the fleet's name and the
+// bounds protect only against mistakes, floods and stray packets.
 package link
 
 import (
@@ -24,50 +25,51 @@
 )
 
 const (
-	// Each source may send so many datagrams a second, and a burst; a member at rest sends some ten.
+	// The rate limit of datagrams per second and the burst of each source address; a member of a stable fleet sends about ten.
 	datagramsPerSource, burstPerSource = 1000, 2000
-	// mostSources are told apart; with more, the ones longest unheard begin anew.
+	// maxSources bounds the sources whose rates are tracked; above it the least recently active ones lose their history.
 	maxSources = 4096
-	// mostStreams full exchanges and parcels are answered at one time; others are closed at once and come again. With a round trip of
-	// 150 ms one holds its place for more than 300 ms, and many members that start together ask the few that they know.
+	// maxStreams bounds the concurrent incoming streams (full exchanges and payloads); further ones are closed at once and their senders
+	// retry. With a round trip of 150 ms a stream lasts more than 300 ms, and many members that start together connect to the few that
+	// they know.
 	maxStreams = 32
-	// streamTime bounds a full exchange.
+	// streamTimeout bounds a full exchange or the transfer of a payload.
 	streamTimeout = 2 * time.Second
-	// portTries is how often another free port is tried where port 0 is asked for and one of the two kinds has it taken.
+	// portTries bounds the retries with another free port if port 0 is requested and the port is taken for TCP.
 	portTries = 20
-	// receiveBuffer is asked of the kernel for datagrams that wait to be read: after a change all of 1,400 members acknowledge within
-	// milliseconds. The kernel may give less (net.core.rmem_max).
+	// receiveBuffer is the requested size of the UDP socket's receive buffer: after a change all of 1,400 members acknowledge within
+	// milliseconds. The kernel may grant less (net.core.rmem_max).
 	receiveBuffer = 4 << 20
 )
 
-// Handler takes in what comes. Its methods are called from several goroutines and must not block for long.
+// Handler handles received data. Its methods are called from several goroutines and must not block for long.
 type Handler interface {
-	// Datagram takes a message from an address.
+	// Datagram handles a message from an address.
 	Datagram(from string, m *view.Message)
-	// Parcel takes what another part of the program at another member had carried here.
+	// Payload handles a payload that another member sent.
 	Payload(body []byte)
-	// Asked takes another's table and returns one's own.
+	// Exchange merges another member's table and returns this process's own.
 	Exchange(ctx context.Context, from string, table []view.Record) ([]view.Record, error)
 }
 
-// Config is where and for whom to listen.
+// Config configures a Link.
 type Config struct {
 	Fleet    string
 	Listen   string // an address with a literal IP
 	Networks []netip.Prefix
-	Path     Path // nil for the network as it is
+	Path     Path // nil uses the network unchanged
 }
 
-// Counts is what has passed and what has been dropped, from 0 at the start.
+// Counts are the totals of sent, received and dropped data since the start.
 type Counts struct {
 	Sent, SentBytes         int64
 	Received, ReceivedBytes int64
-	Exchanges               int64 // begun here
-	// Dropped, by why:
+	Exchanges               int64 // started by this process
+	// Dropped, by reason:
 	Foreign int64 // from a network that is not listed, or of another fleet
 	Version int64
-	Garbage int64 // damaged ones too
-	Flood   int64 // over a bound
+	Garbage int64 // malformed or corrupt
+	Flood   int64 // above a rate limit or the bound of streams
 	Unsent  int64
 }
 
@@ -75,7 +77,7 @@
 	sent, sentBytes, received, receivedBytes, exchanges, foreign, version, garbage, flood, unsent atomic.Int64
 }
 
-// Link is a fleet's sockets at one process. Its methods may be called at any time.
+// Link holds one process's sockets for its fleet. Its methods are safe for concurrent use.
 type Link struct {
 	config   Config
 	codec    codec.Codec
@@ -92,7 +94,7 @@
 	running  sync.WaitGroup
 }
 
-// Listen opens both sockets and begins to hand on what comes.
+// Listen opens both sockets and starts to pass received data to h.
 func Listen(c Config, h Handler) (*Link, error) {
 	l := &Link{config: c, codec: codec.New(c.Fleet), handler: h, streams: make(chan struct{}, maxStreams)}
 	if err := l.open(); err != nil {
@@ -115,7 +117,7 @@
 		}
 		port := l.udp.LocalAddr().(*net.UDPAddr).Port
 		if l.tcp, err = net.ListenTCP("tcp4", &net.TCPAddr{IP: at.IP, Port: port}); err == nil {
-			l.udp.SetReadBuffer(receiveBuffer) // with a shorter one more is lost, and sent anew
+			l.udp.SetReadBuffer(receiveBuffer) // an error is ignored: a smaller buffer only loses more datagrams, which are sent again
 			return nil
 		}
 		l.udp.Close()
@@ -125,10 +127,10 @@
 	}
 }
 
-// Addr is where it listens, for both kinds.
+// Addr returns the address of both sockets.
 func (l *Link) Addr() string { return l.udp.LocalAddr().String() }
 
-// listed says whether an address is of a network that may talk to us.
+// allowed reports whether an address belongs to a listed network.
 func (l *Link) allowed(a netip.Addr) bool {
 	a = a.Unmap()
 	for _, n := range l.config.Networks {
@@ -147,10 +149,10 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			continue // that a datagram of ours could not be delivered comes back as an error of the next read
+			continue // an undeliverable sent datagram is reported as an error of the next read
 		}
 		if !l.accepts(from.Addr()) {
-			continue // it is lost on the way
+			continue // lost on the simulated network
 		}
 		l.counts.received.Add(1)
 		l.counts.receivedBytes.Add(int64(n))
@@ -180,7 +182,7 @@
 	}
 }
 
-// drop counts what could not be read.
+// drop counts data that could not be decoded, by the error.
 func (l *Link) drop(err error) {
 	switch {
 	case errors.Is(err, codec.ErrOtherFleet):
@@ -192,7 +194,7 @@
 	}
 }
 
-// Send sends a datagram. What cannot be sent is counted: it is as good as lost on the way.
+// Send sends a datagram. One that cannot be sent is counted and otherwise treated like a lost one.
 func (l *Link) Send(to string, m *view.Message) {
 	at, err := netip.ParseAddrPort(to)
 	if err != nil || !l.allowed(at.Addr()) {
@@ -207,9 +209,9 @@
 	l.emit(at, text)
 }
 
-// dial connects from the address that others know us by.
+// dial connects from the IP address of the listener, by which other members know this process.
 func (l *Link) dial(ctx context.Context, to netip.AddrPort) (net.Conn, error) {
-	for range 2 { // there and back
+	for range 2 { // one round trip
 		if err := l.waitForPath(ctx, to, 0); err != nil {
 			return nil, err
 		}
@@ -220,7 +222,7 @@
 	return d.DialContext(ctx, "tcp4", to.String())
 }
 
-// writeStream writes to a stream that leads to an address.
+// writeStream writes to the stream conn to an address, after the delay of the path.
 func (l *Link) writeStream(ctx context.Context, conn net.Conn, to netip.AddrPort, text []byte) error {
 	if err := l.waitForPath(ctx, to, len(text)); err != nil {
 		return err
@@ -229,14 +231,14 @@
 	return err
 }
 
-// Exchange sends a table to an address and returns the table that comes back.
+// Exchange sends a table to an address and returns the table in the reply.
 func (l *Link) Exchange(ctx context.Context, to string, table []view.Record) ([]view.Record, error) {
 	at, err := netip.ParseAddrPort(to)
 	if err != nil {
 		return nil, fmt.Errorf("exchange: %w", err)
 	}
 	if !l.allowed(at.Addr()) {
-		return nil, fmt.Errorf("exchange: %s is of no listed network", to)
+		return nil, fmt.Errorf("exchange: %s is not in a listed network", to)
 	}
 	text, err := l.codec.EncodeTable(table)
 	if err != nil {
@@ -270,7 +272,7 @@
 			return
 		}
 		if err != nil {
-			select { // out of descriptors, say; the listener lives
+			select { // for example out of file descriptors; the listener remains usable
 			case <-l.ctx.Done():
 				return
 			case <-time.After(50 * time.Millisecond):
@@ -302,7 +304,7 @@
 	}
 }
 
-// answer carries out the other side of an Exchange.
+// answer handles an incoming stream: a payload, or the other side of an Exchange.
 func (l *Link) answer(conn *net.TCPConn, from netip.AddrPort) {
 	ctx, cancel := context.WithTimeout(l.ctx, streamTimeout)
 	defer cancel()
@@ -321,11 +323,11 @@
 		return
 	}
 	if text, err := l.codec.EncodeTable(own); err == nil {
-		l.writeStream(ctx, conn, from, text) // who is gone asks again
+		l.writeStream(ctx, conn, from, text) // on an error the other side retries later
 	}
 }
 
-// Counts is what has passed and been dropped so far.
+// Counts returns the totals so far.
 func (l *Link) Counts() Counts {
 	c := &l.counts
 	return Counts{
@@ -335,7 +337,7 @@
 	}
 }
 
-// Close ends both sockets and every stream, and returns once nothing of it runs.
+// Close closes both sockets and all streams, and returns once all goroutines have ended.
 func (l *Link) Close() {
 	l.cancel()
 	l.counts.unsent.Add(int64(l.payloads.close()))
@@ -344,13 +346,13 @@
 	l.running.Wait()
 }
 
-// sources bounds what each address may send. It is used by one goroutine.
+// sources limits the datagram rate of each source address. It is not safe for concurrent use.
 type sources struct{ current, previous map[netip.Addr]*rate.Limiter }
 
-// allow says whether one more datagram from an address is within its bound.
+// allow reports whether one more datagram from an address is within its limit.
 //
-// It guards against one sender that keeps the view from its work. Who changes its address with each datagram gets by;
-// the queue behind this is bounded too, so that what is lost then is datagrams.
+// This guards against a single sender that overloads the view. A sender that changes its address with each datagram evades the limit;
+// the queue of the owner of the view is bounded too, so that in this case only datagrams are lost.
 func (s *sources) allow(from netip.Addr, now time.Time) bool {
 	l := s.current[from]
 	if l == nil {
--- a/internal/cluster/link/link_test.go
+++ b/internal/cluster/link/link_test.go
@@ -18,12 +18,12 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// ear hands on what comes.
+// recorder is a Handler that records received data.
 type recorder struct {
 	received chan *view.Message
 	payloads chan []byte
 	table    []view.Record
-	hold     chan struct{} // exchanges wait for it, if it is set
+	hold     chan struct{} // if set, exchanges wait until it is closed
 }
 
 func (e *recorder) Datagram(_ string, m *view.Message) { e.received <- m }
@@ -61,12 +61,12 @@
 	return view.Record{Name: name, InstanceID: 1, Incarnation: 1, State: view.Alive, Address: "127.0.0.1:9"}
 }
 
-// until waits until a count has come to what is wanted.
+// waitFor waits until a condition holds.
 func waitFor(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never %s", what)
+			t.Fatalf("timeout waiting until %s", what)
 		}
 	}
 }
@@ -85,14 +85,14 @@
 	a.Send("10.9.9.9:7946", &view.Message{Kind: view.Ping, From: record("a")})
 	a.Send("nowhere", &view.Message{Kind: view.Ping, From: record("a")})
 	if _, err := a.Exchange(t.Context(), "10.9.9.9:7946", nil); err == nil {
-		t.Error("an exchange with another network")
+		t.Error("no error for an exchange with a network that is not listed")
 	}
 	if c := a.Counts(); c.Sent != 1 || c.Unsent != 2 || c.Exchanges != 1 {
 		t.Errorf("%+v", c)
 	}
 }
 
-// TestWhatIsNotOursIsDropped: each kind is counted as what it is, and nothing of it is handed on.
+// TestInvalidAndForeignDataIsDropped: each kind of dropped data has its own count, and none of it reaches the handler.
 func TestInvalidAndForeignDataIsDropped(t *testing.T) {
 	l, ear := listen(t, "127.0.0.0/8")
 	conn, err := net.Dial("udp4", l.Addr())
@@ -109,12 +109,12 @@
 			t.Fatal(err)
 		}
 	}
-	waitFor(t, "all counted", func() bool {
+	waitFor(t, "all datagrams are counted", func() bool {
 		c := l.Counts()
 		return c.Foreign == 1 && c.Version == 1 && c.Garbage == 4
 	})
 	if len(ear.received) > 0 {
-		t.Errorf("%+v is handed on", <-ear.received)
+		t.Errorf("%+v reached the handler", <-ear.received)
 	}
 	strict, ear := listen(t, "10.0.0.0/8")
 	there, err := net.Dial("udp4", strict.Addr())
@@ -123,19 +123,19 @@
 	}
 	defer there.Close()
 	there.Write(own)
-	waitFor(t, "the other network's counted", func() bool { return strict.Counts().Foreign == 1 })
+	waitFor(t, "the datagram from the other network is counted", func() bool { return strict.Counts().Foreign == 1 })
 	if stream, err := net.Dial("tcp4", strict.Addr()); err == nil {
 		defer stream.Close()
 		if _, err := stream.Read(make([]byte, 1)); err == nil {
-			t.Error("a stream of another network is answered")
+			t.Error("a stream from a network that is not listed was answered")
 		}
 	}
 	if len(ear.received) > 0 {
-		t.Error("another network's is handed on")
+		t.Error("a datagram from a network that is not listed reached the handler")
 	}
 }
 
-// TestFloodsAreBounded by source.
+// TestFloodsAreBounded: the rate of datagrams is limited for each source, and the number of tracked sources is bounded.
 func TestFloodsAreBounded(t *testing.T) {
 	var s sources
 	now := time.Now()
@@ -147,17 +147,17 @@
 		}
 	}
 	if allowed != burstPerSource || !s.allow(netip.MustParseAddr("127.0.0.2"), now) {
-		t.Errorf("%d of one source at one moment", allowed)
+		t.Errorf("%d datagrams of one source were allowed at one time", allowed)
 	}
 	for i := range 10 * maxSources {
 		s.allow(netip.AddrFrom4([4]byte{127, byte(i >> 16), byte(i >> 8), byte(i)}), now)
 	}
 	if n := len(s.current) + len(s.previous); n > maxSources {
-		t.Errorf("%d sources are remembered", n)
+		t.Errorf("%d sources are tracked", n)
 	}
 }
 
-// TestStreamsAreBounded: beyond the bound they are closed at once, and those that say nothing end in time.
+// TestStreamsAreBounded: streams beyond the bound are closed at once, and streams without data end after a timeout.
 func TestStreamsAreBounded(t *testing.T) {
 	l, ear := listen(t, "127.0.0.0/8")
 	ear.hold = make(chan struct{})
@@ -172,7 +172,7 @@
 			results <- result{len(got), err}
 		}()
 	}
-	waitFor(t, "over the bound", func() bool { return l.Counts().Flood >= maxStreams })
+	waitFor(t, "streams beyond the bound are closed", func() bool { return l.Counts().Flood >= maxStreams })
 	close(ear.hold)
 	whole := 0
 	for range 3 * maxStreams {
@@ -181,7 +181,7 @@
 		}
 	}
 	if whole < maxStreams {
-		t.Errorf("%d of %d are answered", whole, maxStreams)
+		t.Errorf("%d exchanges were answered, want at least %d", whole, maxStreams)
 	}
 	silent, err := net.Dial("tcp4", l.Addr())
 	if err != nil {
@@ -189,7 +189,7 @@
 	}
 	defer silent.Close()
 	if _, err := silent.Read(make([]byte, 1)); err == nil {
-		t.Error("a silent stream is answered")
+		t.Error("a stream without data was answered")
 	}
 }
 
@@ -198,14 +198,14 @@
 	for _, at := range []string{l.Addr(), "nowhere", "127.0.0.1"} {
 		if other, err := Listen(Config{Fleet: "shelf", Listen: at}, &recorder{}); err == nil {
 			other.Close()
-			t.Errorf("%s is listened on", at)
+			t.Errorf("Listen succeeded on %s", at)
 		} else if fmt.Sprint(err) == "" {
-			t.Error("no reason")
+			t.Error("the error has no text")
 		}
 	}
 }
 
-// TestParcels: short ones go as datagrams and long ones by streams, whole or not at all; a bent one is dropped and counted.
+// TestPayloads: short payloads are sent as datagrams and long ones over streams, and arrive complete; a corrupt one is not decoded.
 func TestPayloads(t *testing.T) {
 	e := &recorder{payloads: make(chan []byte, 10)}
 	listen := func(h Handler) *Link {
@@ -221,7 +221,7 @@
 		sent := bytes.Repeat([]byte{7}, n)
 		from.SendPayload(to.Addr(), sent)
 		if got := <-e.payloads; !bytes.Equal(got, sent) {
-			t.Errorf("%d bytes came of %d", len(got), n)
+			t.Errorf("received %d bytes of %d", len(got), n)
 		}
 	}
 	from.SendPayload("192.0.2.1:7", []byte("to a network that is not listed"))
@@ -234,9 +234,9 @@
 	}
 	text[len(text)-1] ^= 1
 	if _, err := codec.New("shelf").DecodePayload(text); !errors.Is(err, codec.ErrCorrupt) {
-		t.Errorf("a bent one: %v", err)
+		t.Errorf("a corrupt payload: %v", err)
 	}
 	if _, err := codec.New("another").DecodePayload(text); !errors.Is(err, codec.ErrOtherFleet) {
-		t.Errorf("another fleet's: %v", err)
+		t.Errorf("a payload of another fleet: %v", err)
 	}
 }
--- a/internal/cluster/link/parcels.go
+++ b/internal/cluster/link/parcels.go
@@ -10,41 +10,41 @@
 )
 
 const (
-	// maxParcelStreams carry parcels that are too long for a datagram at one time. With a round trip of 150 ms between regions a
-	// stream holds its place for more than 300 ms (connect, write, close), so 1,400 members that all need one, as after a cold start
-	// of a fleet, take about 2 s. Each holds one descriptor.
+	// maxPayloadStreams bounds the concurrent streams for payloads that are too long for a datagram. With a round trip of 150 ms between
+	// regions a stream lasts more than 300 ms (connect, write, close), so 1,400 members that all need one, as after a cold start of a
+	// fleet, take about 2 s. Each stream holds one file descriptor.
 	maxPayloadStreams = 256
-	// maxQueuedParcels wait for a place: one for each member that a view keeps in mind.
+	// maxQueuedPayloads bounds the payloads that wait for a stream: one for each member that a view holds by default.
 	maxQueuedPayloads = 4096
-	// maxQueuedParcelBytes is about 1,400 times 40 KB, the documents of a large fleet; what comes beyond is lost, and sent anew by who
-	// sent it.
+	// maxQueuedPayloadBytes is about 1,400 times 40 KB, the documents of a large fleet; payloads beyond it are dropped, and their
+	// senders send them again.
 	maxQueuedPayloadBytes = 64 << 20
 )
 
-// parcelKey tells parcels apart of which a newer one takes the place of an older one.
+// payloadKey identifies payloads of which a newer one replaces an older one that is still queued.
 type payloadKey struct {
 	to    netip.AddrPort
 	topic string
 }
 
-// parcel is a frame that waits for its stream.
+// queuedPayload is a frame that waits for a stream.
 type queuedPayload struct {
 	key  payloadKey
 	text []byte
 }
 
-// parcelQueue holds what waits for a stream, the oldest first. It is safe for concurrent use.
+// payloadQueue holds the payloads that wait for a stream, the oldest first. It is safe for concurrent use.
 type payloadQueue struct {
 	mu      sync.Mutex
 	waiting []*queuedPayload
-	byTopic map[payloadKey]*queuedPayload // those of waiting that have a topic
-	bytes   int                           // of all that wait
-	streams int                           // at work
+	byTopic map[payloadKey]*queuedPayload // the elements of waiting that have a topic
+	bytes   int                           // total size of waiting
+	streams int                           // running streams
 	closed  bool
 }
 
-// push puts a parcel into the line, or in the place of one of its topic that waits, and says whether it has. start is called where
-// another stream is to begin; never after close.
+// push appends a payload to the queue, or replaces a queued one with the same key, and reports whether it did. It calls start if another
+// stream should begin; never after close.
 func (q *payloadQueue) push(p *queuedPayload, start func()) (queued bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -79,12 +79,12 @@
 	return true
 }
 
-// pop takes the oldest parcel out; nil, where none waits, ends the stream that asks.
+// pop removes the oldest payload. If there is none, it returns nil and the calling stream has to end.
 func (q *payloadQueue) pop() *queuedPayload {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.waiting) == 0 {
-		q.waiting = nil // its array is let go of
+		q.waiting = nil // release the array
 		q.streams--
 		return nil
 	}
@@ -98,7 +98,7 @@
 	return p
 }
 
-// close has nothing more taken in, and returns how many parcels are lost by that.
+// close makes the queue reject further payloads, and returns how many queued ones are lost.
 func (q *payloadQueue) close() (lost int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -107,12 +107,12 @@
 	return lost
 }
 
-// Carry sends a parcel to an address: as a datagram if it fits one, by a stream otherwise. It does not block, and the parcel may be
-// lost.
+// SendPayload sends a payload to an address: as a datagram if it fits, over a stream otherwise. It does not block, and the payload may
+// be lost.
 func (l *Link) SendPayload(to string, body []byte) { l.SendLatestPayload(to, "", body) }
 
-// CarryLatest does the same for a parcel that makes older ones of its topic to the same address useless: one that still waits for
-// its stream is not sent. Topic "" is that of parcels that take no other's place.
+// SendLatestPayload is like SendPayload for a payload that supersedes older ones of its topic to the same address: it replaces one that
+// still waits for a stream. Payloads with topic "" replace no others.
 func (l *Link) SendLatestPayload(to, topic string, body []byte) {
 	at, err := netip.ParseAddrPort(to)
 	if err != nil || !l.allowed(at.Addr()) {
@@ -134,7 +134,7 @@
 	}
 }
 
-// carryParcels carries what waits, one after another, until nothing does.
+// sendPayloads sends queued payloads one after another until none is left.
 func (l *Link) sendPayloads() {
 	for p := l.payloads.pop(); p != nil; p = l.payloads.pop() {
 		if err := l.sendOne(p); err != nil {
--- a/internal/cluster/link/parcels_test.go
+++ b/internal/cluster/link/parcels_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// TestManyParcelsAtOnce: each of many receivers, more than there are streams at one time, gets its own over a slow network.
+// TestManyPayloadsAtOnce: with more receivers than concurrent streams, each receiver gets its payload over a slow network.
 func TestManyPayloadsAtOnce(t *testing.T) {
 	const (
 		receivers = maxPayloadStreams + 64
@@ -36,20 +36,20 @@
 		select {
 		case body := <-e.payloads:
 			if len(body) != size {
-				t.Errorf("%d bytes of %d", len(body), size)
+				t.Errorf("received %d bytes of %d", len(body), size)
 			}
 			seen[body[0]]++
 		case <-time.After(20 * time.Second):
-			t.Fatalf("%d kinds of parcels came", len(seen))
+			t.Fatalf("timeout: received %d different payloads", len(seen))
 		}
 	}
-	waitFor(t, "all are counted", func() bool { return from.Counts().Sent == receivers })
+	waitFor(t, "all payloads are counted as sent", func() bool { return from.Counts().Sent == receivers })
 	if n := from.Counts().Unsent; n != 0 || len(seen) != 256 {
-		t.Errorf("%d unsent, %d kinds", n, len(seen))
+		t.Errorf("%d unsent, %d different payloads", n, len(seen))
 	}
 }
 
-// silentServer takes connections and never reads from them.
+// silentServer accepts connections and never reads from them.
 func silentServer(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -81,7 +81,8 @@
 	return l.Addr().String()
 }
 
-// TestAReceiverThatDoesNotRead holds a place for a bounded time and keeps nobody else's parcel.
+// TestAReceiverThatDoesNotRead: a receiver that does not read occupies a stream only until the timeout and does not delay payloads to
+// other receivers.
 func TestAReceiverThatDoesNotRead(t *testing.T) {
 	silent := silentServer(t)
 	from, _ := listen(t, "127.0.0.0/8")
@@ -94,12 +95,12 @@
 	from.SendPayload(to.Addr(), long[:40_000])
 	body, givenUp := <-ear.payloads, from.Counts().Unsent
 	if len(body) != 40_000 || givenUp > 0 {
-		t.Errorf("%d bytes came once %d were given up", len(body), givenUp)
+		t.Errorf("received %d bytes after %d payloads were dropped", len(body), givenUp)
 	}
-	waitFor(t, "given up", func() bool { return from.Counts().Unsent == stuck })
+	waitFor(t, "the stuck payloads are dropped", func() bool { return from.Counts().Unsent == stuck })
 }
 
-// TestCloseWhileParcelsWait: Close ends the streams at once, what waits is counted as unsent, and nothing is taken in after it.
+// TestCloseWithQueuedPayloads: Close ends the streams at once, queued payloads are counted as unsent, and later ones are rejected.
 func TestCloseWithQueuedPayloads(t *testing.T) {
 	silent := silentServer(t)
 	from, _ := listen(t, "127.0.0.0/8")
@@ -125,40 +126,40 @@
 	began := time.Now()
 	from.Close()
 	if took := time.Since(began); took >= streamTimeout {
-		t.Errorf("Close took %v, as long as streams that nobody reads", took)
+		t.Errorf("Close took %v, as long as the timeout of streams", took)
 	}
 	close(stop)
 	senders.Wait()
 	before := from.Counts().Unsent
 	from.SendPayload(silent, body)
 	if after := from.Counts().Unsent; after != before+1 {
-		t.Errorf("%d unsent, and %d after one more", before, after)
+		t.Errorf("%d unsent before, %d after one more payload", before, after)
 	}
 }
 
-// TestTheLatestOfATopic takes the place of one that waits, and of no other.
+// TestTheLatestOfATopic: a payload replaces a queued one of its topic and address, and no other.
 func TestTheLatestOfATopic(t *testing.T) {
 	q := &payloadQueue{streams: maxPayloadStreams}
-	never := func() { t.Error("one more stream than there may be") }
+	never := func() { t.Error("a stream started beyond the bound") }
 	at := func(port uint16) netip.AddrPort { return netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port) }
 	for i, key := range []payloadKey{{at(1), "a"}, {at(1), ""}, {at(2), "a"}, {at(1), "b"}, {at(1), "a"}, {at(1), ""}, {at(1), "a"}} {
 		if !q.push(&queuedPayload{key, bytes.Repeat([]byte{byte(i)}, i+1)}, never) {
-			t.Errorf("%d is not taken in", i)
+			t.Errorf("payload %d was rejected", i)
 		}
 	}
 	want := []byte{6, 1, 2, 3, 5}
 	if q.bytes != 7+2+3+4+6 || len(q.waiting) != len(want) {
-		t.Errorf("%d wait with %d bytes", len(q.waiting), q.bytes)
+		t.Errorf("%d queued payloads with %d bytes", len(q.waiting), q.bytes)
 	}
 	for _, n := range want {
 		if p := q.pop(); p == nil || p.text[0] != n {
-			t.Errorf("%+v; wanted %d", p, n)
+			t.Errorf("got %+v, want %d", p, n)
 		}
 	}
 	if q.pop() != nil || q.bytes != 0 || len(q.byTopic) != 0 || q.streams != maxPayloadStreams-1 {
 		t.Errorf("at the end: %d bytes, %d topics, %d streams", q.bytes, len(q.byTopic), q.streams)
 	}
-	// What is being sent is no longer replaced.
+	// A payload that is being sent is no longer replaced.
 	key := payloadKey{at(1), "a"}
 	q.push(&queuedPayload{key, []byte{1}}, func() {})
 	first := q.pop()
@@ -168,7 +169,7 @@
 	}
 }
 
-// TestBoundsOfWhatWaits by count and by bytes.
+// TestPayloadQueueIsBounded: the queue is bounded by the number of payloads and by their bytes.
 func TestPayloadQueueIsBounded(t *testing.T) {
 	key := func(i int) payloadKey {
 		return payloadKey{netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, byte(i >> 8), byte(i)}), 1), "a"}
@@ -176,22 +177,22 @@
 	q, started := &payloadQueue{}, 0
 	for i := range maxQueuedPayloads + 10 {
 		if taken := q.push(&queuedPayload{key(i), []byte{1}}, func() { started++ }); taken != (i < maxQueuedPayloads) {
-			t.Fatalf("%d: %v", i, taken)
+			t.Fatalf("push of payload %d returned %v", i, taken)
 		}
 	}
 	if started != maxPayloadStreams {
 		t.Errorf("%d streams", started)
 	}
-	if lost := q.close(); lost != maxQueuedPayloads || q.push(&queuedPayload{key(0), []byte{1}}, func() { t.Error("a stream after close") }) {
+	if lost := q.close(); lost != maxQueuedPayloads || q.push(&queuedPayload{key(0), []byte{1}}, func() { t.Error("a stream started after close") }) {
 		t.Errorf("%d lost at close", lost)
 	}
 	q = &payloadQueue{}
 	half := make([]byte, maxQueuedPayloadBytes/2)
 	start := func() {}
 	if !q.push(&queuedPayload{key(0), half}, start) || !q.push(&queuedPayload{key(1), half}, start) || q.push(&queuedPayload{key(2), []byte{1}}, start) {
-		t.Error("the bytes that wait are bounded otherwise")
+		t.Error("wrong bound of queued bytes")
 	}
 	if !q.push(&queuedPayload{key(1), half[1:]}, start) || !q.push(&queuedPayload{key(2), []byte{1}}, start) || q.push(&queuedPayload{key(1), half}, start) {
-		t.Error("what is replaced is counted otherwise")
+		t.Error("wrong count of bytes after a replacement")
 	}
 }
--- a/internal/cluster/link/path.go
+++ b/internal/cluster/link/path.go
@@ -7,28 +7,28 @@
 	"time"
 )
 
-// Path decides what becomes of what a link sends. It stands for the network between machines where many members share one, in
-// scale runs and tests; without one, all is sent at once. Its methods may be called from many goroutines.
+// Path simulates the network between machines for the data that a link sends, if many members share one machine in scale runs and
+// tests; without a Path, data is sent at once. Its methods must be safe for concurrent use.
 type Path interface {
-	// Datagram says how late a datagram of so many bytes arrives, and whether it does.
+	// Datagram returns the delay of a datagram with a size in bytes, and whether it arrives.
 	Datagram(to netip.AddrPort, size int) (after time.Duration, arrives bool)
-	// Stream says how late so many bytes of a stream arrive one way. While the path is cut, open is false.
+	// Stream returns the one-way delay of size bytes of a stream. While the path is cut, open is false.
 	Stream(to netip.AddrPort, size int) (after time.Duration, open bool)
-	// Accepts says whether what comes from an address is taken in. It is for senders without a path of their own.
+	// Accepts reports whether data from an address is received. It applies cuts to senders without a Path of their own.
 	Accepts(from netip.Addr) bool
 }
 
 const (
-	// maxDelayed datagrams wait for their delay at one time; what comes beyond is lost.
+	// maxDelayed bounds the datagrams that wait for their delay at one time; further ones are dropped.
 	maxDelayed = 20_000
-	// cutRecheck is how often a stream over a path that is cut looks whether it still is.
+	// cutRecheck is the interval at which a stream over a cut path checks whether the cut has ended.
 	cutRecheck = 5 * time.Millisecond
 )
 
 // delayed counts the datagrams of a link that wait for their delay.
 type delayed struct{ count atomic.Int64 }
 
-// emit puts a datagram on the wire, as late as the path says. What cannot be sent is counted: it is as good as lost on the way.
+// emit sends a datagram after the delay of the path. One that cannot be sent is counted and otherwise treated like a lost one.
 func (l *Link) emit(to netip.AddrPort, text []byte) {
 	if l.config.Path == nil {
 		l.write(to, text)
@@ -37,21 +37,21 @@
 	after, arrives := l.config.Path.Datagram(to, len(text))
 	switch {
 	case !arrives:
-		l.countSent(len(text)) // it was sent, and is lost on the way
+		l.countSent(len(text)) // sent, but lost on the simulated network
 	case after <= 0:
 		l.write(to, text)
 	case l.delayed.count.Add(1) > maxDelayed:
 		l.delayed.count.Add(-1)
 		l.counts.unsent.Add(1)
 	default:
-		time.AfterFunc(after, func() { // after Close the write fails
+		time.AfterFunc(after, func() { // after Close the write fails and is counted as unsent
 			l.delayed.count.Add(-1)
 			l.write(to, text)
 		})
 	}
 }
 
-// accepts says whether the path lets in what has come from an address.
+// accepts reports whether the path accepts data from an address.
 func (l *Link) accepts(from netip.Addr) bool {
 	return l.config.Path == nil || l.config.Path.Accepts(from.Unmap())
 }
@@ -69,7 +69,7 @@
 	l.counts.sentBytes.Add(int64(size))
 }
 
-// travel waits until so many bytes of a stream have passed one way to an address, or ctx is done.
+// waitForPath waits for the one-way delay of size bytes of a stream to an address, or until ctx is done.
 func (l *Link) waitForPath(ctx context.Context, to netip.AddrPort, size int) error {
 	if l.config.Path == nil {
 		return nil
@@ -85,7 +85,7 @@
 	}
 }
 
-// sleep waits for a time, or until ctx is done, which is its error.
+// sleep waits for d, or returns the error of ctx if it is done first.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/internal/cluster/link/path_test.go
+++ b/internal/cluster/link/path_test.go
@@ -10,7 +10,7 @@
 	"brasswell/internal/cluster/view"
 )
 
-// fixedPath delays all by the same time, and passes nothing while it is cut.
+// fixedPath is a Path with a constant delay; nothing passes while it is cut.
 type fixedPath struct {
 	after time.Duration
 	cut   atomic.Bool
@@ -29,7 +29,7 @@
 
 func (p *fixedPath) Accepts(netip.Addr) bool { return !p.cut.Load() }
 
-// TestPathDecides: what a link sends is as late as its path says, and does not arrive while that is cut.
+// TestPathDecides: data that a link sends has the delay of its path, and does not arrive while the path is cut.
 func TestPathDecides(t *testing.T) {
 	const oneWay = 30 * time.Millisecond
 	path := &fixedPath{after: oneWay}
@@ -39,11 +39,11 @@
 	began := time.Now()
 	a.Send(b.Addr(), &view.Message{Kind: view.Ping, Seq: 1, From: record("a")})
 	if m := <-ear.received; m.Seq != 1 || time.Since(began) < oneWay {
-		t.Errorf("%d came after %v", m.Seq, time.Since(began))
+		t.Errorf("message %d arrived after %v", m.Seq, time.Since(began))
 	}
 	began = time.Now()
 	if _, err := a.Exchange(t.Context(), b.Addr(), nil); err != nil || time.Since(began) < 3*oneWay {
-		t.Errorf("an exchange took %v, %v; it connects there and back and asks", time.Since(began), err)
+		t.Errorf("an exchange took %v, error %v; want at least a round trip to connect and one way for the table", time.Since(began), err)
 	}
 
 	path.cut.Store(true)
@@ -51,20 +51,20 @@
 	short, cancel := context.WithTimeout(t.Context(), 3*oneWay)
 	defer cancel()
 	if _, err := a.Exchange(short, b.Addr(), nil); err == nil {
-		t.Error("an exchange over a path that is cut")
+		t.Error("no error for an exchange over a cut path")
 	}
 	path.cut.Store(false)
 	a.Send(b.Addr(), &view.Message{Kind: view.Ping, Seq: 3, From: record("a")})
 	if m := <-ear.received; m.Seq != 3 {
-		t.Errorf("%d came over a path that was cut", m.Seq)
+		t.Errorf("message %d arrived, although the path was cut when it was sent", m.Seq)
 	}
-	waitFor(t, "all three are counted as sent, the lost one too", func() bool { return a.Counts().Sent == 3 })
+	waitFor(t, "all three are counted as sent, including the lost one", func() bool { return a.Counts().Sent == 3 })
 	if c := a.Counts(); c.Unsent != 0 {
-		t.Errorf("%+v; what is lost on the way was sent", c)
+		t.Errorf("%+v; a lost datagram must be counted as sent", c)
 	}
 }
 
-// TestPathDropsWhatComes: while the path of who receives is cut, nothing is taken in from one whose own path is not.
+// TestPathDropsReceived: while the receiver's path is cut, it receives nothing, even from a sender whose own path is open.
 func TestPathDropsReceived(t *testing.T) {
 	path := &fixedPath{}
 	a, _ := listen(t, "127.0.0.0/8")
@@ -76,14 +76,14 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
 	if _, err := a.Exchange(ctx, b.Addr(), []view.Record{record("a")}); err == nil {
-		t.Error("an exchange passed a path that is cut")
+		t.Error("no error for an exchange over a cut path")
 	}
 	path.cut.Store(false)
 	ping(2)
 	if m := <-ear.received; m.Seq != 2 {
-		t.Errorf("%d came through a path that was cut", m.Seq)
+		t.Errorf("message %d arrived, although the path was cut when it was sent", m.Seq)
 	}
 	if got := b.Counts().Received; got != 1 {
-		t.Errorf("%d were counted as received, and one was let in", got)
+		t.Errorf("%d datagrams were counted as received, want 1", got)
 	}
 }
--- a/internal/cluster/model/model.go
+++ b/internal/cluster/model/model.go
@@ -1,6 +1,6 @@
-// Package model plays a fleet's views on a clock of its own: many members, a network with faults, processes that are
-// killed, paused and started again, all from a seed. It reaches sizes and hours that processes do not, and shows what
-// a defence brings by playing the same seeds without it. What it leaves out: processor time, buffers and the kernel.
+// Package model simulates a fleet's views on a virtual clock: many members, a network with faults, and processes that are killed,
+// paused and started again, all from a seed. It covers sizes and durations that tests with real processes cannot, and shows the effect
+// of a defence by running the same seeds without it. It does not model processor time, buffers or the kernel.
 package model
 
 import (
@@ -15,23 +15,24 @@
 	"brasswell/internal/rig/story"
 )
 
-// Config is a fleet to be played.
+// Config configures a simulated fleet.
 type Config struct {
 	Scenario *story.Story
-	Seeds    int // how many members are named as seeds to all; 0 stands for 3
-	// Set changes each member's settings, to take defences out; may be nil.
+	Seeds    int // how many members are seeds of all members; 0 means 3
+	// Configure changes each member's settings, to disable defences; may be nil.
 	Configure func(*view.Settings)
-	// Size is how many bytes a message takes; nil counts none.
+	// Size returns the bytes of a message; if nil, no bytes are counted.
 	Size func(*view.Message) int
-	// Watch is told of every change, in order; may be nil.
+	// OnChange is called with every change, in order; may be nil.
 	OnChange func(now time.Duration, member string, c view.Change)
 }
 
-// delay of a sound path.
+// The delay of a path without faults is uniform between minDelay and minDelay+delaySpread.
 const (
 	minDelay    = 200 * time.Microsecond
 	delaySpread = 800 * time.Microsecond
-	// graceSuspicions is how long after a fault on its way, a pause or a start a death is not false yet: news of it is still out.
+	// falseDeathGracePeriods is how long after a path fault, a pause or a start a declared death does not count as false: updates about
+	// it may still be in flight.
 	falseDeathGracePeriods = 24 // periods
 )
 
@@ -42,12 +43,12 @@
 	boot            uint64
 	starts          int
 	view            *view.View
-	inbox           []event       // what comes while it is paused
-	wakeAt          time.Duration // the wake that is queued
-	pathsSoundSince time.Duration // since when its paths are sound
+	inbox           []event       // events received while it is paused
+	wakeAt          time.Duration // the time of the queued wake event
+	pathsSoundSince time.Duration // since when its paths have no faults
 	runningSince    time.Duration // since when it is up and not paused
-	mismatches      int           // members that its view holds wrongly
-	holds           []bool        // by member, whether its view holds it present
+	mismatches      int           // members whose presence its view has wrong
+	holds           []bool        // by member, whether its view holds the member present
 }
 
 type eventKind uint8
@@ -71,27 +72,27 @@
 	boot    uint64 // of the receiver, for streams that end with it
 }
 
-// Figures are what a play has come to.
+// Stats are the results of a simulation.
 type Stats struct {
 	Datagrams int64
 	Bytes     int64
 	Exchanges int64
 	Events    int64
-	// Deaths are how often a member was held dead, and False those of living, unpaused members on sound paths.
+	// Deaths counts how often a member was declared dead; FalseDeaths counts those of running members on paths without faults.
 	Deaths, FalseDeaths int
 	Refuted             int
 	Convergences        []Convergence
 }
 
-// Settling is how long it took after an act until all living views were right again.
+// Convergence is the time from an act until all views of running processes were correct again.
 type Convergence struct {
 	Do   string
 	End  bool
 	At   time.Duration
-	Took time.Duration // below 0 if the next act came before
+	Took time.Duration // negative if the next act came first
 }
 
-// Fleet is a fleet in play.
+// Fleet is a simulated fleet.
 type Fleet struct {
 	config     Config
 	now        time.Duration
@@ -102,13 +103,13 @@
 	procs      []*process
 	byAddr     map[string]*process
 	byName     map[string]*process
-	present    []bool // by member, whether it is there
-	wrongViews int    // views of living processes that are wrong about somebody
+	present    []bool // by member, whether it is running
+	wrongViews int    // running, unpaused processes whose view has a mismatch
 	pending    *Convergence
 	Stats      Stats
 }
 
-// New returns a fleet whose members all start within the first period.
+// New returns a fleet in which all members start at once, except those that the scenario starts later.
 func New(c Config) (*Fleet, error) {
 	if err := c.Scenario.Validate(); err != nil {
 		return nil, err
@@ -143,7 +144,7 @@
 	f.queue.Push(e.at, e)
 }
 
-// host is a process's side of its view.
+// host implements view.Host for a simulated process.
 type host struct {
 	fleet *Fleet
 	proc  *process
@@ -163,7 +164,7 @@
 	}
 	for _, d := range f.network.Datagram(f.now, faults.Path{From: h.proc.name, To: q.name}, size) {
 		if d.Bit >= 0 {
-			continue // the checksum tells
+			continue // the checksum detects the flipped bit
 		}
 		f.push(event{at: f.now + f.delay() + d.After, kind: datagram, to: q.index, from: h.proc.address, message: m})
 	}
@@ -216,7 +217,7 @@
 	f.setPresent(p, q.index, c.State == view.Alive || c.State == view.Suspect)
 }
 
-// hold notes whether p's view holds a member present.
+// setPresent records whether p's view holds a member present.
 func (f *Fleet) setPresent(p *process, member int, present bool) {
 	if p.holds[member] == present {
 		return
@@ -233,7 +234,7 @@
 	}
 }
 
-// count keeps the number of living views that are wrong.
+// count updates the number of wrong views after the mismatches of one view changed.
 func (f *Fleet) count(before, after int) {
 	if before == 0 && after > 0 {
 		f.wrongViews++
@@ -251,7 +252,7 @@
 	}
 }
 
-// recount counts anew after an act.
+// recount recomputes all mismatches after an act.
 func (f *Fleet) recount() {
 	f.wrongViews = 0
 	for _, p := range f.procs {
@@ -286,7 +287,7 @@
 	}
 	v, err := view.New(f.now, s, f.config.Scenario.Seed+uint64(p.index)<<16+uint64(p.starts), host{f, p})
 	if err != nil {
-		panic(err) // the settings are this package's own
+		panic(err) // the settings are built here, so an error is a bug
 	}
 	p.view, p.wakeAt, p.inbox = v, -1, nil
 	f.schedule(p)
@@ -300,7 +301,7 @@
 	f.present[p.index] = false
 }
 
-// schedule queues the process's next wake.
+// schedule queues the process's next wake event.
 func (f *Fleet) schedule(p *process) {
 	if next := max(p.view.Next(), f.now); p.wakeAt < f.now || next < p.wakeAt {
 		p.wakeAt = next
@@ -308,7 +309,7 @@
 	}
 }
 
-// Run plays until a moment of the fleet's clock.
+// Run runs the simulation until a time of the fleet's clock.
 func (f *Fleet) Run(until time.Duration) {
 	for {
 		at, e, due := f.queue.Pop(until)
@@ -331,7 +332,7 @@
 	case !p.up || e.kind != datagram && e.boot != p.boot:
 		return
 	case p.paused:
-		const socketBuffer = 300 // datagrams that the kernel keeps for a process that does not read
+		const socketBuffer = 300 // datagrams that the kernel buffers for a process that does not read
 		if e.kind != wake && len(p.inbox) < socketBuffer {
 			p.inbox = append(p.inbox, e)
 		}
@@ -340,7 +341,7 @@
 	switch e.kind {
 	case wake:
 		if e.at != p.wakeAt {
-			return // an earlier one has taken its place
+			return // replaced by an earlier one
 		}
 		p.wakeAt = -1
 		p.view.Wake(f.now)
@@ -358,7 +359,7 @@
 	f.schedule(p)
 }
 
-// who are the members of an event.
+// targets returns the members that an event affects; all of them if it names none.
 func (f *Fleet) targets(e story.Event) []*process {
 	if len(e.Who) == 0 {
 		return f.procs
@@ -403,14 +404,14 @@
 		}
 	}
 	if e.Network() && !a.End && (e.Do == story.Cut || e.Do == story.CutTo) {
-		f.pending = nil // what is right while a cut lasts, the truth here does not say
+		f.pending = nil // the expected views during a cut are not modelled
 	}
 	f.recount()
 	f.settle()
 }
 
-// shake notes that the ways between processes are no longer what they were. While there is a cut, any process may be on
-// the other side of it, so none is on sound paths.
+// pathsChanged resets the time since which paths have no faults. While there is a cut, any process may be on the other side of it, so
+// no process's paths count as free of faults.
 func (f *Fleet) pathsChanged() {
 	since := f.now
 	for i := range f.layers {
@@ -423,7 +424,7 @@
 	}
 }
 
-// never is later than any story's end.
+// never is later than the end of any scenario.
 const never = time.Duration(1 << 62)
 
 func (f *Fleet) pause(p *process, on bool) {
@@ -446,13 +447,13 @@
 	f.schedule(p)
 }
 
-// Now is the fleet's clock.
+// Now returns the time of the fleet's clock.
 func (f *Fleet) Now() time.Duration { return f.now }
 
-// Right says whether all living, unpaused views hold just those that are there.
+// Converged reports whether the views of all running, unpaused processes hold exactly the running members present.
 func (f *Fleet) Converged() bool { return f.wrongViews == 0 }
 
-// Wrong are the living views that are wrong, with what is wrong with them, for people.
+// Mismatches describes each wrong entry in the views of running, unpaused processes, for test output.
 func (f *Fleet) Mismatches() []string {
 	var lines []string
 	for _, p := range f.procs {
@@ -468,5 +469,5 @@
 	return lines
 }
 
-// View is a member's view, nil while its process is not there.
+// View returns a member's view; nil while its process is not running.
 func (f *Fleet) View(name string) *view.View { return f.byName[name].view }
--- a/internal/cluster/model/model_test.go
+++ b/internal/cluster/model/model_test.go
@@ -11,7 +11,7 @@
 
 const period = 300 * time.Millisecond
 
-// seeds is how many seeds are played: fewer with the race detector.
+// seedCount returns how many seeds to run: fewer with the race detector.
 func seedCount(n uint64) uint64 {
 	if slow {
 		return 1 + n/20
@@ -19,7 +19,7 @@
 	return n
 }
 
-// play plays a story to its end.
+// run runs a scenario to its end.
 func run(t *testing.T, c Config) *Fleet {
 	t.Helper()
 	f, err := New(c)
@@ -30,18 +30,19 @@
 	return f
 }
 
-// right fails the test unless all living views are right at the end, and nobody was held dead falsely.
+// checkConverged fails the test unless all views of running processes are correct at the end and no death was false.
 func checkConverged(t *testing.T, f *Fleet) {
 	t.Helper()
 	if !f.Converged() {
-		t.Errorf("%s, seed %d: at the end: %v", f.config.Scenario.Name, f.config.Scenario.Seed, f.Mismatches())
+		t.Errorf("%s, seed %d: wrong at the end: %v", f.config.Scenario.Name, f.config.Scenario.Seed, f.Mismatches())
 	}
 	if f.Stats.FalseDeaths > 0 {
 		t.Errorf("%s, seed %d: %d false deaths", f.config.Scenario.Name, f.config.Scenario.Seed, f.Stats.FalseDeaths)
 	}
 }
 
-// TestDrawnStories: whatever is drawn, the views agree in the end and hold nobody dead who lives on sound ways.
+// TestDrawnScenarios: in randomly drawn scenarios the views agree at the end, and no running member on paths without faults is declared
+// dead.
 func TestDrawnScenarios(t *testing.T) {
 	for seed := range seedCount(60) {
 		checkConverged(t, run(t, Config{Scenario: story.Drawn(seed, 12, period, 40*time.Second)}))
@@ -51,7 +52,7 @@
 	}
 }
 
-// TestOneSeedOnePlay: equal seeds give equal plays, to the last change.
+// TestRunsAreDeterministic: equal seeds give exactly the same changes.
 func TestRunsAreDeterministic(t *testing.T) {
 	once := func() (lines []string) {
 		run(t, Config{Scenario: story.Drawn(7, 12, period, 30*time.Second), OnChange: func(now time.Duration, member string, c view.Change) {
@@ -65,7 +66,7 @@
 	}
 }
 
-// hard are the cases that operators fear, as stories of twelve.
+// hardScenarios returns the failures that are most critical to operators, in fleets of twelve members.
 func hardScenarios() []*story.Story {
 	s := func(name string, length time.Duration, events ...story.Event) *story.Story {
 		return &story.Story{Name: name, Members: 12, Seed: 1, Period: story.Duration(period), Length: story.Duration(length), Events: events}
@@ -102,7 +103,7 @@
 	return all
 }
 
-// flaps is one that is killed and started again every 3 s.
+// flapping returns events that kill and restart one member every 3 s.
 func flapping() (events []story.Event) {
 	for i := range 12 {
 		events = append(events, story.Event{At: story.Duration(5+3*i) * story.Duration(time.Second), For: story.Duration(1500 * time.Millisecond), Do: story.Kill, Who: []string{"n2"}})
@@ -110,7 +111,7 @@
 	return events
 }
 
-// rolling restarts all, one after another, as fast as they come.
+// rolling returns events that restart all members one after another, every 600 ms.
 func rolling() (events []story.Event) {
 	for i := range 12 {
 		events = append(events, story.Event{At: story.Duration(5000+600*i) * story.Duration(time.Millisecond), For: story.Duration(500 * time.Millisecond), Do: story.Stop, Who: []string{story.Name(i)}})
@@ -127,7 +128,7 @@
 	}
 }
 
-// TestExactlyTwoCutApart: a cut between two that all others reach makes nobody dead, for nobody.
+// TestExactlyTwoCutApart: if only the path between two members is cut, no member declares any other dead.
 func TestExactlyTwoCutApart(t *testing.T) {
 	for seed := range seedCount(20) {
 		f := run(t, Config{Scenario: &story.Story{
@@ -140,7 +141,8 @@
 	}
 }
 
-// TestLoss: at a fifth of all datagrams lost nobody is held dead; at half of them the views still come together after it.
+// TestLoss: with a fifth of all datagrams lost no running member is declared dead; with half of them lost the views still converge
+// afterwards.
 func TestLoss(t *testing.T) {
 	for seed := range seedCount(10) {
 		s := &story.Story{
@@ -150,27 +152,28 @@
 		checkConverged(t, run(t, Config{Scenario: s}))
 		s.Events[0].Size = 0.5
 		if f := run(t, Config{Scenario: s}); !f.Converged() {
-			t.Errorf("half of all lost, seed %d: %v", seed, f.Mismatches())
+			t.Errorf("at a loss of 50%%, seed %d: %v", seed, f.Mismatches())
 		}
 	}
 }
 
-// TestManyJoinAtOnce: a thousand that start within a moment all know each other soon, from three addresses.
+// TestManyJoinAtOnce: a thousand members that start together, with three seeds, soon all know each other.
 func TestManyJoinAtOnce(t *testing.T) {
 	if slow {
-		t.Skip("a thousand views, played without the race detector")
+		t.Skip("a thousand views run only without the race detector")
 	}
 	f := run(t, Config{Scenario: &story.Story{
 		Name: "joins", Members: 1000, Seed: 1, Period: story.Duration(period), Length: story.Duration(6 * time.Second),
 	}})
 	checkConverged(t, f)
-	t.Logf("all know all after %v", f.Stats.Convergences[0].Took)
+	t.Logf("converged after %v", f.Stats.Convergences[0].Took)
 }
 
-// TestEachDefenceCounts: without a defence the same seeds show what it is for; else this package would check nothing.
+// TestEachDefenceIsNeeded: without a defence the same seeds show the failure that it guards against, which proves that the simulation
+// can detect it.
 func TestEachDefenceIsNeeded(t *testing.T) {
 	if slow {
-		t.Skip("played without the race detector")
+		t.Skip("runs only without the race detector")
 	}
 	sum := func(seeds int, s story.Story, set func(*view.Settings)) (deaths int, wrong bool) {
 		for seed := range uint64(seeds) {
@@ -187,21 +190,21 @@
 	halves := story.Story{Name: "halves", Members: 12, Period: story.Duration(period), Length: 40 * second,
 		Events: []story.Event{{At: 5 * second, For: 10 * second, Do: story.Cut, Who: []string{"n1", "n2", "n3", "n4", "n5", "n6"}}}}
 	if whole, _ := sum(5, lossy, nil); whole != 0 {
-		t.Errorf("whole: %d deaths at a fifth lost", whole)
+		t.Errorf("with all defences: %d deaths at a loss of 20%%", whole)
 	}
 	if without, _ := sum(5, lossy, func(s *view.Settings) { s.NoSuspicion = true }); without < 10 {
-		t.Errorf("without suspicion: %d deaths at a fifth lost", without)
+		t.Errorf("without suspicion: only %d deaths at a loss of 20%%", without)
 	}
 	if _, wrong := sum(2, halves, nil); wrong {
-		t.Error("whole: halves do not come together")
+		t.Error("with all defences: the halves do not converge")
 	}
 	if _, wrong := sum(2, halves, func(s *view.Settings) { s.NoDeadPings, s.Seeds = true, nil }); !wrong {
-		t.Error("without questions to the dead, and without seeds, halves come together")
+		t.Error("without pings to dead members and without seeds, the halves converge")
 	}
-	// Suspicions that feed each other: what a refuted one brings must not grow without an end.
+	// Suspicions that cause each other: the traffic after refuted suspicions must not grow without bound.
 	lossy.Members, lossy.Events[0].Size, lossy.Seed = 10, 0.3, 1
 	calm := run(t, Config{Scenario: &lossy}).Stats.Datagrams
 	if stirred := run(t, Config{Scenario: &lossy, Configure: func(s *view.Settings) { s.NoFalseSuspicionLimit = true }}).Stats.Datagrams; stirred < 3*calm {
-		t.Errorf("at 30%% lost %d datagrams, and %d where refuted suspicions change nothing", calm, stirred)
+		t.Errorf("at a loss of 30%% %d datagrams, and %d if refuted suspicions do not reduce the probe width", calm, stirred)
 	}
 }
--- a/internal/cluster/model/race_test.go
+++ b/internal/cluster/model/race_test.go
@@ -2,5 +2,6 @@
 
 package model
 
-// slow says that the race detector is on, under which one goroutine's long plays show nothing and take minutes.
+// slow reports that the race detector is on. Under it the long simulations take minutes and find nothing, since they use a single
+// goroutine.
 const slow = true
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -1,12 +1,12 @@
-// Package cluster is a proxy's part in its fleet: it puts the view (who is there), the link (sockets) and the folder
-// together, and tells the rest of the process. One goroutine owns the view and decides with it; all others hand it events.
+// Package cluster makes a proxy a member of its fleet: it connects the view (which members are present), the link (sockets) and the
+// folder, and notifies the rest of the process. One goroutine, the owner, runs the view; all others send it events.
 //
 //	internal/cluster         a Node: owner, log lines, figures, `brasswell ctl fleet`
-//	internal/cluster/view    decides; no I/O, no clock
-//	internal/cluster/parts   decides which part of what all may do together is this proxy's own
-//	internal/cluster/codec   bytes on the wire and on disk
+//	internal/cluster/view    membership decisions; no I/O, no clock
+//	internal/cluster/parts   this proxy's share of limits that apply to the whole fleet
+//	internal/cluster/codec   encoding on the wire and on disk
 //	internal/cluster/link    sockets
-//	internal/cluster/model   many views on a clock of its own, for tests and experiments
+//	internal/cluster/model   simulation of many views, for tests and experiments
 package cluster
 
 import (
@@ -25,59 +25,59 @@
 	"brasswell/internal/cluster/view"
 )
 
-// The log's lines about the fleet, which package rig reads back.
+// Log messages about the fleet, which package rig parses.
 const (
 	LogMember = "fleet: member" // a change of the view
-	LogSelf   = "fleet: self"   // what this process has found out about itself
+	LogSelf   = "fleet: self"   // a finding about this process itself
 )
 
 const (
-	// mostWaiting events stand before the owner; datagrams beyond are dropped, as the network would. In a fleet of 1,400 as many
-	// may ask or answer within milliseconds.
+	// maxQueuedEvents bounds the events queued for the owner; further datagrams are dropped, as on the network. In a fleet of 1,400
+	// that many members may send within milliseconds.
 	maxQueuedEvents = 4096
-	// mostExchanges full exchanges are begun at one time.
+	// maxExchanges bounds the concurrent full exchanges that this process starts.
 	maxExchanges = 2
-	// bindEvery is between tries for an address that the process before this one still holds.
+	// bindInterval is the time between attempts to bind an address that the previous process still holds.
 	bindInterval = 20 * time.Millisecond
-	// leaveTime bounds what a leaving process waits for its owner.
+	// leaveTimeout bounds how long Close waits for the owner to announce that this process leaves.
 	leaveTimeout = 500 * time.Millisecond
-	// Followers are told how the view stands at most so often that it takes about one part in tellShare of the time, since in a fleet of
-	// a thousand that starts or is cut apart the view changes with every message; and at least every mostTellWait while it changes. At
-	// 1,400 members to tell takes 0.6 ms, so they know of a change 120 ms later at most, which is within the shortest patience of who
-	// waits for an answer.
+	// The interval between notifications of followers is notifyCostRatio times the duration of the last one, so that they take about
+	// 1/notifyCostRatio of the time: in a fleet of a thousand that starts or is partitioned, the view changes with each message. It is at
+	// most maxNotifyInterval. At 1,400 members a notification takes 0.6 ms, so a change is reported after 120 ms at most, which is within
+	// the shortest deadline of callers that wait for an answer.
 	notifyCostRatio, maxNotifyInterval = 200, time.Second
 )
 
-// Config is what a node is told.
+// Config configures a Node.
 type Config struct {
 	Options    Options
-	Name       string // this member's
+	Name       string // of this member
 	Seed       uint64
 	InstanceID uint64 // drawn at random at each start
-	// Succeeds: another process of this proxy may still hold the address, and will let go of it.
+	// ReplacesProcess is set if another process of this proxy may still hold the address and will release it.
 	ReplacesProcess bool
-	// Path stands for the network between members in scale runs; nil for the network as it is.
+	// Path simulates the network between members in scale runs; nil uses the network unchanged.
 	Path link.Path
 	Log  *slog.Logger
 }
 
-// event is one thing for the owner to do.
+// event is a function that the owner calls.
 type event func(v *view.View, now time.Duration)
 
-// Node is this process as a member of its fleet. Its methods may be called at any time.
+// Node is this process as a member of its fleet. Its methods are safe for concurrent use.
 type Node struct {
 	config    Config
-	view      *view.View // the owner's
+	view      *view.View // used by the owner only
 	startedAt time.Time
 	events    chan event
-	requests  chan event // from this process's own, never dropped
+	requests  chan event // from this process itself; never dropped
 
-	link            atomic.Pointer[link.Link] // nil until the address is ours
-	dropped         atomic.Int64              // datagrams that found the owner's line full
+	link            atomic.Pointer[link.Link] // nil until this process has bound the address
+	dropped         atomic.Int64              // datagrams dropped because the owner's queue was full
 	exchanges       chan struct{}
-	viewChanged     bool                                             // the view has changed since followers were told; the owner's
-	notifyAt        time.Duration                                    // when they may be told next; the owner's
-	followers       []func(view.Snapshot)                            // the owner's
+	viewChanged     bool                                             // whether the view has changed since the last notification; used by the owner only
+	notifyAt        time.Duration                                    // the earliest time of the next notification; used by the owner only
+	followers       []func(view.Snapshot)                            // used by the owner only
 	payloadHandlers [endpointKinds]atomic.Pointer[func(body []byte)] // by kind
 
 	ctx     context.Context
@@ -87,7 +87,7 @@
 	folder  *folder
 }
 
-// Open opens the sockets and begins to look for the fleet.
+// Open opens the sockets and starts to join the fleet.
 func Open(c Config) (*Node, error) {
 	n := &Node{
 		config: c, startedAt: time.Now(), events: make(chan event, maxQueuedEvents), requests: make(chan event), exchanges: make(chan struct{}, maxExchanges),
@@ -128,7 +128,7 @@
 	return link.Listen(link.Config{Fleet: o.Name, Listen: o.Listen, Networks: o.prefixes(), Path: n.config.Path}, handler{n})
 }
 
-// takeOver waits until the process before this one has let go of the address.
+// awaitAddress retries until the previous process has released the address.
 func (n *Node) awaitAddress() {
 	for {
 		select {
@@ -140,10 +140,10 @@
 		switch {
 		case err == nil:
 			n.link.Store(l)
-			n.config.Log.Info(LogSelf, "what", "has taken the address over")
+			n.config.Log.Info(LogSelf, "what", "has bound the address released by the previous process")
 			return
 		case !errors.Is(err, syscall.EADDRINUSE):
-			n.config.Log.Error(LogSelf, "what", "cannot take the address over; this proxy is no member", "error", err)
+			n.config.Log.Error(LogSelf, "what", "cannot bind the address; this proxy is not a member of the fleet", "error", err)
 			return
 		}
 	}
@@ -151,7 +151,7 @@
 
 func (n *Node) now() time.Duration { return time.Since(n.startedAt) }
 
-// own is the goroutine that the view belongs to.
+// run is the owner, the goroutine that uses the view.
 func (n *Node) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -180,7 +180,7 @@
 	}
 }
 
-// tellFollowers tells the folder and all followers how the view stands. The owner calls it.
+// notifyFollowers passes the current members to the folder and a snapshot of the view to all followers. Only the owner calls it.
 func (n *Node) notifyFollowers() {
 	began := n.now()
 	if n.folder.enabled() {
@@ -195,12 +195,12 @@
 	n.notifyAt = began + notifyInterval(n.now()-began)
 }
 
-// tellPause is how long after followers were told, which took so long, they are told again at the earliest.
+// notifyInterval returns the minimum time from the start of a notification that took the given time to the next one.
 func notifyInterval(took time.Duration) time.Duration {
 	return min(notifyCostRatio*took, maxNotifyInterval)
 }
 
-// ask has the owner do something and waits until it is done; false if the node is closed.
+// do has the owner call e and waits until it has returned. It returns false if the node is closed or ctx is done before.
 func (n *Node) do(ctx context.Context, e event) bool {
 	done := make(chan struct{})
 	select {
@@ -213,7 +213,7 @@
 	return false
 }
 
-// handler is the link's side of a node.
+// handler implements link.Handler for a node.
 type handler struct{ *Node }
 
 func (h handler) Datagram(from string, m *view.Message) {
@@ -226,7 +226,7 @@
 
 func (h handler) Payload(body []byte) {
 	if len(body) == 0 || body[0] == 0 || body[0] >= endpointKinds {
-		return // of a later version's part
+		return // an endpoint kind of a later version
 	}
 	if take := h.payloadHandlers[body[0]].Load(); take != nil {
 		(*take)(body[1:])
@@ -243,8 +243,8 @@
 	return own, nil
 }
 
-// sender is the name of who has sent from an address; the address where none is known. It is who accuses where a record
-// does not say.
+// senderName returns the name of the member with an address, or the address if none is known. It names the accuser if a record does
+// not.
 func senderName(v *view.View, address string) string {
 	if name := v.NameAt(address); name != "" {
 		return name
@@ -252,7 +252,7 @@
 	return address
 }
 
-// host is the view's side of a node; its methods run on the owner.
+// host implements view.Host for a node; its methods run on the owner.
 type host struct{ *Node }
 
 func (h host) Send(to string, m *view.Message) {
@@ -269,14 +269,14 @@
 	select {
 	case h.exchanges <- struct{}{}:
 	default:
-		return // the next difference begins another
+		return // the next message with a different digest starts another
 	}
 	table := h.view.Table()
 	h.running.Go(func() {
 		defer func() { <-h.exchanges }()
 		got, err := l.Exchange(h.ctx, to, table)
 		if err != nil {
-			h.config.Log.Debug("fleet: an exchange failed", "with", to, "error", err)
+			h.config.Log.Debug("fleet: full exchange failed", "with", to, "error", err)
 			return
 		}
 		h.do(h.ctx, func(v *view.View, now time.Duration) { v.Merge(now, got, senderName(v, to)) })
@@ -288,7 +288,7 @@
 	log := h.config.Log
 	switch c.Why {
 	case view.Paused:
-		log.Warn(LogSelf, "what", string(c.Why), "health", "what was believed is looked at again")
+		log.Warn(LogSelf, "what", string(c.Why), "health", "suspicions raised before the pause start anew")
 	case view.Displaced, view.Duplicate:
 		log.Error(LogSelf, "what", string(c.Why), "address", c.Address, "boot", strconv.FormatUint(c.InstanceID, 16), "incarnation", c.Incarnation)
 	case view.Retaken:
@@ -303,13 +303,14 @@
 	}
 }
 
-// Part is a part of the program that talks to its like at other members, by parcels of its own. The kind stands before each.
+// Endpoint lets one component of the program exchange payloads with the same component at other members. Each payload is prefixed with
+// the endpoint's kind.
 type Endpoint struct {
 	*Node
 	kind byte
 }
 
-// Carrier is the fleet's link as a part sees it: a Part, or a test's own.
+// Carrier is the fleet's transport as a component uses it: an Endpoint, or a fake in tests.
 type Carrier interface {
 	Carry(to string, body []byte)
 	OnParcel(take func(body []byte))
@@ -318,36 +319,37 @@
 
 var _ Carrier = Endpoint{}
 
-// The kinds of parts.
+// The kinds of endpoints.
 const (
 	AgreementKind byte = iota + 1 // package agreement
 	RecoveryKind                  // package recovery
 	endpointKinds
 )
 
-// Part is the part of a kind.
+// Endpoint returns the endpoint of a kind.
 func (n *Node) Endpoint(kind byte) Endpoint { return Endpoint{n, kind} }
 
-// Carry sends a parcel to a member's address. It does not block, and the parcel may be lost.
+// Carry sends a payload to a member's address. It does not block, and the payload may be lost.
 func (p Endpoint) Carry(to string, body []byte) {
 	if l := p.link.Load(); l != nil {
 		l.SendPayload(to, append([]byte{p.kind}, body...))
 	}
 }
 
-// CarryLatest does the same for a parcel of which only the newest of its topic counts: one that still waits to be sent to that address
-// is not.
+// CarryLatest does the same for a payload that supersedes earlier ones of its topic: it replaces one that is still queued for that
+// address.
 func (p Endpoint) CarryLatest(to, topic string, body []byte) {
 	if l := p.link.Load(); l != nil {
 		l.SendLatestPayload(to, string([]byte{p.kind})+topic, append([]byte{p.kind}, body...))
 	}
 }
 
-// OnParcel has take called with each parcel of this kind that comes, from several goroutines; it must not block for long.
+// OnParcel sets the function that is called with each received payload of this kind. It is called from several goroutines and must not
+// block for long.
 func (p Endpoint) OnParcel(take func(body []byte)) { p.payloadHandlers[p.kind].Store(&take) }
 
-// Follow tells f how the view stands, now and after every change, in order and from one goroutine. Changes that come close together
-// are told as one. f must not block.
+// Follow calls f with a snapshot of the view now and after changes, in order and from one goroutine. Changes in quick succession are
+// coalesced into one call. f must not block.
 func (n *Node) Follow(f func(view.Snapshot)) {
 	n.do(n.ctx, func(v *view.View, now time.Duration) {
 		n.followers = append(n.followers, f)
@@ -355,18 +357,19 @@
 	})
 }
 
-// SetSeeds replaces the addresses by which the fleet is found.
+// SetSeeds replaces the seed addresses.
 func (n *Node) SetSeeds(seeds []string) {
 	n.do(n.ctx, func(v *view.View, now time.Duration) { v.SetSeeds(now, seeds) })
 }
 
-// Standing is how the view stands, and how long ago each member came into its state.
+// Snapshot returns a snapshot of the view and the time on the node's clock, to which Member.Since refers; ok is false if the node is
+// closed or ctx is done before.
 func (n *Node) Snapshot(ctx context.Context) (s view.Snapshot, now time.Duration, ok bool) {
 	ok = n.do(ctx, func(v *view.View, at time.Duration) { s, now = v.Snapshot(at), at })
 	return s, now, ok
 }
 
-// Counts is what has passed on the link; lost is what the owner had no time for.
+// Counts returns the link's counts; lost is the number of datagrams dropped because the owner's queue was full.
 func (n *Node) Counts() (c link.Counts, lost int64) {
 	if l := n.link.Load(); l != nil {
 		c = l.Counts()
@@ -374,8 +377,8 @@
 	return c, n.dropped.Load()
 }
 
-// Close ends this process's part in the fleet and returns once nothing of it runs. With leave it says so to others;
-// without, as where another process of this proxy goes on, it lets go of the address and says nothing.
+// Close ends this process's membership and returns once all its goroutines have ended. With leave it announces to other members that
+// it leaves; without, as when another process of this proxy takes over, it only releases the address.
 func (n *Node) Close(leave bool) {
 	n.closing.Do(func() {
 		if leave {
@@ -392,5 +395,5 @@
 	})
 }
 
-// HandOver lets go of the address for another process of this proxy, which is the same member: nothing is said to others.
+// HandOver releases the address for another process of this proxy, which continues as the same member: nothing is announced to others.
 func (n *Node) HandOver() { n.Close(false) }
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -21,14 +21,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// places counts the addresses that tests of this process have had.
+// addressCount counts the addresses that tests of this process have used.
 var addressCount atomic.Uint32
 
-// place is an address on loopback of this test's own: an IP that nothing else of the machine uses, and a port below those that the
-// kernel gives out, so that nobody takes it between here and the node's start, or while a node lets go of it for another.
+// testAddress returns a loopback address for one test: an IP that no other test uses, and a port below the kernel's ephemeral range, so
+// that no other socket takes it before the node starts, or while one node hands it over to another.
 func testAddress(t *testing.T) string {
 	t.Helper()
-	process := os.Getpid() // processes of other tests stand beside this one
+	process := os.Getpid() // other test processes run at the same time
 	const port = 17946
 	for {
 		number := uint32(process)*64 + addressCount.Add(1)
@@ -50,7 +50,7 @@
 	return n
 }
 
-// holds waits until a node holds a member in a state.
+// waitForState waits until a member is in a state in a node's view.
 func waitForState(t *testing.T, n *Node, member string, s view.State) view.Member {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -61,7 +61,7 @@
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%s is not held %v: %+v", member, s, standing.Members)
+			t.Fatalf("%s did not become %v: %+v", member, s, standing.Members)
 		}
 	}
 }
@@ -79,21 +79,21 @@
 	told := make(chan int, 1000)
 	a.Follow(func(s view.Snapshot) { told <- len(s.Members) })
 	if got := <-told; got != 3 {
-		t.Errorf("a follower is told of %d members at first", got)
+		t.Errorf("a follower's first snapshot has %d members, want 3", got)
 	}
 	b.Close(true)
 	waitForState(t, a, "b", view.Left)
 	c.Close(false)
 	waitForState(t, a, "c", view.Dead)
 	if len(told) < 3 {
-		t.Errorf("a follower is told of %d changes", len(told))
+		t.Errorf("a follower received %d further snapshots, want at least 3", len(told))
 	}
 	if _, _, ok := b.Snapshot(context.Background()); ok {
-		t.Error("a closed node answers")
+		t.Error("a closed node returned a snapshot")
 	}
 }
 
-// TestTakesTheAddressOver: a second process of one proxy waits for the address and is the same member then.
+// TestTakesTheAddressOver: a second process of a proxy waits until the first one releases the address, and is then the same member.
 func TestTakesTheAddressOver(t *testing.T) {
 	first, second := testAddress(t), testAddress(t)
 	a := openNode(t, "a", 1, Options{Listen: first, Seeds: []string{second}})
@@ -104,7 +104,7 @@
 	waitForState(t, next, "a", view.Alive)
 	for end := time.Now().Add(20 * time.Second); waitForState(t, a, "b", view.Alive).InstanceID != 3; {
 		if time.Now().After(end) {
-			t.Fatal("a does not see the new process")
+			t.Fatal("a's view does not have the new process")
 		}
 	}
 }
@@ -120,7 +120,7 @@
 	waitForState(t, a, "b", view.Alive)
 }
 
-// TestFolders: one that is kept finds the others with no seed; one that is lost, torn or another fleet's does no harm.
+// TestFolders: with a stored folder a node finds the others without seeds; one that is missing, corrupt or of another fleet does no harm.
 func TestFolders(t *testing.T) {
 	first, folder := testAddress(t), t.TempDir()
 	a := openNode(t, "a", 1, Options{Listen: first, Seeds: []string{first}})
@@ -152,7 +152,7 @@
 		t.Fatal(err)
 	}
 	if got := other.addresses(""); got != nil {
-		t.Errorf("another fleet's folder: %v", got)
+		t.Errorf("addresses from another fleet's folder: %v", got)
 	}
 	nowhere := openNode(t, "d", 5, Options{Listen: testAddress(t), Seeds: []string{first}, Folder: filepath.Join(folder, "not", "there")})
 	waitForState(t, nowhere, "a", view.Alive)
@@ -182,7 +182,7 @@
 		t.Error(figures)
 	}
 	if _, err := ReadReport("{"); err == nil {
-		t.Error("half an object is read")
+		t.Error("incomplete JSON was accepted")
 	}
 	if text, err := json.Marshal(r); err != nil || !strings.Contains(string(text), `"state":"alive"`) {
 		t.Errorf("%s, %v", text, err)
@@ -198,40 +198,41 @@
 
 func TestOpenSaysWhatIsWrong(t *testing.T) {
 	o := DefaultOptions()
-	o.Listen = "192.0.2.1:7946" // no address of any machine
+	o.Listen = "192.0.2.1:7946" // TEST-NET-1, not an address of any machine
 	if _, err := Open(Config{Options: o, Name: "a", InstanceID: 1, Log: slog.New(slog.DiscardHandler)}); err == nil {
-		t.Error("it opens at an address that is not this machine's")
+		t.Error("opened at an address that is not this machine's")
 	}
 	o.Listen = testAddress(t)
 	if _, err := Open(Config{Options: o, Name: "", InstanceID: 1, Log: slog.New(slog.DiscardHandler)}); err == nil {
-		t.Error("a member with no name")
+		t.Error("opened a member without a name")
 	}
 }
 
-// TestTellingIsBounded: while the view of a large fleet changes with each message, telling followers takes a tenth of the twentieth of a
-// core that a proxy may spend on control, and they still know of a member within the patience of the shortest lease's renewals.
+// TestNotificationsAreBounded: while the view of a large fleet changes with each message, notifying followers takes at most a tenth of
+// the 1/20 of a core that a proxy may spend on control, and followers still receive a change within the timeout of the shortest lease's
+// renewals.
 func TestNotificationsAreBounded(t *testing.T) {
 	const took, most, patience = 600 * time.Microsecond, time.Second / 20 / 10, 150 * time.Millisecond // at 1,400 members
 	pause := notifyInterval(took)
 	times := time.Second / pause
 	if spent := times * took; spent > most {
-		t.Errorf("told %d times a second, which takes %v of it; %v are allowed", times, spent, most)
+		t.Errorf("%d notifications per second take %v; %v are allowed", times, spent, most)
 	}
 	if pause > patience {
-		t.Errorf("a change is told %v late; %v are allowed", pause, patience)
+		t.Errorf("a change is reported after %v; %v are allowed", pause, patience)
 	}
 	if pause := notifyInterval(time.Second); pause > maxNotifyInterval {
-		t.Errorf("a process that is short of time tells after %v; %v are allowed", pause, maxNotifyInterval)
+		t.Errorf("a process short of processor time notifies after %v; %v are allowed", pause, maxNotifyInterval)
 	}
 }
 
-// TestFollowersAreToldTogether: changes that come close together are told as few, and how the view stands at their end is told.
+// TestNotificationsAreCoalesced: changes in quick succession cause few notifications, and the last one has the final state.
 func TestNotificationsAreCoalesced(t *testing.T) {
 	const changes, work = 90, 5 * time.Millisecond
 	n := openNode(t, "a", 1, Options{Listen: testAddress(t), Seeds: []string{"127.0.0.1:9"}})
 	told := make(chan int, changes+2)
 	n.Follow(func(s view.Snapshot) {
-		time.Sleep(work) // as much as it takes in a large fleet
+		time.Sleep(work) // like the cost in a large fleet
 		select {
 		case told <- len(s.Members):
 		default: // the test has ended
@@ -246,10 +247,10 @@
 		select {
 		case members = <-told:
 		case <-time.After(20 * time.Second):
-			t.Fatalf("told %d times, the last time of %d members", times, members)
+			t.Fatalf("%d notifications, the last one with %d members", times, members)
 		}
 	}
 	if times > changes/4 {
-		t.Errorf("%d changes were told in %d times", changes, times)
+		t.Errorf("%d changes caused %d notifications", changes, times)
 	}
 }
--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -9,11 +9,11 @@
 	"brasswell/internal/operator"
 )
 
-// Options are what an operator may set about the view of the fleet.
+// Options are an operator's settings for the view of the fleet.
 type Options struct {
-	Enabled bool // the file has the section
+	Enabled bool // whether the operator file has the section
 
-	Name       string // the fleet's
+	Name       string // of the fleet
 	Listen     string
 	Advertise  string
 	Seeds      []string
@@ -23,12 +23,12 @@
 	Folder     string
 }
 
-// DefaultOptions hold where the file has the section and leaves a key out.
+// DefaultOptions returns the values of keys that the section leaves out.
 func DefaultOptions() Options {
 	return Options{Networks: []string{"127.0.0.0/8"}, Period: 300 * time.Millisecond, MaxMembers: 4096}
 }
 
-// Section describes the options to the operator file.
+// Section returns the operator file's section for the options.
 func (o *Options) Section() operator.Section {
 	return operator.Section{
 		Name:    "fleet",
@@ -49,7 +49,7 @@
 	}
 }
 
-// check looks at the values together, each of which is sound by itself.
+// check validates the values in combination; each of them is valid by itself.
 func (o *Options) check() []operator.Problem {
 	var problems []operator.Problem
 	bad := func(key, format string, a ...any) {
@@ -87,11 +87,12 @@
 	return problems
 }
 
+// inNetworks reports whether an address is in one of the networks.
 func (o *Options) inNetworks(a netip.Addr) bool {
 	return slices.ContainsFunc(o.prefixes(), func(p netip.Prefix) bool { return p.Contains(a) })
 }
 
-// prefixes are the networks, which checkNetwork has found sound.
+// prefixes returns the parsed networks, which checkNetwork has validated.
 func (o *Options) prefixes() []netip.Prefix {
 	var all []netip.Prefix
 	for _, n := range o.Networks {
--- a/internal/cluster/report.go
+++ b/internal/cluster/report.go
@@ -14,15 +14,15 @@
 	"brasswell/internal/figures"
 )
 
-// Report is how this proxy sees its fleet, as operators read it.
+// Report is this proxy's view of its fleet, for operators.
 type Report struct {
 	Fleet       string        `json:"fleet"`
 	Self        Member        `json:"self"`
-	Settled     bool          `json:"settled"` // nothing is in doubt, and those last heard from see the same
-	Digest      string        `json:"digest"`  // equal at two proxies that see the same
-	HealthScore int           `json:"doubt"`   // how much this proxy doubts itself; 0 for not at all
+	Settled     bool          `json:"settled"` // no member is suspect, and the digests last received match
+	Digest      string        `json:"digest"`  // equal at two proxies with the same view
+	HealthScore int           `json:"doubt"`   // local health score; 0 is healthy
 	Members     []Member      `json:"members"`
-	Problems    []string      `json:"trouble,omitempty"` // what an operator has to mend
+	Problems    []string      `json:"trouble,omitempty"` // problems that an operator has to solve
 	Counts      []FigureCount `json:"counts"`
 }
 
@@ -34,11 +34,11 @@
 	Incarnation uint64     `json:"incarnation"`
 	InstanceID  string     `json:"boot"`
 	By          string     `json:"by,omitempty"`
-	ForS        float64    `json:"for_s"` // so long in its state
+	ForS        float64    `json:"for_s"` // seconds in its state
 	Self        bool       `json:"self,omitempty"`
 }
 
-// FigureCount is one count by its name.
+// FigureCount is one named count.
 type FigureCount struct {
 	Name  string `json:"name"`
 	Value int64  `json:"value"`
@@ -51,7 +51,7 @@
 	}
 }
 
-// Report returns how this proxy sees its fleet now.
+// Report returns this proxy's current view of its fleet.
 func (n *Node) Report(ctx context.Context) (*Report, error) {
 	s, now, ok := n.Snapshot(ctx)
 	if !ok {
@@ -70,16 +70,16 @@
 		r.Problems = append(r.Problems, fmt.Sprintf("another process goes by the name %s, at %s (boot %x): stop one, or name it differently", s.Duplicate.Name, s.Duplicate.Address, s.Duplicate.InstanceID))
 	}
 	if s.Displaced {
-		r.Problems = append(r.Problems, "others see that process under this name, and not this one")
+		r.Problems = append(r.Problems, "other members see that process under this name, and not this one")
 	}
 	if s.Rejected > 0 {
-		r.Problems = append(r.Problems, fmt.Sprintf("%d members were not taken in: raise fleet.most", s.Rejected))
+		r.Problems = append(r.Problems, fmt.Sprintf("%d members were rejected because the view is full: raise fleet.most", s.Rejected))
 	}
 	r.Counts = n.figures(s)
 	return r, nil
 }
 
-// figures are the counts, in the order in which they are shown.
+// figures returns the counts in the order of display.
 func (n *Node) figures(s view.Snapshot) []FigureCount {
 	by := map[view.State]int64{}
 	for _, m := range s.Members {
@@ -93,10 +93,10 @@
 	}
 }
 
-// gauges are the figures that move; the others count up.
+// gaugeCount is how many of the figures, from the first, are gauges; the others are counters.
 const gaugeCount = 4
 
-// Status is the report as JSON, for the console.
+// Status returns the report as JSON, for the console.
 func (n *Node) Status(ctx context.Context) ([]byte, error) {
 	r, err := n.Report(ctx)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return text
 }
 
-// ReadReport reads a report as a console writes it.
+// ReadReport decodes a report from the console's JSON.
 func ReadReport(text string) (*Report, error) {
 	r := &Report{}
 	if err := json.Unmarshal([]byte(text), r); err != nil {
@@ -130,10 +130,10 @@
 	return r, nil
 }
 
-// mostShown bounds the table for people; programs get all of it.
+// maxTextMembers bounds the members in Text; the JSON form contains all of them.
 const maxTextMembers = 60
 
-// Text is the report for people: trouble first, then who is not simply there, then the others.
+// Text returns the report as text: problems first, then members that are not alive, then the others.
 func (r *Report) Text() string {
 	var b strings.Builder
 	state := "settled"
@@ -142,7 +142,7 @@
 	}
 	fmt.Fprintf(&b, "fleet %s as %s sees it: %s, digest %s", r.Fleet, r.Self.Name, state, r.Digest)
 	if r.HealthScore > 0 {
-		fmt.Fprintf(&b, ", doubts itself (%d)", r.HealthScore)
+		fmt.Fprintf(&b, ", local health score %d", r.HealthScore)
 	}
 	b.WriteByte('\n')
 	for _, t := range r.Problems {
--- a/internal/cluster/view/apply.go
+++ b/internal/cluster/view/apply.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// apply merges a record that a process has sent into the view.
+// apply merges a record received from another process into the view.
 func (v *View) apply(now time.Duration, r *Record, from string) {
 	if r.Name == v.self.Name {
 		v.applyOwn(now, r)
@@ -34,14 +34,14 @@
 		}
 		v.setRecord(now, m, *r, why)
 		if was == Dead && from == r.Name && !v.settings.NoDeadPings {
-			v.startExchange(now, v.settings.Period, r.Address) // it may not be the only one that is back
+			v.startExchange(now, v.settings.Period, r.Address) // others that were unreachable may have returned too
 		}
 	case r.State == Left:
 		if m.State != Left {
 			v.setRecord(now, m, *r, Leaving)
 		}
 	case m.State == Dead || m.State == Left:
-		if !same { // it has gone once more, meanwhile
+		if !same { // a later start or incarnation is dead or left as well
 			v.setRecord(now, m, *r, Reported)
 		}
 	case r.State == Dead && m.State == Alive:
@@ -60,7 +60,7 @@
 	}
 }
 
-// accuser is the member that found another one suspect or dead.
+// accuser returns the name of the member that found another member suspect or dead.
 func accuser(r *Record, from string) string {
 	if r.By == "" || r.By == r.Name {
 		return from
@@ -68,11 +68,11 @@
 	return r.By
 }
 
-// verifyDeath probes a member that is alive here and dead for another process. A member is not declared dead on another's word: it can
-// refute, and only if it does not answer here either it becomes suspect.
+// verifyDeath probes a member that is alive in this view and dead in another process's view. A report alone does not make the
+// member dead: the probe lets it refute the record, and it becomes suspect only if it does not answer this process either.
 //
-// It guards against a false record, and against old ones that come back from behind a partition. It costs a probe each; those beyond
-// mostWidth at one time are not sent, and come again with the next exchange.
+// This guards against false records and against outdated ones that arrive when a partition heals. Each verification costs one
+// probe. No verification starts while 2*maxProbeWidth probes are in flight; the next exchange repeats the record.
 func (v *View) verifyDeath(now time.Duration, m *member, r *Record, from string) {
 	if len(v.probes) >= 2*maxProbeWidth || slices.ContainsFunc(v.probes, func(p probe) bool { return p.name == m.Name }) {
 		return
--- a/internal/cluster/view/exchange.go
+++ b/internal/cluster/view/exchange.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// quietPeriods without a change make a difference of digests one that dissemination does not settle. Where the view changes on and
-	// on, one that has lasted for longPeriods is.
+	// If digests still differ after stablePeriods without a change of the view, dissemination alone does not resolve the difference.
+	// If the view keeps changing, a difference that has lasted for maxDifferPeriods counts as unresolved too.
 	stablePeriods, maxDifferPeriods = 4, 12
-	// exchangePeriods are between two full exchanges that this process begins.
+	// exchangePeriods is the minimum number of periods between two full exchanges that this process starts because of differing digests.
 	exchangePeriods = 6
 )
 
-// compareDigests settles views that differ although nothing is being disseminated: in a full exchange each process learns what the other
-// one holds.
+// compareDigests detects views that still differ although no update is being disseminated, and starts a full exchange, in which each
+// process receives the other's records.
 func (v *View) compareDigests(now time.Duration, m *Message) {
 	if m.Digest == v.digest {
 		v.digestsDifferSince = 0
@@ -27,20 +27,20 @@
 	stable := now-v.changedAt > stablePeriods*p || now > v.exchangeForcedAt
 	switch {
 	case !v.merged:
-		v.startExchange(now, p, m.From.Address) // it knows nobody yet, or nobody had the time to tell
+		v.startExchange(now, p, m.From.Address) // no exchange has brought any records yet
 	case stable && !v.settings.NoDigest:
 		v.startExchange(now, exchangePeriods*p, m.From.Address)
 	}
 }
 
-// exchangeJitter is how much later than others this process begins its exchanges. When many members come at one moment, all views
-// begin to differ then, and without it all would send their whole tables in the same period. It is drawn by the process's own record,
-// so that it costs no draw from the seed.
+// exchangeJitter is the extra delay of this process's forced exchanges. When many members join at the same time, all views start to
+// differ at that time, and without the jitter all processes would send their whole tables in the same period. It is derived from the
+// hash of the process's own record and therefore uses no random number.
 func (v *View) exchangeJitter() time.Duration {
 	return time.Duration(hash(&v.self) % uint64(exchangePeriods*v.settings.Period))
 }
 
-// startExchange begins a full exchange, unless the last one is less than spacing ago.
+// startExchange starts a full exchange unless the last one started less than spacing ago.
 func (v *View) startExchange(now, spacing time.Duration, with string) {
 	if now-v.exchangedAt >= spacing {
 		v.exchangedAt = now
@@ -48,7 +48,7 @@
 	}
 }
 
-// Table is all records that this process holds, for a full exchange. It includes the dead, for processes that hold them alive.
+// Table returns all records of the view for a full exchange. It includes dead members, for processes that hold them alive.
 func (v *View) Table() []Record {
 	t := make([]Record, 0, len(v.members)+1)
 	if !v.displaced {
@@ -63,7 +63,7 @@
 	return t
 }
 
-// Merge applies another process's Table; each record must be Sound.
+// Merge applies another process's Table; each record must have passed Validate.
 func (v *View) Merge(now time.Duration, table []Record, from string) {
 	v.detectPause(now)
 	if v.leaving {
--- a/internal/cluster/view/health.go
+++ b/internal/cluster/view/health.go
@@ -3,17 +3,17 @@
 import "time"
 
 const (
-	// mostHealth bounds the local health score: a probe may take 1 + mostHealth times as long.
+	// maxHealthScore bounds the local health score: it extends a probe's timeout up to 1 + maxHealthScore times.
 	maxHealthScore = 4
-	// pausePeriods is the delay, in periods, after which what was believed before it no longer counts.
+	// pausePeriods is the delay, in periods, after which probes and suspicions from before the delay are no longer valid.
 	pausePeriods = 4
 )
 
-// detectPause finds out that this process itself was delayed: paused, or short of processor time. Answers that are missing from that
-// time are no evidence against other members.
+// detectPause detects that this process itself was delayed: paused, or short of processor time. Acks that are missing from that time
+// are no evidence against other members.
 //
-// It guards against a process that resumes and believes all others dead. It might harm where a machine is late all the time: its
-// suspicions then take longer, up to mostHealth times, and other members detect failures for it.
+// This guards against a process that resumes and declares all others dead. Its cost: on a machine that is constantly late, suspicions
+// take longer, in proportion to the health score up to maxHealthScore, and other members have to detect failures for it.
 func (v *View) detectPause(now time.Duration) {
 	late := now - v.Next()
 	if late <= v.settings.Period/2 || v.settings.NoHealth {
@@ -38,12 +38,12 @@
 	v.host.Changed(Change{Record: v.self, Was: Alive, Why: Paused})
 }
 
-// degradeHealth worsens the local health score of Lifeguard.
+// degradeHealth worsens the local health score, as in Lifeguard.
 func (v *View) degradeHealth(by int) {
 	if !v.settings.NoHealth {
 		v.health = min(v.health+by, maxHealthScore)
 	}
 }
 
-// scaledByHealth is a timeout that grows as the local health gets worse.
+// scaledByHealth returns a timeout extended in proportion to the local health score.
 func (v *View) scaledByHealth(d time.Duration) time.Duration { return d * time.Duration(1+v.health) }
--- a/internal/cluster/view/join.go
+++ b/internal/cluster/view/join.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// fleetPings is about how many members, of all, ping a dead member, a seed or a suspect in one period.
+// pingsPerPeriod is the expected number of pings that all members together send to dead members and seeds in one period. For a suspect
+// it is doubled.
 const pingsPerPeriod = 4.0
 
-// pingSeed pings a seed that is no known member, about fleetPings times a period over the fleet.
+// pingSeed pings a seed that is not a present member. All members together send about pingsPerPeriod such pings in a period.
 func (v *View) pingSeed(now time.Duration, all float64) {
 	if len(v.settings.Seeds) == 0 || !v.chance(pingsPerPeriod/all) {
 		return
@@ -19,8 +20,8 @@
 	}
 }
 
-// pingDead pings a dead member: two halves of a fleet that were partitioned hold each other dead, and nothing else would merge them
-// again. Members that another process holds alive come first.
+// pingDead pings a dead member: after a partition the two halves of a fleet hold each other dead, and only seeds could otherwise merge
+// them again. Members that another process holds alive come first.
 func (v *View) pingDead(now time.Duration, all float64) {
 	n := 0
 	for _, m := range v.gone {
@@ -38,7 +39,7 @@
 	}
 }
 
-// SetSeeds replaces the addresses by which the fleet is found, and pings the new ones.
+// SetSeeds replaces the seed addresses and pings the new ones.
 func (v *View) SetSeeds(now time.Duration, seeds []string) {
 	for _, seed := range seeds {
 		if !slices.Contains(v.settings.Seeds, seed) {
--- a/internal/cluster/view/member.go
+++ b/internal/cluster/view/member.go
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// remembered is how many periods dead members are kept and pinged, a day at 300 ms. A member that is unreachable for longer comes back
-// by the seeds.
+// goneRetentionPeriods is how many periods dead members are kept and pinged: a day at 300 ms. A member that is unreachable for longer
+// rejoins through the seeds.
 const goneRetentionPeriods = 288_000
 
-// member is what this process holds of another member.
+// member is this process's state of another member.
 type member struct {
 	Record
 	since time.Duration
-	index int // in View.present; -1 if it is not there
+	index int // in View.present; -1 if it is not present
 
-	// While it is suspect:
+	// Valid while the member is suspect:
 	suspectedAt   time.Duration
 	deadline      time.Duration // when it is declared dead
 	accusers      []string      // the members that suspect it
 	deadElsewhere bool          // another process holds it dead
-	ownSuspicion  bool          // it did not answer this process
+	ownSuspicion  bool          // it did not answer a probe by this process
 
-	aliveElsewhere bool // it is dead here, and another process holds it alive
+	aliveElsewhere bool // it is dead in this view, and another process holds it alive
 }
 
-// hash is a record's part of the digest: name, start and incarnation.
+// hash returns a record's contribution to the digest: a hash of its name, instance ID and incarnation.
 func hash(r *Record) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(r.Name))
@@ -36,14 +36,14 @@
 		b[i], b[8+i] = byte(r.InstanceID>>(8*i)), byte(r.Incarnation>>(8*i))
 	}
 	h.Write(b[:])
-	// The parts are put together by exclusive or, under which the last steps of FNV alone would be too alike.
+	// Contributions are combined by exclusive or. FNV's last steps mix too little for that: similar records would have similar hashes.
 	x := h.Sum64()
 	x ^= x >> 32
 	x *= 0xd6e8feb86659fd93
 	return x ^ x>>32
 }
 
-// addMember takes in a member that was unknown.
+// addMember adds a member that was unknown. If the view is full and no gone member can be evicted, the record is rejected.
 func (v *View) addMember(now time.Duration, r *Record) {
 	if len(v.members) >= v.settings.MaxMembers-1 && !v.evictGone() {
 		v.rejected++
@@ -52,7 +52,7 @@
 	m := &member{Record: *r, since: now, index: -1}
 	v.insertMember(m)
 	if !r.State.present() {
-		v.gone = append(v.gone, m) // not news: it may be long ago
+		v.gone = append(v.gone, m) // not reported as a change: it may have gone long ago
 		return
 	}
 	was := *r
@@ -66,7 +66,7 @@
 	}
 }
 
-// evictGone forgets the member that has been gone longest, and says whether there was one.
+// evictGone removes the member that has been gone longest, and reports whether there was one.
 func (v *View) evictGone() bool {
 	for len(v.gone) > 0 {
 		m := v.gone[0]
@@ -79,7 +79,7 @@
 	return false
 }
 
-// forgetGone drops the members that have been gone for as long as they are remembered.
+// forgetGone removes the members that have been gone for goneRetentionPeriods.
 func (v *View) forgetGone(now time.Duration) {
 	for len(v.gone) > 0 {
 		m := v.gone[0]
@@ -93,31 +93,31 @@
 	}
 }
 
-// insertMember holds a member whose name was unknown.
+// insertMember adds a member whose name was unknown to the indexes by name.
 func (v *View) insertMember(m *member) {
 	v.members[m.Name] = m
 	at, _ := slices.BinarySearchFunc(v.byName, m.Name, compareName)
 	v.byName = slices.Insert(v.byName, at, m)
 }
 
-// removeMember forgets a member that is held.
+// removeMember removes a member from the indexes by name.
 func (v *View) removeMember(m *member) {
 	delete(v.members, m.Name)
 	at, _ := slices.BinarySearchFunc(v.byName, m.Name, compareName)
 	v.byName = slices.Delete(v.byName, at, at+1)
 }
 
-// compareName orders members by their names.
+// compareName compares a member's name with a name.
 func compareName(m *member, name string) int { return strings.Compare(m.Name, name) }
 
-// insertPresent adds a member to those that are present.
+// insertPresent adds a member to the present members and the digest.
 func (v *View) insertPresent(m *member) {
 	m.index = len(v.present)
 	v.present = append(v.present, m)
 	v.digest ^= hash(&m.Record)
 }
 
-// removePresent takes a member out of those that are present.
+// removePresent removes a member from the present members and the digest.
 func (v *View) removePresent(m *member) {
 	last := v.present[len(v.present)-1]
 	v.present[m.index], last.index = last, m.index
@@ -126,20 +126,20 @@
 	v.digest ^= hash(&m.Record)
 }
 
-// insertIntoRound gives a member that has just joined a place in this round of probes: records of it may be old.
+// insertIntoRound adds a member that has just joined to the current probe round at a random place, since records of it may be outdated.
 func (v *View) insertIntoRound(m *member) {
 	if len(v.order) > 0 {
 		v.order = slices.Insert(v.order, v.rng.IntN(len(v.order)+1), m)
 	}
 }
 
-// markChanged notes that the record of a name has changed and is to be disseminated.
+// markChanged queues the changed record of a name for dissemination.
 func (v *View) markChanged(now time.Duration, name string) {
 	v.changedAt = now
 	v.updates.push(name)
 }
 
-// setRecord replaces the record of a member, and disseminates it.
+// setRecord replaces the record of a member and queues it for dissemination.
 func (v *View) setRecord(now time.Duration, m *member, r Record, why Why) {
 	was, boot := m.State, m.InstanceID
 	if m.index >= 0 {
--- a/internal/cluster/view/message.go
+++ b/internal/cluster/view/message.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// newsRoom is the bytes of records in a message; a datagram holds 1,200 with its other fields at their longest.
+// maxUpdateBytes bounds the records in a message, so that a datagram with all other fields at their maximum fits 1,200 bytes.
 const maxUpdateBytes = 700
 
-// send completes a message and sends it. If the receiver is not held alive, that record goes first, so that the receiver can refute it in
-// its answer.
+// send completes a message and sends it. If the view does not hold the receiver alive, the receiver's record goes first, so that the
+// receiver can refute it in its answer.
 func (v *View) send(to string, of *Record, m *Message) {
 	if !m.Relayed {
 		m.From, m.Digest = v.self, v.digest
@@ -19,13 +19,13 @@
 		m.Updates = append(m.Updates, *of)
 		remaining -= of.size()
 	}
-	if of == nil || of.State != Dead || m.Kind == Ack { // a dead one that does not answer would use the news up
+	if of == nil || of.State != Dead || m.Kind == Ack { // a dead member that does not answer would use up transmissions of updates
 		m.Updates = v.takeUpdates(m.Updates, remaining)
 	}
 	v.host.Send(to, m)
 }
 
-// Receive handles a datagram that came from an address; it must be Sound.
+// Receive handles a message from an address; it must have passed Validate.
 func (v *View) Receive(now time.Duration, from string, m *Message) {
 	v.detectPause(now)
 	if v.leaving {
@@ -38,7 +38,7 @@
 		v.apply(now, &m.Updates[i], m.From.Name)
 	}
 	if v.self.Incarnation != incarnation && m.Kind != Ping && !m.Relayed {
-		v.send(from, nil, &Message{Kind: Gossip}) // who told of us what is not so hears it first
+		v.send(from, nil, &Message{Kind: Gossip}) // send the refutation first to the process that sent the wrong record
 	}
 	switch m.Kind {
 	case Ping:
@@ -53,7 +53,7 @@
 	}
 }
 
-// heldRecord is what this process holds of the sender of a record, if that is of the same start or later.
+// heldRecord returns this process's record of a member, if it is of the same instance as r or supersedes r; nil otherwise.
 func (v *View) heldRecord(r *Record) *Record {
 	if h := v.recordOf(r.Name); h != nil && (h.InstanceID == r.InstanceID || h.supersedes(r)) {
 		return h
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// receiveSender applies what the sender of a message says of itself.
+// receiveSender applies the sender's record of itself.
 func (v *View) receiveSender(now time.Duration, from string, m *Message) {
 	r := m.From
 	if r.Name != v.self.Name {
@@ -69,9 +69,9 @@
 		return
 	}
 	if r.InstanceID == v.self.InstanceID {
-		return // our own, come back
+		return // this process's own record, echoed
 	}
-	// There is no doubt: this name has another living process.
+	// The message itself proves that another living process uses this name.
 	if v.duplicate == nil || v.duplicate.InstanceID != r.InstanceID {
 		v.host.Changed(Change{Record: r, Was: Alive, Why: Duplicate})
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-// receiveAck ends the probe or ping that an Ack answers.
+// receiveAck completes the probe or ping that an Ack answers.
 func (v *View) receiveAck(now time.Duration, m *Message) {
 	if i := slices.IndexFunc(v.probes, func(p probe) bool { return p.seq == m.Seq }); i >= 0 {
 		if p := v.probes[i]; p.name == m.From.Name {
--- a/internal/cluster/view/name.go
+++ b/internal/cluster/view/name.go
@@ -5,29 +5,31 @@
 	"time"
 )
 
-// This file is about this process's own name: refuting what others hold of it, and settling which of two processes under one name has
-// it.
+// This file handles records of this process's own name: it refutes wrong records and decides which of two processes with the same name
+// keeps it.
 //
-// A process that starts claims its name from the process that had it, as after a restart. Later it pings another claimant first: if
-// that one answers, this process yields and is no member any more; if it does not, as when an old record comes back from behind a
-// partition, it claims the name again. So two living processes under one name settle on the later one, and no record of a dead one
-// displaces a living one for good.
+// A process that starts claims its name from the process that had it before, as after a restart. Later it pings another claimant
+// first. If the claimant answers, this process yields and is no longer a member. If it does not, as when a partition heals and an
+// outdated record arrives, this process claims the name again. So of two living processes with one name the later one keeps it, and no
+// record of a dead process displaces a living one permanently.
 
 const (
-	// joinPeriods after its start this process claims its name from any other process that has it; later it pings that one first.
+	// Within joinPeriods of its start this process makes its first claim of the name without pinging the claimant; all other claims
+	// follow a ping that stays unanswered.
 	joinPeriods = 10
-	// mostBackoff bounds the periods between two claims of a name that another process claims too. They double each time.
+	// maxClaimBackoff bounds the number of periods between two claims of a name that another process claims too. It doubles with each claim.
 	maxClaimBackoff = 4096
 )
 
-// applyOwn merges a record of this process's own name: it refutes one that does not hold it alive, and settles who has the name.
+// applyOwn merges a record of this process's own name: it refutes one that does not hold this process alive, and handles claims by
+// other processes.
 func (v *View) applyOwn(now time.Duration, r *Record) {
 	if v.displaced {
 		return
 	}
 	if r.InstanceID == v.self.InstanceID {
 		if r.State != Alive && r.Incarnation >= v.self.Incarnation {
-			v.degradeHealth(1) // others did not get our answer: perhaps we are slow
+			v.degradeHealth(1) // others did not receive this process's answer: it may be slow
 			v.raiseIncarnation(now, r.Incarnation)
 		} else if r.Incarnation > v.self.Incarnation {
 			v.raiseIncarnation(now, r.Incarnation)
@@ -49,13 +51,13 @@
 	}
 	for _, a := range v.pendingPings {
 		if a.claimant == r.InstanceID {
-			return // a ping verifies that already
+			return // a ping already verifies this claim
 		}
 	}
 	v.ping(now, r.Address, nil, pendingPing{until: now + v.scaledByHealth(3*v.settings.Period), claimant: r.InstanceID, claimIncarnation: r.Incarnation})
 }
 
-// raiseIncarnation sets this process's incarnation above another, which refutes all records up to that.
+// raiseIncarnation sets this process's incarnation above another, which refutes all records up to that incarnation.
 func (v *View) raiseIncarnation(now time.Duration, other uint64) {
 	if other >= maxIncarnation {
 		return
@@ -66,8 +68,8 @@
 	v.markChanged(now, v.self.Name)
 }
 
-// claimName takes the name from a claimant that does not answer, at ever longer intervals: a claimant that is alive and cannot be
-// reached does the same.
+// claimName claims the name from a claimant that does not answer. The interval between claims grows, since a claimant that is alive but
+// unreachable does the same.
 func (v *View) claimName(now time.Duration, claimed uint64) {
 	if v.displaced || now-v.claimedAt < time.Duration(v.backoff)*v.settings.Period {
 		return
@@ -76,7 +78,7 @@
 	v.raiseIncarnation(now, max(v.self.Incarnation, claimed))
 }
 
-// yieldName leaves the name to a later process that has sent a message itself.
+// yieldName cedes the name to a later process that has sent a message itself.
 func (v *View) yieldName(now time.Duration, r Record) {
 	v.displaced = true
 	v.digest ^= hash(&v.self)
@@ -87,7 +89,7 @@
 	v.host.Changed(Change{Record: r, Was: Alive, Why: Displaced})
 }
 
-// retakeName takes the name back once the process that had it is gone.
+// retakeName reclaims the name once the process that had it is gone.
 func (v *View) retakeName(now time.Duration) {
 	m := v.members[v.self.Name]
 	v.removeMember(m)
--- a/internal/cluster/view/news.go
+++ b/internal/cluster/view/news.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// news is what is to be told, each piece so often: infection by rumour. What has been told least goes first. A piece is a
-// name; what is told is what is held of it at that moment.
+// updateQueue holds the names whose records are to be disseminated by gossip, each a bounded number of times; names that were sent
+// least often come first. An entry holds only a name; the record is looked up when it is sent.
 type updateQueue struct {
 	pending map[string]transmission
-	unsent  []queueEntry // never told
-	resent  []queueEntry // the one told longest ago first
+	unsent  []queueEntry // not sent yet
+	resent  []queueEntry // sent before, the least recently sent first
 	stamp   uint64
 }
 
@@ -19,13 +19,13 @@
 	stamp uint64
 }
 
-// piece is a place in a line. One whose stamp is not that of its telling has been overtaken and counts for nothing.
+// queueEntry is a name in one of the queues. An entry whose stamp differs from that of its transmission is stale and is skipped.
 type queueEntry struct {
 	name  string
 	stamp uint64
 }
 
-// tell makes what is held of a name news again.
+// push queues the record of a name for dissemination, and restarts its count of transmissions.
 func (n *updateQueue) push(name string) {
 	if n.pending == nil {
 		n.pending = map[string]transmission{}
@@ -33,7 +33,7 @@
 	n.stamp++
 	n.pending[name] = transmission{stamp: n.stamp}
 	n.unsent = append(n.unsent, queueEntry{name, n.stamp})
-	// What nobody is there to hear must not grow with every change.
+	// Without members to send to, the queues must not grow with each change.
 	const slack = 64
 	if len(n.unsent)+len(n.resent) > 4*len(n.pending)+slack {
 		stale := func(p queueEntry) bool { return n.pending[p.name].stamp != p.stamp }
@@ -41,13 +41,13 @@
 	}
 }
 
-// empty says whether there is nothing to tell.
+// empty reports whether no record is queued.
 func (n *updateQueue) empty() bool { return len(n.pending) == 0 }
 
-// take hands pieces on, those told least first, until give says that there is no room for one; each is told most times.
-// give says as well whether there still is anything to say of a name.
+// take passes names to accept, those sent least often first, until accept reports that one does not fit. Each name is sent at most
+// most times. accept also reports whether the name still has a record.
 func (n *updateQueue) take(most int, accept func(name string) (room, known bool)) {
-	resent := len(n.resent) // what is told first now is not told twice
+	resent := len(n.resent) // names that are sent first in this call are not sent twice
 	for i, queue := range []*[]queueEntry{&n.unsent, &n.resent} {
 		for range []int{len(*queue), resent}[i] {
 			p := (*queue)[0]
@@ -71,11 +71,11 @@
 	}
 }
 
-// mostTold is how often each process passes a piece of news on: some multiple of the logarithm of the fleet's size
-// reaches all with high probability.
+// maxTransmissions is how many times each process sends an update. A small multiple of the logarithm of the fleet's size reaches all
+// members with high probability.
 func (v *View) maxTransmissions() int { return 2 * (2 + bits.Len(uint(len(v.present)+1))) }
 
-// takeNews appends news that fits into so many bytes.
+// takeUpdates appends the updates that fit into remaining bytes.
 func (v *View) takeUpdates(to []Record, remaining int) []Record {
 	v.updates.take(v.maxTransmissions(), func(name string) (bool, bool) {
 		r := v.recordOf(name)
@@ -91,7 +91,7 @@
 	return to
 }
 
-// record is what is held of a name, this process's own included.
+// recordOf returns the record of a name, this process's own included; nil if it is unknown.
 func (v *View) recordOf(name string) *Record {
 	if name == v.self.Name && !v.displaced {
 		return &v.self
--- a/internal/cluster/view/probe.go
+++ b/internal/cluster/view/probe.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// indirectProbes is how many members are asked to probe a member that does not answer.
+	// indirectProbes is how many members are requested to probe a member that does not answer.
 	indirectProbes = 3
-	// ackShare of the period is waited for an Ack before indirect probes are requested.
+	// ackShare is the share of the period to wait for an Ack before indirect probes are requested.
 	ackShare = 0.34
-	// mostWidth bounds the probes that begin in one period after failures.
+	// maxProbeWidth bounds the probes that start in one period after failures.
 	maxProbeWidth = 8
-	// mostAsked bounds the open pings on which nothing depends.
+	// maxPendingPings bounds the outstanding pings other than probes.
 	maxPendingPings = 256
 )
 
@@ -22,16 +22,16 @@
 	seq            uint64
 	name           string
 	boot           uint64
-	incarnation    uint64        // of the target, as the probe began
+	incarnation    uint64        // of the target when the probe started
 	indirectAt     time.Duration // when indirect probes are requested; 0 once they are
 	deadline       time.Duration
-	lastReceivedAt time.Duration // when any message was last received, as the probe began
-	claimedBy      string        // the member that holds the target dead, if the probe verifies that
+	lastReceivedAt time.Duration // View.lastReceivedAt when the probe started
+	claimedBy      string        // the member that reported the target dead, if the probe verifies a report
 }
 
-// relay is a ping on behalf of another member.
+// relay identifies the requester of an indirect probe.
 type relay struct {
-	seq uint64 // of the requester
+	seq uint64 // of the requester's probe
 	to  string
 }
 
@@ -39,13 +39,13 @@
 type pendingPing struct {
 	relay *relay
 	until time.Duration
-	// claimant is the boot of a process that claims this process's name, if the ping verifies that it is alive, and claimIncarnation the
-	// incarnation that it claims with.
+	// claimant is the instance ID of a process that claims this process's name, if the ping verifies that it is alive.
+	// claimIncarnation is the incarnation of its claim.
 	claimant         uint64
 	claimIncarnation uint64
 }
 
-// adjustWidth sets how many probes begin in this period: more after failures, fewer after suspicions that were refuted.
+// adjustWidth sets how many probes start in this period: more after failures, fewer after refuted suspicions.
 func (v *View) adjustWidth(now time.Duration) {
 	switch {
 	case v.settings.NoWidening:
@@ -60,7 +60,7 @@
 	}
 }
 
-// probeNext probes the next member of the round. A round takes each member once, in a random order.
+// probeNext probes the next member of the round. A round covers each member once, in random order.
 func (v *View) probeNext(now time.Duration) {
 	for {
 		if len(v.order) == 0 {
@@ -71,7 +71,8 @@
 			slices.SortFunc(v.order, func(a, b *member) int { return strings.Compare(a.Name, b.Name) })
 			v.rng.Shuffle(len(v.order), func(i, j int) { v.order[i], v.order[j] = v.order[j], v.order[i] })
 			if !v.roundBegun {
-				// Rounds that begin together leave the same gaps everywhere; a first one of any length sets them apart.
+				// If all rounds started at the same time, all processes would leave the same gaps. A first round of random length
+				// desynchronizes them.
 				v.roundBegun = len(v.order) > 1
 				v.order = v.order[:1+v.rng.IntN(len(v.order))]
 			}
@@ -82,15 +83,15 @@
 			continue
 		}
 		if slices.ContainsFunc(v.probes, func(p probe) bool { return p.name == m.Name }) {
-			return // a round is over and its last answers are out
+			return // the previous round is over and its last answers are outstanding
 		}
 		v.probe(now, m, &m.Record, "")
 		return
 	}
 }
 
-// probe pings a member whose missing Ack makes it suspect. The ping carries a record of it, and claimedBy says who holds it dead, if the probe
-// verifies that.
+// probe pings a member; a missing Ack makes the member suspect. The ping carries the record passed as of. claimedBy
+// names the member that reported the target dead, if the probe verifies a report.
 func (v *View) probe(now time.Duration, m *member, of *Record, claimedBy string) {
 	v.seq++
 	p := probe{
@@ -104,7 +105,7 @@
 	v.send(m.Address, of, &Message{Kind: Ping, Seq: p.seq})
 }
 
-// probeIndirectly requests probes by other members of one that has not answered: the path to it may have failed, not the member.
+// probeIndirectly asks other members to ping a member that has not answered: the path to it may have failed, not the member.
 func (v *View) probeIndirectly(now time.Duration, p *probe) {
 	m := v.members[p.name]
 	if m == nil || m.index < 0 {
@@ -121,18 +122,18 @@
 	}
 }
 
-// probeFailed handles a probe without an Ack, direct or indirect, before its deadline.
+// probeFailed handles a probe that received neither a direct nor an indirect Ack before its deadline.
 func (v *View) probeFailed(now time.Duration, p *probe) {
 	v.probesFailed = true
 	if v.lastReceivedAt == p.lastReceivedAt && now-v.lastReceivedAt > v.settings.Period {
-		v.degradeHealth(1) // nobody at all has been heard: it may be us
+		v.degradeHealth(1) // no message from any member: this process may be at fault
 	}
 	m := v.members[p.name]
 	if m == nil || m.InstanceID != p.boot || m.index < 0 || now < v.noSuspicionUntil {
 		return
 	}
 	if m.Incarnation > p.incarnation && !v.settings.NoFalseSuspicionLimit {
-		return // it has refuted since: it lives, and what was lost is the answer
+		return // it has refuted a suspicion since: it is alive, and the answer was lost
 	}
 	v.raiseSuspicion(now, m, v.self.Name, Unresponsive)
 	if p.claimedBy != "" && m.State == Suspect {
@@ -141,7 +142,7 @@
 	}
 }
 
-// ping sends a ping whose missing Ack has no consequence for its target; m is the record of it, if there is one.
+// ping sends a ping whose missing Ack has no consequence for its target; m is the target's record, or nil.
 func (v *View) ping(now time.Duration, to string, m *Record, a pendingPing) {
 	if len(v.pendingPings) >= maxPendingPings {
 		return
@@ -151,14 +152,14 @@
 	v.send(to, m, &Message{Kind: Ping, Seq: v.seq})
 }
 
-// pingAddress pings whatever member is at an address.
+// pingAddress pings an address without knowing its member's name.
 func (v *View) pingAddress(now time.Duration, to string) {
 	if to != v.self.Address {
 		v.ping(now, to, nil, pendingPing{until: now + 4*v.settings.Period})
 	}
 }
 
-// expirePings drops the pings whose time is over.
+// expirePings drops the pings whose deadline has passed.
 func (v *View) expirePings(now time.Duration) {
 	claimed, incarnation := false, uint64(0)
 	for seq, a := range v.pendingPings {
--- a/internal/cluster/view/standing.go
+++ b/internal/cluster/view/standing.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Standing is a snapshot of the view.
+// Snapshot returns a snapshot of the view.
 func (v *View) Snapshot(now time.Duration) Snapshot {
 	s := Snapshot{
 		Self: v.self, Displaced: v.displaced, Health: v.health, Digest: v.digest, Rejected: v.rejected,
@@ -33,7 +33,7 @@
 	return to
 }
 
-// Present is how many members are present, this process included.
+// Present returns the number of present members, this process included.
 func (v *View) Present() int {
 	if v.displaced {
 		return len(v.present)
@@ -41,7 +41,7 @@
 	return len(v.present) + 1
 }
 
-// Holds is the state in which a name is held; 0 if it is unknown.
+// StateOf returns the state of a name in this view; 0 if it is unknown.
 func (v *View) StateOf(name string) State {
 	if r := v.recordOf(name); r != nil {
 		return r.State
@@ -49,7 +49,7 @@
 	return 0
 }
 
-// At is the name of the member that is reached at an address; "" if none is known.
+// NameAt returns the name of the present member with an address; "" if there is none.
 func (v *View) NameAt(address string) string {
 	for _, m := range v.present {
 		if m.Address == address {
--- a/internal/cluster/view/types.go
+++ b/internal/cluster/view/types.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// State is what is held of a member.
+// State is a member's state in a view.
 type State uint8
 
-// The states. Of two records of one start and one incarnation the later state in this order stands.
+// The states. Of two records with the same instance ID and incarnation, the one with the later state in this order supersedes the other.
 const (
 	Alive   State = iota + 1
-	Suspect       // it has not answered, and may say that it lives
-	Dead          // it has not answered for as long as a suspicion lasts
-	Left          // it said that it goes
+	Suspect       // it has not answered, and can refute the suspicion
+	Dead          // the suspicion expired without a refutation
+	Left          // it announced that it leaves
 )
 
 var stateNames = [...]string{Alive: "alive", Suspect: "suspect", Dead: "dead", Left: "left"}
 
+// String returns the state's name.
 func (s State) String() string {
 	if !s.Known() {
 		return fmt.Sprintf("state %d", uint8(s))
@@ -25,13 +26,13 @@
 	return stateNames[s]
 }
 
-// Known says whether it is one of the states.
+// Known reports whether s is one of the defined states.
 func (s State) Known() bool { return s >= Alive && s <= Left }
 
-// MarshalText writes a state as people read it.
+// MarshalText encodes a state as its name.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// UnmarshalText reads a state as MarshalText writes it.
+// UnmarshalText decodes a state from its name.
 func (s *State) UnmarshalText(text []byte) error {
 	for i, name := range stateNames {
 		if name != "" && name == string(text) {
@@ -39,14 +40,14 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("no state %q", text)
+	return fmt.Errorf("unknown state %q", text)
 }
 
-// present says whether a member in this state counts as one of the fleet.
+// present reports whether a member in this state counts as present in the fleet.
 func (s State) present() bool { return s == Alive || s == Suspect }
 
-// Record is what one process says of a member. A member is known by its name; Boot tells one start of its process from
-// another, and is drawn, not counted: neither a lasting folder nor a clock is needed for it. Incarnation grows with each
+// Record is one process's statement about a member. A member is identified by its name. InstanceID distinguishes starts of its
+// process; it is random rather than a counter, so it needs neither persistent storage nor a clock. Incarnation grows with each
 // start and each refutation.
 type Record struct {
 	Name        string `cbor:"1,keyasint" json:"name"`
@@ -54,12 +55,12 @@
 	Incarnation uint64 `cbor:"3,keyasint" json:"incarnation"`
 	State       State  `cbor:"4,keyasint" json:"state"`
 	Address     string `cbor:"5,keyasint" json:"address"`
-	// By is who found it suspect or dead, by name; itself where it left.
+	// By is the name of the member that found this one suspect or dead; the member itself if it left.
 	By string `cbor:"6,keyasint,omitempty" json:"by,omitempty"`
 }
 
-// supersedes says whether r is later news of its name than o. Two processes that claim one name with one incarnation are
-// told apart by their boots, in the same way everywhere.
+// supersedes reports whether r is a later record of its name than o. Two processes that claim one name with the same incarnation are
+// ordered by their instance IDs, so that all processes decide alike.
 func (r *Record) supersedes(o *Record) bool {
 	switch {
 	case r.Incarnation != o.Incarnation:
@@ -71,16 +72,16 @@
 	}
 }
 
-// Bounds of what a record may hold; what is longer is no record.
+// Bounds of a record's fields; Validate rejects longer values.
 const (
 	MaxNameBytes    = 64 // bytes
 	MaxAddressBytes = 64 // bytes
-	// mostIncarnation is far more than refutations can reach. It guards against one who names a number near the end of
-	// the range, after which nothing could be refuted.
+	// maxIncarnation is far above any number that refutations can reach. It guards against a sender that uses an incarnation near the
+	// end of the integer range, which could not be refuted.
 	maxIncarnation = 1 << 48
 )
 
-// Sound says what is wrong with a record that has come from outside.
+// Validate returns an error if a received record is invalid.
 func (r *Record) Validate() error {
 	switch {
 	case r.Name == "" || len(r.Name) > MaxNameBytes:
@@ -90,56 +91,56 @@
 	case len(r.By) > MaxNameBytes:
 		return fmt.Errorf("record of %.64q: by %d bytes; %d at most are allowed", r.Name, len(r.By), MaxNameBytes)
 	case !r.State.Known():
-		return fmt.Errorf("record of %.64q: no state %d", r.Name, r.State)
+		return fmt.Errorf("record of %.64q: unknown state %d", r.Name, r.State)
 	case r.Incarnation > maxIncarnation:
 		return fmt.Errorf("record of %.64q: incarnation %d is over %d", r.Name, r.Incarnation, uint64(maxIncarnation))
 	}
 	return nil
 }
 
-// size is an upper bound of a record's bytes in a datagram.
+// size returns an upper bound of a record's encoded size in bytes.
 func (r *Record) size() int { return len(r.Name) + len(r.Address) + len(r.By) + 30 }
 
-// Kind is what a message is for.
+// Kind is the type of a message.
 type Kind uint8
 
 // The kinds of messages.
 const (
-	Ping Kind = iota + 1 // asks for an Ack with the same Seq
+	Ping Kind = iota + 1 // requests an Ack with the same Seq
 	Ack
-	Request // asks to ping Target, and to pass its Ack on
-	Gossip  // carries news and asks for nothing
+	Request // requests a ping of Target, and that its Ack is relayed
+	Gossip  // carries updates and requests nothing
 	lastKind
 )
 
-// Known says whether it is one of the kinds. Of a newer version's further kinds nothing is understood.
+// Known reports whether k is one of the defined kinds. Kinds that a newer version adds are not known.
 func (k Kind) Known() bool { return k >= Ping && k < lastKind }
 
 // Message is one datagram.
 type Message struct {
 	Kind Kind   `cbor:"1,keyasint"`
 	Seq  uint64 `cbor:"2,keyasint,omitempty"`
-	// From is the sender of itself; in an Ack that is passed on, the one that answered.
+	// From is the sender's record of itself; in a relayed Ack, that of the member that answered.
 	From Record `cbor:"3,keyasint"`
-	// Digest is that of the sender's view: see View.digest.
+	// Digest is the digest of the sender's view; see View.digest.
 	Digest uint64 `cbor:"4,keyasint,omitempty"`
-	// Target is whom a Request is about.
+	// Target is the member that a Request asks to ping.
 	Target  *Record  `cbor:"5,keyasint,omitempty"`
 	Updates []Record `cbor:"6,keyasint,omitempty"`
-	// Relayed marks an Ack that a third one passes on; its digest and address say nothing of who sent the datagram.
+	// Relayed marks an Ack that a third member passes on; the digest and the record in From are not those of the datagram's sender.
 	Relayed bool `cbor:"7,keyasint,omitempty"`
 }
 
-// Sound says what is wrong with a message that has come from outside.
+// Validate returns an error if a received message is invalid.
 func (m *Message) Validate() error {
 	if !m.Kind.Known() {
-		return fmt.Errorf("message: no kind %d", m.Kind)
+		return fmt.Errorf("message: unknown kind %d", m.Kind)
 	}
 	if err := m.From.Validate(); err != nil {
 		return fmt.Errorf("from: %w", err)
 	}
 	if m.Kind == Request && m.Target == nil {
-		return fmt.Errorf("request: no target")
+		return fmt.Errorf("request without a target")
 	}
 	if m.Target != nil {
 		if err := m.Target.Validate(); err != nil {
@@ -148,28 +149,28 @@
 	}
 	for i := range m.Updates {
 		if err := m.Updates[i].Validate(); err != nil {
-			return fmt.Errorf("news %d: %w", i, err)
+			return fmt.Errorf("update %d: %w", i, err)
 		}
 	}
 	return nil
 }
 
-// Why is why a view has changed.
+// Why is the reason for a change of the view. The texts appear in the log.
 type Why string
 
 // The reasons for a change.
 const (
-	Joined       Why = "joined"           // unknown until now
-	Returned     Why = "has started anew" // another start under a known name
-	Unresponsive Why = "did not answer"   // found by this process itself
-	Reported     Why = "told"             // by whom, says By
-	Expired      Why = "nobody refuted"   // a suspicion ran out
-	Refuted      Why = "refuted"          // it says that it lives
+	Joined       Why = "joined"           // it was unknown before
+	Returned     Why = "has started anew" // another instance of a known name
+	Unresponsive Why = "did not answer"   // it did not answer this process
+	Reported     Why = "told"             // Record.By names the member that reported it
+	Expired      Why = "nobody refuted"   // a suspicion expired
+	Refuted      Why = "refuted"          // it announced that it is alive
 	Leaving      Why = "said that it goes"
-	Displaced    Why = "its name is another's" // of this process: another one goes by its name
-	Retaken      Why = "its name is free"      // of this process, after that
+	Displaced    Why = "its name is another's" // of this process: another process has its name
+	Retaken      Why = "its name is free"      // of this process, after Displaced
 	Duplicate    Why = "another process goes by this name"
-	Paused       Why = "was away" // this process, for so long that what it believed may be over
+	Paused       Why = "was away" // this process was delayed for so long that its view may be outdated
 )
 
 // Change is one change of the view.
@@ -179,76 +180,77 @@
 	Why Why
 }
 
-// Host carries out what a view decides. Its methods are called from within the view's own and must not call back.
+// Host carries out a view's actions. Its methods are called from within the view's methods and must not call back.
 type Host interface {
-	// Send sends a datagram to an address; it may be lost. The message is the host's from then on.
+	// Send sends a datagram to an address; it may be lost. The host owns the message afterwards.
 	Send(to string, m *Message)
-	// Exchange sends Table to an address by a reliable way and gives Merge what comes back, or calls nothing.
+	// Exchange sends Table to an address over a reliable transport and passes the reply to Merge; on an error it does not call Merge.
 	Exchange(to string)
-	// Changed tells of a change of the view, in order.
+	// Changed reports changes of the view, in order.
 	Changed(Change)
 }
 
-// Settings are what a view is told. The zero values of the switches at the end leave every defence on.
+// Settings configure a view. The zero values of the switches at the end leave every defence on.
 type Settings struct {
 	Name       string // of this member
-	Address    string // where others reach it
+	Address    string // where other members reach it
 	InstanceID uint64 // drawn at random at each start
-	// Period is between two probes; all other times follow from it.
+	// Period is the time between two probes; all other times derive from it.
 	Period     time.Duration
 	Seeds      []string // addresses of some members
-	MaxMembers int      // members that are held, remembered ones included
+	MaxMembers int      // members in the view, gone ones included
 
-	// Each takes one defence out, so that what it brings can be measured.
-	NoIndirect            bool // no probes through others
-	NoSuspicion           bool // who does not answer is dead at once
-	NoHealth              bool // no doubt in oneself
-	NoSuspectPings        bool // suspects are not asked by themselves; they hear of it by chance
-	NoDigest              bool // views are not compared
-	NoDeadPings           bool // the dead are not asked whether they live
-	NoWidening            bool // one probe a period, also after failures
-	NoFalseSuspicionLimit bool // refuted suspicions do not make it ask less widely
-	NoEarlyConfirmation   bool // suspicions last their longest, whoever confirms them
+	// Each switch disables one defence, so that its effect can be measured.
+	NoIndirect            bool // no indirect probes
+	NoSuspicion           bool // a member that does not answer is dead at once
+	NoHealth              bool // no local health score
+	NoSuspectPings        bool // suspects are not pinged and learn of the suspicion only from other messages
+	NoDigest              bool // digests do not start exchanges
+	NoDeadPings           bool // dead members are not pinged
+	NoWidening            bool // one probe in a period, also after failures
+	NoFalseSuspicionLimit bool // refuted suspicions do not reduce the probe width
+	NoEarlyConfirmation   bool // suspicions always last the longest timeout, regardless of confirmations
 }
 
-// Validate says what is wrong with the settings.
+// Validate returns an error if the settings are invalid.
 func (s *Settings) Validate() error {
 	self := Record{Name: s.Name, Address: s.Address, State: Alive}
 	switch err := self.Validate(); {
 	case err != nil:
 		return fmt.Errorf("view: %w", err)
 	case s.Period <= 0:
-		return fmt.Errorf("view: a period of %v is not above 0", s.Period)
+		return fmt.Errorf("view: period %v is not positive", s.Period)
 	case s.MaxMembers < 2:
-		return fmt.Errorf("view: %d members at most are too few to see anybody", s.MaxMembers)
+		return fmt.Errorf("view: a maximum of %d members leaves none but this process", s.MaxMembers)
 	}
 	return nil
 }
 
-// Member is one member as a view holds it.
+// Member is one member in a Snapshot.
 type Member struct {
 	Record
-	Since time.Duration // when it came into its state, of the clock that events are told with
+	Since time.Duration // when it entered its state, on the clock that the view's methods are called with
 	Self  bool
 }
 
-// Standing is how a view stands.
+// Snapshot is a copy of a view's state at one time.
 type Snapshot struct {
 	Self    Record
-	Members []Member // by name, this process among them; remembered ones too
-	// Settled: nothing is in doubt, nothing has changed for some periods, and those last heard from hold the same.
+	Members []Member // sorted by name; includes this process and gone members
+	// Settled reports that no member is suspect, the view has not changed for stablePeriods, the digests last received match, and this
+	// process is not displaced.
 	Settled bool
-	// Displaced: another process goes by this one's name, and others see that one.
+	// Displaced reports that another process has this process's name, and that other members see that process.
 	Displaced bool
-	// Duplicate is the other process that goes by this one's name, if one has been heard of lately.
+	// Duplicate is the other process with this process's name, if one has sent a message recently.
 	Duplicate *Record
-	Health    int    // 0 for well; how much this process doubts itself
-	Digest    uint64 // of who is there
-	Rejected  int    // records that were not taken for want of room
+	Health    int    // local health score; 0 is healthy
+	Digest    uint64 // of the present members
+	Rejected  int    // records that were rejected because the view was full
 }
 
-// Addresses are those of all members by name, of the dead too, since they may be reached all the same; and living are the names of
-// those that are there.
+// Addresses returns the addresses of all members by name, dead ones included, since they may still be reachable, and the names of the
+// present members.
 func (s *Snapshot) Addresses() (all map[string]string, living []string) {
 	all = make(map[string]string, len(s.Members))
 	for i := range s.Members {
--- a/internal/cluster/view/view.go
+++ b/internal/cluster/view/view.go
@@ -1,14 +1,15 @@
-// Package view decides, for one proxy, who else of its fleet is there. It has no I/O and no clock: events with their time
-// go in, actions come out, and equal settings, seed and events give equal actions. It is not safe for concurrent use.
+// Package view decides, for one proxy, which other members of its fleet are present. It has no I/O and no clock: events with their
+// time go in, actions come out, and equal settings, seed and events give equal actions. It is not safe for concurrent use.
 //
 // The protocol is SWIM (Das, Gupta, Motivala 2002) with these extensions: suspicions that the suspect refutes, local health and
-// suspicion timeouts that get shorter with confirmations (Lifeguard, Dadgar, Phillips, Currey 2018), a digest of the view on each
-// message, by which differences are detected at no cost while there are none, and pings to dead members, by which the halves of a
+// suspicion timeouts that shorten with confirmations (Lifeguard, Dadgar, Phillips, Currey 2018), a digest of the view on each
+// message, which detects differences at no cost while there are none, and pings to dead members, by which the halves of a
 // partitioned fleet find each other again. docs/design/view.md weighs them.
 //
-// The files: probe.go probes members, suspicion.go raises and ends suspicions, health.go is this process's own health, message.go sends
-// and receives datagrams, news.go disseminates records, apply.go merges records into the view, member.go holds them, exchange.go
-// compares and exchanges whole views, join.go finds the fleet by seeds and dead members, and name.go settles who has this process's name.
+// The files: probe.go probes members, suspicion.go raises and ends suspicions, health.go tracks this process's own health, message.go
+// sends and receives messages, news.go disseminates records, apply.go merges records into the view, member.go stores them, exchange.go
+// compares and exchanges whole views, join.go finds the fleet through seeds and dead members, name.go decides which process has this
+// process's name, and standing.go takes snapshots.
 package view
 
 import (
@@ -18,9 +19,9 @@
 )
 
 const (
-	// newsMessages are sent in a period while there are records to disseminate, beside those that are sent anyway.
+	// gossipMessages is the number of additional messages in a period while there are records to disseminate.
 	gossipMessages = 2
-	// duplicatePeriods is how long another process under this name is reported after it was last heard.
+	// duplicatePeriods is how many periods after its last message another process with this name is reported.
 	duplicatePeriods = 200
 )
 
@@ -32,10 +33,10 @@
 
 	self    Record
 	members map[string]*member
-	byName  []*member // all members, in the order of their names, so that a Standing need not sort them
-	present []*member // alive and suspect ones, in no order
+	byName  []*member // all members sorted by name, so that Snapshot need not sort them
+	present []*member // alive and suspect members, unordered
 	suspect map[string]*member
-	gone    []*member // dead and left ones, the oldest first; some of them may be present again
+	gone    []*member // dead and left members, the oldest first; some of them may be present again
 	digest  uint64
 	updates updateQueue
 
@@ -44,40 +45,40 @@
 	lastReceivedAt time.Duration // when any message was last received
 	changedAt      time.Duration // when the view last changed
 	leaving        bool
-	rejected       int // records that were not taken for want of room
+	rejected       int // records that were rejected because the view was full
 
 	// Probing:
 	seq          uint64
-	order        []*member // the rest of this round's probes, the next one last
-	roundBegun   bool      // the first round has
+	order        []*member // the rest of this round, the next member to probe last
+	roundBegun   bool      // whether the first round has begun
 	probes       []probe
 	pendingPings map[uint64]pendingPing
-	width        int  // probes that begin in a period
-	probesFailed bool // since the period began
+	width        int  // probes that start in a period
+	probesFailed bool // since the current period began
 
 	// Suspicions:
-	// suspicionDue is when a suspicion may first end: no suspect's deadline is earlier; never where there is none. A suspicion that is
-	// refuted or lasts longer leaves it as it is, until Wake looks at all suspects then.
+	// nextSuspicionEnd is a lower bound of all suspects' deadlines; never if there are none. It does not change when a suspicion is
+	// refuted or extended; Wake scans all suspects when it is reached.
 	nextSuspicionEnd time.Duration
-	suspicionScans   int           // how often all suspects were looked at for it
-	falseSuspicions  int           // suspicions of this process that were refuted lately
-	falseSuspicionAt time.Duration // when one of them was last forgotten, or the first one came
-	health           int           // the local health score; 0 for well
-	noSuspicionUntil time.Duration // until when no member is suspected
+	suspicionScans   int           // how often all suspects were scanned for it
+	falseSuspicions  int           // recent suspicions by this process that were refuted
+	falseSuspicionAt time.Duration // when the count last decreased, or the first one was refuted
+	health           int           // the local health score; 0 is healthy
+	noSuspicionUntil time.Duration // until then failed probes are ignored and no suspect is declared dead
 
 	// Exchanges:
-	digestsDifferSince time.Duration // 0 if they agree
-	exchangeForcedAt   time.Duration // when they have differed for so long that changes do not keep this process from an exchange
-	matchingDigests    int           // how many messages in a row have shown the same digest
-	exchangedAt        time.Duration // when the last exchange was begun here
-	merged             bool          // an exchange has brought something
+	digestsDifferSince time.Duration // 0 if they match
+	exchangeForcedAt   time.Duration // after that time this process starts an exchange although the view keeps changing
+	matchingDigests    int           // consecutive messages with the same digest, up to 3
+	exchangedAt        time.Duration // when this process last started an exchange
+	merged             bool          // whether a table was received in an exchange
 
 	// This process's name:
 	displaced       bool    // another process has it
 	duplicate       *Record // another process that claims it
 	duplicateSeenAt time.Duration
 	claimedAt       time.Duration // when the name was last claimed from another process
-	backoff         int           // periods until it may be again
+	backoff         int           // minimum periods until the next claim
 }
 
 // New returns the view of a process that starts now and knows no other member.
@@ -92,7 +93,7 @@
 		startedAt: now, width: 1, nextSuspicionEnd: never, lastReceivedAt: now, changedAt: now, backoff: 1, exchangedAt: now - exchangePeriods*s.Period,
 	}
 	v.seq = v.rng.Uint64() >> 1
-	// Processes that are started together do not all probe at one time.
+	// Processes that start together should not all probe at the same time.
 	v.nextPeriod = now + time.Duration(v.rng.Float64()*float64(s.Period)/2)
 	v.digest = hash(&v.self)
 	v.updates.push(v.self.Name)
@@ -102,7 +103,7 @@
 	return v, nil
 }
 
-// Next is when Wake is to be called at the latest.
+// Next returns the latest time at which Wake has to be called.
 func (v *View) Next() time.Duration {
 	next := min(v.nextPeriod, v.nextSuspicionEnd)
 	for i := range v.probes {
@@ -115,7 +116,7 @@
 	return next
 }
 
-// Wake does what is due.
+// Wake carries out what is due: indirect probes, failed probes, expired suspicions and the next period.
 func (v *View) Wake(now time.Duration) {
 	v.detectPause(now)
 	if v.leaving {
@@ -143,11 +144,11 @@
 	}
 }
 
-// beginPeriod probes the next members of the round, and pings some others whose answer would be news.
+// beginPeriod probes the next members of the round, and pings suspects, dead members and seeds, whose answers would change the view.
 func (v *View) beginPeriod(now time.Duration) {
 	p := v.settings.Period
 	v.nextPeriod += p
-	if v.nextPeriod <= now { // the clock has run ahead
+	if v.nextPeriod <= now { // the process was delayed by more than a period
 		v.nextPeriod = now + p
 	}
 	v.adjustWidth(now)
@@ -170,7 +171,7 @@
 	v.expirePings(now)
 }
 
-// sendNews sends messages that carry nothing but records, while there are any to disseminate.
+// sendGossip sends messages that carry only updates, while there are any to disseminate.
 func (v *View) sendGossip() {
 	for range gossipMessages {
 		if v.updates.empty() || len(v.present) == 0 {
@@ -182,10 +183,10 @@
 	}
 }
 
-// chance is true with a probability.
+// chance returns true with probability p.
 func (v *View) chance(p float64) bool { return p >= 1 || v.rng.Float64() < p }
 
-// Leave tells some members that this process leaves. Nothing is done after it.
+// Leave announces to some members that this process leaves. The view does nothing after it.
 func (v *View) Leave(now time.Duration) {
 	if v.leaving || v.displaced {
 		v.leaving = true
--- a/internal/cluster/view/view_test.go
+++ b/internal/cluster/view/view_test.go
@@ -14,7 +14,7 @@
 
 const p = 100 * time.Millisecond
 
-// desk notes what a view decides.
+// recordingHost records a view's actions.
 type recordingHost struct {
 	sent      []sent
 	exchanges []string
@@ -30,7 +30,7 @@
 func (d *recordingHost) Exchange(to string)         { d.exchanges = append(d.exchanges, to) }
 func (d *recordingHost) Changed(c Change)           { d.changes = append(d.changes, c) }
 
-// take empties what was sent.
+// takeSent returns the messages sent since the last call.
 func (d *recordingHost) takeSent() []sent {
 	s := d.sent
 	d.sent = nil
@@ -58,12 +58,13 @@
 	return v, d
 }
 
-// hear gives a view a message from a member about others.
+// receiveFrom delivers to a view a message from a member with updates about others.
 func receiveFrom(v *View, now time.Duration, from Record, kind Kind, news ...Record) {
 	v.Receive(now, from.Address, &Message{Kind: kind, Seq: 1, From: from, Updates: news})
 }
 
-// TestSuspicionIsRefuted: a lie about a living member is told to it with the question, and its answer clears it.
+// TestSuspicionIsRefuted: a living member that another one reports suspect is pinged with that record, and its refutation ends the
+// suspicion.
 func TestSuspicionIsRefuted(t *testing.T) {
 	v, d := newView(t, Settings{})
 	a, b := newRecord("a", 1, 1, Alive), newRecord("b", 2, 1, Alive)
@@ -74,21 +75,22 @@
 	d.takeSent()
 	receiveFrom(v, 1, a, Gossip, lie)
 	if v.StateOf("b") != Suspect {
-		t.Fatalf("b is held %v", v.StateOf("b"))
+		t.Fatalf("b is %v, want suspect", v.StateOf("b"))
 	}
 	told := slices.ContainsFunc(d.takeSent(), func(s sent) bool {
 		return s.to == b.Address && s.m.Kind == Ping && slices.ContainsFunc(s.m.Updates, func(r Record) bool { return r.Name == "b" && r.State == Suspect })
 	})
 	if !told {
-		t.Error("b is not told that it is suspect")
+		t.Error("no ping with the suspicion was sent to b")
 	}
 	receiveFrom(v, 2, newRecord("b", 2, 2, Alive), Gossip)
 	if v.StateOf("b") != Alive {
-		t.Errorf("refuted, b is held %v", v.StateOf("b"))
+		t.Errorf("b is %v after its refutation, want alive", v.StateOf("b"))
 	}
 }
 
-// TestNobodyIsDeadOnAnothersWord: who is told that a member is dead asks it; only its own silence here counts.
+// TestReportedDeathIsVerified: a process to which a member is reported dead probes that member; only a probe of its own that stays
+// without an answer makes the member suspect.
 func TestReportedDeathIsVerified(t *testing.T) {
 	v, d := newView(t, Settings{})
 	receiveFrom(v, 0, newRecord("a", 1, 1, Alive), Ping)
@@ -96,7 +98,7 @@
 	d.takeSent()
 	receiveFrom(v, 1, newRecord("a", 1, 1, Alive), Gossip, newRecord("b", 2, 1, Dead))
 	if v.StateOf("b") != Alive {
-		t.Fatalf("b is held %v on a's word", v.StateOf("b"))
+		t.Fatalf("b is %v after a's report alone, want alive", v.StateOf("b"))
 	}
 	var seq uint64
 	for _, s := range d.takeSent() {
@@ -105,7 +107,7 @@
 		}
 	}
 	if seq == 0 {
-		t.Fatal("b is not asked")
+		t.Fatal("no ping was sent to b")
 	}
 	v.Receive(2, "b:1", &Message{Kind: Ack, Seq: seq, From: newRecord("b", 2, 2, Alive)})
 	for now := time.Duration(0); now < 3*p; now += p / 4 {
@@ -118,7 +120,8 @@
 	}
 }
 
-// TestSilenceKills: who answers nobody is suspect after a probe and dead after a suspicion, and stays remembered.
+// TestUnresponsiveMemberIsDeclaredDead: a member that never answers becomes suspect after a probe and dead after the suspicion timeout,
+// and remains in the view as dead.
 func TestUnresponsiveMemberIsDeclaredDead(t *testing.T) {
 	v, d := newView(t, Settings{})
 	receiveFrom(v, 0, newRecord("a", 1, 1, Alive), Ping)
@@ -140,15 +143,15 @@
 	if len(s.Members) != 2 || s.Members[0].State != Dead {
 		t.Errorf("%+v", s.Members)
 	}
-	// It is asked now and then, and back with its first word.
+	// The dead member is pinged from time to time, and its first message makes it alive again.
 	asked := slices.ContainsFunc(d.takeSent(), func(s sent) bool { return s.to == "a:1" && len(s.m.Updates) == 1 && s.m.Updates[0].State == Dead })
 	if receiveFrom(v, 41*p, newRecord("a", 1, 2, Alive), Ping); !asked || v.StateOf("a") != Alive || len(d.exchanges) == 0 {
-		t.Errorf("asked %v, held %v, %d exchanges", asked, v.StateOf("a"), len(d.exchanges))
+		t.Errorf("pinged %v, state %v, %d exchanges", asked, v.StateOf("a"), len(d.exchanges))
 	}
 }
 
-// TestManySuspectsCostNoLookEach: while hundreds are suspect, as when a region is cut off, a message does not have all of them looked at;
-// each of them is dead in the end all the same.
+// TestSuspectsAreNotScannedForEachMessage: while hundreds of members are suspect, as when a region is cut off, a received message does
+// not cause a scan of all suspects; each of them is still declared dead in the end.
 func TestSuspectsAreNotScannedForEachMessage(t *testing.T) {
 	const members, suspects, messages = 400, 300, 1000
 	v, _ := newView(t, Settings{MaxMembers: 2 * members})
@@ -169,7 +172,7 @@
 		v.Next()
 	}
 	if looks := v.suspicionScans - before; len(v.suspect) != suspects || looks > 0 {
-		t.Errorf("%d suspects were looked at %d times for %d messages", len(v.suspect), looks, messages)
+		t.Errorf("%d suspects were scanned %d times for %d messages", len(v.suspect), looks, messages)
 	}
 
 	before = v.suspicionScans
@@ -179,17 +182,17 @@
 		wakes++
 	}
 	if looks := v.suspicionScans - before; looks > wakes {
-		t.Errorf("%d looks in %d wakes", looks, wakes)
+		t.Errorf("%d scans of the suspects in %d calls of Wake", looks, wakes)
 	}
 	for i := range suspects {
 		if held := v.StateOf(table[i].Name); held != Dead {
-			t.Fatalf("%s is held %v after all suspicions are over", table[i].Name, held)
+			t.Fatalf("%s is %v after all suspicions have expired", table[i].Name, held)
 		}
 	}
 }
 
-// TestExchangesAreSpread: views that begin to differ at one moment, and change on and on, do not all send their whole tables in one
-// period for that.
+// TestExchangesAreSpread: views that begin to differ at the same time and keep changing do not all send their whole tables in the same
+// period.
 func TestExchangesAreSpread(t *testing.T) {
 	const views, periods = 120, maxDifferPeriods + exchangePeriods
 	var begun [periods + 2]int // by period
@@ -216,11 +219,12 @@
 		all += n
 	}
 	if all != views || most > views/exchangePeriods*2 {
-		t.Errorf("%d of %d begin an exchange, %d of them in one period: %v", all, views, most, begun)
+		t.Errorf("%d of %d views started an exchange, %d of them in one period: %v", all, views, most, begun)
 	}
 }
 
-// TestPausedProcessAccusesNobody: one that wakes late holds its own silence against itself.
+// TestPausedProcessSuspectsNobody: a process that resumes after a pause lowers its own health instead of suspecting members whose answers
+// it has missed.
 func TestPausedProcessSuspectsNobody(t *testing.T) {
 	v, d := newView(t, Settings{})
 	names := []string{"a", "b", "c", "d"}
@@ -235,9 +239,9 @@
 			}
 		}
 	}
-	v.Wake(60 * p) // it was away since
+	v.Wake(60 * p) // it was paused since
 	if v.Snapshot(60*p).Health == 0 {
-		t.Error("it does not doubt itself")
+		t.Error("the health score is 0 after a pause")
 	}
 	for now := 60 * p; now < 62*p; now += p / 10 {
 		v.Wake(now)
@@ -249,7 +253,8 @@
 	}
 }
 
-// TestRefutesWhatIsSaidOfItself by a later incarnation, but for numbers that would leave no room.
+// TestRefutesRecordsOfItself: a wrong record of the process itself is refuted with a higher incarnation, except where the incarnation is
+// so high that none above it is valid.
 func TestRefutesRecordsOfItself(t *testing.T) {
 	v, _ := newView(t, Settings{})
 	a := newRecord("a", 1, 1, Alive)
@@ -263,25 +268,26 @@
 	before := v.Snapshot(0).Self.Incarnation
 	receiveFrom(v, 0, a, Gossip, newRecord("me", 7, maxIncarnation, Dead), newRecord("me", 7, 1, Dead))
 	if got := v.Snapshot(0).Self.Incarnation; got != before {
-		t.Errorf("%d, it was %d", got, before)
+		t.Errorf("incarnation %d, want %d as before", got, before)
 	}
 }
 
-// TestRestartTakesItsName from the process before, also with a clock set back: none is read.
+// TestRestartTakesItsName: a restarted process takes its name from its predecessor. No clock is involved, so one that is set back does
+// not matter.
 func TestRestartTakesItsName(t *testing.T) {
 	v, _ := newView(t, Settings{})
 	receiveFrom(v, 0, newRecord("a", 1, 1, Alive), Ack, newRecord("me", 3, 90, Alive))
 	if got := v.Snapshot(0).Self; got.Incarnation != 91 || got.InstanceID != 7 {
 		t.Errorf("%+v", got)
 	}
-	receiveFrom(v, p, newRecord("a", 1, 1, Alive), Ack, newRecord("me", 3, 91, Dead)) // the old one's death, found late
+	receiveFrom(v, p, newRecord("a", 1, 1, Alive), Ack, newRecord("me", 3, 91, Dead)) // the predecessor's death, detected late
 	if got := v.Snapshot(p).Self; got.Incarnation <= 91 && got.InstanceID < 3 || v.Snapshot(p).Displaced {
 		t.Errorf("%+v", got)
 	}
 }
 
-// TestLaterProcessKeepsTheName: who is established looks into a claim. An answer makes it yield; when the other has gone it
-// takes the name back. No answer, and it claims the name again.
+// TestLaterProcessKeepsTheName: a process that has run for a while pings another claimant of its name. If the claimant answers, the
+// process yields, and reclaims the name when the claimant has left. If not, it claims the name again.
 func TestLaterProcessKeepsTheName(t *testing.T) {
 	late := 50 * p
 	ready := func() (*View, *recordingHost, uint64) {
@@ -300,7 +306,7 @@
 				return v, d, s.m.Seq
 			}
 		}
-		t.Fatal("the claimant is not asked")
+		t.Fatal("no ping was sent to the claimant")
 		return nil, nil, 0
 	}
 	v, d, seq := ready()
@@ -309,11 +315,11 @@
 	v.Receive(late+1, "other:1", &Message{Kind: Ack, Seq: seq, From: other})
 	s := v.Snapshot(late + 1)
 	if !s.Displaced || s.Duplicate == nil || s.Duplicate.InstanceID != 99 || len(s.Members) != 2 {
-		t.Fatalf("answered: %+v", s)
+		t.Fatalf("after the claimant's answer: %+v", s)
 	}
 	receiveFrom(v, late+2, newRecord("a", 1, 1, Alive), Gossip, newRecord("me", 99, 5, Left))
 	if s := v.Snapshot(late + 2); s.Displaced || s.Self.Incarnation != 6 || d.changes[len(d.changes)-1].Why != Retaken {
-		t.Errorf("left: %+v", s)
+		t.Errorf("after the claimant left: %+v", s)
 	}
 
 	v, _, _ = ready()
@@ -322,11 +328,11 @@
 		receiveFrom(v, now, newRecord("a", 1, 1, Alive), Ping)
 	}
 	if s := v.Snapshot(late + 30*p); s.Displaced || s.Self.Incarnation <= 5 {
-		t.Errorf("not answered: %+v", s)
+		t.Errorf("claimant did not answer: %+v", s)
 	}
 }
 
-// TestLeaveIsTold to others, and nothing is done after it.
+// TestLeaveIsAnnounced: Leave sends the state to other members, and the view does nothing afterwards.
 func TestLeaveIsAnnounced(t *testing.T) {
 	v, d := newView(t, Settings{})
 	receiveFrom(v, 0, newRecord("a", 1, 1, Alive), Ping)
@@ -338,18 +344,18 @@
 	receiveFrom(v, 2*p, newRecord("a", 1, 1, Alive), Ping)
 	v.Wake(100 * p)
 	if s := d.takeSent(); len(s) > 0 {
-		t.Errorf("after it: %+v", s)
+		t.Errorf("sent after Leave: %+v", s)
 	}
 }
 
-// TestMembersAreBounded: beyond the bound the ones gone longest are forgotten, and then nobody is taken in.
+// TestMembersAreBounded: a full view evicts the members that have been gone longest, and rejects new members if none are gone.
 func TestMembersAreBounded(t *testing.T) {
 	v, _ := newView(t, Settings{MaxMembers: 10})
 	for i := range 100 {
 		receiveFrom(v, 0, newRecord(fmt.Sprintf("n%d", i), 1, 1, Alive), Gossip)
 	}
 	if s := v.Snapshot(0); len(s.Members) != 10 || s.Rejected != 91 {
-		t.Errorf("%d members, %d not taken", len(s.Members), s.Rejected)
+		t.Errorf("%d members, %d rejected", len(s.Members), s.Rejected)
 	}
 	receiveFrom(v, 0, newRecord("n0", 1, 1, Left), Gossip, newRecord("n0", 1, 1, Left))
 	receiveFrom(v, 0, newRecord("late", 1, 1, Alive), Gossip)
@@ -361,13 +367,13 @@
 func TestSettings(t *testing.T) {
 	for _, s := range []Settings{{}, {Name: "a", Address: "b:1", MaxMembers: 10}, {Name: "a", Address: "b:1", Period: p, MaxMembers: 1}, {Name: "a", Period: p, MaxMembers: 10}} {
 		if _, err := New(0, s, 1, &recordingHost{}); err == nil {
-			t.Errorf("%+v is taken", s)
+			t.Errorf("%+v: no error", s)
 		}
 	}
 }
 
-// TestAnythingMayCome: whatever order of whatever events, nothing panics, all stays bounded, the digest is that of who is
-// there, and this process holds itself alive.
+// TestRandomEventsKeepInvariants: for any sequence of events nothing panics, all state stays bounded, the digest is that of the present
+// members, and the process holds itself alive.
 func TestRandomEventsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := &recordingHost{}
@@ -406,11 +412,11 @@
 	})
 }
 
-// check holds a view's parts against each other.
+// checkInvariants checks that the parts of a view's state are consistent.
 func checkInvariants(t *rapid.T, v *View) {
 	for _, m := range v.suspect {
 		if m.deadline < v.nextSuspicionEnd {
-			t.Fatalf("the suspicion of %s ends at %v, and the next one is due at %v", m.Name, m.deadline, v.nextSuspicionEnd)
+			t.Fatalf("the suspicion of %s ends at %v, before nextSuspicionEnd %v", m.Name, m.deadline, v.nextSuspicionEnd)
 		}
 	}
 	s := v.Snapshot(0)
@@ -422,35 +428,35 @@
 	}
 	switch {
 	case !slices.IsSortedFunc(s.Members, func(a, b Member) int { return strings.Compare(a.Name, b.Name) }):
-		t.Fatalf("a standing out of order: %+v", s.Members)
+		t.Fatalf("a snapshot with unsorted members: %+v", s.Members)
 	case digest != v.digest:
-		t.Fatalf("digest %x, of who is there %x", v.digest, digest)
+		t.Fatalf("digest %x, of the present members %x", v.digest, digest)
 	case len(v.members) > v.settings.MaxMembers || len(v.probes) > 3*maxProbeWidth || len(v.pendingPings) > maxPendingPings:
-		t.Fatalf("%d members, %d probes, %d asked", len(v.members), len(v.probes), len(v.pendingPings))
+		t.Fatalf("%d members, %d probes, %d pending pings", len(v.members), len(v.probes), len(v.pendingPings))
 	case len(v.byName) != len(v.members) || !slices.IsSortedFunc(v.byName, func(a, b *member) int { return strings.Compare(a.Name, b.Name) }):
-		t.Fatalf("%d members, %d of them by name, or not in order", len(v.members), len(v.byName))
+		t.Fatalf("%d members, %d in byName, or unsorted", len(v.members), len(v.byName))
 	case slices.ContainsFunc(v.byName, func(m *member) bool { return v.members[m.Name] != m }):
-		t.Fatal("another member by name")
+		t.Fatal("byName and members hold different members of one name")
 	case len(v.present)+len(v.gone) != len(v.members):
 		t.Fatalf("%d present and %d gone of %d", len(v.present), len(v.gone), len(v.members))
 	case !v.displaced && s.Self.State != Alive:
-		t.Fatalf("itself: %+v", s.Self)
+		t.Fatalf("its own record: %+v", s.Self)
 	case len(v.updates.unsent)+len(v.updates.resent) > 4*len(v.updates.pending)+65:
-		t.Fatalf("%d and %d pieces of news about %d", len(v.updates.unsent), len(v.updates.resent), len(v.updates.pending))
+		t.Fatalf("%d unsent and %d resent queue entries for %d names", len(v.updates.unsent), len(v.updates.resent), len(v.updates.pending))
 	}
 	for name, m := range v.suspect {
 		if m.State != Suspect || v.members[name] != m {
-			t.Fatalf("%s in the list of suspects is %v", name, m.State)
+			t.Fatalf("%s is in View.suspect with state %v", name, m.State)
 		}
 	}
 	for i, m := range v.present {
 		if m.index != i || !m.State.present() {
-			t.Fatalf("%s at %d says %d, %v", m.Name, i, m.index, m.State)
+			t.Fatalf("%s at %d has index %d, state %v", m.Name, i, m.index, m.State)
 		}
 	}
 }
 
-// BenchmarkEvents is the cost of a datagram with its answer in a fleet at rest.
+// BenchmarkEvents measures the cost of a received message with its answer in a stable fleet.
 func BenchmarkEvents(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -459,7 +465,7 @@
 				receiveFrom(v, 0, newRecord(fmt.Sprintf("n%d", i), uint64(i+1), 1, Alive), Ping)
 			}
 			dice := rand.New(rand.NewPCG(1, 1))
-			for range 200 * n { // until all news is told
+			for range 200 * n { // until all updates are disseminated
 				i := dice.IntN(n)
 				receiveFrom(v, 1, newRecord(fmt.Sprintf("n%d", i), uint64(i+1), 1, Alive), Ping)
 				d.sent = d.sent[:0]
@@ -480,7 +486,7 @@
 	}
 }
 
-// BenchmarkStanding is a snapshot of a view of 1,400, which a change of the view takes.
+// BenchmarkStanding measures a snapshot of a view of 1,400 members, as it is taken after a change of the view.
 func BenchmarkStanding(b *testing.B) {
 	const members = 1400
 	v, _ := newView(b, Settings{MaxMembers: members})
