--- a/internal/cli/count.go
+++ b/internal/cli/count.go
@@ -33,7 +33,7 @@
 }
 
 func (e *env) count(args []string) error {
-	var fleet count.Fleet
+	var fleet count.Aggregator
 	skipped, files := 0, 0
 	for _, arg := range args {
 		paths := []string{arg}
@@ -69,17 +69,17 @@
 
 func (e *env) writeCount(r count.Report, skipped int) {
 	w := tabwriter.NewWriter(e.out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintf(w, "%d proxies, %d backends, %d lines skipped, %d make no sense\n\n", r.Proxies, len(r.Backends), skipped, r.Strange)
+	fmt.Fprintf(w, "%d proxies, %d backends, %d lines skipped, %d make no sense\n\n", r.Proxies, len(r.Backends), skipped, r.Malformed)
 	fmt.Fprintln(w, "second\tcalls\tbroken\tfirst\tagain\trefused\tfailed\tuneven\t  ended as")
 	for _, s := range r.Seconds {
-		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t  %s\n", s.At, s.Calls, s.Broken, s.First, s.Again, s.Refused, s.Failed, s.Uneven, outcomes(s))
+		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t  %s\n", s.At, s.Calls, s.FailedCalls, s.First, s.Retries, s.Refused, s.Failed, s.MaxOverMean, outcomes(s))
 	}
 	fmt.Fprintln(w, "\nbackend\tproxies\tattempts\tserved\tmost in 1 s\tlost at\tlast such send\t")
 	for _, b := range r.Backends {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%s\t%s\t\n", b.ID, b.Proxies, b.Attempts, b.Served, b.MostSecond, when(b.Lost), when(b.LastSent))
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%s\t%s\t\n", b.ID, b.Proxies, b.Attempts, b.Served, b.MaxPerSecond, when(b.FirstUnreachable), when(b.LastUnreachable))
 	}
 	fmt.Fprintln(w, "\nversion\tproxies that have it\tfirst\tlast\t")
-	for _, n := range r.News {
+	for _, n := range r.ListUpdates {
 		fmt.Fprintf(w, "%d\t%d\t%s\t%s\t\n", n.Seq, n.Proxies, when(n.First), when(n.Last))
 	}
 	w.Flush()
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -132,7 +132,7 @@
 		first.Rules = r.rules
 		first.Fleet = place{r.fleet, r.rules}
 	}
-	if r.operator.Recovery.On {
+	if r.operator.Recovery.Enabled {
 		first.Recovery = r.revive(c, first)
 	}
 	left := 1.0
@@ -166,7 +166,7 @@
 	}
 	if r.fleet != nil {
 		r.fleet.Follow(func(s view.Snapshot) {
-			c := parts.Of(&s)
+			c := parts.CountMembers(&s)
 			for _, p := range r.proxies {
 				p.SetFleet(c)
 			}
@@ -215,8 +215,8 @@
 		carrier = r.fleet.Endpoint(cluster.RecoveryKind)
 	}
 	return recovery.Open(recovery.Config{
-		Options: r.operator.Recovery, Name: c.Name, Boot: rand.Uint64(), Seed: c.SeedNumber, Instances: first.Settings.Balancer.Instances,
-		Agrees: r.rules != nil, Classes: first.Settings.Classes, Balancer: first.Settings.Balancer, Log: r.log.Logger,
+		Options: r.operator.Recovery, Name: c.Name, InstanceID: rand.Uint64(), Seed: c.SeedNumber, Instances: first.Settings.Balancer.Instances,
+		UsesRules: r.rules != nil, Classes: first.Settings.Classes, Balancer: first.Settings.Balancer, Log: r.log.Logger,
 	}, carrier)
 }
 
--- a/internal/cli/state.go
+++ b/internal/cli/state.go
@@ -34,7 +34,7 @@
 		Args:    cobra.NoArgs,
 	}
 	c.PersistentFlags().StringVar(&name, "name", "", "the proxy's name; RELAY_NAME if it is not given")
-	verb := func(use, short string, args int, run func(s *state.Store, f *state.Found, args []string) error) {
+	verb := func(use, short string, args int, run func(s *state.Store, f *state.Contents, args []string) error) {
 		c.AddCommand(&cobra.Command{
 			Use: use, Short: short, Args: cobra.ExactArgs(args),
 			RunE: func(_ *cobra.Command, args []string) error {
@@ -58,26 +58,26 @@
 			},
 		})
 	}
-	verb("show FOLDER", "What the folder holds", 1, func(_ *state.Store, f *state.Found, _ []string) error {
+	verb("show FOLDER", "What the folder holds", 1, func(_ *state.Store, f *state.Contents, _ []string) error {
 		if e.format == "json" {
 			return json.NewEncoder(e.out).Encode(stateFile{name, f.Bans, f.Learned})
 		}
 		fmt.Fprint(e.out, stateText(f))
 		return nil
 	})
-	verb("verify FOLDER", "Whether all in the folder is whole; exits with 1 if not", 1, func(_ *state.Store, f *state.Found, _ []string) error {
-		if len(f.Trouble) > 0 {
-			return answerNo{errors.New(strings.Join(f.Trouble, "\n"))}
+	verb("verify FOLDER", "Whether all in the folder is whole; exits with 1 if not", 1, func(_ *state.Store, f *state.Contents, _ []string) error {
+		if len(f.Problems) > 0 {
+			return answerNo{errors.New(strings.Join(f.Problems, "\n"))}
 		}
 		fmt.Fprintln(e.out, "whole")
 		return nil
 	})
-	verb("export FOLDER", "Write what the folder holds as JSON", 1, func(_ *state.Store, f *state.Found, _ []string) error {
+	verb("export FOLDER", "Write what the folder holds as JSON", 1, func(_ *state.Store, f *state.Contents, _ []string) error {
 		out := json.NewEncoder(e.out)
 		out.SetIndent("", "  ")
 		return out.Encode(stateFile{name, f.Bans, f.Learned})
 	})
-	verb("import FOLDER FILE", "Take what was exported into the folder, in place of what it holds", 2, func(s *state.Store, f *state.Found, args []string) error {
+	verb("import FOLDER FILE", "Take what was exported into the folder, in place of what it holds", 2, func(s *state.Store, f *state.Contents, args []string) error {
 		text, err := config.ReadFile(args[1])
 		if err != nil {
 			return readable(args[1], err)
@@ -86,8 +86,8 @@
 		if err := json.Unmarshal(text, &file); err != nil {
 			return fmt.Errorf("%s: %w", args[1], err)
 		}
-		if len(file.Bans) > state.MostBans {
-			return fmt.Errorf("%s: %d bans; %d at most", args[1], len(file.Bans), state.MostBans)
+		if len(file.Bans) > state.MaxBans {
+			return fmt.Errorf("%s: %d bans; %d at most", args[1], len(file.Bans), state.MaxBans)
 		}
 		for _, id := range f.Bans {
 			if !slices.Contains(file.Bans, id) {
@@ -120,9 +120,9 @@
 }
 
 // stateText is what a folder holds, for people.
-func stateText(f *state.Found) string {
+func stateText(f *state.Contents) string {
 	var b strings.Builder
-	for _, t := range f.Trouble {
+	for _, t := range f.Problems {
 		fmt.Fprintf(&b, "TROUBLE: %s\n", t)
 	}
 	fmt.Fprintf(&b, "%d backends out by hand: %s\n", len(f.Bans), strings.Join(f.Bans, ", "))
@@ -131,15 +131,15 @@
 		b.WriteString("nothing learned\n")
 		return b.String()
 	}
-	age := state.Since(l.Written, state.Now())
+	age := state.AgeOf(l.Written, state.Now())
 	fmt.Fprintf(&b, "learned of %d backends, written %s by its clock", learnedOf(l), clock.FromWall(l.Written.Wall).Format(time.DateTime))
 	switch {
-	case age.Least == age.Most:
-		fmt.Fprintf(&b, ", %v ago\n", age.Most.Round(time.Second))
-	case age.Most == state.Unknown:
-		fmt.Fprintf(&b, "; no clock says when that was, at least %v ago\n", age.Least.Round(time.Second))
+	case age.Min == age.Max:
+		fmt.Fprintf(&b, ", %v ago\n", age.Max.Round(time.Second))
+	case age.Max == state.UnknownAge:
+		fmt.Fprintf(&b, "; no clock says when that was, at least %v ago\n", age.Min.Round(time.Second))
 	default:
-		fmt.Fprintf(&b, ", %v to %v ago\n", age.Least.Round(time.Second), age.Most.Round(time.Second))
+		fmt.Fprintf(&b, ", %v to %v ago\n", age.Min.Round(time.Second), age.Max.Round(time.Second))
 	}
 	return b.String()
 }
--- a/internal/cluster/agreement/node.go
+++ b/internal/cluster/agreement/node.go
@@ -335,7 +335,7 @@
 	case n.events <- func(c *accord.Core, now time.Duration) {
 		c.SetPeers(living)
 		if n.planner != nil {
-			n.planner.See(now, living)
+			n.planner.SetLiving(now, living)
 		}
 	}:
 	default: // the next change brings them
--- a/internal/cluster/agreement/options.go
+++ b/internal/cluster/agreement/options.go
@@ -30,7 +30,7 @@
 
 // DefaultOptions hold where the file has the section and leaves a key out.
 func DefaultOptions() Options {
-	return Options{Lease: accord.DefaultTimes().Lease, WithoutLease: Serve, MaxListDrop: lists.DefaultSettings().Share, AssignNumbers: true}
+	return Options{Lease: accord.DefaultTimes().Lease, WithoutLease: Serve, MaxListDrop: lists.DefaultSettings().MaxDropShare, AssignNumbers: true}
 }
 
 // Section describes the options to the operator file.
--- a/internal/cluster/codec/codec.go
+++ b/internal/cluster/codec/codec.go
@@ -202,7 +202,7 @@
 func (c Codec) DecodePayload(frame []byte) ([]byte, error) { return c.body(payloads, frame) }
 
 // ReadStream reads one frame from a stream, and nothing beyond it: a payload, or a table whose records have passed Validate.
-func (c Codec) ReadStream(r io.Reader) (table []view.Record, parcel []byte, err error) {
+func (c Codec) ReadStream(r io.Reader) (table []view.Record, payload []byte, err error) {
 	var h [headerSize]byte
 	if _, err := io.ReadFull(r, h[:]); err != nil {
 		return nil, nil, fmt.Errorf("stream: %w", err)
@@ -215,8 +215,8 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("payload: %w", err)
 	}
-	parcel, err = c.DecodePayload(frame)
-	return nil, parcel, err
+	payload, err = c.DecodePayload(frame)
+	return nil, payload, err
 }
 
 // ReadTable reads a table from a stream, and nothing beyond it. Its records have passed Validate.
--- a/internal/cluster/link/link.go
+++ b/internal/cluster/link/link.go
@@ -309,13 +309,13 @@
 	ctx, cancel := context.WithTimeout(l.ctx, streamTimeout)
 	defer cancel()
 	defer context.AfterFunc(ctx, func() { conn.SetDeadline(time.Now()) })()
-	table, parcel, err := l.codec.ReadStream(conn)
+	table, payload, err := l.codec.ReadStream(conn)
 	if err != nil {
 		l.drop(err)
 		return
 	}
-	if parcel != nil {
-		l.handler.Payload(parcel)
+	if payload != nil {
+		l.handler.Payload(payload)
 		return
 	}
 	own, err := l.handler.Exchange(ctx, from.String(), table)
--- a/internal/cluster/link/parcels_test.go
+++ b/internal/cluster/link/parcels_test.go
@@ -104,9 +104,9 @@
 func TestCloseWithQueuedPayloads(t *testing.T) {
 	silent := silentServer(t)
 	from, _ := listen(t, "127.0.0.0/8")
-	const parcels = maxPayloadStreams + 44
+	const count = maxPayloadStreams + 44
 	body := make([]byte, 190_000)
-	for range parcels {
+	for range count {
 		from.SendPayload(silent, body)
 	}
 	var senders sync.WaitGroup
--- a/internal/cluster/lists/lists.go
+++ b/internal/cluster/lists/lists.go
@@ -19,15 +19,17 @@
 // Settings are what a judge is told.
 type Settings struct {
 	// Share of the servers in service that lists may leave out within Memory; more is held. 1 holds nothing.
-	Share float64
+	MaxDropShare float64
 	// Least is how many servers that has to be: a fleet of three loses a third with one.
-	Least int
+	MinDropCount int
 	// Memory is how long a server that was let go counts, so that a list which loses a tenth each second is held too.
-	Memory time.Duration
+	Window time.Duration
 }
 
 // DefaultSettings are those asked for by operators.
-func DefaultSettings() Settings { return Settings{Share: 0.22, Least: 2, Memory: time.Minute} }
+func DefaultSettings() Settings {
+	return Settings{MaxDropShare: 0.22, MinDropCount: 2, Window: time.Minute}
+}
 
 // Server is one in service, and where to dial it.
 type Server struct {
@@ -50,7 +52,7 @@
 }
 
 // Judge judges the lists of one proxy. It is not safe for concurrent use.
-type Judge struct {
+type Filter struct {
 	set     Settings
 	service map[string]Server // in service by the newest list
 	held    map[string]*held
@@ -59,15 +61,15 @@
 }
 
 // New returns a judge that has seen no list. mayDrop says whether a server may be left out by what was agreed, and may be nil.
-func New(s Settings, mayDrop func(id string) bool) *Judge {
+func New(s Settings, mayDrop func(id string) bool) *Filter {
 	if mayDrop == nil {
 		mayDrop = func(string) bool { return false }
 	}
-	return &Judge{set: s, service: map[string]Server{}, held: map[string]*held{}, mayDrop: mayDrop}
+	return &Filter{set: s, service: map[string]Server{}, held: map[string]*held{}, mayDrop: mayDrop}
 }
 
 // Take judges a list and returns what to pass on in its place.
-func (j *Judge) Take(now time.Duration, u Update) Update {
+func (j *Filter) Apply(now time.Duration, u Update) Update {
 	if u.Kind == balance.ListFailed {
 		return u
 	}
@@ -125,11 +127,11 @@
 }
 
 // Agreed looks again at what is held, once what may be dropped has changed. It returns what to pass on, if anything.
-func (j *Judge) Agreed(now time.Duration) (u Update, any bool) { return j.again(now) }
+func (j *Filter) Reevaluate(now time.Duration) (u Update, any bool) { return j.again(now) }
 
 // Gone takes in that traffic finds servers silent or failing, and returns what to pass on, if anything. Who answers again
 // meanwhile is not named: it is the caller's to name all that fail now.
-func (j *Judge) Gone(now time.Duration, ids []string) (u Update, any bool) {
+func (j *Filter) SetUnreachable(now time.Duration, ids []string) (u Update, any bool) {
 	for _, h := range j.held {
 		h.gone = false
 	}
@@ -141,13 +143,13 @@
 	return j.again(now)
 }
 
-func (j *Judge) again(now time.Duration) (u Update, any bool) {
+func (j *Filter) again(now time.Duration) (u Update, any bool) {
 	released := j.release(now)
 	return Update{Kind: balance.Delta, Entries: released, Addresses: map[string]string{}}, len(released) > 0
 }
 
 // release lets go of what need not be held, or all where it has become little, and returns it as removed.
-func (j *Judge) release(now time.Duration) (gone []balance.Entry) {
+func (j *Filter) release(now time.Duration) (gone []balance.Entry) {
 	letGo := func(id string) {
 		e := j.held[id].server.Entry
 		e.State = balance.Gone
@@ -161,11 +163,11 @@
 			letGo(id)
 		}
 	}
-	for len(j.let) > 0 && now-j.let[0] >= j.set.Memory {
+	for len(j.let) > 0 && now-j.let[0] >= j.set.Window {
 		j.let = j.let[1:]
 	}
 	missing := len(j.held) + len(j.let)
-	if missing >= j.set.Least && float64(missing) > j.set.Share*float64(len(j.service)+missing) {
+	if missing >= j.set.MinDropCount && float64(missing) > j.set.MaxDropShare*float64(len(j.service)+missing) {
 		return gone
 	}
 	for _, id := range ids {
@@ -178,14 +180,14 @@
 }
 
 // Carried is what one judge leaves to the next at an upgrade, which learns of the servers in service from the balancer.
-type Carried struct {
+type Snapshot struct {
 	Held  []string        `cbor:"1,keyasint"` // ids, in order
 	LetGo []time.Duration `cbor:"2,keyasint"` // how long ago servers were let go that nothing but a list spoke against, the longest first
 }
 
 // Carry returns what the next judge is to know.
-func (j *Judge) Carry(now time.Duration) Carried {
-	c := Carried{Held: j.Held()}
+func (j *Filter) Snapshot(now time.Duration) Snapshot {
+	c := Snapshot{Held: j.Held()}
 	for _, at := range j.let {
 		c.LetGo = append(c.LetGo, now-at)
 	}
@@ -193,7 +195,7 @@
 }
 
 // Adopt makes a judge that has seen no list go on where another is. servers are those that the balancer has in service, held ones included.
-func (j *Judge) Adopt(now time.Duration, c Carried, servers []Server) {
+func (j *Filter) Restore(now time.Duration, c Snapshot, servers []Server) {
 	for _, s := range servers {
 		j.service[s.Entry.ID] = s
 	}
@@ -209,10 +211,10 @@
 }
 
 // Held are the servers that are gone on with though the newest list leaves them out, in order.
-func (j *Judge) Held() []string { return slices.Sorted(maps.Keys(j.held)) }
+func (j *Filter) Held() []string { return slices.Sorted(maps.Keys(j.held)) }
 
 // Since is when the first of those was left out; 0 where none is held.
-func (j *Judge) Since() (since time.Duration) {
+func (j *Filter) HeldSince() (since time.Duration) {
 	for _, h := range j.held {
 		if since == 0 || h.since < since {
 			since = h.since
--- a/internal/cluster/lists/lists_test.go
+++ b/internal/cluster/lists/lists_test.go
@@ -102,21 +102,21 @@
 				}
 				switch {
 				case p.list.Entries != nil || p.list.Addresses != nil:
-					b.take(j.Take(p.at, p.list))
+					b.take(j.Apply(p.at, p.list))
 				case p.gone != nil:
-					if u, any := j.Gone(p.at, p.gone); any {
+					if u, any := j.SetUnreachable(p.at, p.gone); any {
 						b.take(u)
 					}
 				default:
-					if u, any := j.Agreed(p.at); any {
+					if u, any := j.Reevaluate(p.at); any {
 						b.take(u)
 					}
 				}
 				if got := b.inService(); got != p.want || len(j.Held()) != p.held {
 					t.Fatalf("step %d: %d in service, %q held; wanted %d and %d", i, got, j.Held(), p.want, p.held)
 				}
-				if len(j.Held()) > 0 != (j.Since() > 0) {
-					t.Fatalf("held since %v", j.Since())
+				if len(j.Held()) > 0 != (j.HeldSince() > 0) {
+					t.Fatalf("held since %v", j.HeldSince())
 				}
 			}
 		})
@@ -144,7 +144,7 @@
 				for _, e := range u.Entries {
 					truth[e.ID] = e.State
 				}
-				b.take(j.Take(now, u))
+				b.take(j.Apply(now, u))
 			case 1:
 				state := rapid.SampledFrom([]balance.State{balance.InService, balance.Draining, balance.Gone}).Draw(t, "state")
 				u := delta(state, some...)
@@ -153,13 +153,13 @@
 						delete(truth, e.ID)
 					}
 				}
-				b.take(j.Take(now, u))
+				b.take(j.Apply(now, u))
 			case 2:
 				clear(drop)
 				for _, i := range some {
 					drop[entry(i, 0).ID] = true
 				}
-				if u, any := j.Agreed(now); any {
+				if u, any := j.Reevaluate(now); any {
 					b.take(u)
 				}
 			case 3:
@@ -167,11 +167,11 @@
 				for _, i := range some {
 					ids = append(ids, entry(i, 0).ID)
 				}
-				if u, any := j.Gone(now, ids); any {
+				if u, any := j.SetUnreachable(now, ids); any {
 					b.take(u)
 				}
 			case 4:
-				if u := j.Take(now, Update{Kind: balance.ListFailed}); u.Kind != balance.ListFailed {
+				if u := j.Apply(now, Update{Kind: balance.ListFailed}); u.Kind != balance.ListFailed {
 					t.Fatal("a call that failed became a list")
 				}
 			}
@@ -213,7 +213,7 @@
 		for step := range rapid.IntRange(adoptedAt, 25).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 40).Draw(t, "pause")) * time.Second
 			if step == adoptedAt {
-				second.Adopt(now+ahead, first.Carry(now), slices.Collect(maps.Values(inService)))
+				second.Restore(now+ahead, first.Snapshot(now), slices.Collect(maps.Values(inService)))
 			}
 			some := rapid.SliceOfDistinct(rapid.IntRange(0, servers-1), rapid.ID).Draw(t, "some")
 			state := rapid.SampledFrom([]balance.State{balance.InService, balance.Draining, balance.Gone}).Draw(t, "state")
@@ -226,16 +226,16 @@
 				ids = append(ids, entry(i, 0).ID)
 				drop[entry(i, 0).ID] = what == 2 || drop[entry(i, 0).ID]
 			}
-			decide := func(j *Judge, now time.Duration) (u Update) {
+			decide := func(j *Filter, now time.Duration) (u Update) {
 				switch what {
 				case 0:
-					return j.Take(now, full(some...))
+					return j.Apply(now, full(some...))
 				case 1:
-					return j.Take(now, delta(state, some...))
+					return j.Apply(now, delta(state, some...))
 				case 2:
-					u, _ = j.Agreed(now)
+					u, _ = j.Reevaluate(now)
 				case 3:
-					u, _ = j.Gone(now, ids)
+					u, _ = j.SetUnreachable(now, ids)
 				}
 				return u
 			}
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -76,17 +76,17 @@
 			waitForState(t, n, m, view.Alive)
 		}
 	}
-	told := make(chan int, 1000)
-	a.Follow(func(s view.Snapshot) { told <- len(s.Members) })
-	if got := <-told; got != 3 {
+	received := make(chan int, 1000)
+	a.Follow(func(s view.Snapshot) { received <- len(s.Members) })
+	if got := <-received; got != 3 {
 		t.Errorf("a follower's first snapshot has %d members, want 3", got)
 	}
 	b.Close(true)
 	waitForState(t, a, "b", view.Left)
 	c.Close(false)
 	waitForState(t, a, "c", view.Dead)
-	if len(told) < 3 {
-		t.Errorf("a follower received %d further snapshots, want at least 3", len(told))
+	if len(received) < 3 {
+		t.Errorf("a follower received %d further snapshots, want at least 3", len(received))
 	}
 	if _, _, ok := b.Snapshot(context.Background()); ok {
 		t.Error("a closed node returned a snapshot")
@@ -212,14 +212,14 @@
 // the 1/20 of a core that a proxy may spend on control, and followers still receive a change within the timeout of the shortest lease's
 // renewals.
 func TestNotificationsAreBounded(t *testing.T) {
-	const took, most, patience = 600 * time.Microsecond, time.Second / 20 / 10, 150 * time.Millisecond // at 1,400 members
+	const took, most, timeout = 600 * time.Microsecond, time.Second / 20 / 10, 150 * time.Millisecond // at 1,400 members
 	pause := notifyInterval(took)
 	times := time.Second / pause
 	if spent := times * took; spent > most {
 		t.Errorf("%d notifications per second take %v; %v are allowed", times, spent, most)
 	}
-	if pause > patience {
-		t.Errorf("a change is reported after %v; %v are allowed", pause, patience)
+	if pause > timeout {
+		t.Errorf("a change is reported after %v; %v are allowed", pause, timeout)
 	}
 	if pause := notifyInterval(time.Second); pause > maxNotifyInterval {
 		t.Errorf("a process short of processor time notifies after %v; %v are allowed", pause, maxNotifyInterval)
@@ -230,11 +230,11 @@
 func TestNotificationsAreCoalesced(t *testing.T) {
 	const changes, work = 90, 5 * time.Millisecond
 	n := openNode(t, "a", 1, Options{Listen: testAddress(t), Seeds: []string{"127.0.0.1:9"}})
-	told := make(chan int, changes+2)
+	received := make(chan int, changes+2)
 	n.Follow(func(s view.Snapshot) {
 		time.Sleep(work) // like the cost in a large fleet
 		select {
-		case told <- len(s.Members):
+		case received <- len(s.Members):
 		default: // the test has ended
 		}
 	})
@@ -245,7 +245,7 @@
 	times := 0
 	for members := 0; members < changes+1; times++ {
 		select {
-		case members = <-told:
+		case members = <-received:
 		case <-time.After(20 * time.Second):
 			t.Fatalf("%d notifications, the last one with %d members", times, members)
 		}
--- a/internal/cluster/numbering/numbering.go
+++ b/internal/cluster/numbering/numbering.go
@@ -20,16 +20,16 @@
 type Settings struct {
 	// Settle is for how long nobody has come or gone before numbers are given anew: each time costs connections, and a restart
 	// is over sooner.
-	Settle time.Duration
+	SettleTime time.Duration
 	// Again is how long after a plan the next may come.
-	Again time.Duration
+	MinInterval time.Duration
 	// Most proxies have numbers; beyond, nothing is planned.
-	Most int
+	MaxProxies int
 }
 
 // DefaultSettings fit restarts of some seconds.
 func DefaultSettings() Settings {
-	return Settings{Settle: 10 * time.Second, Again: 10 * time.Second, Most: rules.MaxMembers}
+	return Settings{SettleTime: 10 * time.Second, MinInterval: 10 * time.Second, MaxProxies: rules.MaxMembers}
 }
 
 // Planner plans numbers at one proxy, the leader. It is not safe for concurrent use.
@@ -45,7 +45,7 @@
 func New(s Settings) *Planner { return &Planner{set: s} }
 
 // See takes in who lives, in any order, this proxy included.
-func (p *Planner) See(now time.Duration, living []string) {
+func (p *Planner) SetLiving(now time.Duration, living []string) {
 	living = slices.Compact(slices.Sorted(slices.Values(living)))
 	if !slices.Equal(living, p.living) {
 		p.living, p.since = living, now
@@ -54,7 +54,7 @@
 
 // Plan returns the numbers that are to be proposed now, if any: held are those in force.
 func (p *Planner) Plan(now time.Duration, held map[string]int) (numbers map[string]int, due bool) {
-	if len(p.living) == 0 || len(p.living) > p.set.Most || now-p.since < p.set.Settle || p.ever && now-p.planned < p.set.Again {
+	if len(p.living) == 0 || len(p.living) > p.set.MaxProxies || now-p.since < p.set.SettleTime || p.ever && now-p.planned < p.set.MinInterval {
 		return nil, false
 	}
 	numbers = Assign(p.living, held)
--- a/internal/cluster/numbering/numbering_test.go
+++ b/internal/cluster/numbering/numbering_test.go
@@ -66,29 +66,29 @@
 	set := DefaultSettings()
 	p := New(set)
 	sec := time.Second
-	p.See(0, names(6))
-	if _, due := p.Plan(set.Settle-1, nil); due {
+	p.SetLiving(0, names(6))
+	if _, due := p.Plan(set.SettleTime-1, nil); due {
 		t.Error("planned before it has settled")
 	}
-	held, due := p.Plan(set.Settle, nil)
+	held, due := p.Plan(set.SettleTime, nil)
 	if !due || len(held) != 6 {
 		t.Fatalf("%v, %v", held, due)
 	}
-	if _, due := p.Plan(set.Settle+sec, nil); due {
+	if _, due := p.Plan(set.SettleTime+sec, nil); due {
 		t.Error("planned again at once, though the first is still on its way")
 	}
 	// A restart within the time for settling moves nothing.
-	p.See(30*sec, names(5))
-	p.See(33*sec, names(6))
+	p.SetLiving(30*sec, names(5))
+	p.SetLiving(33*sec, names(6))
 	if got, due := p.Plan(60*sec, held); due {
 		t.Errorf("planned %v after a restart", got)
 	}
-	p.See(70*sec, names(4))
+	p.SetLiving(70*sec, names(4))
 	got, due := p.Plan(80*sec, held)
 	if !due || !maps.Equal(got, map[string]int{"n1": 0, "n2": 1, "n3": 2, "n4": 3}) {
 		t.Errorf("%v, %v", got, due)
 	}
-	p.See(100*sec, names(set.Most+1))
+	p.SetLiving(100*sec, names(set.MaxProxies+1))
 	if _, due := p.Plan(200*sec, held); due {
 		t.Error("planned for more than there may be")
 	}
@@ -205,7 +205,7 @@
 		living = append(living, fmt.Sprintf("proxy-%04d", i))
 	}
 	p := New(DefaultSettings())
-	p.See(0, living)
+	p.SetLiving(0, living)
 	held := Assign(living, nil)
 	for b.Loop() {
 		if _, due := p.Plan(time.Minute, held); due {
--- a/internal/cluster/parts/parts.go
+++ b/internal/cluster/parts/parts.go
@@ -10,27 +10,27 @@
 import "brasswell/internal/cluster/view"
 
 // Parts are factors on this proxy's own share of what was agreed for so many instances; 1 for just that share.
-type Parts struct{ Soft, Hard float64 }
+type Factors struct{ Soft, Hard float64 }
 
 // Whole is what holds with no view of the fleet.
-var Whole = Parts{Soft: 1, Hard: 1}
+var FullShare = Factors{Soft: 1, Hard: 1}
 
 // Count is what a view says, as far as it matters here.
-type Count struct {
+type MemberCounts struct {
 	Present int // members that are there, suspects and this process included
-	Silent  int // held dead: they may live behind a cut
+	Dead    int // held dead: they may live behind a cut
 	Left    int // said that they go
 }
 
 // Of counts a view.
-func Of(s *view.Snapshot) Count {
-	var c Count
+func CountMembers(s *view.Snapshot) MemberCounts {
+	var c MemberCounts
 	for i := range s.Members {
 		switch s.Members[i].State {
 		case view.Alive, view.Suspect:
 			c.Present++
 		case view.Dead:
-			c.Silent++
+			c.Dead++
 		case view.Left:
 			c.Left++
 		}
@@ -54,14 +54,14 @@
 // Hard: at most 1. Where more may live than the share was cut for, it is cut for those. That some said they leave does
 // not raise it: the budget is measured on this proxy's own traffic, which grows by itself as theirs comes here, and to
 // count it twice would be too much (docs/design/view.md).
-func Decide(instances int, c Count) Parts {
-	p := Whole
+func Decide(instances int, c MemberCounts) Factors {
+	p := FullShare
 	if instances < 1 || c.Present < 1 {
 		return p
 	}
 	// Those of the instances that were never heard of may be there too.
-	unseen := max(instances-c.Present-c.Silent-c.Left, 0)
-	living := c.Present + c.Silent + unseen
+	unseen := max(instances-c.Present-c.Dead-c.Left, 0)
+	living := c.Present + c.Dead + unseen
 	if living > instances {
 		p.Hard = float64(instances) / float64(living)
 	}
--- a/internal/cluster/revival/beliefs.go
+++ b/internal/cluster/revival/beliefs.go
@@ -20,36 +20,36 @@
 	// Restart: this proxy alone was away. Backends are as they were, and others know.
 	Restart
 	// Return: all were away, or nobody can say that they were not. Nobody's memory of the backends holds.
-	Return
+	FleetRestart
 )
 
 func (k Kind) String() string { return [...]string{"undecided", "restart", "return"}[k] }
 
 // Belief is something that was known before.
-type Belief uint8
+type StateItem uint8
 
 // The beliefs.
 const (
-	List     Belief = iota // which backends there are, and where
-	Bans                   // backends out by hand
-	Drains                 // backends that drain
-	Boots                  // when backends were started, and so who is warm
-	Budgets                // cold tokens, quota tokens, the budget of repeats
-	Health                 // who failed, is slow, is avoided
-	Lessons                // how long answers take, by class; how long callers wait
-	Level                  // how much was let in, and how much was answered
-	Pace                   // what one warm backend answered of this proxy's requests: what cold ones' budgets are measured by
-	Agreed                 // rules and numbers of the fleet
-	Requests               // what was open, and which keys had been sent
+	List         StateItem = iota // which backends there are, and where
+	Bans                          // backends out by hand
+	Drains                        // backends that drain
+	StartTimes                    // when backends were started, and so who is warm
+	Budgets                       // cold tokens, quota tokens, the budget of repeats
+	Health                        // who failed, is slow, is avoided
+	ClassStats                    // how long answers take, by class; how long callers wait
+	Throughput                    // how much was let in, and how much was answered
+	WarmRate                      // what one warm backend answered of this proxy's requests: what cold ones' budgets are measured by
+	AgreedRules                   // rules and numbers of the fleet
+	OpenRequests                  // what was open, and which keys had been sent
 	beliefs
 )
 
 var beliefNames = [...]string{"list", "bans by hand", "drains", "starts of backends", "budgets", "health", "lessons", "level", "pace of a warm backend", "agreed rules and numbers", "open requests and keys"}
 
-func (b Belief) String() string { return beliefNames[b] }
+func (b StateItem) String() string { return beliefNames[b] }
 
 // Beliefs are all of them, in order.
-func Beliefs() (all []Belief) {
+func StateItems() (all []StateItem) {
 	for b := range beliefs {
 		all = append(all, b)
 	}
@@ -61,10 +61,10 @@
 
 // The trusts.
 const (
-	Taken       Trust = iota // as it was
-	UntilTested              // as it was, until what comes says otherwise
-	Asked                    // of others; nothing rests on what was known
-	ThrownAway
+	Reused      Trust = iota // as it was
+	Provisional              // as it was, until what comes says otherwise
+	Refetched                // of others; nothing rests on what was known
+	Discarded
 )
 
 func (t Trust) String() string {
@@ -87,55 +87,55 @@
 )
 
 // Judge says what becomes of a belief of some age. It is the table of docs/operators/recovery.md.
-func Judge(k Kind, age state.Age, b Belief) Trust {
+func TrustIn(k Kind, age state.Age, b StateItem) Trust {
 	switch b {
 	case Bans:
 		// Staff took them out, and only staff puts them back, however long that takes.
-		return Taken
+		return Reused
 	case List, Drains:
 		// A list of any age is better than none, as discovery may come back last; what it leaves out is not sent to, what it has too
 		// much refuses connections. Who drained then has gone, or was started anew and is listed as such.
-		return UntilTested
-	case Agreed, Requests:
+		return Provisional
+	case AgreedRules, OpenRequests:
 		// The accord has its own files and leases. Keys are not kept: see the design note.
-		return map[Belief]Trust{Agreed: Asked, Requests: ThrownAway}[b]
-	case Boots:
+		return map[StateItem]Trust{AgreedRules: Refetched, OpenRequests: Discarded}[b]
+	case StartTimes:
 		// A backend that was warm before a power loss is cold after it, whatever any disk or discovery says.
-		if k == Return {
-			return ThrownAway
+		if k == FleetRestart {
+			return Discarded
 		}
-		return UntilTested
+		return Provisional
 	case Budgets:
-		return ThrownAway // to begin with none is never too much
-	case Lessons:
-		if age.Most <= lessonsLast || k == Restart && age.Least <= recently {
-			return UntilTested
+		return Discarded // to begin with none is never too much
+	case ClassStats:
+		if age.Max <= lessonsLast || k == Restart && age.Min <= recently {
+			return Provisional
 		}
-		return ThrownAway
-	case Pace:
-		if age.Most <= paceLasts {
-			return UntilTested
+		return Discarded
+	case WarmRate:
+		if age.Max <= paceLasts {
+			return Provisional
 		}
-		return ThrownAway
-	case Health, Level:
-		if k == Restart && age.Most <= recently {
-			return UntilTested
+		return Discarded
+	case Health, Throughput:
+		if k == Restart && age.Max <= recently {
+			return Provisional
 		}
-		return ThrownAway
+		return Discarded
 	}
-	return ThrownAway
+	return Discarded
 }
 
 // Revive returns what a proxy begins with, from what it knew. now is of the clock that backends' starts are told in, and lost the
 // moment before which no start of a backend is believed, in the same clock: 0 for a Restart. instances is how many proxies there are.
-func Revive(k Kind, age state.Age, bans []string, was *state.Learned, now time.Duration, instances int) (begin handover.State, lost time.Duration) {
+func InitialState(k Kind, age state.Age, bans []string, was *state.Learned, now time.Duration, instances int) (begin handover.State, lost time.Duration) {
 	begin.Seq = -1 // the whole list is asked for: versions may be counted anew
 	begin.Balancer.Banned, begin.Balancer.ServedAt = bans, now
 	defer func() {
 		b := &begin.Balancer
 		b.Warm = max(b.Warm, leastPace*float64(max(len(b.Servers), usualSlice))/float64(usualSlice*max(instances, 1)))
 	}()
-	if k == Return {
+	if k == FleetRestart {
 		lost = now
 	}
 	if was == nil {
@@ -146,7 +146,7 @@
 	begin.LongestDeadline, begin.LatencyP95 = old.LongestDeadline, old.LatencyP95
 	b := &begin.Balancer
 	b.Slots, b.Seen = old.Balancer.Slots, old.Balancer.Seen
-	healthy, warm := Judge(k, age, Health) == UntilTested, Judge(k, age, Boots) == UntilTested
+	healthy, warm := TrustIn(k, age, Health) == Provisional, TrustIn(k, age, StartTimes) == Provisional
 	for _, s := range old.Balancer.Servers {
 		if s.Entry.State == balance.Gone {
 			continue
@@ -165,13 +165,13 @@
 		}
 		b.Servers = append(b.Servers, next)
 	}
-	if Judge(k, age, Lessons) == UntilTested {
+	if TrustIn(k, age, ClassStats) == Provisional {
 		b.Classes = old.Balancer.Classes
 	}
-	if Judge(k, age, Level) == UntilTested {
+	if TrustIn(k, age, Throughput) == Provisional {
 		b.Limit, b.Served = old.Balancer.Limit, old.Balancer.Served
 	}
-	if Judge(k, age, Pace) == UntilTested {
+	if TrustIn(k, age, WarmRate) == Provisional {
 		b.Warm = max(old.Balancer.Warm, 0)
 	}
 	return begin, lost
--- a/internal/cluster/revival/revival.go
+++ b/internal/cluster/revival/revival.go
@@ -19,10 +19,10 @@
 
 // The steps, in order.
 const (
-	Peers   Step = iota // who else is just starting
-	Rules               // a lease on the agreed rules
-	Lists               // a list from discovery
-	Opening             // classes are let in as the backends get warm
+	Peers     Step = iota // who else is just starting
+	Rules                 // a lease on the agreed rules
+	Lists                 // a list from discovery
+	Admitting             // classes are let in as the backends get warm
 	Done
 )
 
@@ -33,7 +33,7 @@
 // Class is one class of requests.
 type Class struct {
 	Name  string
-	Worth float64 // of one request
+	Value float64 // of one request
 }
 
 // Times bound the steps.
@@ -42,46 +42,46 @@
 	Rules time.Duration // a lease is waited for
 	Lists time.Duration // a list is waited for
 	// Young is how long a proxy counts as just started.
-	Young time.Duration
+	JustStarted time.Duration
 	// Slack is by which factor Opening may take longer than the backends' warm-up.
-	Slack float64
+	WarmUpFactor float64
 }
 
 // DefaultTimes fit one site.
 func DefaultTimes() Times {
-	return Times{Peers: time.Second, Rules: 2 * time.Second, Lists: time.Second, Young: time.Minute, Slack: 1.3}
+	return Times{Peers: time.Second, Rules: 2 * time.Second, Lists: time.Second, JustStarted: time.Minute, WarmUpFactor: 1.3}
 }
 
 // Settings are what a core is told.
 type Settings struct {
-	Name    string
-	Boot    uint64 // drawn at each start
-	Alone   bool   // there are no others to ask: one instance, or no view of the fleet
-	Of      int    // how many proxies there are, this one included; 0 where that is not known
-	Agrees  bool   // rules are agreed on, so a lease is waited for
-	Same    bool   // the machine has run on since what was known was written: it has not lost its power
-	Classes []Class
+	Name            string
+	InstanceID      uint64 // drawn at each start
+	Standalone      bool   // there are no others to ask: one instance, or no view of the fleet
+	FleetSize       int    // how many proxies there are, this one included; 0 where that is not known
+	UsesRules       bool   // rules are agreed on, so a lease is waited for
+	SameMachineBoot bool   // the machine has run on since what was known was written: it has not lost its power
+	Classes         []Class
 	// ColdFrom and WarmUp say how a backend gets warm: from that share of what it can do to all of it, evenly.
-	ColdFrom float64
-	WarmUp   time.Duration
+	ColdCapacity float64
+	WarmUp       time.Duration
 	// Demand is what was asked for before, by class, in requests a second; nil where that is not known.
 	Demand []float64
 	Times  Times
 
 	// Each takes one defence out, so that a checker can be seen to find what it guards against.
-	NoReturn bool // every start is held to be a restart of one
-	NoOrder  bool // all classes are let in at once
+	NoFleetRestart    bool // every start is held to be a restart of one
+	NoStagedAdmission bool // all classes are let in at once
 }
 
 // Report is what a proxy tells another of its start.
 type Report struct {
-	Name  string        `cbor:"1,keyasint" json:"name"`
-	Boot  uint64        `cbor:"2,keyasint" json:"boot"`
-	Up    time.Duration `cbor:"3,keyasint" json:"up"` // since its start
-	Step  Step          `cbor:"4,keyasint" json:"step"`
-	Kind  Kind          `cbor:"5,keyasint" json:"kind"`
-	Open  time.Duration `cbor:"6,keyasint,omitempty" json:"open,omitempty"` // how long the first one that it knows of has been letting classes in
-	Reply bool          `cbor:"7,keyasint,omitempty" json:"-"`              // an answer, to which none is due
+	Name         string        `cbor:"1,keyasint" json:"name"`
+	InstanceID   uint64        `cbor:"2,keyasint" json:"boot"`
+	Uptime       time.Duration `cbor:"3,keyasint" json:"up"` // since its start
+	Step         Step          `cbor:"4,keyasint" json:"step"`
+	Kind         Kind          `cbor:"5,keyasint" json:"kind"`
+	AdmittingFor time.Duration `cbor:"6,keyasint,omitempty" json:"open,omitempty"` // how long the first one that it knows of has been letting classes in
+	Reply        bool          `cbor:"7,keyasint,omitempty" json:"-"`              // an answer, to which none is due
 }
 
 // Encode writes a report.
@@ -98,9 +98,9 @@
 	switch {
 	case r.Name == "" || len(r.Name) > view.MaxNameBytes:
 		return nil, fmt.Errorf("revival: a name of %d bytes", len(r.Name))
-	case r.Up < 0 || r.Open < 0 || r.Open > r.Up+mostAhead:
+	case r.Uptime < 0 || r.AdmittingFor < 0 || r.AdmittingFor > r.Uptime+mostAhead:
 		return nil, errors.New("revival: times that cannot be")
-	case r.Step > Done || r.Kind > Return:
+	case r.Step > Done || r.Kind > FleetRestart:
 		return nil, fmt.Errorf("revival: no step %d of kind %d", r.Step, r.Kind)
 	}
 	return r, nil
@@ -132,22 +132,22 @@
 
 // Count is what became of a class's requests since the last one.
 type Count struct {
-	Asked float64
-	In    float64 // let in
-	Lost  float64 // of these, refused or failed
+	Received float64
+	Admitted float64 // let in
+	Failed   float64 // of these, refused or failed
 }
 
 // Host carries out what a core decides. Its methods are called from within the core's own and must not call back.
 type Host interface {
 	// Tell sends a report to a proxy by its name; it may be lost.
-	Tell(to string, r *Report)
+	SendReport(to string, r *Report)
 	// Begin takes up what is known, by the kind of this start. It is called once. Where it is a return, others have been letting
 	// classes in for so long, so backends may have been warming up since then.
-	Begin(k Kind, ago time.Duration)
+	RestoreState(k Kind, ago time.Duration)
 	// Admit replaces the shares of the classes' requests that are let in.
-	Admit(shares []float64)
+	SetShares(shares []float64)
 	// Moved tells that a step has been taken, and why.
-	Moved(to Step, why string)
+	StepChanged(to Step, why string)
 }
 
 type peer struct {
@@ -187,13 +187,13 @@
 // New returns the core of a proxy that starts now.
 func New(now time.Duration, s Settings, seed uint64, host Host) *Core {
 	c := &Core{
-		set: s, host: host, rng: rand.New(rand.NewPCG(seed, s.Boot)), began: now, now: now, since: now, peers: map[string]peer{}, ask: now, plan: now,
+		set: s, host: host, rng: rand.New(rand.NewPCG(seed, s.InstanceID)), began: now, now: now, since: now, peers: map[string]peer{}, ask: now, plan: now,
 		counts: make([]Count, len(s.Classes)), shares: make([]float64, len(s.Classes)),
 	}
 	for i := range s.Classes {
 		c.order = append(c.order, i)
 	}
-	slices.SortStableFunc(c.order, func(a, b int) int { return cmp.Compare(s.Classes[b].Worth, s.Classes[a].Worth) })
+	slices.SortStableFunc(c.order, func(a, b int) int { return cmp.Compare(s.Classes[b].Value, s.Classes[a].Value) })
 	c.advance()
 	return c
 }
@@ -208,21 +208,21 @@
 		next = c.since + c.set.Times.Rules
 	case Lists:
 		next = c.since + c.set.Times.Lists
-	case Opening:
+	case Admitting:
 		next = c.plan
 	case Done:
 		return c.now + time.Hour
 	}
-	if !c.set.Alone {
+	if !c.set.Standalone {
 		next = min(next, c.ask)
 	}
 	return next
 }
 
 // Wake does what is due.
-func (c *Core) Wake(now time.Duration) {
+func (c *Core) Tick(now time.Duration) {
 	c.now = now
-	if !c.set.Alone && now >= c.ask && c.step != Done {
+	if !c.set.Standalone && now >= c.ask && c.step != Done {
 		c.askOthers()
 	}
 	c.advance()
@@ -238,24 +238,24 @@
 	some := slices.Clone(c.members)
 	c.rng.Shuffle(len(some), func(i, j int) { some[i], some[j] = some[j], some[i] })
 	for _, name := range some[:min(len(some), askMost)] {
-		c.host.Tell(name, c.report(false))
+		c.host.SendReport(name, c.report(false))
 	}
 }
 
 func (c *Core) report(reply bool) *Report {
-	return &Report{Name: c.set.Name, Boot: c.set.Boot, Up: c.now - c.began, Step: c.step, Kind: c.kind, Open: c.opened(), Reply: reply}
+	return &Report{Name: c.set.Name, InstanceID: c.set.InstanceID, Uptime: c.now - c.began, Step: c.step, Kind: c.kind, AdmittingFor: c.opened(), Reply: reply}
 }
 
 // opened is for how long the first proxy of this return that is known of has been letting classes in; 0 while none is.
 func (c *Core) opened() (longest time.Duration) {
-	if c.step == Opening {
+	if c.step == Admitting {
 		longest = c.now - c.since
 	}
-	if c.kind != Return {
+	if c.kind != FleetRestart {
 		return longest
 	}
 	for _, p := range c.peers {
-		if p.kind == Return && p.open > 0 && p.step != Done {
+		if p.kind == FleetRestart && p.open > 0 && p.step != Done {
 			longest = max(longest, p.open+c.now-p.at)
 		}
 	}
@@ -272,28 +272,28 @@
 }
 
 // Heard takes in another proxy's report.
-func (c *Core) Heard(now time.Duration, r *Report) {
+func (c *Core) ReceiveReport(now time.Duration, r *Report) {
 	c.now = now
 	if r.Name == c.set.Name {
 		return // another process under this name: the view tells of it
 	}
 	if _, known := c.peers[r.Name]; known || len(c.peers) < mostPeers {
-		c.peers[r.Name] = peer{boot: r.Boot, up: r.Up, step: r.Step, kind: r.Kind, open: r.Open, at: now}
+		c.peers[r.Name] = peer{boot: r.InstanceID, up: r.Uptime, step: r.Step, kind: r.Kind, open: r.AdmittingFor, at: now}
 	}
 	if !r.Reply {
-		c.host.Tell(r.Name, c.report(true))
+		c.host.SendReport(r.Name, c.report(true))
 	}
 	c.advance()
 }
 
 // Leased says that rules which keepers vouch for are acted on.
-func (c *Core) Leased(now time.Duration) {
+func (c *Core) SetLeased(now time.Duration) {
 	c.now, c.leased = now, true
 	c.advance()
 }
 
 // Listed says that discovery has told a list, and when the backends in service were born, as far as that is believed.
-func (c *Core) Listed(now time.Duration, fresh bool, births []time.Duration) {
+func (c *Core) SetList(now time.Duration, fresh bool, births []time.Duration) {
 	c.now = now
 	c.listed = c.listed || fresh
 	c.births = births
@@ -302,11 +302,11 @@
 }
 
 // Counted takes in what has become of requests since it was called last, by class.
-func (c *Core) Counted(now time.Duration, counts []Count) {
+func (c *Core) AddCounts(now time.Duration, counts []Count) {
 	c.now = now
 	for i := range min(len(counts), len(c.counts)) {
-		c.counts[i].In += counts[i].In
-		c.counts[i].Lost += counts[i].Lost
+		c.counts[i].Admitted += counts[i].Admitted
+		c.counts[i].Failed += counts[i].Failed
 	}
 }
 
@@ -319,7 +319,7 @@
 			c.decide()
 		case Rules:
 			switch late := c.now-c.since >= c.set.Times.Rules; {
-			case !c.set.Agrees:
+			case !c.set.UsesRules:
 				c.move(Lists, "no rules are agreed on")
 			case c.leased:
 				c.move(Lists, "holds a lease on the agreed rules")
@@ -335,7 +335,7 @@
 			case late:
 				c.open("there is no list, of any age: opens when one comes")
 			}
-		case Opening:
+		case Admitting:
 			c.admit()
 		}
 		if c.step == before {
@@ -346,7 +346,7 @@
 
 func (c *Core) move(to Step, why string) {
 	c.step, c.since, c.why = to, c.now, why
-	c.host.Moved(to, why)
+	c.host.StepChanged(to, why)
 }
 
 // decide says what this start is one of, as soon as that is clear or others have been asked for long enough.
@@ -355,54 +355,54 @@
 	old, young := 0, 0
 	for _, p := range c.peers {
 		// Who has just started and found that the fleet runs on is as good as one that has: a rolling restart is no return.
-		if p.kind == Restart || p.up+c.now-p.at >= c.set.Times.Young && (p.kind != Return || p.step == Done) {
+		if p.kind == Restart || p.up+c.now-p.at >= c.set.Times.JustStarted && (p.kind != FleetRestart || p.step == Done) {
 			old++
 		} else {
 			young++
 		}
 	}
 	switch {
-	case c.set.NoReturn:
+	case c.set.NoFleetRestart:
 		c.begin(Restart, "returns are not told from restarts")
-	case c.set.Alone && c.set.Same:
+	case c.set.Standalone && c.set.SameMachineBoot:
 		c.begin(Restart, "there are no others, and this machine has kept its power")
-	case c.set.Alone:
-		c.begin(Return, "there are no others, and this machine may have lost its power")
+	case c.set.Standalone:
+		c.begin(FleetRestart, "there are no others, and this machine may have lost its power")
 	case old > young && 2*(old+young) > len(c.members) && len(c.members) > 0:
 		c.begin(Restart, fmt.Sprintf("%d of %d others that were heard have been running on", old, old+young))
-	case old == 0 && c.set.Of > 1 && 2*(young+1) > c.set.Of:
-		c.begin(Return, fmt.Sprintf("%d others of %d have just started too, which are most", young, c.set.Of))
+	case old == 0 && c.set.FleetSize > 1 && 2*(young+1) > c.set.FleetSize:
+		c.begin(FleetRestart, fmt.Sprintf("%d others of %d have just started too, which are most", young, c.set.FleetSize))
 	case late && old > young:
 		c.begin(Restart, fmt.Sprintf("%d of %d others that were heard have been running on", old, old+young))
 	case late && old+young > 0:
-		c.begin(Return, fmt.Sprintf("%d of %d others that were heard have just started too", young, old+young))
+		c.begin(FleetRestart, fmt.Sprintf("%d of %d others that were heard have just started too", young, old+young))
 	case late:
 		// Nobody alone believes that it is alone: the others may be behind a cut, and come back just now.
-		c.begin(Return, "no other was heard")
+		c.begin(FleetRestart, "no other was heard")
 	}
 }
 
 func (c *Core) begin(k Kind, why string) {
 	c.kind = k
-	c.host.Begin(k, c.opened())
+	c.host.RestoreState(k, c.opened())
 	c.move(Rules, why)
 }
 
 // open begins to let classes in.
 func (c *Core) open(why string) {
-	if c.kind == Restart || c.set.NoOrder {
+	if c.kind == Restart || c.set.NoStagedAdmission {
 		// Backends are warm, or found to be cold one by one, and others serve beside.
 		c.letIn(func(int) float64 { return 1 })
 		c.move(Done, why)
 		return
 	}
 	c.plan = c.now
-	c.move(Opening, why)
+	c.move(Admitting, why)
 }
 
 // bound is how long classes are let in one after another.
 func (c *Core) bound() time.Duration {
-	return time.Duration(c.set.Times.Slack * float64(c.set.WarmUp))
+	return time.Duration(c.set.Times.WarmUpFactor * float64(c.set.WarmUp))
 }
 
 // admit lets classes in, the worthiest first: at first as much as the backends are thought to take, and then more while nothing of
@@ -434,7 +434,7 @@
 	}
 	trouble := len(c.order)
 	for place, class := range c.order {
-		if n := counts[class]; n.In >= fewest && n.Lost > troubled*n.In {
+		if n := counts[class]; n.Admitted >= fewest && n.Failed > troubled*n.Admitted {
 			trouble = place
 			break
 		}
@@ -490,12 +490,12 @@
 		if c.set.WarmUp > 0 {
 			warm = min(max(float64(c.now-born)/float64(c.set.WarmUp), 0), 1)
 		}
-		sum += c.set.ColdFrom + (1-c.set.ColdFrom)*warm
+		sum += c.set.ColdCapacity + (1-c.set.ColdCapacity)*warm
 	}
 	level := sum / float64(c.most)
 	if c.set.WarmUp > 0 {
 		// All follow the one that began first, so that who starts late does not hold back what others let in.
-		level = max(level, c.set.ColdFrom+(1-c.set.ColdFrom)*min(float64(c.opened())/float64(c.set.WarmUp), 1)*float64(len(c.births))/float64(c.most))
+		level = max(level, c.set.ColdCapacity+(1-c.set.ColdCapacity)*min(float64(c.opened())/float64(c.set.WarmUp), 1)*float64(len(c.births))/float64(c.most))
 	}
 	return level
 }
@@ -510,36 +510,36 @@
 	}
 	if !slices.Equal(shares, c.shares) {
 		c.shares = shares
-		c.host.Admit(shares)
+		c.host.SetShares(shares)
 	}
 }
 
 // Status is how a proxy has come back, for people.
 type Status struct {
-	Step   Step
-	Kind   Kind
-	Why    string        // of the last step
-	For    time.Duration // in this step
-	Until  time.Duration // from now, when the step is over at the latest; 0 for a step that waits for nothing
-	Level  float64       // what the backends can do by now, as far as known
-	Shares []float64     // by class
-	Young  int           // others that have just started
-	Old    int
+	Step         Step
+	Kind         Kind
+	Why          string        // of the last step
+	InStep       time.Duration // in this step
+	MaxRemaining time.Duration // from now, when the step is over at the latest; 0 for a step that waits for nothing
+	Capacity     float64       // what the backends can do by now, as far as known
+	Shares       []float64     // by class
+	JustStarted  int           // others that have just started
+	Running      int
 }
 
 // Status says how far this proxy has come back.
 func (c *Core) Status(now time.Duration) Status {
 	c.now = now
-	s := Status{Step: c.step, Kind: c.kind, Why: c.why, For: now - c.since, Level: c.level(), Shares: c.shares}
-	bound := map[Step]time.Duration{Peers: c.set.Times.Peers, Rules: c.set.Times.Rules, Lists: c.set.Times.Lists, Opening: c.bound()}[c.step]
+	s := Status{Step: c.step, Kind: c.kind, Why: c.why, InStep: now - c.since, Capacity: c.level(), Shares: c.shares}
+	bound := map[Step]time.Duration{Peers: c.set.Times.Peers, Rules: c.set.Times.Rules, Lists: c.set.Times.Lists, Admitting: c.bound()}[c.step]
 	if bound > 0 {
-		s.Until = max(bound-s.For, 0)
+		s.MaxRemaining = max(bound-s.InStep, 0)
 	}
 	for _, p := range c.peers {
-		if p.up+now-p.at >= c.set.Times.Young {
-			s.Old++
+		if p.up+now-p.at >= c.set.Times.JustStarted {
+			s.Running++
 		} else {
-			s.Young++
+			s.JustStarted++
 		}
 	}
 	return s
--- a/internal/cluster/revival/revival_test.go
+++ b/internal/cluster/revival/revival_test.go
@@ -51,7 +51,7 @@
 	open   time.Duration // when anything was let in first
 }
 
-func (o *one) Tell(to string, r *Report) {
+func (o *one) SendReport(to string, r *Report) {
 	s := o.site
 	if s.dice.Float64() < s.lost {
 		return
@@ -66,12 +66,12 @@
 			if err != nil {
 				s.t.Fatal(err)
 			}
-			p.core.Heard(s.now, got)
+			p.core.ReceiveReport(s.now, got)
 		}
 	})
 }
-func (o *one) Begin(k Kind, _ time.Duration) { o.kind = k }
-func (o *one) Admit(shares []float64) {
+func (o *one) RestoreState(k Kind, _ time.Duration) { o.kind = k }
+func (o *one) SetShares(shares []float64) {
 	if o.open == 0 {
 		o.open = o.site.now
 	}
@@ -79,13 +79,13 @@
 	// Whoever is worth more is let in no less.
 	for i := range classes {
 		for j := range classes {
-			if classes[i].Worth > classes[j].Worth && shares[i] < shares[j] {
+			if classes[i].Value > classes[j].Value && shares[i] < shares[j] {
 				o.site.t.Errorf("%s lets in %v of %s and %v of %s", o.name, shares[i], classes[i].Name, shares[j], classes[j].Name)
 			}
 		}
 	}
 }
-func (o *one) Moved(to Step, _ string) {
+func (o *one) StepChanged(to Step, _ string) {
 	o.steps, o.at = append(o.steps, to), append(o.at, o.site.now)
 }
 
@@ -96,14 +96,14 @@
 		s.all = append(s.all, o)
 		s.named[o.name] = o
 		s.queue.Push(o.start, func() {
-			conf := Settings{Name: o.name, Boot: s.dice.Uint64(), Classes: classes, ColdFrom: 0.3, WarmUp: 10 * sec, Demand: demand, Times: DefaultTimes()}
+			conf := Settings{Name: o.name, InstanceID: s.dice.Uint64(), Classes: classes, ColdCapacity: 0.3, WarmUp: 10 * sec, Demand: demand, Times: DefaultTimes()}
 			if set != nil {
 				set(i, &conf)
 			}
 			o.core = New(s.now, conf, seed, o)
 			s.wake(o)
 			// Discovery answers after some time, or late.
-			s.queue.Push(s.now+time.Duration(s.dice.Float64()*float64(2*sec)), func() { o.core.Listed(s.now, true, births(s.now)) })
+			s.queue.Push(s.now+time.Duration(s.dice.Float64()*float64(2*sec)), func() { o.core.SetList(s.now, true, births(s.now)) })
 		})
 		s.queue.Push(o.start+300*time.Millisecond, func() { s.members() })
 	}
@@ -129,7 +129,7 @@
 	next := o.core.Next()
 	s.queue.Push(max(next, s.now+time.Millisecond), func() {
 		if s.now >= o.core.Next() {
-			o.core.Wake(s.now)
+			o.core.Tick(s.now)
 		}
 		s.wake(o)
 	})
@@ -150,7 +150,7 @@
 // bound is how long after its start a proxy is done at the latest.
 func bound() time.Duration {
 	t := DefaultTimes()
-	return t.Peers + t.Rules + t.Lists + time.Duration(t.Slack*float64(10*sec)) + 2*planEvery
+	return t.Peers + t.Rules + t.Lists + time.Duration(t.WarmUpFactor*float64(10*sec)) + 2*planEvery
 }
 
 // comeback is a return of all proxies over some seconds, before backends that come back cold over eight. What they can do when warm
@@ -165,7 +165,7 @@
 		born[i] = time.Duration(dice.Float64() * float64(8*sec))
 	}
 	s = newSite(t, seed, n, func(i int, conf *Settings) {
-		if conf.Of = n; set != nil {
+		if conf.FleetSize = n; set != nil {
 			set(i, conf)
 		}
 	}, func(int) time.Duration { return time.Duration(dice.Float64() * float64(spread)) }, func(now time.Duration) (in []time.Duration) {
@@ -202,7 +202,7 @@
 				most := min(surge*demand[class], room)
 				room -= most
 				if s.now > spread+4*sec {
-					got, best = got+in[class]*served*classes[class].Worth, best+most*classes[class].Worth
+					got, best = got+in[class]*served*classes[class].Value, best+most*classes[class].Value
 				}
 			}
 			for _, p := range s.all {
@@ -212,7 +212,7 @@
 						asked := surge * demand[class] * 20 // enough to count
 						counts[class] = Count{asked, p.shares[class] * asked, p.shares[class] * asked * (1 - served)}
 					}
-					p.core.Counted(s.now, counts)
+					p.core.AddCounts(s.now, counts)
 				}
 			}
 		})
@@ -229,7 +229,7 @@
 		s, earned := comeback(t, seed, *proxies, nil)
 		all = append(all, earned)
 		for _, p := range s.all {
-			if p.kind != Return {
+			if p.kind != FleetRestart {
 				t.Fatalf("seed %d: %s takes a return for a %v: %s", seed, p.name, p.kind, p.core.why)
 			}
 			if last := p.at[len(p.at)-1] - p.start; p.steps[len(p.steps)-1] != Done || last > bound() {
@@ -259,7 +259,7 @@
 	}
 	with := mean(nil)
 	for name, set := range map[string]func(int, *Settings){
-		"returns told": func(_ int, s *Settings) { s.NoReturn = true }, "order": func(_ int, s *Settings) { s.NoOrder = true },
+		"returns told": func(_ int, s *Settings) { s.NoFleetRestart = true }, "order": func(_ int, s *Settings) { s.NoStagedAdmission = true },
 	} {
 		without := mean(set)
 		t.Logf("%.3f with all, %.3f without %s", with, without, name)
@@ -274,7 +274,7 @@
 func TestRestarts(t *testing.T) {
 	for seed := range uint64(100) {
 		n, gone := 12, 1+int(seed%4)
-		s := newSite(t, seed, n, func(_ int, s *Settings) { s.Of = n }, func(i int) time.Duration {
+		s := newSite(t, seed, n, func(_ int, s *Settings) { s.FleetSize = n }, func(i int) time.Duration {
 			if i < gone {
 				return 10 * time.Minute
 			}
@@ -293,13 +293,13 @@
 // None of them takes it for a return.
 func TestRollingRestart(t *testing.T) {
 	const n = 12
-	s := newSite(t, 1, n, func(_ int, s *Settings) { s.Of = n }, func(i int) time.Duration { return time.Duration(i) * time.Millisecond }, func(time.Duration) []time.Duration { return make([]time.Duration, 40) })
+	s := newSite(t, 1, n, func(_ int, s *Settings) { s.FleetSize = n }, func(i int) time.Duration { return time.Duration(i) * time.Millisecond }, func(time.Duration) []time.Duration { return make([]time.Duration, 40) })
 	s.play(5 * time.Minute)
 	for i, p := range s.all {
 		s.queue.Push(s.now+time.Duration(i)*2*sec, func() {
 			p.start, p.kind, p.open = s.now, Undecided, 0
-			p.core = New(s.now, Settings{Name: p.name, Boot: s.dice.Uint64(), Of: n, Classes: classes, ColdFrom: 0.3, WarmUp: 10 * sec, Demand: demand, Times: DefaultTimes()}, 2, p)
-			p.core.Listed(s.now, true, make([]time.Duration, 40))
+			p.core = New(s.now, Settings{Name: p.name, InstanceID: s.dice.Uint64(), FleetSize: n, Classes: classes, ColdCapacity: 0.3, WarmUp: 10 * sec, Demand: demand, Times: DefaultTimes()}, 2, p)
+			p.core.SetList(s.now, true, make([]time.Duration, 40))
 			s.wake(p)
 			s.members()
 		})
@@ -319,11 +319,11 @@
 		set  func(i int, s *Settings)
 		want Kind
 	}{
-		"hears nobody":            {func(_ int, s *Settings) { s.Agrees = true }, Return},
-		"one of one":              {func(_ int, s *Settings) { s.Alone = true }, Return},
-		"one of one, power kept":  {func(_ int, s *Settings) { s.Alone, s.Same = true, true }, Restart},
-		"one of two":              {func(_ int, s *Settings) { s.Of = 2 }, Return},
-		"nothing known of before": {func(_ int, s *Settings) { s.Alone, s.Demand = true, nil }, Return},
+		"hears nobody":            {func(_ int, s *Settings) { s.UsesRules = true }, FleetRestart},
+		"one of one":              {func(_ int, s *Settings) { s.Standalone = true }, FleetRestart},
+		"one of one, power kept":  {func(_ int, s *Settings) { s.Standalone, s.SameMachineBoot = true, true }, Restart},
+		"one of two":              {func(_ int, s *Settings) { s.FleetSize = 2 }, FleetRestart},
+		"nothing known of before": {func(_ int, s *Settings) { s.Standalone, s.Demand = true, nil }, FleetRestart},
 	} {
 		s := newSite(t, 1, 1, c.set, func(int) time.Duration { return 0 }, func(time.Duration) []time.Duration { return make([]time.Duration, 10) })
 		s.play(bound() + sec)
@@ -337,15 +337,15 @@
 // TestNothingNeverCame: no list, no keepers; no step waits for ever, and what comes at last is taken.
 func TestNothingEverCame(t *testing.T) {
 	o := &one{site: &site{t: t, dice: rand.New(rand.NewPCG(1, 1))}, name: "n1"}
-	c := New(0, Settings{Name: "n1", Alone: true, Agrees: true, Classes: classes, ColdFrom: 0.3, WarmUp: 10 * sec, Times: DefaultTimes()}, 1, o)
+	c := New(0, Settings{Name: "n1", Standalone: true, UsesRules: true, Classes: classes, ColdCapacity: 0.3, WarmUp: 10 * sec, Times: DefaultTimes()}, 1, o)
 	for now := time.Duration(0); now < bound(); now = c.Next() {
 		o.site.now = now
-		c.Wake(now)
+		c.Tick(now)
 		if c.Next() <= now {
 			t.Fatalf("it is to be woken at %v again, in step %v", now, c.step)
 		}
 	}
-	if !slices.Equal(o.steps, []Step{Rules, Lists, Opening, Done}) {
+	if !slices.Equal(o.steps, []Step{Rules, Lists, Admitting, Done}) {
 		t.Errorf("steps %v at %v", o.steps, o.at)
 	}
 }
@@ -363,16 +363,16 @@
 			Banned: []string{"old"}, Limit: 50, Retries: 9, Quota: []float64{7}, Served: 100, Warm: 12, Classes: make([]balance.ClassSnapshot, 3),
 		},
 	}}
-	fresh, old, unknown := state.Age{Most: 10 * sec}, state.Age{Least: time.Hour, Most: 60 * 24 * time.Hour}, state.Age{Most: state.Unknown}
+	fresh, old, unknown := state.Age{Max: 10 * sec}, state.Age{Min: time.Hour, Max: 60 * 24 * time.Hour}, state.Age{Max: state.UnknownAge}
 	for _, c := range []struct {
 		kind          Kind
 		age           state.Age
 		warm, healthy bool
 		lessons       int
 	}{
-		{Restart, fresh, true, true, 3}, {Restart, old, true, false, 0}, {Restart, unknown, true, false, 3}, {Return, fresh, false, false, 3}, {Return, unknown, false, false, 0},
+		{Restart, fresh, true, true, 3}, {Restart, old, true, false, 0}, {Restart, unknown, true, false, 3}, {FleetRestart, fresh, false, false, 3}, {FleetRestart, unknown, false, false, 0},
 	} {
-		got, lost := Revive(c.kind, c.age, []string{"by hand"}, was, now, 10)
+		got, lost := InitialState(c.kind, c.age, []string{"by hand"}, was, now, 10)
 		b := &got.Balancer
 		if !slices.Equal(b.Banned, []string{"by hand"}) || len(b.Servers) != 2 || b.Servers[1].Entry.State != balance.Draining || got.Seq != -1 || len(b.Quota) > 0 || b.Retries != 0 {
 			t.Errorf("%v, %v: %+v", c.kind, c.age, got)
@@ -384,25 +384,25 @@
 		if healthy := a.FailRun == 5 && b.Limit == 50; healthy != c.healthy || a.Ejected > now+recently {
 			t.Errorf("%v, %v: %+v, limit %v", c.kind, c.age, a, b.Limit)
 		}
-		if pace := map[bool]float64{true: 12, false: leastPace / 10.}[c.age.Most <= paceLasts]; b.Warm != pace {
+		if pace := map[bool]float64{true: 12, false: leastPace / 10.}[c.age.Max <= paceLasts]; b.Warm != pace {
 			t.Errorf("%v, %v: a pace of %v, wanted %v", c.kind, c.age, b.Warm, pace)
 		}
 		if len(b.Classes) != c.lessons {
 			t.Errorf("%v, %v: %d lessons", c.kind, c.age, len(b.Classes))
 		}
 	}
-	if got, _ := Revive(Return, unknown, []string{"x"}, nil, now, 10); got.Seq != -1 || !slices.Equal(got.Balancer.Banned, []string{"x"}) {
+	if got, _ := InitialState(FleetRestart, unknown, []string{"x"}, nil, now, 10); got.Seq != -1 || !slices.Equal(got.Balancer.Banned, []string{"x"}) {
 		t.Errorf("with nothing learned: %+v", got)
 	}
-	for _, b := range Beliefs() {
-		if b.String() == "" || Judge(Return, unknown, b).String() == "" {
+	for _, b := range StateItems() {
+		if b.String() == "" || TrustIn(FleetRestart, unknown, b).String() == "" {
 			t.Errorf("belief %d has no name", b)
 		}
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	text, _ := (&Report{Name: "n1", Boot: 7, Up: sec, Step: Opening, Kind: Return, Open: sec}).Encode()
+	text, _ := (&Report{Name: "n1", InstanceID: 7, Uptime: sec, Step: Admitting, Kind: FleetRestart, AdmittingFor: sec}).Encode()
 	f.Add(text)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		r, err := Decode(text)
@@ -411,10 +411,10 @@
 		}
 		o := &one{site: &site{t: t, dice: rand.New(rand.NewPCG(1, 1)), lost: 1}, name: "n0"}
 		c := New(0, Settings{Name: "n0", Classes: classes, WarmUp: 10 * sec, Times: DefaultTimes()}, 1, o)
-		c.Heard(sec/2, r)
+		c.ReceiveReport(sec/2, r)
 		for now := sec; now < bound(); now = max(c.Next(), now+planEvery) {
 			o.site.now = now
-			c.Wake(now)
+			c.Tick(now)
 		}
 		if c.step != Done {
 			t.Fatalf("one message holds a proxy in %v for ever: %+v", c.step, r)
--- a/internal/cluster/view/probe.go
+++ b/internal/cluster/view/probe.go
@@ -21,7 +21,7 @@
 type probe struct {
 	seq            uint64
 	name           string
-	boot           uint64
+	instanceID     uint64
 	incarnation    uint64        // of the target when the probe started
 	indirectAt     time.Duration // when indirect probes are requested; 0 once they are
 	deadline       time.Duration
@@ -95,7 +95,7 @@
 func (v *View) probe(now time.Duration, m *member, of *Record, claimedBy string) {
 	v.seq++
 	p := probe{
-		seq: v.seq, name: m.Name, boot: m.InstanceID, incarnation: m.Incarnation,
+		seq: v.seq, name: m.Name, instanceID: m.InstanceID, incarnation: m.Incarnation,
 		deadline: now + v.scaledByHealth(v.settings.Period), lastReceivedAt: v.lastReceivedAt, claimedBy: claimedBy,
 	}
 	if !v.settings.NoIndirect {
@@ -129,7 +129,7 @@
 		v.degradeHealth(1) // no message from any member: this process may be at fault
 	}
 	m := v.members[p.name]
-	if m == nil || m.InstanceID != p.boot || m.index < 0 || now < v.noSuspicionUntil {
+	if m == nil || m.InstanceID != p.instanceID || m.index < 0 || now < v.noSuspicionUntil {
 		return
 	}
 	if m.Incarnation > p.incarnation && !v.settings.NoFalseSuspicionLimit {
--- a/internal/cluster/view/view_test.go
+++ b/internal/cluster/view/view_test.go
@@ -59,8 +59,8 @@
 }
 
 // receiveFrom delivers to a view a message from a member with updates about others.
-func receiveFrom(v *View, now time.Duration, from Record, kind Kind, news ...Record) {
-	v.Receive(now, from.Address, &Message{Kind: kind, Seq: 1, From: from, Updates: news})
+func receiveFrom(v *View, now time.Duration, from Record, kind Kind, updates ...Record) {
+	v.Receive(now, from.Address, &Message{Kind: kind, Seq: 1, From: from, Updates: updates})
 }
 
 // TestSuspicionIsRefuted: a living member that another one reports suspect is pinged with that record, and its refutation ends the
@@ -77,10 +77,10 @@
 	if v.StateOf("b") != Suspect {
 		t.Fatalf("b is %v, want suspect", v.StateOf("b"))
 	}
-	told := slices.ContainsFunc(d.takeSent(), func(s sent) bool {
+	notified := slices.ContainsFunc(d.takeSent(), func(s sent) bool {
 		return s.to == b.Address && s.m.Kind == Ping && slices.ContainsFunc(s.m.Updates, func(r Record) bool { return r.Name == "b" && r.State == Suspect })
 	})
-	if !told {
+	if !notified {
 		t.Error("no ping with the suspicion was sent to b")
 	}
 	receiveFrom(v, 2, newRecord("b", 2, 2, Alive), Gossip)
@@ -171,18 +171,18 @@
 		receiveFrom(v, 2, well[i%len(well)], Gossip)
 		v.Next()
 	}
-	if looks := v.suspicionScans - before; len(v.suspect) != suspects || looks > 0 {
-		t.Errorf("%d suspects were scanned %d times for %d messages", len(v.suspect), looks, messages)
+	if scans := v.suspicionScans - before; len(v.suspect) != suspects || scans > 0 {
+		t.Errorf("%d suspects were scanned %d times for %d messages", len(v.suspect), scans, messages)
 	}
 
 	before = v.suspicionScans
-	wakes := 0
+	calls := 0
 	for now := v.Next(); now < 60*p; now = v.Next() {
 		v.Wake(now)
-		wakes++
+		calls++
 	}
-	if looks := v.suspicionScans - before; looks > wakes {
-		t.Errorf("%d scans of the suspects in %d calls of Wake", looks, wakes)
+	if scans := v.suspicionScans - before; scans > calls {
+		t.Errorf("%d scans of the suspects in %d calls of Wake", scans, calls)
 	}
 	for i := range suspects {
 		if held := v.StateOf(table[i].Name); held != Dead {
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -18,7 +18,7 @@
 )
 
 // Desk is what operators ask and say. Its methods may be called at any time and must return at once.
-type Desk interface {
+type Controller interface {
 	// Ready says whether this process takes clients.
 	Ready() bool
 	// Figures appends the figures to text.
@@ -43,13 +43,13 @@
 }
 
 // ErrNone is that of a question about a part that is not switched on.
-var ErrNone = errors.New("not switched on: its section is not in the operator file")
+var ErrDisabled = errors.New("not switched on: its section is not in the operator file")
 
 var (
 	// ErrBad is that of a call that makes no sense.
-	ErrBad = errors.New("the call makes no sense")
+	ErrInvalid = errors.New("the call makes no sense")
 	// ErrNotKept is that of a change by hand that holds, and is not on disk.
-	ErrNotKept = errors.New("done, and not lasting")
+	ErrNotPersisted = errors.New("done, and not lasting")
 	// ErrRefused is that of a change that was turned away; what it is joined with says why.
 	ErrRefused = errors.New("turned away")
 )
@@ -64,14 +64,14 @@
 
 // Server is a console.
 type Server struct {
-	desk     Desk
+	desk     Controller
 	log      *slog.Logger
 	listener *listener
 	http     *http.Server
 }
 
 // New opens a console that answers nothing before Serve. It holds conns connections at most: see listener.
-func New(address string, conns int, desk Desk, log *slog.Logger) (*Server, error) {
+func New(address string, conns int, desk Controller, log *slog.Logger) (*Server, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("console: %w", err)
@@ -164,7 +164,7 @@
 	err = act(r.Context(), id)
 	s.log.Info("console: by hand", "action", verb, "backend", id, "caller", r.RemoteAddr, "refused", err)
 	switch {
-	case errors.Is(err, ErrNotKept):
+	case errors.Is(err, ErrNotPersisted):
 		http.Error(w, err.Error(), http.StatusInsufficientStorage)
 		return
 	case err != nil:
@@ -181,7 +181,7 @@
 	switch {
 	case err == nil:
 		fmt.Fprintln(w, "refound: this keeper goes on alone")
-	case errors.Is(err, ErrNone):
+	case errors.Is(err, ErrDisabled):
 		http.Error(w, err.Error(), http.StatusNotFound)
 	default:
 		http.Error(w, err.Error(), http.StatusConflict)
@@ -201,9 +201,9 @@
 	case err == nil:
 		w.Header().Set("Content-Type", "application/json")
 		w.Write(answer)
-	case errors.Is(err, ErrNone):
+	case errors.Is(err, ErrDisabled):
 		http.Error(w, err.Error(), http.StatusNotFound)
-	case errors.Is(err, ErrBad):
+	case errors.Is(err, ErrInvalid):
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	case errors.Is(err, ErrRefused):
 		http.Error(w, err.Error(), http.StatusConflict)
@@ -215,7 +215,7 @@
 // show answers with what JSON a table gives.
 func show(ctx context.Context, w http.ResponseWriter, table func(context.Context) ([]byte, error)) {
 	text, err := table(ctx)
-	if errors.Is(err, ErrNone) {
+	if errors.Is(err, ErrDisabled) {
 		http.Error(w, err.Error(), http.StatusNotFound)
 		return
 	}
--- a/internal/console/console_test.go
+++ b/internal/console/console_test.go
@@ -35,11 +35,11 @@
 func (b *book) Figures(t []byte) []byte { return append(t, "edge_relay.active:0|g\n"...) }
 func (b *book) Status() ([]byte, error) { return []byte(`{"ready":true}`), nil }
 
-func (b *book) Rules(context.Context) ([]byte, error) { return nil, ErrNone }
+func (b *book) Rules(context.Context) ([]byte, error) { return nil, ErrDisabled }
 func (b *book) Propose(_ context.Context, c []byte) ([]byte, error) {
 	switch string(c) {
 	case "bad":
-		return nil, ErrBad
+		return nil, ErrInvalid
 	case "no":
 		return nil, ErrRefused
 	case "late":
@@ -47,9 +47,9 @@
 	}
 	return c, nil
 }
-func (b *book) Refound(context.Context) error            { return ErrNone }
-func (b *book) Fleet(context.Context) ([]byte, error)    { return nil, ErrNone }
-func (b *book) Recovery(context.Context) ([]byte, error) { return nil, ErrNone }
+func (b *book) Refound(context.Context) error            { return ErrDisabled }
+func (b *book) Fleet(context.Context) ([]byte, error)    { return nil, ErrDisabled }
+func (b *book) Recovery(context.Context) ([]byte, error) { return nil, ErrDisabled }
 func (b *book) note(what, id string) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/count/count.go
+++ b/internal/count/count.go
@@ -26,16 +26,16 @@
 
 // Second is what all proxies did in one second; attempts count in the one in which they were sent.
 type Second struct {
-	At       int            `json:"at"` // whole seconds from the first line
-	Calls    int            `json:"calls"`
-	Broken   int            `json:"broken"` // calls that ended with an error
-	First    int            `json:"first"`  // first attempts
-	Again    int            `json:"again"`
-	Outcomes map[string]int `json:"outcomes"` // of all attempts
-	Refused  int            `json:"refused"`
-	Failed   int            `json:"failed"`
+	At          int            `json:"at"` // whole seconds from the first line
+	Calls       int            `json:"calls"`
+	FailedCalls int            `json:"broken"` // calls that ended with an error
+	First       int            `json:"first"`  // first attempts
+	Retries     int            `json:"again"`
+	Outcomes    map[string]int `json:"outcomes"` // of all attempts
+	Refused     int            `json:"refused"`
+	Failed      int            `json:"failed"`
 	// Uneven is the most that one backend was sent over the mean of those that were sent anything; 0 where none was.
-	Uneven float64 `json:"uneven"`
+	MaxOverMean float64 `json:"uneven"`
 }
 
 // Backend is what all proxies did with one backend.
@@ -45,15 +45,15 @@
 	Attempts int    `json:"attempts"`
 	Served   int    `json:"served"`
 	// MostSecond is the most that it was sent in one second.
-	MostSecond int `json:"most_second"`
+	MaxPerSecond int `json:"most_second"`
 	// Lost is when it was first unreachable or silent, in seconds from the first line, and LastSent the last send that
 	// ended so; negative if none did. The proxies' time to find it out lies between.
-	Lost     float64 `json:"lost"`
-	LastSent float64 `json:"last_sent"`
+	FirstUnreachable float64 `json:"lost"`
+	LastUnreachable  float64 `json:"last_sent"`
 }
 
 // News is a change of the server list as the proxies heard of it.
-type News struct {
+type ListUpdate struct {
 	Seq     int64 `json:"seq"`
 	Proxies int   `json:"proxies"` // that hold it or a later one
 	// First and Last are when the first and the last proxy got just this version, in seconds from the first line.
@@ -63,15 +63,15 @@
 
 // Report is what a fleet did.
 type Report struct {
-	Proxies  int       `json:"proxies"`
-	Seconds  []Second  `json:"seconds"`
-	Backends []Backend `json:"backends"`
-	News     []News    `json:"news"`
-	Strange  int       `json:"strange"` // lines of these kinds whose fields make no sense, or from outside the span
+	Proxies     int          `json:"proxies"`
+	Seconds     []Second     `json:"seconds"`
+	Backends    []Backend    `json:"backends"`
+	ListUpdates []ListUpdate `json:"news"`
+	Malformed   int          `json:"strange"` // lines of these kinds whose fields make no sense, or from outside the span
 }
 
 // Fleet adds lines up. It is not safe for concurrent use.
-type Fleet struct{ lines []event }
+type Aggregator struct{ lines []event }
 
 // event is what is kept of a line that counts.
 type event struct {
@@ -80,7 +80,7 @@
 }
 
 // Add takes one line; those of other kinds count for nothing.
-func (f *Fleet) Add(l Line) {
+func (f *Aggregator) Add(l Line) {
 	switch l.Msg {
 	case host.TraceAttempt, host.TraceUnserved, host.TraceList, discovery.TraceCall:
 	default:
@@ -106,7 +106,7 @@
 }
 
 // Report adds up what was taken in.
-func (f *Fleet) Report() Report {
+func (f *Aggregator) Report() Report {
 	slices.SortStableFunc(f.lines, func(x, y event) int { return x.at.Compare(y.at) })
 	var r Report
 	if len(f.lines) == 0 {
@@ -116,11 +116,11 @@
 	proxies := map[string]bool{}
 	backends := map[string]*tally{}
 	held := map[string]int64{} // by proxy, the version that it holds
-	news := map[int64]*News{}
+	news := map[int64]*ListUpdate{}
 	for _, e := range f.lines {
 		since := e.at.Sub(start).Seconds()
 		if since >= mostSeconds {
-			r.Strange++
+			r.Malformed++
 			continue
 		}
 		proxies[e.Proxy] = true
@@ -132,18 +132,18 @@
 		case discovery.TraceCall:
 			s.Calls++
 			if e.Fields["error"] != "<nil>" && e.Fields["error"] != "" {
-				s.Broken++
+				s.FailedCalls++
 				continue
 			}
 			seq, ok := number(e.Fields["seq"])
 			if !ok {
-				r.Strange++
+				r.Malformed++
 				continue
 			}
 			if seq > held[e.Proxy] {
 				held[e.Proxy] = seq
 				if news[seq] == nil {
-					news[seq] = &News{Seq: seq, First: since}
+					news[seq] = &ListUpdate{Seq: seq, First: since}
 				}
 				news[seq].Last = since
 			}
@@ -157,18 +157,18 @@
 			id, outcome := e.Fields["backend"], e.Fields["outcome"]
 			n, ok := number(e.Fields["n"])
 			if !ok || id == "" || outcome == "" {
-				r.Strange++
+				r.Malformed++
 				continue
 			}
 			if n == 0 {
 				s.First++
 			} else {
-				s.Again++
+				s.Retries++
 			}
 			s.Outcomes[outcome]++
 			b := backends[id]
 			if b == nil {
-				b = &tally{Backend: Backend{ID: id, Lost: -1, LastSent: -1}, by: map[string]bool{}, second: map[int]int{}}
+				b = &tally{Backend: Backend{ID: id, FirstUnreachable: -1, LastUnreachable: -1}, by: map[string]bool{}, second: map[int]int{}}
 				backends[id] = b
 			}
 			b.by[e.Proxy] = true
@@ -178,22 +178,22 @@
 				b.Served++
 			}
 			if lost(outcome) {
-				if b.Lost < 0 {
-					b.Lost = since
+				if b.FirstUnreachable < 0 {
+					b.FirstUnreachable = since
 				}
-				b.LastSent = since
+				b.LastUnreachable = since
 			}
 		}
 	}
 	r.Proxies = len(proxies)
 	for i := range r.Seconds {
-		r.Seconds[i].Uneven = uneven(backends, i)
+		r.Seconds[i].MaxOverMean = uneven(backends, i)
 	}
 	for _, id := range slices.Sorted(maps.Keys(backends)) {
 		b := backends[id]
 		b.Proxies = len(b.by)
 		for _, n := range b.second {
-			b.MostSecond = max(b.MostSecond, n)
+			b.MaxPerSecond = max(b.MaxPerSecond, n)
 		}
 		r.Backends = append(r.Backends, b.Backend)
 	}
@@ -203,9 +203,9 @@
 				n.Proxies++
 			}
 		}
-		r.News = append(r.News, *n)
+		r.ListUpdates = append(r.ListUpdates, *n)
 	}
-	slices.SortFunc(r.News, func(x, y News) int { return cmp.Compare(x.Seq, y.Seq) })
+	slices.SortFunc(r.ListUpdates, func(x, y ListUpdate) int { return cmp.Compare(x.Seq, y.Seq) })
 	return r
 }
 
--- a/internal/count/count_test.go
+++ b/internal/count/count_test.go
@@ -19,7 +19,7 @@
 
 func report(t *testing.T, text string) Report {
 	t.Helper()
-	var f Fleet
+	var f Aggregator
 	if skipped, err := Read(strings.NewReader(text), f.Add); err != nil || skipped > 0 {
 		t.Fatalf("skipped %d lines, %v", skipped, err)
 	}
@@ -39,28 +39,28 @@
 		log("p2", 3.2, `msg=call took_ms=0 seq=1 error="discovery turned the call away: 503 Service Unavailable"`)+
 		log("p2", 3.9, "msg=call took_ms=20 seq=2 error=<nil>")+
 		log("p2", 3.95, "msg=whatever"))
-	if r.Proxies != 2 || len(r.Seconds) != 4 || r.Strange != 0 {
-		t.Fatalf("%d proxies, %d seconds, %d strange", r.Proxies, len(r.Seconds), r.Strange)
+	if r.Proxies != 2 || len(r.Seconds) != 4 || r.Malformed != 0 {
+		t.Fatalf("%d proxies, %d seconds, %d strange", r.Proxies, len(r.Seconds), r.Malformed)
 	}
 	one := r.Seconds[1]
-	if one.First != 1 || one.Again != 1 || one.Outcomes["connect_error"] != 1 || one.Uneven != 1 {
+	if one.First != 1 || one.Retries != 1 || one.Outcomes["connect_error"] != 1 || one.MaxOverMean != 1 {
 		t.Errorf("second 1: %+v", one)
 	}
 	if two := r.Seconds[2]; two.First != 1 || two.Failed != 1 || two.Refused != 0 {
 		t.Errorf("second 2: %+v", two)
 	}
-	if three := r.Seconds[3]; three.Calls != 3 || three.Broken != 1 {
+	if three := r.Seconds[3]; three.Calls != 3 || three.FailedCalls != 1 {
 		t.Errorf("second 3: %+v", three)
 	}
 	a := r.Backends[0]
-	if a.ID != "a" || a.Proxies != 2 || a.Attempts != 3 || a.Served != 1 || a.Lost != 1.25 || a.LastSent != 2 || a.MostSecond != 1 {
+	if a.ID != "a" || a.Proxies != 2 || a.Attempts != 3 || a.Served != 1 || a.FirstUnreachable != 1.25 || a.LastUnreachable != 2 || a.MaxPerSecond != 1 {
 		t.Errorf("backend a: %+v", a)
 	}
-	if b := r.Backends[1]; b.Lost != -1 || b.Served != 2 {
+	if b := r.Backends[1]; b.FirstUnreachable != -1 || b.Served != 2 {
 		t.Errorf("backend b: %+v", b)
 	}
-	if len(r.News) != 2 || r.News[1] != (News{Seq: 2, Proxies: 2, First: 3, Last: 3.9}) || r.News[0].Proxies != 2 {
-		t.Errorf("news: %+v", r.News)
+	if len(r.ListUpdates) != 2 || r.ListUpdates[1] != (ListUpdate{Seq: 2, Proxies: 2, First: 3, Last: 3.9}) || r.ListUpdates[0].Proxies != 2 {
+		t.Errorf("news: %+v", r.ListUpdates)
 	}
 }
 
@@ -69,14 +69,14 @@
 	r := report(t, `{"time":"2026-12-01T14:00:00Z","level":"DEBUG","msg":"attempt","name":"p1","n":0,"backend":"a","outcome":"ok","took_ms":5}
 {"time":"2026-12-01T14:00:01Z","level":"DEBUG","msg":"call","name":"p1","took_ms":2500,"seq":4,"error":null}
 `)
-	if len(r.Backends) != 1 || r.Backends[0].Served != 1 || r.Seconds[1].Broken != 0 || len(r.News) != 1 {
+	if len(r.Backends) != 1 || r.Backends[0].Served != 1 || r.Seconds[1].FailedCalls != 0 || len(r.ListUpdates) != 1 {
 		t.Errorf("%+v", r)
 	}
 }
 
 // TestOddLines: what is no log line is skipped, and a line whose fields make no sense or whose date is days off is told.
 func TestOddLines(t *testing.T) {
-	var f Fleet
+	var f Aggregator
 	text := "panic: something\n\n{half\n" + log("p1", 0, attempt("a", "ok", 0, 1)) +
 		log("p1", 1, "msg=attempt backend=a outcome=ok n=x took_ms=1") +
 		log("p1", 1, "msg=call seq= error=<nil>") + log("p1", 3e5, attempt("a", "ok", 0, 1))
@@ -84,10 +84,10 @@
 	if err != nil || skipped != 3 {
 		t.Fatalf("skipped %d, %v", skipped, err)
 	}
-	if r := f.Report(); r.Strange != 3 || r.Backends[0].Attempts != 1 || len(r.Seconds) != 2 {
+	if r := f.Report(); r.Malformed != 3 || r.Backends[0].Attempts != 1 || len(r.Seconds) != 2 {
 		t.Errorf("%+v", r)
 	}
-	if r := new(Fleet).Report(); r.Proxies != 0 || r.Seconds != nil {
+	if r := new(Aggregator).Report(); r.Proxies != 0 || r.Seconds != nil {
 		t.Errorf("of nothing: %+v", r)
 	}
 	if _, err := Read(strings.NewReader(strings.Repeat("x", maxLine+1)), f.Add); err == nil {
@@ -99,7 +99,7 @@
 	f.Add(log("p1", 0, attempt("a", "ok", 0, 1)))
 	f.Add(`{"time":"2026-12-01T14:00:00Z","msg":"call","seq":1e300,"error":{}}`)
 	f.Fuzz(func(t *testing.T, text string) {
-		var fleet Fleet
+		var fleet Aggregator
 		Read(strings.NewReader(text), fleet.Add)
 		if r := fleet.Report(); len(r.Seconds) > mostSeconds {
 			t.Errorf("%d seconds", len(r.Seconds))
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -33,7 +33,7 @@
 		},
 		Addresses: map[string]string{"s1": "127.0.0.1:7070"}, Seq: 41, OpenIDs: []string{"a", "b"}, CallerConns: 12,
 		LongestDeadline: 2 * time.Second, LatencyP95: 80 * time.Millisecond,
-		Lists: lists.Carried{Held: []string{"s1"}, LetGo: []time.Duration{time.Second}},
+		Lists: lists.Snapshot{Held: []string{"s1"}, LetGo: []time.Duration{time.Second}},
 	}
 }
 
@@ -124,7 +124,7 @@
 			Write(&b, Message{Kind: kind, State: knowledge()})
 			if version != 1 {
 				// The version is the first field: key 1, and a small number as itself.
-				text := b.Bytes()[sealed.HeadBytes:]
+				text := b.Bytes()[sealed.HeaderBytes:]
 				at := bytes.Index(text, []byte{1, 1})
 				text[at+1] = byte(version)
 				b2 := frame(text)
@@ -172,7 +172,7 @@
 }
 
 func frame(text []byte) []byte {
-	b := make([]byte, sealed.HeadBytes, sealed.HeadBytes+len(text))
+	b := make([]byte, sealed.HeaderBytes, sealed.HeaderBytes+len(text))
 	binary.BigEndian.PutUint32(b, uint32(len(text)))
 	binary.BigEndian.PutUint32(b[4:], crc(text))
 	return append(b, text...)
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -62,7 +62,7 @@
 	// Clock is a reading of the clock that times are of. An earlier version does not say.
 	Clock clock.Reading `cbor:"9,keyasint"`
 	// Lists are the servers of Balancer that the newest list leaves out and that are held. An earlier version does not say.
-	Lists lists.Carried `cbor:"10,keyasint"`
+	Lists lists.Snapshot `cbor:"10,keyasint"`
 }
 
 // Why a message cannot be read.
--- a/internal/host/fleet.go
+++ b/internal/host/fleet.go
@@ -62,7 +62,7 @@
 }
 
 // SetFleetShares sets this proxy's shares of the limits that all proxies have together.
-func (i *Instance) SetFleetShares(p parts.Parts) {
+func (i *Instance) SetFleetShares(p parts.Factors) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if p == i.fleetShares || i.closed {
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -44,8 +44,8 @@
 	agreedBans                 map[string]bool // servers banned by agreement; true once the balancer has suspended them
 	quotaShare                 float64         // the agreed factor on tenants' quotas
 	closed                     bool
-	upgradeShare               float64     // while another process of this proxy runs
-	fleetShares                parts.Parts // of the limits of all proxies
+	upgradeShare               float64       // while another process of this proxy runs
+	fleetShares                parts.Factors // of the limits of all proxies
 
 	timers      *timers
 	work        chan *attempt  // to idle workers
@@ -154,7 +154,7 @@
 		clock: clock.NewSteady(), backends: pool, watch: watch, log: log,
 		requests: map[string]*Request{}, endpoints: map[string]backends.Endpoint{},
 		drainingSince: map[string]time.Duration{}, bannedSince: map[string]time.Duration{}, agreedBans: map[string]bool{}, quotaShare: 1,
-		work: make(chan *attempt), stopping: make(chan struct{}), upgradeShare: 1, fleetShares: parts.Whole,
+		work: make(chan *attempt), stopping: make(chan struct{}), upgradeShare: 1, fleetShares: parts.FullShare,
 	}
 	i.timers = newTimers(i.now, i.timer)
 	var err error
--- a/internal/proxy/begin_test.go
+++ b/internal/proxy/begin_test.go
@@ -20,7 +20,7 @@
 			t.Fatal("the news are never taken in")
 		}
 	}
-	side{g.Proxy}.Begin(disk, 0)
+	side{g.Proxy}.RestoreState(disk, 0)
 	if !g.discovery.Fresh() {
 		return // a list of the disk is not acted on
 	}
--- a/internal/proxy/desk.go
+++ b/internal/proxy/desk.go
@@ -47,7 +47,7 @@
 // Fleet says who else of the fleet is there, as JSON.
 func (d desk) Fleet(ctx context.Context) ([]byte, error) {
 	if d.fleet == nil {
-		return nil, console.ErrNone
+		return nil, console.ErrDisabled
 	}
 	ctx, cancel := context.WithTimeout(ctx, fleetTime)
 	defer cancel()
@@ -71,7 +71,7 @@
 		return named(id, known)
 	}
 	if err := p.kept(ctx, id, out, joined); err != nil {
-		return fmt.Errorf("%w: %w", console.ErrNotKept, err)
+		return fmt.Errorf("%w: %w", console.ErrNotPersisted, err)
 	}
 	return nil
 }
--- a/internal/proxy/lists.go
+++ b/internal/proxy/lists.go
@@ -37,7 +37,7 @@
 	held atomic.Pointer[map[string]bool] // nil for none
 
 	mu      sync.Mutex
-	judge   *lists.Judge
+	judge   *lists.Filter
 	doc     *rules.Document // what was agreed last; nil for nothing
 	looking bool
 }
@@ -45,7 +45,7 @@
 func newKeptLists(ctx context.Context, running *sync.WaitGroup, share float64, h *host.Instance, tell func([]string), log *slog.Logger) *keptLists {
 	k := &keptLists{host: h, tell: tell, log: log, ctx: ctx, running: running, begun: time.Now()}
 	set := lists.DefaultSettings()
-	set.Share = share
+	set.MaxDropShare = share
 	k.judge = lists.New(set, k.mayDrop)
 	return k
 }
@@ -65,7 +65,7 @@
 func (k *keptLists) update(kind balance.ListKind, entries []balance.Entry, addresses map[string]string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	u := k.judge.Take(k.now(), lists.Update{Kind: kind, Entries: entries, Addresses: addresses})
+	u := k.judge.Apply(k.now(), lists.Update{Kind: kind, Entries: entries, Addresses: addresses})
 	k.host.Update(u.Kind, u.Entries, u.Addresses)
 	k.noted()
 }
@@ -78,7 +78,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.doc = doc
-	k.pass(k.judge.Agreed(k.now()))
+	k.pass(k.judge.Reevaluate(k.now()))
 }
 
 // pass passes on what is let go; mu is held.
@@ -130,7 +130,7 @@
 		case <-time.After(askTraffic):
 		}
 		k.mu.Lock()
-		k.pass(k.judge.Gone(k.now(), k.host.Ejected(k.judge.Held())))
+		k.pass(k.judge.SetUnreachable(k.now(), k.host.Ejected(k.judge.Held())))
 		if k.looking = len(k.judge.Held()) > 0; !k.looking {
 			k.mu.Unlock()
 			return
@@ -144,14 +144,14 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	to.Balancer, to.Addresses = k.host.Snapshot()
-	to.Lists = k.judge.Carry(k.now())
+	to.Lists = k.judge.Snapshot(k.now())
 }
 
 // adopt goes on with what the process before holds; it is for one that has taken in no list yet.
 func (k *keptLists) adopt(from *handover.State) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.judge.Adopt(k.now(), from.Lists, inService(from))
+	k.judge.Restore(k.now(), from.Lists, inService(from))
 	k.noted()
 }
 
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -218,7 +218,7 @@
 }
 
 // SetFleet takes in who of the fleet is there: this proxy's part of what all may do together follows from it.
-func (p *Proxy) SetFleet(c parts.Count) {
+func (p *Proxy) SetFleet(c parts.MemberCounts) {
 	p.host.SetFleetShares(parts.Decide(p.settings.Balancer.Instances, c))
 }
 
--- a/internal/proxy/recovery.go
+++ b/internal/proxy/recovery.go
@@ -14,10 +14,10 @@
 // side is the proxy's side of its way back.
 type side struct{ *Proxy }
 
-var _ recovery.Side = side{}
+var _ recovery.Proxy = side{}
 
 // Begin takes up what is known, and begins to follow discovery. Where that is followed already, its list is newer: only the bans are taken up.
-func (s side) Begin(k handover.State, lost time.Duration) {
+func (s side) RestoreState(k handover.State, lost time.Duration) {
 	if s.following.hasBegun() {
 		s.log.Error("recovery: the server list is followed already; of what was known before this start only bans by hand are used")
 		s.host.BanAll(k.Balancer.Banned)
@@ -37,7 +37,7 @@
 
 func (s side) Now() time.Duration { return s.host.Now() }
 
-func (s side) Known() handover.State {
+func (s side) State() handover.State {
 	k := handover.State{Seq: s.discovery.Seq(), LongestDeadline: s.restart.LongestDeadline(), LatencyP95: s.restart.LatencyP95()}
 	k.Balancer, k.Addresses = s.host.SnapshotInBatches()
 	return k
@@ -53,17 +53,17 @@
 	return asked, lost
 }
 
-func (s side) Births() []time.Duration { return s.host.StartTimes() }
-func (s side) Leased() bool            { return s.rules != nil && s.rules.Mode() == accord.Leased }
-func (s side) Banned() []string        { return s.host.Banned() }
-func (s side) Ban(ids []string)        { s.host.BanAll(ids) }
+func (s side) StartTimes() []time.Duration { return s.host.StartTimes() }
+func (s side) Leased() bool                { return s.rules != nil && s.rules.Mode() == accord.Leased }
+func (s side) Banned() []string            { return s.host.Banned() }
+func (s side) Ban(ids []string)            { s.host.BanAll(ids) }
 
 // listed tells the way back of each list that has been taken in.
 func (p *Proxy) listed(update func(balance.ListKind, []balance.Entry, map[string]string)) func(balance.ListKind, []balance.Entry, map[string]string) {
 	return func(kind balance.ListKind, entries []balance.Entry, addresses map[string]string) {
 		update(kind, entries, addresses)
 		if kind != balance.ListFailed && (kind != balance.Delta || len(entries) > 0) {
-			p.recovery.Listed(kind != balance.Cached)
+			p.recovery.ListUpdated(kind != balance.Cached)
 		}
 	}
 }
@@ -78,13 +78,13 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, keepTime)
 	defer cancel()
-	return p.recovery.Keep(ctx, id, out, joined)
+	return p.recovery.PersistBan(ctx, id, out, joined)
 }
 
 // Recovery says how this process has come back, as JSON.
 func (d desk) Recovery(ctx context.Context) ([]byte, error) {
 	if d.recovery == nil {
-		return nil, console.ErrNone
+		return nil, console.ErrDisabled
 	}
 	ctx, cancel := context.WithTimeout(ctx, fleetTime)
 	defer cancel()
--- a/internal/proxy/rules.go
+++ b/internal/proxy/rules.go
@@ -54,7 +54,7 @@
 // Rules says how this process stands in the agreement, as JSON.
 func (d desk) Rules(ctx context.Context) ([]byte, error) {
 	if d.rules == nil {
-		return nil, console.ErrNone
+		return nil, console.ErrDisabled
 	}
 	ctx, cancel := context.WithTimeout(ctx, rulesTime)
 	defer cancel()
@@ -64,17 +64,17 @@
 // Propose has a change agreed: text is a rules.Change in JSON, and the answer a rules.Answer.
 func (d desk) Propose(ctx context.Context, text []byte) ([]byte, error) {
 	if d.rules == nil {
-		return nil, console.ErrNone
+		return nil, console.ErrDisabled
 	}
 	var c rules.Change
 	if err := json.Unmarshal(text, &c); err != nil {
-		return nil, fmt.Errorf("%w: %w", console.ErrBad, err)
+		return nil, fmt.Errorf("%w: %w", console.ErrInvalid, err)
 	}
 	if c.ID == "" {
-		return nil, fmt.Errorf("%w: a change needs an id of its own, so that asking twice is no second change", console.ErrBad)
+		return nil, fmt.Errorf("%w: a change needs an id of its own, so that asking twice is no second change", console.ErrInvalid)
 	}
 	if err := c.Validate(); err != nil {
-		return nil, fmt.Errorf("%w: %w", console.ErrBad, err)
+		return nil, fmt.Errorf("%w: %w", console.ErrInvalid, err)
 	}
 	ctx, cancel := context.WithTimeout(ctx, rulesTime)
 	defer cancel()
@@ -91,7 +91,7 @@
 // Refound has this keeper go on alone, in place of a majority that is lost for good.
 func (d desk) Refound(ctx context.Context) error {
 	if d.rules == nil {
-		return console.ErrNone
+		return console.ErrDisabled
 	}
 	ctx, cancel := context.WithTimeout(ctx, rulesTime)
 	defer cancel()
--- a/internal/recovery/admit_test.go
+++ b/internal/recovery/admit_test.go
@@ -19,12 +19,12 @@
 func admissions(t *testing.T, seed uint64, callers int) (told []admission) {
 	t.Helper()
 	n := Open(Config{
-		Options: Options{Folder: t.TempDir(), Every: time.Minute}, Name: "a", Seed: seed, Classes: []string{"search"},
+		Options: Options{Folder: t.TempDir(), SaveInterval: time.Minute}, Name: "a", Seed: seed, Classes: []string{"search"},
 		Balancer: balance.Settings{RetryAfter: true, WarmUp: time.Second, MaxRetryAfter: time.Second}, Log: slog.New(slog.DiscardHandler),
 	}, nil)
 	defer n.Close()
-	host{n}.Admit([]float64{0.5})
-	defer host{n}.Admit([]float64{0}) // no proxy has begun, so there is nothing to keep on disk
+	host{n}.SetShares([]float64{0.5})
+	defer host{n}.SetShares([]float64{0}) // no proxy has begun, so there is nothing to keep on disk
 	for range callers {
 		in, wait := n.Admit(0)
 		told = append(told, admission{in, wait})
--- a/internal/recovery/demand.go
+++ b/internal/recovery/demand.go
@@ -24,7 +24,7 @@
 	counts := make([]revival.Count, len(t.asked))
 	for i := range counts {
 		asked, lost, turned := t.asked[i]-was.asked[i], t.lost[i]-was.lost[i], t.turned[i]-was.turned[i]
-		counts[i] = revival.Count{Asked: float64(asked), In: float64(max(asked-turned, 0)), Lost: float64(max(lost-turned, 0))}
+		counts[i] = revival.Count{Received: float64(asked), Admitted: float64(max(asked-turned, 0)), Failed: float64(max(lost-turned, 0))}
 	}
 	return counts
 }
@@ -52,7 +52,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for i := range n.demand {
-		rate := counts[i].Asked / past.Seconds()
+		rate := counts[i].Received / past.Seconds()
 		if n.demand[i] == 0 {
 			n.demand[i] = rate
 		}
--- a/internal/recovery/folder.go
+++ b/internal/recovery/folder.go
@@ -14,7 +14,7 @@
 	if !n.plan.Load().ready { // before it has begun, the proxy knows less than the disk
 		return nil
 	}
-	l := &state.Learned{Written: state.Now(), Knowledge: n.side.Known(), Demand: map[string]float64{}}
+	l := &state.Learned{Written: state.Now(), Knowledge: n.side.State(), Demand: map[string]float64{}}
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for i, name := range n.config.Classes {
@@ -25,7 +25,7 @@
 
 // Keep makes a change by hand last, and returns once it is there. joined says that another process of this proxy, which holds the
 // folder, has been told.
-func (n *Node) Keep(ctx context.Context, id string, out, joined bool) error {
+func (n *Node) PersistBan(ctx context.Context, id string, out, joined bool) error {
 	n.mu.Lock()
 	k := n.keeper
 	n.mu.Unlock()
@@ -33,7 +33,7 @@
 		if joined {
 			return nil
 		}
-		return state.ErrNotKept
+		return state.ErrNotPersisted
 	}
 	return k.Ban(ctx, id, out)
 }
@@ -68,12 +68,12 @@
 			}
 		}
 		if err != nil {
-			n.config.Log.Error(LogFound, "what", "bans by hand cannot be written", "error", err)
+			n.config.Log.Error(LogFolder, "what", "bans by hand cannot be written", "error", err)
 		}
 		n.mu.Lock()
-		n.folder, n.keeper = folder, state.Keep(store, n.config.Options.Every, n.learned, n.config.Log)
+		n.folder, n.keeper = folder, state.StartWriter(store, n.config.Options.SaveInterval, n.learned, n.config.Log)
 		n.mu.Unlock()
-		n.config.Log.Info(LogFound, "what", "taken over from the process before")
+		n.config.Log.Info(LogFolder, "what", "taken over from the process before")
 		return
 	}
 }
--- a/internal/recovery/host.go
+++ b/internal/recovery/host.go
@@ -12,7 +12,7 @@
 // host is the core's side of a node; its methods run on the owner.
 type host struct{ *Node }
 
-func (h host) Tell(to string, r *revival.Report) {
+func (h host) SendReport(to string, r *revival.Report) {
 	h.mu.Lock()
 	address := h.addresses[to]
 	h.mu.Unlock()
@@ -24,31 +24,31 @@
 	}
 }
 
-func (h host) Begin(k revival.Kind, ago time.Duration) {
-	begin, lost := revival.Revive(k, h.age, h.found.Bans, h.found.Learned, h.side.Now()-ago, h.config.Instances)
-	var trusted []Trusted
-	for _, b := range revival.Beliefs() {
-		trusted = append(trusted, Trusted{b.String(), revival.Judge(k, h.age, b).String()})
+func (h host) RestoreState(k revival.Kind, ago time.Duration) {
+	begin, lost := revival.InitialState(k, h.age, h.found.Bans, h.found.Learned, h.side.Now()-ago, h.config.Instances)
+	var trusted []ItemTrust
+	for _, b := range revival.StateItems() {
+		trusted = append(trusted, ItemTrust{b.String(), revival.TrustIn(k, h.age, b).String()})
 	}
 	h.mu.Lock()
 	h.trusted = trusted
 	h.mu.Unlock()
 	h.config.Log.Info(LogBegin, "kind", k.String(), "backends", len(begin.Balancer.Servers), "bans", len(begin.Balancer.Banned), "age", ageText(h.found.Learned, h.age))
-	h.side.Begin(begin, lost)
-	h.Listed(false) // the core is at work, and hears of it after this call
+	h.side.RestoreState(begin, lost)
+	h.ListUpdated(false) // the core is at work, and hears of it after this call
 }
 
 func ageText(l *state.Learned, a state.Age) string {
 	switch {
 	case l == nil:
 		return "nothing from before"
-	case a.Most == state.Unknown:
-		return fmt.Sprintf("%v at least", a.Least.Round(time.Second))
+	case a.Max == state.UnknownAge:
+		return fmt.Sprintf("%v at least", a.Min.Round(time.Second))
 	}
-	return a.Most.Round(time.Second).String()
+	return a.Max.Round(time.Second).String()
 }
 
-func (h host) Admit(shares []float64) {
+func (h host) SetShares(shares []float64) {
 	p := &plan{shares: slices.Clone(shares), all: true}
 	for _, s := range shares {
 		p.all = p.all && s >= 1
@@ -61,6 +61,6 @@
 	h.plan.Store(p)
 }
 
-func (h host) Moved(to revival.Step, why string) {
+func (h host) StepChanged(to revival.Step, why string) {
 	h.config.Log.Info(LogStep, "step", to.String(), "why", why, "after", h.now().Round(time.Millisecond).String())
 }
--- a/internal/recovery/node.go
+++ b/internal/recovery/node.go
@@ -20,9 +20,9 @@
 
 // The log's lines, which package rig reads back.
 const (
-	LogStep  = "recovery: step"
-	LogBegin = "recovery: begins"
-	LogFound = "recovery: folder"
+	LogStep   = "recovery: step"
+	LogBegin  = "recovery: begins"
+	LogFolder = "recovery: folder"
 )
 
 const (
@@ -36,17 +36,17 @@
 )
 
 // Side is the proxy's side. Its methods may be called at any time.
-type Side interface {
+type Proxy interface {
 	// Begin takes up what is known. No start of a backend before lost is believed from then on. It is called once.
-	Begin(k handover.State, lost time.Duration)
+	RestoreState(k handover.State, lost time.Duration)
 	// Now is the time of the clock that backends' starts are told in.
 	Now() time.Duration
 	// Known is what this proxy knows now. It may take its time.
-	Known() handover.State
+	State() handover.State
 	// Outcomes are how many requests have come so far, by class, and how many of them were not served.
 	Outcomes() (asked, lost []int64)
 	// Births are when the backends in service were started.
-	Births() []time.Duration
+	StartTimes() []time.Duration
 	// Leased says whether keepers vouch for the agreed rules.
 	Leased() bool
 	// Banned are the backends out by hand.
@@ -57,15 +57,15 @@
 
 // Config is what a node is told.
 type Config struct {
-	Options   Options
-	Name      string
-	Boot      uint64
-	Seed      uint64
-	Instances int
-	Agrees    bool // rules are agreed on
-	Classes   []string
-	Balancer  balance.Settings
-	Log       *slog.Logger
+	Options    Options
+	Name       string
+	InstanceID uint64
+	Seed       uint64
+	Instances  int
+	UsesRules  bool // rules are agreed on
+	Classes    []string
+	Balancer   balance.Settings
+	Log        *slog.Logger
 }
 
 type event func(c *revival.Core, now time.Duration)
@@ -75,7 +75,7 @@
 	config  Config
 	carrier cluster.Carrier // nil for none
 	began   time.Time
-	found   *state.Found
+	found   *state.Contents
 	age     state.Age
 	plan    atomic.Pointer[plan]
 	events  chan event
@@ -85,16 +85,16 @@
 	turned []atomic.Int64
 
 	// Set by Start:
-	side   Side
+	side   Proxy
 	core   *revival.Core // the owner's
 	joined bool          // it goes on where a running process is
 
 	mu        sync.Mutex
 	folder    *state.Folder
-	keeper    *state.Keeper
+	keeper    *state.Writer
 	waiting   bool // for a folder that another process holds
 	addresses map[string]string
-	trusted   []Trusted
+	trusted   []ItemTrust
 	demand    []float64
 
 	ctx     context.Context
@@ -104,7 +104,7 @@
 
 // Open reads the folder. Nothing in it, and no fault of it, keeps a proxy from starting.
 func Open(c Config, carrier cluster.Carrier) *Node {
-	n := &Node{config: c, carrier: carrier, began: time.Now(), found: &state.Found{}, events: make(chan event, mostWaiting), dice: newDice(c.Seed), demand: make([]float64, len(c.Classes)), turned: make([]atomic.Int64, len(c.Classes))}
+	n := &Node{config: c, carrier: carrier, began: time.Now(), found: &state.Contents{}, events: make(chan event, mostWaiting), dice: newDice(c.Seed), demand: make([]float64, len(c.Classes)), turned: make([]atomic.Int64, len(c.Classes))}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	first := &plan{shares: make([]float64, len(c.Classes))}
 	if c.Balancer.RetryAfter {
@@ -113,42 +113,42 @@
 	n.plan.Store(first)
 	folder, err := state.OpenFolder(c.Options.Folder)
 	if err != nil {
-		n.waiting = errors.Is(err, state.ErrHeld)
+		n.waiting = errors.Is(err, state.ErrLocked)
 		if n.waiting {
-			c.Log.Info(LogFound, "what", "is held by another process, and taken once that lets go of it; until then bans by hand do not last", "error", err)
+			c.Log.Info(LogFolder, "what", "is held by another process, and taken once that lets go of it; until then bans by hand do not last", "error", err)
 		} else {
-			c.Log.Error(LogFound, "what", "cannot be used; this start knows nothing of before, and bans by hand will not last", "error", err)
+			c.Log.Error(LogFolder, "what", "cannot be used; this start knows nothing of before, and bans by hand will not last", "error", err)
 		}
 		return n
 	}
 	n.folder = folder
 	store, found := state.Open(folder, c.Name)
 	n.found = found
-	for _, t := range found.Trouble {
-		c.Log.Warn(LogFound, "what", t)
+	for _, t := range found.Problems {
+		c.Log.Warn(LogFolder, "what", t)
 	}
-	n.age = state.Age{Most: state.Unknown}
+	n.age = state.Age{Max: state.UnknownAge}
 	if found.Learned != nil {
-		n.age = state.Since(found.Learned.Written, state.Now())
+		n.age = state.AgeOf(found.Learned.Written, state.Now())
 	}
-	n.keeper = state.Keep(store, c.Options.Every, n.learned, c.Log)
+	n.keeper = state.StartWriter(store, c.Options.SaveInterval, n.learned, c.Log)
 	return n
 }
 
 // Start begins the way back of a proxy. joined says that it goes on where a running process is, so there is no way to go.
-func (n *Node) Start(side Side, joined bool) {
+func (n *Node) Start(side Proxy, joined bool) {
 	n.side = side
 	c := &n.config
 	s := revival.Settings{
-		Name: c.Name, Boot: c.Boot, Alone: n.carrier == nil || c.Instances == 1, Agrees: c.Agrees, Of: c.Instances,
-		ColdFrom: c.Balancer.ColdCapacity, WarmUp: c.Balancer.WarmUp, Times: revival.DefaultTimes(),
+		Name: c.Name, InstanceID: c.InstanceID, Standalone: n.carrier == nil || c.Instances == 1, UsesRules: c.UsesRules, FleetSize: c.Instances,
+		ColdCapacity: c.Balancer.ColdCapacity, WarmUp: c.Balancer.WarmUp, Times: revival.DefaultTimes(),
 	}
-	s.Times.Young = c.Options.Young
+	s.Times.JustStarted = c.Options.JustStarted
 	for i, name := range c.Classes {
-		s.Classes = append(s.Classes, revival.Class{Name: name, Worth: c.Balancer.Classes[i].Value})
+		s.Classes = append(s.Classes, revival.Class{Name: name, Value: c.Balancer.Classes[i].Value})
 	}
 	if l := n.found.Learned; l != nil {
-		s.Same = l.Written.Machine != "" && l.Written.Machine == state.Now().Machine
+		s.SameMachineBoot = l.Written.Machine != "" && l.Written.Machine == state.Now().Machine
 		for _, name := range c.Classes {
 			s.Demand = append(s.Demand, l.Demand[name])
 		}
@@ -194,16 +194,16 @@
 		}
 		now := n.now()
 		if n.side.Leased() {
-			n.core.Leased(now)
+			n.core.SetLeased(now)
 		}
 		tally := n.tally()
-		n.core.Counted(now, tally.since(counted))
+		n.core.AddCounts(now, tally.since(counted))
 		counted = tally
 		if past := now - measured; past >= time.Second {
 			n.demanded(tally.since(asked), past)
 			measured, asked = now, tally
 		}
-		n.core.Wake(now)
+		n.core.Tick(now)
 	}
 }
 
@@ -213,7 +213,7 @@
 		n.config.Log.Debug("recovery: a message is dropped", "error", err)
 		return
 	}
-	n.event(func(c *revival.Core, now time.Duration) { c.Heard(now, r) })
+	n.event(func(c *revival.Core, now time.Duration) { c.ReceiveReport(now, r) })
 }
 
 func (n *Node) event(e event) {
@@ -232,13 +232,13 @@
 }
 
 // Listed says that a list has come from discovery, or from before; it must not be called with the proxy's locks held.
-func (n *Node) Listed(fresh bool) {
-	births := n.side.Births()
+func (n *Node) ListUpdated(fresh bool) {
+	births := n.side.StartTimes()
 	ahead := n.now() - n.side.Now() // of the core's clock
 	for i := range births {
 		births[i] += ahead
 	}
-	n.event(func(c *revival.Core, now time.Duration) { c.Listed(now, fresh, births) })
+	n.event(func(c *revival.Core, now time.Duration) { c.SetList(now, fresh, births) })
 }
 
 // Close ends the way back, writes what is known a last time and lets go of the folder.
--- a/internal/recovery/options.go
+++ b/internal/recovery/options.go
@@ -8,15 +8,17 @@
 
 // Options are what an operator may set about recovery.
 type Options struct {
-	On bool // the file has the section
+	Enabled bool // the file has the section
 
-	Folder string
-	Every  time.Duration
-	Young  time.Duration
+	Folder       string
+	SaveInterval time.Duration
+	JustStarted  time.Duration
 }
 
 // DefaultOptions hold where the file has the section and leaves a key out.
-func DefaultOptions() Options { return Options{Every: 5 * time.Second, Young: time.Minute} }
+func DefaultOptions() Options {
+	return Options{SaveInterval: 5 * time.Second, JustStarted: time.Minute}
+}
 
 // Section describes the options to the operator file.
 func (o *Options) Section() operator.Section {
@@ -24,11 +26,11 @@
 		Name:    "recovery",
 		Doc:     "What this proxy knows lasts, and a start tells a restart of one from a return of all after a power loss.",
 		Absent:  "a start knows nothing of before, and lets all callers in as soon as there is a list.",
-		Present: &o.On,
+		Present: &o.Enabled,
 		Keys: []operator.Key{
 			operator.Path("folder", &o.Folder, "A folder that lasts, of this proxy alone; that of [fleet] will do. Backends out by hand are in it before their yes. It never keeps the proxy from starting or serving.").MustBeSet(),
-			operator.Duration("every", &o.Every, time.Second, time.Hour, "Between two writes of what was learned: times, health, the list. A start goes on from the last."),
-			operator.Duration("young", &o.Young, time.Second, time.Hour, "How long a proxy counts as just started. Where most that can be asked have just started, it is a return of all: every backend counts as cold, and classes are let in by worth as they get warm."),
+			operator.Duration("every", &o.SaveInterval, time.Second, time.Hour, "Between two writes of what was learned: times, health, the list. A start goes on from the last."),
+			operator.Duration("young", &o.JustStarted, time.Second, time.Hour, "How long a proxy counts as just started. Where most that can be asked have just started, it is a return of all: every backend counts as cold, and classes are let in by worth as they get warm."),
 		},
 	}
 }
--- a/internal/recovery/report.go
+++ b/internal/recovery/report.go
@@ -15,28 +15,28 @@
 )
 
 // Trusted is what became of one thing that was known before.
-type Trusted struct {
-	What string `json:"what"`
-	How  string `json:"how"`
+type ItemTrust struct {
+	Item  string `json:"what"`
+	Trust string `json:"how"`
 }
 
 // Report is how a proxy has come back, as operators read it.
 type Report struct {
-	Name    string             `json:"name"`
-	Step    string             `json:"step"`
-	Kind    string             `json:"kind"`
-	Why     string             `json:"why"`
-	ForS    float64            `json:"for_s"`
-	UntilS  float64            `json:"until_s"` // at the latest; 0 where nothing is waited for
-	Level   float64            `json:"level"`   // what the backends can do by now
-	Shares  map[string]float64 `json:"shares"`  // of each class that is let in
-	Young   int                `json:"young"`
-	Old     int                `json:"old"`
-	Age     string             `json:"age"`
-	Bans    int                `json:"bans"` // found on disk
-	Trusted []Trusted          `json:"trusted,omitempty"`
-	Disk    state.Figures      `json:"disk"`
-	Trouble []string           `json:"trouble,omitempty"`
+	Name        string             `json:"name"`
+	Step        string             `json:"step"`
+	Kind        string             `json:"kind"`
+	Why         string             `json:"why"`
+	ForS        float64            `json:"for_s"`
+	UntilS      float64            `json:"until_s"` // at the latest; 0 where nothing is waited for
+	Capacity    float64            `json:"level"`   // what the backends can do by now
+	Shares      map[string]float64 `json:"shares"`  // of each class that is let in
+	JustStarted int                `json:"young"`
+	Running     int                `json:"old"`
+	Age         string             `json:"age"`
+	Bans        int                `json:"bans"` // found on disk
+	Trusted     []ItemTrust        `json:"trusted,omitempty"`
+	Disk        state.Stats        `json:"disk"`
+	Problems    []string           `json:"trouble,omitempty"`
 }
 
 // ErrNoAnswer is that of a question to a process that ends.
@@ -45,7 +45,7 @@
 // Status says how far this proxy has come back, as JSON.
 func (n *Node) Status(ctx context.Context) ([]byte, error) {
 	p := n.plan.Load()
-	r := Report{Name: n.config.Name, Step: revival.Done.String(), Kind: "upgrade", Shares: map[string]float64{}, Age: ageText(n.found.Learned, n.age), Bans: len(n.found.Bans), Trouble: n.found.Trouble}
+	r := Report{Name: n.config.Name, Step: revival.Done.String(), Kind: "upgrade", Shares: map[string]float64{}, Age: ageText(n.found.Learned, n.age), Bans: len(n.found.Bans), Problems: n.found.Problems}
 	for i, name := range n.config.Classes {
 		r.Shares[name] = p.shares[i]
 	}
@@ -58,8 +58,8 @@
 		}
 		select {
 		case s := <-got:
-			r.Step, r.Kind, r.Why, r.ForS, r.UntilS = s.Step.String(), s.Kind.String(), s.Why, s.For.Seconds(), s.Until.Seconds()
-			r.Level, r.Young, r.Old = s.Level, s.Young, s.Old
+			r.Step, r.Kind, r.Why, r.ForS, r.UntilS = s.Step.String(), s.Kind.String(), s.Why, s.InStep.Seconds(), s.MaxRemaining.Seconds()
+			r.Capacity, r.JustStarted, r.Running = s.Capacity, s.JustStarted, s.Running
 		case <-ctx.Done():
 			return nil, ErrNoAnswer
 		case <-n.ctx.Done():
@@ -71,9 +71,9 @@
 	k := n.keeper
 	n.mu.Unlock()
 	if k == nil {
-		r.Trouble = append(slices.Clone(r.Trouble), "the folder is not held: bans by hand will not last")
-	} else if r.Disk = k.Figures(); r.Disk.Trouble != "" {
-		r.Trouble = append(slices.Clone(r.Trouble), "the folder cannot be written: "+r.Disk.Trouble)
+		r.Problems = append(slices.Clone(r.Problems), "the folder is not held: bans by hand will not last")
+	} else if r.Disk = k.Stats(); r.Disk.Problem != "" {
+		r.Problems = append(slices.Clone(r.Problems), "the folder cannot be written: "+r.Disk.Problem)
 	}
 	return json.Marshal(r)
 }
@@ -95,10 +95,10 @@
 		fmt.Fprintf(&b, ", %.1f s more at most", r.UntilS)
 	}
 	fmt.Fprintf(&b, "\nwhy: %s\n", r.Why)
-	for _, t := range r.Trouble {
+	for _, t := range r.Problems {
 		fmt.Fprintf(&b, "TROUBLE: %s\n", t)
 	}
-	fmt.Fprintf(&b, "others: %d have just started, %d run on; backends can do %.0f%% by now\n", r.Young, r.Old, 100*min(r.Level, 1))
+	fmt.Fprintf(&b, "others: %d have just started, %d run on; backends can do %.0f%% by now\n", r.JustStarted, r.Running, 100*min(r.Capacity, 1))
 	names := make([]string, 0, len(r.Shares))
 	for name := range r.Shares {
 		names = append(names, name)
@@ -109,7 +109,7 @@
 	}
 	fmt.Fprintf(&b, "from before: %s, %d backends out by hand\n", r.Age, r.Bans)
 	for _, t := range r.Trusted {
-		fmt.Fprintf(&b, "  %-26s %s\n", t.What, t.How)
+		fmt.Fprintf(&b, "  %-26s %s\n", t.Item, t.Trust)
 	}
 	return b.String()
 }
@@ -126,7 +126,7 @@
 	k := n.keeper
 	n.mu.Unlock()
 	if k != nil {
-		f := k.Figures()
+		f := k.Stats()
 		text = figures.AppendLine(text, "state_saves", f.Saves, 'c')
 		text = figures.AppendLine(text, "state_failures", f.Failures, 'c')
 	}
--- a/internal/rig/recovery_test.go
+++ b/internal/rig/recovery_test.go
@@ -79,15 +79,15 @@
 	all := []string{"n1", "n2", "n3", "n4", "n5"}
 	for round, act := range []string{"suspend", "resume", "suspend"} {
 		for _, m := range all {
-			back(t, r, m, revival.Done, revival.Opening)
+			back(t, r, m, revival.Done, revival.Admitting)
 		}
 		if code, text, err := r.Tell(t.Context(), "n2", "/v1/backends/node-01/"+act, ""); err != nil || code != http.StatusOK {
 			t.Fatalf("round %d: %d, %v: %s", round, code, err, text)
 		}
 		power(t, r, all)
 		for _, m := range all {
-			got := back(t, r, m, revival.Opening, revival.Done)
-			if got.Kind != revival.Return.String() {
+			got := back(t, r, m, revival.Admitting, revival.Done)
+			if got.Kind != revival.FleetRestart.String() {
 				t.Errorf("round %d: %s takes the loss of all for a %s: %s", round, m, got.Kind, got.Why)
 			}
 			if want := map[bool]int{true: 1}[m == "n2" && act == "suspend"]; got.Bans != want {
@@ -141,7 +141,7 @@
 func TestAloneWithNothing(t *testing.T) {
 	t.Parallel()
 	r, end := loaded(t, 1)
-	back(t, r, "n1", revival.Opening, revival.Done)
+	back(t, r, "n1", revival.Admitting, revival.Done)
 	waitReady(t, r, "n1")
 	r.Sent("node-00")
 	for until := time.Now().Add(20 * time.Second); r.Sent("node-00")+r.Sent("node-01") == 0; time.Sleep(10 * time.Millisecond) {
@@ -191,7 +191,7 @@
 		}
 	}
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
-		if got := cameBack(t, r, "n2"); got != nil && len(got.Trouble) == 0 { // nil while the process does not answer
+		if got := cameBack(t, r, "n2"); got != nil && len(got.Problems) == 0 { // nil while the process does not answer
 			break
 		}
 		if time.Now().After(end) {
@@ -200,7 +200,7 @@
 	}
 	say("n2", "node-01")
 	power(t, r, []string{"n2"})
-	if got := back(t, r, "n2", revival.Opening, revival.Done); got.Bans != 2 {
+	if got := back(t, r, "n2", revival.Admitting, revival.Done); got.Bans != 2 {
 		t.Errorf("%d bans after an upgrade and a loss: %+v", got.Bans, got)
 	}
 
@@ -221,8 +221,8 @@
 		}
 	}
 	for _, m := range broken {
-		got := back(t, r, m, revival.Opening, revival.Done)
-		if told := strings.Join(got.Trouble, "\n"); got.Bans != 0 || !strings.Contains(told, "put aside") {
+		got := back(t, r, m, revival.Admitting, revival.Done)
+		if told := strings.Join(got.Problems, "\n"); got.Bans != 0 || !strings.Contains(told, "put aside") {
 			t.Errorf("%s with a file that is not its own: %d bans, %q", m, got.Bans, told)
 		}
 	}
--- a/internal/sealed/sealed.go
+++ b/internal/sealed/sealed.go
@@ -11,7 +11,7 @@
 )
 
 // HeadBytes stand before each piece.
-const HeadBytes = 8
+const HeaderBytes = 8
 
 // Why a piece cannot be read.
 var (
@@ -23,7 +23,7 @@
 
 // Append adds a piece to text.
 func Append(text, piece []byte) []byte {
-	var head [HeadBytes]byte
+	var head [HeaderBytes]byte
 	binary.BigEndian.PutUint32(head[:], uint32(len(piece)))
 	binary.BigEndian.PutUint32(head[4:], crc32.Checksum(piece, castagnoli))
 	return append(append(text, head[:]...), piece...)
@@ -31,14 +31,14 @@
 
 // Write writes a piece with one call.
 func Write(w io.Writer, piece []byte) error {
-	_, err := w.Write(Append(make([]byte, 0, HeadBytes+len(piece)), piece))
+	_, err := w.Write(Append(make([]byte, 0, HeaderBytes+len(piece)), piece))
 	return err
 }
 
 // Read reads a piece of at most so many bytes. Memory is taken as the bytes come, not as they are announced. At a clean end the
 // error is io.EOF, and within a piece io.ErrUnexpectedEOF.
 func Read(r io.Reader, most int) ([]byte, error) {
-	var head [HeadBytes]byte
+	var head [HeaderBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return nil, err
 	}
--- a/internal/state/crashfs/crashfs.go
+++ b/internal/state/crashfs/crashfs.go
@@ -16,7 +16,7 @@
 )
 
 // ErrPower is that of every call once the power is gone.
-var ErrPower = errors.New("crashfs: the power is gone")
+var ErrPowerLost = errors.New("crashfs: the power is gone")
 
 type inode struct {
 	durable, now []byte
@@ -64,7 +64,7 @@
 }
 
 // Off says whether the power is gone.
-func (f *FS) Off() bool {
+func (f *FS) PoweredOff() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.off
@@ -125,12 +125,12 @@
 // begin counts a call that changes something; dying says that the power is lost within it.
 func (f *FS) begin() (dying bool, err error) {
 	if f.off {
-		return false, ErrPower
+		return false, ErrPowerLost
 	}
 	f.calls++
 	if f.calls == f.offAt {
 		f.off = true
-		return true, ErrPower
+		return true, ErrPowerLost
 	}
 	return false, f.fail
 }
@@ -140,7 +140,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.off {
-		return nil, ErrPower
+		return nil, ErrPowerLost
 	}
 	n := f.names[name]
 	if n == nil {
@@ -175,7 +175,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.off {
-		return nil, ErrPower
+		return nil, ErrPowerLost
 	}
 	n := f.names[name]
 	if n == nil {
--- a/internal/state/files.go
+++ b/internal/state/files.go
@@ -47,7 +47,7 @@
 const lockFile = "lock"
 
 // ErrHeld is that of a folder which another process holds.
-var ErrHeld = errors.New("another process holds the folder: is a second proxy set to it, or an upgrade under way?")
+var ErrLocked = errors.New("another process holds the folder: is a second proxy set to it, or an upgrade under way?")
 
 // OpenFolder makes a folder if it is not there, and holds it until Close.
 func OpenFolder(path string) (*Folder, error) {
@@ -61,7 +61,7 @@
 	if err := unix.Flock(int(lock.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
 		lock.Close()
 		if errors.Is(err, unix.EWOULDBLOCK) {
-			err = ErrHeld
+			err = ErrLocked
 		}
 		return nil, fmt.Errorf("state: %s: %w", path, err)
 	}
--- a/internal/state/keeper.go
+++ b/internal/state/keeper.go
@@ -21,10 +21,10 @@
 )
 
 // ErrNotKept is that of a change by hand that holds in this process, and may be gone after a power loss.
-var ErrNotKept = errors.New("it holds here, and is not on disk: after a power loss it would be gone. See the log for the folder")
+var ErrNotPersisted = errors.New("it holds here, and is not on disk: after a power loss it would be gone. See the log for the folder")
 
 // Keeper keeps a proxy's state from a goroutine of its own. What serves never waits for it. Its methods may be called at any time.
-type Keeper struct {
+type Writer struct {
 	every   time.Duration
 	learn   func(context.Context) *Learned // what is known now; nil for nothing new
 	log     *slog.Logger
@@ -34,7 +34,7 @@
 	running sync.WaitGroup
 
 	mu      sync.Mutex
-	figures Figures
+	figures Stats
 }
 
 type ask struct {
@@ -44,18 +44,18 @@
 }
 
 // Figures are what a keeper has done.
-type Figures struct {
+type Stats struct {
 	Saves    int64         `json:"saves"`
 	Changes  int64         `json:"changes"`
 	Failures int64         `json:"failures"`
 	Slowest  time.Duration `json:"slowest_ns"` // the longest that the disk has taken for one thing
-	Trouble  string        `json:"trouble"`    // what is wrong with the folder now; "" for nothing
+	Problem  string        `json:"trouble"`    // what is wrong with the folder now; "" for nothing
 	SavedAt  time.Time     `json:"saved_at"`
 }
 
 // Keep begins to keep a folder. learn is called from the keeper's goroutine; it may take its time.
-func Keep(s *Store, every time.Duration, learn func(context.Context) *Learned, log *slog.Logger) *Keeper {
-	k := &Keeper{every: every, learn: learn, log: log, changes: make(chan ask, mostWaiting)}
+func StartWriter(s *Store, every time.Duration, learn func(context.Context) *Learned, log *slog.Logger) *Writer {
+	k := &Writer{every: every, learn: learn, log: log, changes: make(chan ask, mostWaiting)}
 	k.ctx, k.cancel = context.WithCancel(context.Background())
 	k.running.Go(func() {
 		defer s.Close()
@@ -66,26 +66,26 @@
 
 // Ban makes a change by hand last. It returns without an error once that is on disk, and with one if that could not be, or not
 // before ctx is done.
-func (k *Keeper) Ban(ctx context.Context, id string, out bool) error {
+func (k *Writer) Ban(ctx context.Context, id string, out bool) error {
 	a := ask{id, out, make(chan error, 1)}
 	select {
 	case k.changes <- a:
 	default:
-		return ErrNotKept // the disk stands
+		return ErrNotPersisted // the disk stands
 	}
 	select {
 	case err := <-a.done:
 		if err != nil {
-			return errors.Join(ErrNotKept, err)
+			return errors.Join(ErrNotPersisted, err)
 		}
 		return nil
 	case <-ctx.Done():
 	case <-k.ctx.Done():
 	}
-	return ErrNotKept
+	return ErrNotPersisted
 }
 
-func (k *Keeper) own(s *Store) {
+func (k *Writer) own(s *Store) {
 	timer := time.NewTimer(k.every)
 	defer timer.Stop()
 	for {
@@ -96,7 +96,7 @@
 		case a := <-k.changes:
 			begun := time.Now()
 			err := s.Ban(a.id, a.out)
-			k.noted(begun, err, func(f *Figures) { f.Changes++ })
+			k.noted(begun, err, func(f *Stats) { f.Changes++ })
 			a.done <- err
 		case <-timer.C:
 			wait := k.every
@@ -108,30 +108,30 @@
 	}
 }
 
-func (k *Keeper) save(s *Store) bool {
+func (k *Writer) save(s *Store) bool {
 	l := k.learn(k.ctx)
 	if l == nil {
 		return true
 	}
 	begun := time.Now()
 	err := s.Save(l)
-	k.noted(begun, err, func(f *Figures) { f.Saves++; f.SavedAt = time.Now() })
+	k.noted(begun, err, func(f *Stats) { f.Saves++; f.SavedAt = time.Now() })
 	return err == nil
 }
 
 // noted takes down what became of one thing, and tells people where that has changed.
-func (k *Keeper) noted(begun time.Time, err error, count func(*Figures)) {
+func (k *Writer) noted(begun time.Time, err error, count func(*Stats)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	f := &k.figures
 	f.Slowest = max(f.Slowest, time.Since(begun))
-	was := f.Trouble
+	was := f.Problem
 	if err != nil {
 		f.Failures++
-		f.Trouble = err.Error()
+		f.Problem = err.Error()
 	} else {
 		count(f)
-		f.Trouble = ""
+		f.Problem = ""
 	}
 	switch {
 	case was == "" && err != nil:
@@ -142,7 +142,7 @@
 }
 
 // Figures are what has been done so far.
-func (k *Keeper) Figures() Figures {
+func (k *Writer) Stats() Stats {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.figures
@@ -150,7 +150,7 @@
 
 // Close saves a last time and lets go of the folder. It does not wait for a disk that stands for longer than closeTime: a process
 // that is to end must. The goroutine then ends with its call.
-func (k *Keeper) Close() {
+func (k *Writer) Close() {
 	k.cancel()
 	ended := make(chan struct{})
 	go func() {
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -35,9 +35,9 @@
 	// form is that of both files. A later one is not read; there is no earlier one.
 	form = 1
 	// MostBans ids are kept.
-	MostBans = 4096
+	MaxBans = 4096
 	// MostID is the longest, in bytes.
-	MostID = 256
+	MaxIDBytes = 256
 	// mostLearned and mostChange bound a file's pieces, in bytes.
 	mostLearned = 64 << 20
 	mostChange  = 4 << 20
@@ -63,22 +63,22 @@
 // Age is how long ago something was written.
 type Age struct {
 	// Least and Most bound it. Most is Unknown where no clock can be believed: after a power loss a machine's clock may be years off.
-	Least, Most time.Duration
+	Min, Max time.Duration
 }
 
 // Unknown is longer than any age.
-const Unknown = time.Duration(1<<63 - 1)
+const UnknownAge = time.Duration(1<<63 - 1)
 
 // Since is how old something is now. Within one start of the machine that is exact. Across starts at least the time since this
 // start has passed; the wall clock's word is taken for the most only where it is possible.
-func Since(written, now Stamp) Age {
+func AgeOf(written, now Stamp) Age {
 	if written.Machine != "" && written.Machine == now.Machine && now.Running >= written.Running {
 		d := now.Running - written.Running
 		return Age{d, d}
 	}
-	a := Age{Least: now.Running, Most: Unknown}
-	if wall := now.Wall - written.Wall; wall >= a.Least && written.Wall > 0 {
-		a.Most = wall
+	a := Age{Min: now.Running, Max: UnknownAge}
+	if wall := now.Wall - written.Wall; wall >= a.Min && written.Wall > 0 {
+		a.Max = wall
 	}
 	return a
 }
@@ -101,11 +101,11 @@
 }
 
 // Found is what a folder held at a start.
-type Found struct {
+type Contents struct {
 	Bans    []string // in order
 	Learned *Learned // nil for none
 	// Trouble is what was not as it should be, for people; what was put aside is named.
-	Trouble []string
+	Problems []string
 }
 
 var reading = strict.CBOR(cbor.DecOptions{MaxArrayElements: 1 << 17, MaxMapPairs: 1 << 17, MaxNestedLevels: 16})
@@ -121,16 +121,16 @@
 
 // Open reads a folder's files and mends what it can. It does not fail: where the folder cannot be read or written, Found says so
 // and each write does.
-func Open(files FS, name string) (*Store, *Found) {
+func Open(files FS, name string) (*Store, *Contents) {
 	s := &Store{files: files, own: Owner{form, name}, bans: map[string]bool{}}
-	f := &Found{}
+	f := &Contents{}
 	s.openBans(f)
 	f.Bans = slices.Sorted(maps.Keys(s.bans))
 	s.openLearned(f)
 	return s, f
 }
 
-func (s *Store) openBans(f *Found) {
+func (s *Store) openBans(f *Contents) {
 	text, err := s.files.ReadFile(bansFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		return
@@ -204,7 +204,7 @@
 			}
 		}
 		if err == nil {
-			at += sealed.HeadBytes + len(piece)
+			at += sealed.HeaderBytes + len(piece)
 			if !broken {
 				whole = at
 			}
@@ -231,9 +231,9 @@
 
 // nextPiece looks for a whole piece from a place on; the end of text if there is none. budget is how much may still be hashed.
 func nextPiece(text []byte, from int, budget *int) int {
-	for ; from+sealed.HeadBytes < len(text) && *budget > 0; from++ {
+	for ; from+sealed.HeaderBytes < len(text) && *budget > 0; from++ {
 		length := int(binary.BigEndian.Uint32(text[from:]))
-		if length == 0 || length > mostSaved || length > len(text)-from-sealed.HeadBytes {
+		if length == 0 || length > mostSaved || length > len(text)-from-sealed.HeaderBytes {
 			continue
 		}
 		*budget -= length
@@ -244,7 +244,7 @@
 	return len(text)
 }
 
-func (s *Store) openLearned(f *Found) {
+func (s *Store) openLearned(f *Contents) {
 	text, err := s.files.ReadFile(learnedFile)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
@@ -283,12 +283,12 @@
 	return l, nil
 }
 
-func (f *Found) tell(format string, a ...any) {
-	f.Trouble = append(f.Trouble, fmt.Sprintf(format, a...))
+func (f *Contents) tell(format string, a ...any) {
+	f.Problems = append(f.Problems, fmt.Sprintf(format, a...))
 }
 
 // aside puts a file that is not to be used under another name.
-func (s *Store) aside(f *Found, name string, why error) {
+func (s *Store) aside(f *Contents, name string, why error) {
 	names, err := s.files.Names()
 	if err != nil {
 		f.tell("%s is not used (%v), and cannot be put aside: %v", name, why, err)
@@ -313,10 +313,10 @@
 // Ban makes a change by hand last. Once it has returned without an error it is there after a power loss. After an error it may be or
 // not, and the next change writes all anew.
 func (s *Store) Ban(id string, out bool) error {
-	if len(id) > MostID {
-		return fmt.Errorf("state: an id of %d bytes; %d at most", len(id), MostID)
+	if len(id) > MaxIDBytes {
+		return fmt.Errorf("state: an id of %d bytes; %d at most", len(id), MaxIDBytes)
 	}
-	if out && !s.bans[id] && len(s.bans) >= MostBans {
+	if out && !s.bans[id] && len(s.bans) >= MaxBans {
 		return fmt.Errorf("state: %d backends are out; no more are kept", len(s.bans))
 	}
 	was := s.bans[id]
@@ -411,7 +411,7 @@
 	if len(text) > mostLearned {
 		return fmt.Errorf("state: %d bytes of what was learned; %d at most", len(text), mostLearned)
 	}
-	if err := s.replace(learnedFile, sealed.Append(make([]byte, 0, sealed.HeadBytes+len(text)), text)); err != nil {
+	if err := s.replace(learnedFile, sealed.Append(make([]byte, 0, sealed.HeaderBytes+len(text)), text)); err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
 	return nil
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -47,7 +47,7 @@
 		l.bans[id] = true
 	}
 	clear(l.doubt)
-	for !disk.Off() {
+	for !disk.PoweredOff() {
 		if dice.IntN(4) == 0 {
 			l.tried++
 			if s.Save(learned(l.tried)) == nil {
@@ -70,21 +70,21 @@
 }
 
 // check holds what a start finds against what was acknowledged.
-func (l *life) check(t *testing.T, f *state.Found) {
+func (l *life) check(t *testing.T, f *state.Contents) {
 	t.Helper()
 	for i := range 6 {
 		id := fmt.Sprint("b", i)
 		if has := slices.Contains(f.Bans, id); has != l.bans[id] && !l.doubt[id] {
-			t.Fatalf("%s: out is %v, and %v was acknowledged; %q", id, has, l.bans[id], f.Trouble)
+			t.Fatalf("%s: out is %v, and %v was acknowledged; %q", id, has, l.bans[id], f.Problems)
 		}
 	}
 	switch got := f.Learned; {
 	case got == nil && l.saved > 0:
-		t.Fatalf("what was saved as %d is gone: %q", l.saved, f.Trouble)
+		t.Fatalf("what was saved as %d is gone: %q", l.saved, f.Problems)
 	case got != nil && (got.Knowledge.Seq < int64(l.saved) || got.Knowledge.Seq > int64(l.tried) || len(got.Knowledge.Addresses) != 3):
 		t.Fatalf("learned %d, of %d saved and %d tried", got.Knowledge.Seq, l.saved, l.tried)
 	}
-	for _, trouble := range f.Trouble {
+	for _, trouble := range f.Problems {
 		if !strings.Contains(trouble, "torn") {
 			t.Fatalf("a power loss alone is told as %q", trouble)
 		}
@@ -176,7 +176,7 @@
 	s.Ban("d", true)
 	disk.Restore()
 	if _, f := state.Open(disk, "n1"); !slices.Equal(f.Bans, []string{"a", "b", "c"}) && !slices.Equal(f.Bans, []string{"a", "b", "c", "d"}) {
-		t.Errorf("%q; %q", f.Bans, f.Trouble)
+		t.Errorf("%q; %q", f.Bans, f.Problems)
 	}
 }
 
@@ -224,16 +224,16 @@
 			disk.Put("learned", c.learned)
 			s, f := state.Open(disk, "n1")
 			if len(f.Bans) < c.least || (f.Learned != nil) != c.knows {
-				t.Errorf("%q; learned %v; %q", f.Bans, f.Learned != nil, f.Trouble)
+				t.Errorf("%q; learned %v; %q", f.Bans, f.Learned != nil, f.Problems)
 			}
-			if told := strings.Join(f.Trouble, "\n"); !strings.Contains(told, c.told) || c.told == "" && told != "" {
+			if told := strings.Join(f.Problems, "\n"); !strings.Contains(told, c.told) || c.told == "" && told != "" {
 				t.Errorf("told %q; wanted %q", told, c.told)
 			}
 			if err := s.Ban("new", true); err != nil {
 				t.Error(err)
 			}
-			if _, again := state.Open(disk, "n1"); !slices.Contains(again.Bans, "new") || len(again.Bans) != len(f.Bans)+1 || len(again.Trouble) > 0 {
-				t.Errorf("after it: %q, %q", again.Bans, again.Trouble)
+			if _, again := state.Open(disk, "n1"); !slices.Contains(again.Bans, "new") || len(again.Bans) != len(f.Bans)+1 || len(again.Problems) > 0 {
+				t.Errorf("after it: %q, %q", again.Bans, again.Problems)
 			}
 		})
 	}
@@ -242,7 +242,7 @@
 func TestBoundsOfBans(t *testing.T) {
 	disk := crashfs.New(1)
 	s, _ := state.Open(disk, "n1")
-	for i := range state.MostBans {
+	for i := range state.MaxBans {
 		if err := s.Ban(fmt.Sprint(i), true); err != nil {
 			t.Fatal(err)
 		}
@@ -250,14 +250,14 @@
 	if err := s.Ban("one more", true); err == nil {
 		t.Error("one more is taken")
 	}
-	if err := s.Ban(strings.Repeat("x", state.MostID+1), true); err == nil {
+	if err := s.Ban(strings.Repeat("x", state.MaxIDBytes+1), true); err == nil {
 		t.Error("an id of any length is taken")
 	}
 	text, _ := disk.ReadFile("bans")
 	if len(text) > 200<<10 {
 		t.Errorf("%d bytes", len(text))
 	}
-	if _, f := state.Open(disk, "n1"); len(f.Bans) != state.MostBans {
+	if _, f := state.Open(disk, "n1"); len(f.Bans) != state.MaxBans {
 		t.Errorf("%d found", len(f.Bans))
 	}
 }
@@ -270,11 +270,11 @@
 	}{
 		"the same start":               {state.Stamp{Wall: 100 * h, Machine: "a", Running: 5 * h}, state.Stamp{Wall: 3 * h, Machine: "a", Running: 6 * h}, h, h},
 		"another start":                {state.Stamp{Wall: 100 * h, Machine: "a", Running: 5 * h}, state.Stamp{Wall: 102 * h, Machine: "b", Running: h}, h, 2 * h},
-		"a clock set back":             {state.Stamp{Wall: 100 * h, Machine: "a", Running: 5 * h}, state.Stamp{Wall: 3 * h, Machine: "b", Running: h}, h, state.Unknown},
-		"a clock that stood meanwhile": {state.Stamp{Wall: 100 * h, Machine: "a"}, state.Stamp{Wall: 100*h + 1, Machine: "b", Running: h}, h, state.Unknown},
-		"no clocks":                    {state.Stamp{}, state.Stamp{}, 0, state.Unknown},
+		"a clock set back":             {state.Stamp{Wall: 100 * h, Machine: "a", Running: 5 * h}, state.Stamp{Wall: 3 * h, Machine: "b", Running: h}, h, state.UnknownAge},
+		"a clock that stood meanwhile": {state.Stamp{Wall: 100 * h, Machine: "a"}, state.Stamp{Wall: 100*h + 1, Machine: "b", Running: h}, h, state.UnknownAge},
+		"no clocks":                    {state.Stamp{}, state.Stamp{}, 0, state.UnknownAge},
 	} {
-		if a := state.Since(c.was, c.is); a.Least != c.least || a.Most != c.most {
+		if a := state.AgeOf(c.was, c.is); a.Min != c.least || a.Max != c.most {
 			t.Errorf("%s: %v", name, a)
 		}
 	}
@@ -288,11 +288,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := state.OpenFolder(path); !errors.Is(err, state.ErrHeld) {
+	if _, err := state.OpenFolder(path); !errors.Is(err, state.ErrLocked) {
 		t.Errorf("held twice: %v", err)
 	}
 	s, _ := state.Open(folder, "n1")
-	k := state.Keep(s, time.Hour, func(context.Context) *state.Learned { return learned(7) }, slog.New(slog.DiscardHandler))
+	k := state.StartWriter(s, time.Hour, func(context.Context) *state.Learned { return learned(7) }, slog.New(slog.DiscardHandler))
 	for i := range 3 {
 		if err := k.Ban(t.Context(), fmt.Sprint("b", i), true); err != nil {
 			t.Fatal(err)
@@ -307,7 +307,7 @@
 	}
 	defer folder.Close()
 	_, f := state.Open(folder, "n1")
-	if len(f.Bans) != 3 || f.Learned == nil || f.Learned.Knowledge.Seq != 7 || len(f.Trouble) > 0 {
+	if len(f.Bans) != 3 || f.Learned == nil || f.Learned.Knowledge.Seq != 7 || len(f.Problems) > 0 {
 		t.Errorf("%+v", f)
 	}
 	if err := os.Chmod(filepath.Join(path, "bans"), 0); err != nil {
@@ -316,11 +316,11 @@
 
 	stands := &standing{FS: crashfs.New(1), stand: make(chan struct{})}
 	s, _ = state.Open(stands, "n1")
-	k = state.Keep(s, time.Hour, func(context.Context) *state.Learned { return nil }, slog.New(slog.DiscardHandler))
+	k = state.StartWriter(s, time.Hour, func(context.Context) *state.Learned { return nil }, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	for range 200 { // more than may wait
-		if err := k.Ban(ctx, "b", true); !errors.Is(err, state.ErrNotKept) {
+		if err := k.Ban(ctx, "b", true); !errors.Is(err, state.ErrNotPersisted) {
 			t.Fatal(err)
 		}
 	}
@@ -361,8 +361,8 @@
 		for _, id := range found.Bans {
 			want[id] = true
 		}
-		if !slices.Equal(again.Bans, slices.Sorted(maps.Keys(want))) || len(again.Trouble) > 0 {
-			t.Fatalf("%q after %q; %q", again.Bans, found.Bans, again.Trouble)
+		if !slices.Equal(again.Bans, slices.Sorted(maps.Keys(want))) || len(again.Problems) > 0 {
+			t.Fatalf("%q after %q; %q", again.Bans, found.Bans, again.Problems)
 		}
 	})
 }
@@ -394,7 +394,7 @@
 	b.Run("open", func(b *testing.B) {
 		for b.Loop() {
 			if _, f := state.Open(folder, "n1"); f.Learned == nil {
-				b.Fatal(f.Trouble)
+				b.Fatal(f.Problems)
 			}
 		}
 	})
