--- a/internal/cluster/model/model.go
+++ b/internal/cluster/model/model.go
@@ -103,13 +103,14 @@
 	procs      []*process
 	byAddr     map[string]*process
 	byName     map[string]*process
-	present    []bool // by member, whether it is running
+	running    []bool // by member, whether it is running
 	wrongViews int    // running, unpaused processes whose view has a mismatch
 	pending    *Convergence
 	Stats      Stats
 }
 
-// New returns a fleet in which all members start at once, except those that the scenario starts later.
+// New returns a fleet in which all members start at once, except those that the scenario starts later. Their first periods begin at
+// random times.
 func New(c Config) (*Fleet, error) {
 	if err := c.Scenario.Validate(); err != nil {
 		return nil, err
@@ -120,7 +121,7 @@
 	f := &Fleet{
 		config: c, network: faults.NewNetwork(c.Scenario.Seed), rng: rand.New(rand.NewPCG(c.Scenario.Seed, 7)),
 		layers: map[int]*faults.Layer{}, byAddr: map[string]*process{}, byName: map[string]*process{},
-		present: make([]bool, c.Scenario.Members),
+		running: make([]bool, c.Scenario.Members),
 	}
 	for i, name := range c.Scenario.Names() {
 		p := &process{name: name, address: fmt.Sprintf("127.1.%d.%d:7", i/250, 1+i%250), index: i, holds: make([]bool, c.Scenario.Members)}
@@ -224,7 +225,7 @@
 	}
 	before := p.mismatches
 	p.holds[member] = present
-	if present == f.present[member] {
+	if present == f.running[member] {
 		p.mismatches--
 	} else {
 		p.mismatches++
@@ -261,7 +262,7 @@
 		}
 		p.mismatches = 0
 		for i, present := range p.holds {
-			if i != p.index && present != f.present[i] {
+			if i != p.index && present != f.running[i] {
 				p.mismatches++
 			}
 		}
@@ -275,7 +276,7 @@
 	p.starts++
 	p.up, p.paused, p.boot, p.runningSince = true, false, f.rng.Uint64(), f.now
 	clear(p.holds)
-	f.present[p.index] = true
+	f.running[p.index] = true
 	s := view.Settings{
 		Name: p.name, Address: p.address, InstanceID: p.boot, Period: time.Duration(f.config.Scenario.Period), MaxMembers: 2*len(f.procs) + 16,
 	}
@@ -298,7 +299,7 @@
 		p.view.Leave(f.now)
 	}
 	p.up, p.view, p.inbox = false, nil, nil
-	f.present[p.index] = false
+	f.running[p.index] = false
 }
 
 // schedule queues the process's next wake event.
@@ -461,7 +462,7 @@
 			continue
 		}
 		for i, present := range p.holds {
-			if i != p.index && present != f.present[i] {
+			if i != p.index && present != f.running[i] {
 				lines = append(lines, fmt.Sprintf("%s holds %s %v", p.name, f.procs[i].name, p.view.StateOf(f.procs[i].name)))
 			}
 		}
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -75,8 +75,8 @@
 	link            atomic.Pointer[link.Link] // nil until this process has bound the address
 	dropped         atomic.Int64              // datagrams dropped because the owner's queue was full
 	exchanges       chan struct{}
-	viewChanged     bool                                             // whether the view has changed since the last notification; used by the owner only
-	notifyAt        time.Duration                                    // the earliest time of the next notification; used by the owner only
+	viewChanged     bool                                             // since the last notification; used by the owner only
+	notifyAt        time.Duration                                    // earliest next notification; used by the owner only
 	followers       []func(view.Snapshot)                            // used by the owner only
 	payloadHandlers [endpointKinds]atomic.Pointer[func(body []byte)] // by kind
 
--- a/internal/cluster/view/news.go
+++ b/internal/cluster/view/news.go
@@ -51,8 +51,8 @@
 	for i, queue := range []*[]queueEntry{&n.unsent, &n.resent} {
 		for range []int{len(*queue), resent}[i] {
 			p := (*queue)[0]
-			t, pending := n.pending[p.name]
-			if !pending || t.stamp != p.stamp {
+			t, queued := n.pending[p.name]
+			if !queued || t.stamp != p.stamp {
 				*queue = (*queue)[1:]
 				continue
 			}
