--- a/internal/cluster/model/model.go
+++ b/internal/cluster/model/model.go
@@ -1,6 +1,6 @@
-// Package model plays a fleet's views on a clock of its own: many members, a network with faults, processes that are
-// killed, paused and started again, all from a seed. It reaches sizes and hours that processes do not, and shows what
-// a defence brings by playing the same seeds without it. What it leaves out: processor time, buffers and the kernel.
+// Package model simulates a fleet's views on a virtual clock: many members, a network with faults, and processes that are killed,
+// paused and started again, all from a seed. It covers sizes and durations that tests with real processes cannot, and shows the effect
+// of a defence by running the same seeds without it. It does not model processor time, buffers or the kernel.
 package model
 
 import (
@@ -15,39 +15,40 @@
 	"brasswell/internal/rig/story"
 )
 
-// Config is a fleet to be played.
+// Config configures a simulated fleet.
 type Config struct {
 	Scenario *story.Story
-	Seeds    int // how many members are named as seeds to all; 0 stands for 3
-	// Set changes each member's settings, to take defences out; may be nil.
+	Seeds    int // how many members are seeds of all members; 0 means 3
+	// Configure changes each member's settings, to disable defences; may be nil.
 	Configure func(*view.Settings)
-	// Size is how many bytes a message takes; nil counts none.
+	// Size returns the bytes of a message; if nil, no bytes are counted.
 	Size func(*view.Message) int
-	// Watch is told of every change, in order; may be nil.
+	// OnChange is called with every change, in order; may be nil.
 	OnChange func(now time.Duration, member string, c view.Change)
 }
 
-// delay of a sound path.
+// The delay of a path without faults is uniform between minDelay and minDelay+delaySpread.
 const (
-	leastDelay = 200 * time.Microsecond
-	moreDelay  = 800 * time.Microsecond
-	// graceSuspicions is how long after a fault on its way, a pause or a start a death is not false yet: news of it is still out.
-	graceSuspicions = 24 // periods
+	minDelay    = 200 * time.Microsecond
+	delaySpread = 800 * time.Microsecond
+	// falseDeathGracePeriods is how long after a path fault, a pause or a start a declared death does not count as false: updates about
+	// it may still be in flight.
+	falseDeathGracePeriods = 24 // periods
 )
 
 type process struct {
-	name, address string
-	index         int
-	up, paused    bool
-	boot          uint64
-	starts        int
-	view          *view.View
-	inbox         []event       // what comes while it is paused
-	wake          time.Duration // the wake that is queued
-	sound         time.Duration // since when its paths are sound
-	awake         time.Duration // since when it is up and not paused
-	wrong         int           // members that its view holds wrongly
-	holds         []bool        // by member, whether its view holds it present
+	name, address   string
+	index           int
+	up, paused      bool
+	boot            uint64
+	starts          int
+	view            *view.View
+	inbox           []event       // events received while it is paused
+	wakeAt          time.Duration // the time of the queued wake event
+	pathsSoundSince time.Duration // since when its paths have no faults
+	runningSince    time.Duration // since when it is up and not paused
+	mismatches      int           // members whose presence its view has wrong
+	holds           []bool        // by member, whether its view holds the member present
 }
 
 type eventKind uint8
@@ -71,44 +72,45 @@
 	boot    uint64 // of the receiver, for streams that end with it
 }
 
-// Figures are what a play has come to.
+// Stats are the results of a simulation.
 type Stats struct {
 	Datagrams int64
 	Bytes     int64
 	Exchanges int64
 	Events    int64
-	// Deaths are how often a member was held dead, and False those of living, unpaused members on sound paths.
+	// Deaths counts how often a member was declared dead; FalseDeaths counts those of running members on paths without faults.
 	Deaths, FalseDeaths int
 	Refuted             int
 	Convergences        []Convergence
 }
 
-// Settling is how long it took after an act until all living views were right again.
+// Convergence is the time from an act until all views of running processes were correct again.
 type Convergence struct {
 	Do   string
 	End  bool
 	At   time.Duration
-	Took time.Duration // below 0 if the next act came before
+	Took time.Duration // negative if the next act came first
 }
 
-// Fleet is a fleet in play.
+// Fleet is a simulated fleet.
 type Fleet struct {
-	config  Config
-	now     time.Duration
-	queue   schedule.Queue[event]
-	network *faults.Network
-	dice    *rand.Rand
-	layers  map[int]*faults.Layer
-	procs   []*process
-	byAddr  map[string]*process
-	byName  map[string]*process
-	truth   []bool // by member, whether it is there
-	wrong   int    // views of living processes that are wrong about somebody
-	open    *Convergence
-	Stats   Stats
+	config     Config
+	now        time.Duration
+	queue      schedule.Queue[event]
+	network    *faults.Network
+	rng        *rand.Rand
+	layers     map[int]*faults.Layer
+	procs      []*process
+	byAddr     map[string]*process
+	byName     map[string]*process
+	running    []bool // by member, whether it is running
+	wrongViews int    // running, unpaused processes whose view has a mismatch
+	pending    *Convergence
+	Stats      Stats
 }
 
-// New returns a fleet whose members all start within the first period.
+// New returns a fleet in which all members start at once, except those that the scenario starts later. Their first periods begin at
+// random times.
 func New(c Config) (*Fleet, error) {
 	if err := c.Scenario.Validate(); err != nil {
 		return nil, err
@@ -117,9 +119,9 @@
 		c.Seeds = 3
 	}
 	f := &Fleet{
-		config: c, network: faults.NewNetwork(c.Scenario.Seed), dice: rand.New(rand.NewPCG(c.Scenario.Seed, 7)),
+		config: c, network: faults.NewNetwork(c.Scenario.Seed), rng: rand.New(rand.NewPCG(c.Scenario.Seed, 7)),
 		layers: map[int]*faults.Layer{}, byAddr: map[string]*process{}, byName: map[string]*process{},
-		truth: make([]bool, c.Scenario.Members),
+		running: make([]bool, c.Scenario.Members),
 	}
 	for i, name := range c.Scenario.Names() {
 		p := &process{name: name, address: fmt.Sprintf("127.1.%d.%d:7", i/250, 1+i%250), index: i, holds: make([]bool, c.Scenario.Members)}
@@ -134,7 +136,7 @@
 	for _, a := range c.Scenario.Acts() {
 		f.push(event{at: a.At, kind: act, act: a})
 	}
-	f.open = &Convergence{Do: "begin"}
+	f.pending = &Convergence{Do: "begin"}
 	f.recount()
 	return f, nil
 }
@@ -143,7 +145,7 @@
 	f.queue.Push(e.at, e)
 }
 
-// host is a process's side of its view.
+// host implements view.Host for a simulated process.
 type host struct {
 	fleet *Fleet
 	proc  *process
@@ -163,14 +165,14 @@
 	}
 	for _, d := range f.network.Datagram(f.now, faults.Path{From: h.proc.name, To: q.name}, size) {
 		if d.Bit >= 0 {
-			continue // the checksum tells
+			continue // the checksum detects the flipped bit
 		}
 		f.push(event{at: f.now + f.delay() + d.After, kind: datagram, to: q.index, from: h.proc.address, message: m})
 	}
 }
 
 func (f *Fleet) delay() time.Duration {
-	return leastDelay + time.Duration(f.dice.Float64()*float64(moreDelay))
+	return minDelay + time.Duration(f.rng.Float64()*float64(delaySpread))
 }
 
 func (h host) Exchange(to string) {
@@ -206,75 +208,75 @@
 	switch {
 	case c.State == view.Dead:
 		f.Stats.Deaths++
-		grace := time.Duration(graceSuspicions) * time.Duration(f.config.Scenario.Period)
-		if q.up && !q.paused && f.now-q.awake > grace && f.now-q.sound > grace && f.now-p.sound > grace {
+		grace := time.Duration(falseDeathGracePeriods) * time.Duration(f.config.Scenario.Period)
+		if q.up && !q.paused && f.now-q.runningSince > grace && f.now-q.pathsSoundSince > grace && f.now-p.pathsSoundSince > grace {
 			f.Stats.FalseDeaths++
 		}
 	case c.Was == view.Suspect && c.State == view.Alive:
 		f.Stats.Refuted++
 	}
-	f.hold(p, q.index, c.State == view.Alive || c.State == view.Suspect)
+	f.setPresent(p, q.index, c.State == view.Alive || c.State == view.Suspect)
 }
 
-// hold notes whether p's view holds a member present.
-func (f *Fleet) hold(p *process, member int, present bool) {
+// setPresent records whether p's view holds a member present.
+func (f *Fleet) setPresent(p *process, member int, present bool) {
 	if p.holds[member] == present {
 		return
 	}
-	before := p.wrong
+	before := p.mismatches
 	p.holds[member] = present
-	if present == f.truth[member] {
-		p.wrong--
+	if present == f.running[member] {
+		p.mismatches--
 	} else {
-		p.wrong++
+		p.mismatches++
 	}
 	if p.up && !p.paused {
-		f.count(before, p.wrong)
+		f.count(before, p.mismatches)
 	}
 }
 
-// count keeps the number of living views that are wrong.
+// count updates the number of wrong views after the mismatches of one view changed.
 func (f *Fleet) count(before, after int) {
 	if before == 0 && after > 0 {
-		f.wrong++
+		f.wrongViews++
 	} else if before > 0 && after == 0 {
-		f.wrong--
+		f.wrongViews--
 	}
 	f.settle()
 }
 
 func (f *Fleet) settle() {
-	if f.wrong == 0 && f.open != nil {
-		f.open.Took = f.now - f.open.At
-		f.Stats.Convergences = append(f.Stats.Convergences, *f.open)
-		f.open = nil
+	if f.wrongViews == 0 && f.pending != nil {
+		f.pending.Took = f.now - f.pending.At
+		f.Stats.Convergences = append(f.Stats.Convergences, *f.pending)
+		f.pending = nil
 	}
 }
 
-// recount counts anew after an act.
+// recount recomputes all mismatches after an act.
 func (f *Fleet) recount() {
-	f.wrong = 0
+	f.wrongViews = 0
 	for _, p := range f.procs {
 		if !p.up || p.paused {
 			continue
 		}
-		p.wrong = 0
+		p.mismatches = 0
 		for i, present := range p.holds {
-			if i != p.index && present != f.truth[i] {
-				p.wrong++
+			if i != p.index && present != f.running[i] {
+				p.mismatches++
 			}
 		}
-		if p.wrong > 0 {
-			f.wrong++
+		if p.mismatches > 0 {
+			f.wrongViews++
 		}
 	}
 }
 
 func (f *Fleet) start(p *process) {
 	p.starts++
-	p.up, p.paused, p.boot, p.awake = true, false, f.dice.Uint64(), f.now
+	p.up, p.paused, p.boot, p.runningSince = true, false, f.rng.Uint64(), f.now
 	clear(p.holds)
-	f.truth[p.index] = true
+	f.running[p.index] = true
 	s := view.Settings{
 		Name: p.name, Address: p.address, InstanceID: p.boot, Period: time.Duration(f.config.Scenario.Period), MaxMembers: 2*len(f.procs) + 16,
 	}
@@ -286,9 +288,9 @@
 	}
 	v, err := view.New(f.now, s, f.config.Scenario.Seed+uint64(p.index)<<16+uint64(p.starts), host{f, p})
 	if err != nil {
-		panic(err) // the settings are this package's own
+		panic(err) // the settings are built here, so an error is a bug
 	}
-	p.view, p.wake, p.inbox = v, -1, nil
+	p.view, p.wakeAt, p.inbox = v, -1, nil
 	f.schedule(p)
 }
 
@@ -297,18 +299,18 @@
 		p.view.Leave(f.now)
 	}
 	p.up, p.view, p.inbox = false, nil, nil
-	f.truth[p.index] = false
+	f.running[p.index] = false
 }
 
-// schedule queues the process's next wake.
+// schedule queues the process's next wake event.
 func (f *Fleet) schedule(p *process) {
-	if next := max(p.view.Next(), f.now); p.wake < f.now || next < p.wake {
-		p.wake = next
+	if next := max(p.view.Next(), f.now); p.wakeAt < f.now || next < p.wakeAt {
+		p.wakeAt = next
 		f.push(event{at: next, kind: wake, to: p.index, boot: p.boot})
 	}
 }
 
-// Run plays until a moment of the fleet's clock.
+// Run runs the simulation until a time of the fleet's clock.
 func (f *Fleet) Run(until time.Duration) {
 	for {
 		at, e, due := f.queue.Pop(until)
@@ -331,7 +333,7 @@
 	case !p.up || e.kind != datagram && e.boot != p.boot:
 		return
 	case p.paused:
-		const socketBuffer = 300 // datagrams that the kernel keeps for a process that does not read
+		const socketBuffer = 300 // datagrams that the kernel buffers for a process that does not read
 		if e.kind != wake && len(p.inbox) < socketBuffer {
 			p.inbox = append(p.inbox, e)
 		}
@@ -339,10 +341,10 @@
 	}
 	switch e.kind {
 	case wake:
-		if e.at != p.wake {
-			return // an earlier one has taken its place
+		if e.at != p.wakeAt {
+			return // replaced by an earlier one
 		}
-		p.wake = -1
+		p.wakeAt = -1
 		p.view.Wake(f.now)
 	case datagram:
 		m := *e.message
@@ -358,8 +360,8 @@
 	f.schedule(p)
 }
 
-// who are the members of an event.
-func (f *Fleet) who(e story.Event) []*process {
+// targets returns the members that an event affects; all of them if it names none.
+func (f *Fleet) targets(e story.Event) []*process {
 	if len(e.Who) == 0 {
 		return f.procs
 	}
@@ -373,45 +375,45 @@
 }
 
 func (f *Fleet) act(a story.Act) {
-	if f.open != nil {
-		f.open.Took = -1
-		f.Stats.Convergences = append(f.Stats.Convergences, *f.open)
+	if f.pending != nil {
+		f.pending.Took = -1
+		f.Stats.Convergences = append(f.Stats.Convergences, *f.pending)
 	}
 	e := f.config.Scenario.Events[a.Event]
-	f.open = &Convergence{Do: e.Do, End: a.End, At: a.At}
+	f.pending = &Convergence{Do: e.Do, End: a.End, At: a.At}
 	switch {
 	case e.Network() && !a.End:
 		f.layers[a.Event] = f.network.Add(f.config.Scenario.Paths(e), e.Condition())
-		f.shake()
+		f.pathsChanged()
 	case e.Network():
 		f.network.Remove(f.layers[a.Event])
 		delete(f.layers, a.Event)
-		f.shake()
+		f.pathsChanged()
 	case e.Do == story.Start || a.End && (e.Do == story.Kill || e.Do == story.Stop):
-		for _, p := range f.who(e) {
+		for _, p := range f.targets(e) {
 			if !p.up {
 				f.start(p)
 			}
 		}
 	case e.Do == story.Kill || e.Do == story.Stop:
-		for _, p := range f.who(e) {
+		for _, p := range f.targets(e) {
 			f.stop(p, e.Do == story.Stop)
 		}
 	case e.Do == story.Pause:
-		for _, p := range f.who(e) {
+		for _, p := range f.targets(e) {
 			f.pause(p, !a.End)
 		}
 	}
 	if e.Network() && !a.End && (e.Do == story.Cut || e.Do == story.CutTo) {
-		f.open = nil // what is right while a cut lasts, the truth here does not say
+		f.pending = nil // the expected views during a cut are not modelled
 	}
 	f.recount()
 	f.settle()
 }
 
-// shake notes that the ways between processes are no longer what they were. While there is a cut, any process may be on
-// the other side of it, so none is on sound paths.
-func (f *Fleet) shake() {
+// pathsChanged resets the time since which paths have no faults. While there is a cut, any process may be on the other side of it, so
+// no process's paths count as free of faults.
+func (f *Fleet) pathsChanged() {
 	since := f.now
 	for i := range f.layers {
 		if f.config.Scenario.Events[i].Condition().Cut {
@@ -419,24 +421,24 @@
 		}
 	}
 	for _, p := range f.procs {
-		p.sound = since
+		p.pathsSoundSince = since
 	}
 }
 
-// never is later than any story's end.
+// never is later than the end of any scenario.
 const never = time.Duration(1 << 62)
 
 func (f *Fleet) pause(p *process, on bool) {
 	if !p.up {
 		return
 	}
-	p.paused, p.awake = on, f.now
+	p.paused, p.runningSince = on, f.now
 	if on {
 		return
 	}
 	inbox := p.inbox
 	p.inbox = nil
-	p.wake = -1
+	p.wakeAt = -1
 	for _, e := range inbox {
 		if p.up {
 			e.at = f.now
@@ -446,13 +448,13 @@
 	f.schedule(p)
 }
 
-// Now is the fleet's clock.
+// Now returns the time of the fleet's clock.
 func (f *Fleet) Now() time.Duration { return f.now }
 
-// Right says whether all living, unpaused views hold just those that are there.
-func (f *Fleet) Converged() bool { return f.wrong == 0 }
+// Converged reports whether the views of all running, unpaused processes hold exactly the running members present.
+func (f *Fleet) Converged() bool { return f.wrongViews == 0 }
 
-// Wrong are the living views that are wrong, with what is wrong with them, for people.
+// Mismatches describes each wrong entry in the views of running, unpaused processes, for test output.
 func (f *Fleet) Mismatches() []string {
 	var lines []string
 	for _, p := range f.procs {
@@ -460,7 +462,7 @@
 			continue
 		}
 		for i, present := range p.holds {
-			if i != p.index && present != f.truth[i] {
+			if i != p.index && present != f.running[i] {
 				lines = append(lines, fmt.Sprintf("%s holds %s %v", p.name, f.procs[i].name, p.view.StateOf(f.procs[i].name)))
 			}
 		}
@@ -468,5 +470,5 @@
 	return lines
 }
 
-// View is a member's view, nil while its process is not there.
+// View returns a member's view; nil while its process is not running.
 func (f *Fleet) View(name string) *view.View { return f.byName[name].view }
