--- a/internal/cli/state_test.go
+++ b/internal/cli/state_test.go
@@ -25,7 +25,8 @@
 			t.Fatal(err)
 		}
 	}
-	if err := s.Save(&state.Learned{Written: state.Now(), Knowledge: handover.State{Seq: 9}, Demand: map[string]float64{"hold": 3}}); err != nil {
+	known := handover.State{Seq: 9, OpenIDs: []string{"r"}, CallerConns: 2, LongestDeadline: 3, LatencyP95: 4, BannedByOperator: []string{"node-01"}}
+	if err := s.Save(&state.Learned{Written: state.Now(), Knowledge: known, Demand: map[string]float64{"hold": 3}}); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
@@ -49,6 +50,10 @@
 	if text := run(0, "state", "export", to, "--name", "n2"); !strings.Contains(text, "node-02") || !strings.Contains(text, `"hold": 3`) {
 		t.Error(text)
 	}
+	// Files exported earlier have these keys.
+	if text := strings.Join(strings.Fields(run(0, "state", "export", to, "--name", "n2")), ""); !strings.Contains(text, `"Open":["r"],"Callers":2,"Longest":3,"Usual":4,"ByHand":["node-01"]`) {
+		t.Error(text)
+	}
 	run(0, "state", "verify", to, "--name", "n2")
 	if text := run(1, "state", "verify", to, "--name", "n1"); !strings.Contains(text, `it is "n2"'s`) {
 		t.Error(text)
--- a/internal/handover/message.go
+++ b/internal/handover/message.go
@@ -48,19 +48,19 @@
 	State   *State `cbor:"7,keyasint,omitempty"`
 }
 
-// State is the state of the old process.
+// State is the state of the old process. The json names are the keys in the files that `brasswell state export` writes.
 type State struct {
 	Balancer        balance.Snapshot  `cbor:"1,keyasint"`
-	Addresses       map[string]string `cbor:"2,keyasint"` // addresses of the servers in service
-	Seq             int64             `cbor:"3,keyasint"` // discovery's sequence number of the list
-	OpenIDs         []string          `cbor:"4,keyasint"` // ids of callers' requests without a response
-	CallerConns     int               `cbor:"5,keyasint"` // open connections of callers
-	LongestDeadline time.Duration     `cbor:"6,keyasint"` // the longest time that a caller was ready to wait
-	LatencyP95      time.Duration     `cbor:"7,keyasint"` // 95th percentile of response times
+	Addresses       map[string]string `cbor:"2,keyasint"`                // addresses of the servers in service
+	Seq             int64             `cbor:"3,keyasint"`                // discovery's sequence number of the list
+	OpenIDs         []string          `cbor:"4,keyasint" json:"Open"`    // ids of callers' requests without a response
+	CallerConns     int               `cbor:"5,keyasint" json:"Callers"` // open connections of callers
+	LongestDeadline time.Duration     `cbor:"6,keyasint" json:"Longest"` // the longest time that a caller was ready to wait
+	LatencyP95      time.Duration     `cbor:"7,keyasint" json:"Usual"`   // 95th percentile of response times
 	// BannedByOperator are the servers of Balancer.Banned that the operator took out, as opposed to those taken out
 	// only by an agreement of the fleet. It is nil if the sender is an earlier version, which has no agreement; nil
 	// means all of them.
-	BannedByOperator []string `cbor:"8,keyasint"`
+	BannedByOperator []string `cbor:"8,keyasint" json:"ByHand"`
 	// Clock is a reading of the clock that all times refer to. Earlier versions omit it.
 	Clock clock.Reading `cbor:"9,keyasint"`
 	// Lists are the servers of Balancer that the newest list omits and that are still kept. Earlier versions omit it.
