--- a/internal/cluster/accord/model/model_test.go
+++ b/internal/cluster/accord/model/model_test.go
@@ -23,8 +23,8 @@
 func seconds(s float64) story.Duration { return story.Duration(s * float64(time.Second)) }
 
 // randomScenario returns a random scenario of 40 s.
-func randomScenario(seed uint64, members, keepers int) *story.Story {
-	return story.Unruly(seed, members, keepers, 40*time.Second)
+func randomScenario(seed uint64, members, voters int) *story.Story {
+	return story.Unruly(seed, members, voters, 40*time.Second)
 }
 
 func run(t *testing.T, c Config) *Fleet {
@@ -59,8 +59,8 @@
 		for seed := range uint64(*scenarios) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				keepers := 3 + 2*int(seed%2)
-				c := Config{Scenario: randomScenario(seed, 5+int(seed%4), keepers), Drift: 0.02, CrashRate: 0.001}
+				voters := 3 + 2*int(seed%2)
+				c := Config{Scenario: randomScenario(seed, 5+int(seed%4), voters), Drift: 0.02, CrashRate: 0.001}
 				varyConfig(&c, seed)
 				f := run(t, c)
 				g := &f.Results
@@ -98,7 +98,7 @@
 // pair of scenarios grants contain no deltas. In every fourth scenario disk writes take time, and messages that arrive
 // meanwhile are received together.
 func varyConfig(c *Config, seed uint64) {
-	keepers := c.Scenario.Keepers
+	voters := c.Scenario.Keepers
 	names := c.Scenario.Names()
 	older := map[string]bool{}
 	switch seed % 3 {
@@ -106,7 +106,7 @@
 		c.CorruptRate = 0.5
 	case 1:
 		c.CorruptRate = 0.5
-		older[names[keepers]] = true
+		older[names[voters]] = true
 	case 2:
 		for i, name := range names {
 			older[name] = (seed/3+uint64(i))%2 == 0
--- a/internal/cluster/agreement/node.go
+++ b/internal/cluster/agreement/node.go
@@ -139,7 +139,7 @@
 		n.closeStore()
 		return nil, fmt.Errorf("rules: %w", err)
 	}
-	carrier.OnParcel(n.onPayload)
+	carrier.OnPayload(n.onPayload)
 	carrier.Follow(n.onMembers)
 	n.running.Go(n.run)
 	if later {
@@ -356,7 +356,7 @@
 
 // latestCarrier is a carrier that discards a queued payload when a newer one of the same topic replaces it.
 type latestCarrier interface {
-	CarryLatest(to, topic string, body []byte)
+	SendLatestPayload(to, topic string, body []byte)
 }
 
 var _ latestCarrier = cluster.Endpoint{}
@@ -373,11 +373,11 @@
 	latest, able := h.carrier.(latestCarrier)
 	switch {
 	case able && m.Kind == accord.Grant: // each contains everything that its receiver lacks
-		latest.CarryLatest(address, "grant "+m.To, body)
+		latest.SendLatestPayload(address, "grant "+m.To, body)
 	case able && m.Kind == accord.Update:
-		latest.CarryLatest(address, "tell "+m.To, body)
+		latest.SendLatestPayload(address, "tell "+m.To, body)
 	default:
-		h.carrier.Carry(address, body)
+		h.carrier.SendPayload(address, body)
 	}
 }
 
--- a/internal/cluster/agreement/node_test.go
+++ b/internal/cluster/agreement/node_test.go
@@ -33,7 +33,7 @@
 	name string
 }
 
-func (e end) Carry(to string, body []byte) {
+func (e end) SendPayload(to string, body []byte) {
 	e.mu.Lock()
 	receive := e.nodes[to]
 	e.mu.Unlock()
@@ -42,7 +42,7 @@
 	}
 }
 
-func (e end) OnParcel(receive func([]byte)) {
+func (e end) OnPayload(receive func([]byte)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.nodes[e.name] = receive
@@ -156,9 +156,11 @@
 	seen []string
 }
 
-func (c *topics) Carry(to string, _ []byte) { c.seen = append(c.seen, to) }
+func (c *topics) SendPayload(to string, _ []byte) { c.seen = append(c.seen, to) }
 
-func (c *topics) CarryLatest(to, topic string, _ []byte) { c.seen = append(c.seen, to+": "+topic) }
+func (c *topics) SendLatestPayload(to, topic string, _ []byte) {
+	c.seen = append(c.seen, to+": "+topic)
+}
 
 // TestNewerMessagesReplaceQueued checks that only grants and updates are sent with a topic, one for each kind and
 // receiver, so that a newer message replaces a queued one. All other messages are sent without a topic.
--- a/internal/cluster/node.go
+++ b/internal/cluster/node.go
@@ -187,9 +187,9 @@
 		n.folder.save(n.view.Table())
 	}
 	if len(n.followers) > 0 {
-		standing := n.view.Snapshot(began)
+		snapshot := n.view.Snapshot(began)
 		for _, f := range n.followers {
-			f(standing)
+			f(snapshot)
 		}
 	}
 	n.notifyAt = began + notifyInterval(n.now()-began)
@@ -312,8 +312,8 @@
 
 // Carrier is the fleet's transport as a component uses it: an Endpoint, or a fake in tests.
 type Carrier interface {
-	Carry(to string, body []byte)
-	OnParcel(take func(body []byte))
+	SendPayload(to string, body []byte)
+	OnPayload(receive func(body []byte))
 	Follow(f func(view.Snapshot))
 }
 
@@ -329,24 +329,24 @@
 // Endpoint returns the endpoint of a kind.
 func (n *Node) Endpoint(kind byte) Endpoint { return Endpoint{n, kind} }
 
-// Carry sends a payload to a member's address. It does not block, and the payload may be lost.
-func (p Endpoint) Carry(to string, body []byte) {
+// SendPayload sends a payload to a member's address. It does not block, and the payload may be lost.
+func (p Endpoint) SendPayload(to string, body []byte) {
 	if l := p.link.Load(); l != nil {
 		l.SendPayload(to, append([]byte{p.kind}, body...))
 	}
 }
 
-// CarryLatest does the same for a payload that supersedes earlier ones of its topic: it replaces one that is still queued for that
-// address.
-func (p Endpoint) CarryLatest(to, topic string, body []byte) {
+// SendLatestPayload does the same for a payload that supersedes earlier ones of its topic: it replaces one that is still queued for
+// that address.
+func (p Endpoint) SendLatestPayload(to, topic string, body []byte) {
 	if l := p.link.Load(); l != nil {
 		l.SendLatestPayload(to, string([]byte{p.kind})+topic, append([]byte{p.kind}, body...))
 	}
 }
 
-// OnParcel sets the function that is called with each received payload of this kind. It is called from several goroutines and must not
+// OnPayload sets the function that is called with each received payload of this kind. It is called from several goroutines and must not
 // block for long.
-func (p Endpoint) OnParcel(take func(body []byte)) { p.payloadHandlers[p.kind].Store(&take) }
+func (p Endpoint) OnPayload(receive func(body []byte)) { p.payloadHandlers[p.kind].Store(&receive) }
 
 // Follow calls f with a snapshot of the view now and after changes, in order and from one goroutine. Changes in quick succession are
 // coalesced into one call. f must not block.
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -54,14 +54,14 @@
 func waitForState(t *testing.T, n *Node, member string, s view.State) view.Member {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		standing, _, _ := n.Snapshot(t.Context())
-		for _, m := range standing.Members {
+		snapshot, _, _ := n.Snapshot(t.Context())
+		for _, m := range snapshot.Members {
 			if m.Name == member && m.State == s {
 				return m
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%s did not become %v: %+v", member, s, standing.Members)
+			t.Fatalf("%s did not become %v: %+v", member, s, snapshot.Members)
 		}
 	}
 }
--- a/internal/cluster/view/exchange.go
+++ b/internal/cluster/view/exchange.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// If digests still differ after stablePeriods without a change of the view, dissemination alone does not resolve the difference.
-	// If the view keeps changing, a difference that has lasted for maxDifferPeriods counts as unresolved too.
+	// stablePeriods is how many periods without a change of the view show that dissemination alone does not resolve a difference of
+	// digests. If the view keeps changing, a difference that has lasted for maxDifferPeriods counts as unresolved too.
 	stablePeriods, maxDifferPeriods = 4, 12
 	// exchangePeriods is the minimum number of periods between two full exchanges that this process starts because of differing digests.
 	exchangePeriods = 6
--- a/internal/cluster/view/name.go
+++ b/internal/cluster/view/name.go
@@ -14,8 +14,8 @@
 // record of a dead process displaces a living one permanently.
 
 const (
-	// Within joinPeriods of its start this process makes its first claim of the name without pinging the claimant; all other claims
-	// follow a ping that stays unanswered.
+	// joinPeriods is how many periods after its start this process may make its first claim of the name without pinging the claimant;
+	// all other claims follow a ping that stays unanswered.
 	joinPeriods = 10
 	// maxClaimBackoff bounds the number of periods between two claims of a name that another process claims too. It doubles with each claim.
 	maxClaimBackoff = 4096
--- a/internal/cluster/view/news.go
+++ b/internal/cluster/view/news.go
@@ -45,8 +45,8 @@
 func (n *updateQueue) empty() bool { return len(n.pending) == 0 }
 
 // take passes names to accept, those sent least often first, until accept reports that one does not fit. Each name is sent at most
-// most times. accept also reports whether the name still has a record.
-func (n *updateQueue) take(most int, accept func(name string) (room, known bool)) {
+// limit times. accept also reports whether the name still has a record.
+func (n *updateQueue) take(limit int, accept func(name string) (fits, known bool)) {
 	resent := len(n.resent) // names that are sent first in this call are not sent twice
 	for i, queue := range []*[]queueEntry{&n.unsent, &n.resent} {
 		for range []int{len(*queue), resent}[i] {
@@ -61,7 +61,7 @@
 				return
 			}
 			*queue = (*queue)[1:]
-			if t.count++; !known || t.count >= most {
+			if t.count++; !known || t.count >= limit {
 				delete(n.pending, p.name)
 				continue
 			}
--- a/internal/cluster/view/view_test.go
+++ b/internal/cluster/view/view_test.go
@@ -486,8 +486,8 @@
 	}
 }
 
-// BenchmarkStanding measures a snapshot of a view of 1,400 members, as it is taken after a change of the view.
-func BenchmarkStanding(b *testing.B) {
+// BenchmarkSnapshot measures a snapshot of a view of 1,400 members, as it is taken after a change of the view.
+func BenchmarkSnapshot(b *testing.B) {
 	const members = 1400
 	v, _ := newView(b, Settings{MaxMembers: members})
 	table := make([]Record, 0, members)
--- a/internal/console/listener.go
+++ b/internal/console/listener.go
@@ -50,7 +50,7 @@
 	owner *listener
 	raw   syscall.RawConn
 
-	// Guarded by of.mu.
+	// Guarded by owner.mu:
 	queue *linked.List[caller, *caller] // nil once the head has arrived or the connection is closed
 	since time.Time                     // when it entered the queue, or when unread data was last found on it
 
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -30,18 +30,18 @@
 
 // answer writes the final answer to a request, and counts it.
 func (s *Front) answer(w http.ResponseWriter, info requestInfo, f host.Final) {
-	if f.Verdict == host.Served && f.Reply.Remainder != nil {
+	if f.Outcome == host.Served && f.Reply.Remainder != nil {
 		s.streamAnswer(w, info, f.Reply)
 		return
 	}
-	s.figures.CountOutcome(info.class, outcomes[f.Verdict])
+	s.figures.CountOutcome(info.class, outcomes[f.Outcome])
 	control := http.NewResponseController(w)
 	control.SetWriteDeadline(time.Now().Add(s.options.Load().WriteTimeout))
 	header := w.Header()
 	if s.restart.Closing() {
 		header.Set("Connection", "close")
 	}
-	switch f.Verdict {
+	switch f.Outcome {
 	case host.Refused:
 		if f.RetryAfter > 0 {
 			setRetryAfter(header, f.RetryAfter)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -124,7 +124,7 @@
 	s.figures.RequestStarted()
 	defer s.figures.RequestEnded()
 	f := s.await(r, s.submit(r, info, buffered))
-	if f.Verdict == host.Served {
+	if f.Outcome == host.Served {
 		s.restart.ObserveLatency(time.Since(taken))
 	}
 	s.answer(w, info, f)
@@ -162,7 +162,7 @@
 	return nil
 }
 
-var outcomes = map[host.Verdict]figures.Outcome{
+var outcomes = map[host.Outcome]figures.Outcome{
 	host.Served: figures.Served, host.Refused: figures.Refused, host.Failed: figures.Failed,
 }
 
--- a/internal/front/stream.go
+++ b/internal/front/stream.go
@@ -118,7 +118,7 @@
 			}
 			s.instance.Drop(q)
 			f = <-q.Final()
-			if f.Verdict == host.Failed {
+			if f.Outcome == host.Failed {
 				s.reject(w, info, bodyErrorStatus(err), err)
 				return
 			}
@@ -135,7 +135,7 @@
 	if filled != nil || r.TransferEncoding != nil {
 		w.Header().Set("Connection", "close") // the start of the next request is unknown, or not tracked
 	}
-	if f.Verdict != host.Served {
+	if f.Outcome != host.Served {
 		buffered.Stream().CloseWithError(body.ErrStreamClosed) // no attempt needs the rest
 	}
 	s.answer(w, info, f)
--- a/internal/front/upgrade.go
+++ b/internal/front/upgrade.go
@@ -51,9 +51,9 @@
 	m := newMessage(r, info.class, nil)
 	m.Offer = offer
 	f := s.await(r, s.instance.Submit(callerOf(r), m, info.class, info.tenant, info.remaining, s.restart.RequestTimeCap(info.remaining)))
-	if f.Verdict != host.Served {
+	if f.Outcome != host.Served {
 		s.channels.OpenFailed(admission)
-		if f.Verdict == host.Refused {
+		if f.Outcome == host.Refused {
 			s.rejectUpgrade(w, info, s.channels.Refused(admission))
 			return
 		}
--- a/internal/host/attempt.go
+++ b/internal/host/attempt.go
@@ -117,7 +117,7 @@
 		return true
 	}
 	i.traceUnserved(q, Failed, causeCallerGone)
-	q.answer(Final{Verdict: Failed})
+	q.answer(Final{Outcome: Failed})
 	i.balancer.ClientGone(i.now(), q.id)
 	return false
 }
@@ -128,7 +128,7 @@
 func (i *Instance) allowedByRules(a *attempt) bool {
 	repeat, _ := a.otherAttempts()
 	var decision rules.Decision
-	decision, a.basis = i.agreedRules.Rule(a.to.Server, a.request.message.Class, repeat)
+	decision, a.basis = i.agreedRules.Decide(a.to.Server, a.request.message.Class, repeat)
 	a.checkedAt = i.now()
 	switch decision {
 	case rules.Allowed:
@@ -159,11 +159,11 @@
 	if outstanding {
 		return
 	}
-	f := Final{Verdict: Refused, RetryAfter: retryAfter}
+	f := Final{Outcome: Refused, RetryAfter: retryAfter}
 	if mayHaveRun {
-		f = Final{Verdict: Failed}
+		f = Final{Outcome: Failed}
 	}
-	i.traceUnserved(q, f.Verdict, cause)
+	i.traceUnserved(q, f.Outcome, cause)
 	q.answer(f)
 	i.balancer.ClientGone(i.now(), q.id)
 }
@@ -174,7 +174,7 @@
 	i := a.instance
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if a.ctx.Err() != nil || !a.request.answer(Final{Verdict: Served, Reply: r}) {
+	if a.ctx.Err() != nil || !a.request.answer(Final{Outcome: Served, Reply: r}) {
 		return false
 	}
 	a.streaming = true
@@ -192,7 +192,7 @@
 	a.ended, a.neverRan = true, outcome.ProvesNotExecuted()
 	q := a.request
 	q.outstanding--
-	if outcome == balance.OK && r != nil && !q.answer(Final{Verdict: Served, Reply: r}) && r.Channel != nil {
+	if outcome == balance.OK && r != nil && !q.answer(Final{Outcome: Served, Reply: r}) && r.Channel != nil {
 		r.Channel.Conn.Close() // the request has been answered already
 	}
 	now := i.now()
--- a/internal/host/crossing_test.go
+++ b/internal/host/crossing_test.go
@@ -147,8 +147,8 @@
 	second := await(t, "the second connection", c.dials)
 	time.Sleep(time.Until(start.Add(window + 50*time.Millisecond))) // until the window has certainly ended
 	close(second)
-	if f := await(t, "the answer", q.Final()); f.Verdict != Refused { // all servers drop repeats, so a retry is harmless
-		t.Errorf("verdict %v", f.Verdict)
+	if f := await(t, "the answer", q.Final()); f.Outcome != Refused { // all servers drop repeats, so a retry is harmless
+		t.Errorf("outcome %v", f.Outcome)
 	}
 	if n := a.received.Load() + b.received.Load(); n != 1 {
 		t.Errorf("%d attempts were written, want only the first", n)
@@ -171,8 +171,8 @@
 	c.SetBanned("a", true)
 	c.SetBanned("b", true) // whichever server the repeat is for is taken out while its connection is being established
 	close(second)
-	if f := await(t, "the answer", q.Final()); f.Verdict != Refused {
-		t.Errorf("verdict %v", f.Verdict)
+	if f := await(t, "the answer", q.Final()); f.Outcome != Refused {
+		t.Errorf("outcome %v", f.Outcome)
 	}
 	if n := a.received.Load() + b.received.Load(); n != 1 {
 		t.Errorf("%d attempts were written, want only the first", n)
@@ -192,8 +192,8 @@
 	defer c.close()
 	q := c.submit(w)
 	close(await(t, "the first connection", c.dials))
-	if f := await(t, "the answer", q.Final()); f.Verdict != Failed {
-		t.Errorf("verdict %v", f.Verdict)
+	if f := await(t, "the answer", q.Final()); f.Outcome != Failed {
+		t.Errorf("outcome %v", f.Outcome)
 	}
 	if n := a.received.Load() + b.received.Load(); n != 1 || len(c.dials) != 0 {
 		t.Errorf("%d attempts written and %d more connections opened, want 1 and 0", n, len(c.dials))
@@ -213,8 +213,8 @@
 	up := await(t, "the connection", c.dials)
 	w.gone.Store(true)
 	close(up)
-	if f := await(t, "the answer", q.Final()); f.Verdict != Failed || a.received.Load() != 0 {
-		t.Errorf("verdict %v, %d attempts written", f.Verdict, a.received.Load())
+	if f := await(t, "the answer", q.Final()); f.Outcome != Failed || a.received.Load() != 0 {
+		t.Errorf("outcome %v, %d attempts written", f.Outcome, a.received.Load())
 	}
 }
 
@@ -232,7 +232,7 @@
 		name     string
 		first    func(net.Conn)
 		attempts int32
-		verdict  Verdict
+		outcome  Outcome
 	}{
 		{"turned away", turnAway, 2, Served}, {"broken off", resetConn, 1, Failed}, {"half an answer", partialAnswer, 1, Failed},
 		{"an error", serverError, 1, Failed},
@@ -257,8 +257,8 @@
 				close(await(t, "the second connection", c.dials))
 			}
 			f := await(t, "the answer", q.Final())
-			if n := a.received.Load() + b.received.Load(); f.Verdict != k.verdict || n != k.attempts {
-				t.Errorf("verdict %v after %d attempts, want %v after %d", f.Verdict, n, k.verdict, k.attempts)
+			if n := a.received.Load() + b.received.Load(); f.Outcome != k.outcome || n != k.attempts {
+				t.Errorf("outcome %v after %d attempts, want %v after %d", f.Outcome, n, k.outcome, k.attempts)
 			}
 		})
 	}
@@ -281,8 +281,8 @@
 	c.Update(balance.Delta, []balance.Entry{{ID: to.Server, State: balance.Draining}}, nil)
 	close(up)
 	close(await(t, "the connection to the other", c.dials))
-	if f := await(t, "the answer", q.Final()); f.Verdict != Served {
-		t.Errorf("verdict %v", f.Verdict)
+	if f := await(t, "the answer", q.Final()); f.Outcome != Served {
+		t.Errorf("outcome %v", f.Outcome)
 	}
 	drained, other := a, b
 	if to.Address == b.address {
--- a/internal/host/host.go
+++ b/internal/host/host.go
@@ -69,9 +69,9 @@
 type AgreedRules interface {
 	// Open reports whether requests of a class are accepted now.
 	Open(class int) bool
-	// Rule decides whether an attempt may be sent now and returns the basis of the decision. again means that an earlier
+	// Decide returns whether an attempt may be sent now, and the basis of the decision. mayHaveRun means that an earlier
 	// attempt of the request may have run.
-	Rule(server string, class int, again bool) (rules.Decision, rules.DecisionBasis)
+	Decide(server string, class int, mayHaveRun bool) (rules.Decision, rules.DecisionBasis)
 }
 
 // Caller is the client that waits for a request's answer. Gone is called while the instance is locked, so it must not
@@ -196,7 +196,7 @@
 	}
 	i.closed = true
 	for _, q := range i.requests {
-		q.answer(Final{Verdict: Failed})
+		q.answer(Final{Outcome: Failed})
 		for _, a := range q.attempts {
 			a.cancel(backends.ErrCanceled)
 		}
--- a/internal/host/request.go
+++ b/internal/host/request.go
@@ -8,19 +8,19 @@
 	"brasswell/internal/backends"
 )
 
-// Verdict is the kind of a request's final answer.
-type Verdict int
+// Outcome is the kind of a request's final answer.
+type Outcome int
 
-// The verdicts.
+// The outcomes.
 const (
-	Failed  Verdict = iota // the request may have had an effect
+	Failed  Outcome = iota // the request may have had an effect
 	Refused                // trying again is harmless
 	Served
 )
 
 // Final is the single final answer to a request.
 type Final struct {
-	Verdict    Verdict
+	Outcome    Outcome
 	Reply      *backends.Reply // set for a served request
 	RetryAfter time.Duration   // the delay after which a refused caller is asked to retry; 0 gives no advice
 }
@@ -49,24 +49,24 @@
 	i.lastID++
 	q := &Request{id: strconv.FormatUint(i.lastID, 36), message: m, caller: caller, final: make(chan Final, 1)}
 	if i.closed {
-		q.answer(Final{Verdict: Failed})
+		q.answer(Final{Outcome: Failed})
 		return q
 	}
 	if i.admissionGate != nil {
 		if admitted, retryAfter := i.admissionGate.Admit(class); !admitted {
 			i.traceUnserved(q, Refused, causeAdmissionGate)
-			q.answer(Final{Verdict: Refused, RetryAfter: retryAfter})
+			q.answer(Final{Outcome: Refused, RetryAfter: retryAfter})
 			return q
 		}
 	}
 	if i.agreedRules != nil && !i.agreedRules.Open(class) {
 		i.traceUnserved(q, Refused, causeAgreedRules)
-		q.answer(Final{Verdict: Refused, RetryAfter: i.rulesRetryAfter})
+		q.answer(Final{Outcome: Refused, RetryAfter: i.rulesRetryAfter})
 		return q
 	}
 	if i.serverList != nil && !i.serverList.Fresh() {
 		i.traceUnserved(q, Refused, causeStaleList)
-		q.answer(Final{Verdict: Refused, RetryAfter: i.listRetryAfter})
+		q.answer(Final{Outcome: Refused, RetryAfter: i.listRetryAfter})
 		return q
 	}
 	i.requests[q.id] = q
@@ -107,7 +107,7 @@
 	if q.answered {
 		return
 	}
-	q.answer(Final{Verdict: Failed})
+	q.answer(Final{Outcome: Failed})
 	i.balancer.ClientGone(i.now(), q.id)
 	i.removeIfDone(q)
 }
@@ -132,15 +132,15 @@
 
 // Refuse gives a request a final answer that lets its caller try again without harm.
 func (i *Instance) Refuse(id string, wait time.Duration) {
-	i.answerByID(id, Final{Verdict: Refused, RetryAfter: wait})
+	i.answerByID(id, Final{Outcome: Refused, RetryAfter: wait})
 }
 
 // Fail gives a request a final answer without promising that a retry is harmless.
-func (i *Instance) Fail(id string) { i.answerByID(id, Final{Verdict: Failed}) }
+func (i *Instance) Fail(id string) { i.answerByID(id, Final{Outcome: Failed}) }
 
 func (i *Instance) answerByID(id string, f Final) {
 	if q := i.requests[id]; q != nil {
-		i.traceUnserved(q, f.Verdict, causeBalancer)
+		i.traceUnserved(q, f.Outcome, causeBalancer)
 		q.answer(f)
 		i.removeIfDone(q) // if a timer caused the answer, no later event removes the request
 	}
--- a/internal/host/serverlist_test.go
+++ b/internal/host/serverlist_test.go
@@ -49,7 +49,7 @@
 	c.SetServerList(list, listWait)
 
 	list.stale.Store(true)
-	if got := await(t, "the answer", c.submit(nil).Final()); got.Verdict != Refused || got.RetryAfter != listWait {
+	if got := await(t, "the answer", c.submit(nil).Final()); got.Outcome != Refused || got.RetryAfter != listWait {
 		t.Errorf("with a stale list: %+v", got)
 	}
 	list.stale.Store(false)
@@ -57,7 +57,7 @@
 	up := await(t, "the dial", c.dials)
 	list.stale.Store(true)
 	close(up)
-	if got := await(t, "the answer", q.Final()); got.Verdict != Refused || got.RetryAfter != listWait {
+	if got := await(t, "the answer", q.Final()); got.Outcome != Refused || got.RetryAfter != listWait {
 		t.Errorf("with a list that became stale before the write: %+v", got)
 	}
 	if n := s.received.Load(); n > 0 {
@@ -65,7 +65,7 @@
 	}
 	list.stale.Store(false)
 	defer c.completeDials()()
-	if got := await(t, "the answer", c.submit(nil).Final()); got.Verdict != Served {
+	if got := await(t, "the answer", c.submit(nil).Final()); got.Outcome != Served {
 		t.Errorf("with a list that is confirmed again: %+v", got)
 	}
 }
@@ -104,7 +104,7 @@
 	defer c.close()
 	c.SetServerList(list, listWait)
 	defer c.completeDials()()
-	if got := await(t, "the answer", c.submit(nil).Final()); got.Verdict != Failed {
+	if got := await(t, "the answer", c.submit(nil).Final()); got.Outcome != Failed {
 		t.Errorf("a request that may have run: %+v", got)
 	}
 	if n := s.received.Load(); n != 1 {
@@ -128,7 +128,7 @@
 	await(t, "an attempt to catch up with the list", list.catchUps)
 	c.Update(balance.Full, []balance.Entry{{ID: "a", State: balance.Draining}, {ID: "b"}}, map[string]string{"a": draining.address, "b": up.address})
 	close(list.caughtUp)
-	if got := await(t, "the answer", q.Final()); got.Verdict != Served {
+	if got := await(t, "the answer", q.Final()); got.Outcome != Served {
 		t.Errorf("after the list update: %+v", got)
 	}
 	if n := draining.received.Load(); n > 0 {
--- a/internal/host/trace.go
+++ b/internal/host/trace.go
@@ -45,7 +45,7 @@
 	causeCallerGone    unservedCause = "caller's end" // the caller gave the request up
 )
 
-func (i *Instance) traceUnserved(q *Request, v Verdict, cause unservedCause) {
+func (i *Instance) traceUnserved(q *Request, outcome Outcome, cause unservedCause) {
 	if q.answered {
 		return
 	}
@@ -53,7 +53,7 @@
 		i.staleListUnserved.Add(1)
 	}
 	if i.tracing() {
-		i.log.Debug(TraceUnserved, "id", q.id, "class", q.message.Class, "refused", v == Refused, "attempts", len(q.attempts), "by", string(cause))
+		i.log.Debug(TraceUnserved, "id", q.id, "class", q.message.Class, "refused", outcome == Refused, "attempts", len(q.attempts), "by", string(cause))
 	}
 }
 
--- a/internal/proxy/following_test.go
+++ b/internal/proxy/following_test.go
@@ -19,8 +19,8 @@
 
 var _ cluster.Carrier = unreachableFleet{}
 
-func (unreachableFleet) Carry(string, []byte)         {}
-func (unreachableFleet) OnParcel(func([]byte))        {}
+func (unreachableFleet) SendPayload(string, []byte)   {}
+func (unreachableFleet) OnPayload(func([]byte))       {}
 func (unreachableFleet) Follow(func(s view.Snapshot)) {}
 
 // stateFolder creates a folder for the state of processes. A process that ends does not wait for a slow disk, and may still
--- a/internal/proxy/rules.go
+++ b/internal/proxy/rules.go
@@ -33,7 +33,7 @@
 	return decision == rules.Allowed
 }
 
-func (g rulesGate) Rule(server string, class int, mayHaveRun bool) (rules.Decision, rules.DecisionBasis) {
+func (g rulesGate) Decide(server string, class int, mayHaveRun bool) (rules.Decision, rules.DecisionBasis) {
 	return g.rules.Decide(rules.Send{Server: server, Class: g.className(class), MayHaveRun: mayHaveRun, DropHeld: g.lists.isHeld(server)})
 }
 
--- a/internal/recovery/host.go
+++ b/internal/recovery/host.go
@@ -20,7 +20,7 @@
 		return
 	}
 	if body, err := r.Encode(); err == nil {
-		h.carrier.Carry(address, body)
+		h.carrier.SendPayload(address, body)
 	}
 }
 
--- a/internal/recovery/node.go
+++ b/internal/recovery/node.go
@@ -162,7 +162,7 @@
 	} else {
 		n.core = revival.New(n.now(), s, c.Seed, host{n})
 		if n.carrier != nil {
-			n.carrier.OnParcel(n.receive)
+			n.carrier.OnPayload(n.receive)
 			n.carrier.Follow(n.setMembers)
 		}
 		n.running.Go(n.run)
