--- a/internal/cluster/view/view.go
+++ b/internal/cluster/view/view.go
@@ -7,9 +7,9 @@
 // partitioned fleet find each other again. docs/design/view.md weighs them.
 //
 // The files: probe.go probes members, suspicion.go raises and ends suspicions, health.go tracks this process's own health, message.go
-// sends and receives messages, news.go disseminates records, apply.go merges records into the view, member.go stores them, exchange.go
+// sends and receives messages, updates.go disseminates records, apply.go merges records into the view, member.go stores them, exchange.go
 // compares and exchanges whole views, join.go finds the fleet through seeds and dead members, name.go decides which process has this
-// process's name, and standing.go takes snapshots.
+// process's name, and snapshot.go takes snapshots.
 package view
 
 import (
