--- a/internal/cluster/options.go
+++ b/internal/cluster/options.go
@@ -32,18 +32,18 @@
 func (o *Options) Section() operator.Section {
 	return operator.Section{
 		Name:    "fleet",
-		Doc:     "A view of the fleet that the proxies keep themselves: who else is there. Nothing in it is secret, and nothing is signed.",
-		Absent:  "this proxy talks to no other, and opens nothing for it.",
+		Doc:     "The fleet's membership, which the proxies maintain themselves. Nothing in their messages is secret, and they are not signed.",
+		Absent:  "this proxy exchanges no messages with others and opens no sockets for them.",
 		Present: &o.Enabled,
 		Keys: []operator.Key{
-			operator.Name("name", &o.Name, "The fleet's name, the same at all its proxies. What comes from another fleet is dropped.").MustBeSet(),
-			operator.Address("listen", &o.Listen, "Where the other proxies reach this one, by UDP and TCP: an IPv4 address of this machine, on no public network.").MustBeSet(),
-			operator.Text("advertise", &o.Advertise, "The address that others are told, where that is another one (behind a translation of addresses). Empty for `listen`."),
-			operator.List("seeds", &o.Seeds, checkAddress, "Addresses of some proxies of the fleet, by which this one finds it. Its own may be among them. Three that do not fail together are enough.").OnReload(),
-			operator.List("networks", &o.Networks, checkNetwork, "The networks whose members may talk to this one, such as 10.1.0.0/16. What comes from others is dropped unread."),
-			operator.Duration("period", &o.Period, 20*time.Millisecond, time.Minute, "Between two questions to other proxies; the same at all. A dead proxy is found within ten of them or so."),
-			operator.Int("most", &o.MaxMembers, 2, 65536, "How many proxies are kept in mind, those that are gone included. Each takes about 1 KiB at most."),
-			operator.Path("folder", &o.Folder, "A folder that lasts, of this proxy alone, where addresses of others are kept for the next start. Empty for none: then only seeds help."),
+			operator.Name("name", &o.Name, "The fleet's name, the same at all its proxies. Messages from other fleets are dropped.").MustBeSet(),
+			operator.Address("listen", &o.Listen, "The address at which other proxies reach this one, by UDP and TCP: an IPv4 address of this machine that is not on a public network.").MustBeSet(),
+			operator.Text("advertise", &o.Advertise, "The address that this proxy announces to others, if it differs from `listen` because of network address translation. Empty to announce `listen`."),
+			operator.List("seeds", &o.Seeds, checkAddress, "Addresses of some proxies of the fleet, through which this one finds the others. Its own may be among them. Three that do not fail together are enough.").OnReload(),
+			operator.List("networks", &o.Networks, checkNetwork, "The networks from which messages are accepted, such as 10.1.0.0/16. Messages from others are dropped unread."),
+			operator.Duration("period", &o.Period, 20*time.Millisecond, time.Minute, "The time between two probes of other proxies; the same at all proxies. A dead proxy is detected within about ten periods."),
+			operator.Int("most", &o.MaxMembers, 2, 65536, "How many proxies the view holds at most, including ones that are gone. Each takes about 1 KiB at most."),
+			operator.Path("folder", &o.Folder, "A persistent folder, used by this proxy alone, that stores the addresses of other proxies for the next start. Empty for none: a start then uses only the seeds."),
 		},
 		Check: o.check,
 	}
@@ -58,31 +58,31 @@
 	at, err := netip.ParseAddrPort(o.Listen)
 	switch {
 	case err != nil || !at.Addr().Is4():
-		bad("listen", "%q has no IPv4 address written out; write one of this machine's, such as \"127.0.0.1:7946\"", o.Listen)
+		bad("listen", "%q does not contain an IPv4 address; write one of this machine's, such as \"127.0.0.1:7946\"", o.Listen)
 		return problems
 	case at.Addr().IsUnspecified():
-		bad("listen", "%s is every network of the machine; name the one address on which the fleet talks", at.Addr())
+		bad("listen", "%s stands for all addresses of the machine; write the one that the fleet uses", at.Addr())
 	case !o.inNetworks(at.Addr()):
-		bad("networks", "the own address %s is of none of them; add its network", at.Addr())
+		bad("networks", "this proxy's own address %s is in none of them; add its network", at.Addr())
 	}
 	if o.Advertise != "" {
 		at, err := netip.ParseAddrPort(o.Advertise)
 		switch {
 		case err != nil || !at.Addr().Is4() || at.Port() == 0:
-			bad("advertise", "%q is no address that others can reach; write an IPv4 address and a port", o.Advertise)
+			bad("advertise", "%q is not an address that others can reach; write an IPv4 address and a port", o.Advertise)
 		case !o.inNetworks(at.Addr()):
-			bad("networks", "the advertised address %s is of none of them; add its network", at.Addr())
+			bad("networks", "the advertised address %s is in none of them; add its network", at.Addr())
 		}
 	} else if at.Port() == 0 {
-		bad("listen", "port 0 is another one at each start; name the port, or set advertise")
+		bad("listen", "port 0 selects a different port at each start; write a fixed port, or set advertise")
 	}
 	for i, s := range o.Seeds {
 		if at, err := netip.ParseAddrPort(s); err == nil && !o.inNetworks(at.Addr()) {
-			bad("seeds", "entry %d: %s is of none of the networks, so it could not be asked; add its network", i+1, s)
+			bad("seeds", "entry %d: %s is in none of the networks, so it could not be contacted; add its network", i+1, s)
 		}
 	}
 	if len(o.Seeds) == 0 && o.Folder == "" {
-		bad("seeds", "with no seeds and no folder this proxy finds nobody; name some proxies of the fleet")
+		bad("seeds", "with neither seeds nor a folder this proxy cannot find the fleet; add the addresses of some of its proxies")
 	}
 	return problems
 }
@@ -105,14 +105,14 @@
 
 func checkAddress(text string) string {
 	if at, err := netip.ParseAddrPort(text); err != nil || !at.Addr().Is4() || at.Port() == 0 {
-		return fmt.Sprintf("%q is no address; write an IPv4 address and a port, such as \"127.0.0.1:7946\" (names are not looked up)", text)
+		return fmt.Sprintf("%q is not an address; write an IPv4 address and a port, such as \"127.0.0.1:7946\" (names are not resolved)", text)
 	}
 	return ""
 }
 
 func checkNetwork(text string) string {
 	if p, err := netip.ParsePrefix(text); err != nil || !p.Addr().Is4() {
-		return fmt.Sprintf("%q is no network; write an IPv4 address and a length, such as \"10.1.0.0/16\"", text)
+		return fmt.Sprintf("%q is not a network; write an IPv4 address and a length, such as \"10.1.0.0/16\"", text)
 	}
 	return ""
 }
--- a/internal/recovery/options.go
+++ b/internal/recovery/options.go
@@ -24,13 +24,13 @@
 func (o *Options) Section() operator.Section {
 	return operator.Section{
 		Name:    "recovery",
-		Doc:     "What this proxy knows lasts, and a start tells a restart of one from a return of all after a power loss.",
-		Absent:  "a start knows nothing of before, and lets all callers in as soon as there is a list.",
+		Doc:     "This proxy's state is kept on disk, and a start distinguishes a restart of this proxy from a restart of the whole fleet after a power loss.",
+		Absent:  "a start has no state from before, and admits all callers as soon as there is a server list.",
 		Present: &o.Enabled,
 		Keys: []operator.Key{
-			operator.Path("folder", &o.Folder, "A folder that lasts, of this proxy alone; that of [fleet] will do. Backends out by hand are in it before their yes. It never keeps the proxy from starting or serving.").MustBeSet(),
-			operator.Duration("every", &o.SaveInterval, time.Second, time.Hour, "Between two writes of what was learned: times, health, the list. A start goes on from the last."),
-			operator.Duration("young", &o.JustStarted, time.Second, time.Hour, "How long a proxy counts as just started. Where most that can be asked have just started, it is a return of all: every backend counts as cold, and classes are let in by worth as they get warm."),
+			operator.Path("folder", &o.Folder, "A persistent folder, used by this proxy alone; it may be that of [fleet]. Backends that the operator takes out are stored in it before the command is confirmed. An error in the folder never prevents the proxy from starting or serving.").MustBeSet(),
+			operator.Duration("every", &o.SaveInterval, time.Second, time.Hour, "The time between two writes of the learned state: response times, health, the server list. A start continues from the last write."),
+			operator.Duration("young", &o.JustStarted, time.Second, time.Hour, "How long a proxy counts as just started. If most of the proxies that can be reached have just started, the whole fleet has restarted: every backend counts as cold, and classes are admitted in order of value as the backends warm up."),
 		},
 	}
 }
