--- a/internal/cluster/accord/cost_test.go
+++ b/internal/cluster/accord/cost_test.go
@@ -76,7 +76,7 @@
 
 // countingHost counts a leader's messages to holders. It encodes them, as the host of a process does.
 type countingHost struct {
-	nobody
+	nopHost
 	tb              testing.TB
 	messages, bytes int
 	streams         int // messages too long for a datagram of 1,200 bytes
@@ -247,7 +247,7 @@
 					if err != nil {
 						b.Fatal(err)
 					}
-					c, err := New(0, Settings{Name: costName(1), InstanceID: 1, Voters: []string{costName(0)}, Times: DefaultTimes()}, 1, Stored{Rules: before}, nobody{})
+					c, err := New(0, Settings{Name: costName(1), InstanceID: 1, Voters: []string{costName(0)}, Times: DefaultTimes()}, 1, Stored{Rules: before}, nopHost{})
 					if err != nil {
 						b.Fatal(err)
 					}
--- a/internal/cluster/accord/leases_test.go
+++ b/internal/cluster/accord/leases_test.go
@@ -10,7 +10,7 @@
 
 // tallyHost counts a leader's disk writes and messages.
 type tallyHost struct {
-	nobody
+	nopHost
 	logWrites, ruleWrites int
 	sent                  map[MessageKind]int
 	last                  map[MessageKind]*Message
--- a/internal/cluster/accord/types_test.go
+++ b/internal/cluster/accord/types_test.go
@@ -29,7 +29,7 @@
 		}
 		// A voter and a proxy that is not a voter accept every valid message without a panic.
 		for _, name := range []string{"n1", "n4"} {
-			c, err := New(0, Settings{Name: name, Voters: []string{"n1", "n2", "n3"}, Times: DefaultTimes()}, 1, Stored{}, nobody{})
+			c, err := New(0, Settings{Name: name, Voters: []string{"n1", "n2", "n3"}, Times: DefaultTimes()}, 1, Stored{}, nopHost{})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -39,15 +39,15 @@
 	})
 }
 
-// nobody is a Host that does nothing.
-type nobody struct{}
+// nopHost is a Host that does nothing.
+type nopHost struct{}
 
-func (nobody) Send(string, *Message)     {}
-func (nobody) Save(*Record) error        { return nil }
-func (nobody) SaveRules(*rules.Status)   {}
-func (nobody) SetBasis(*Basis)           {}
-func (nobody) ProposalDone(rules.Answer) {}
-func (nobody) Notify(Event, Note)        {}
+func (nopHost) Send(string, *Message)     {}
+func (nopHost) Save(*Record) error        { return nil }
+func (nopHost) SaveRules(*rules.Status)   {}
+func (nopHost) SetBasis(*Basis)           {}
+func (nopHost) ProposalDone(rules.Answer) {}
+func (nopHost) Notify(Event, Note)        {}
 
 // TestBasis checks the decisions of a proxy with a lease, without a lease, and after a pause.
 func TestBasis(t *testing.T) {
--- a/internal/operator/value.go
+++ b/internal/operator/value.go
@@ -377,7 +377,7 @@
 	return map[string]any{"type": "array", "maxItems": maxItems, "items": map[string]any{"type": "string"}}
 }
 
-// Text is a short text; what it means is for its section's check to judge.
+// Text is a short text, whose content the section's check validates.
 func Text(name string, v *string, doc string) Key {
 	return Key{Name: name, Doc: doc, value: (*phrase)(v)}
 }
