--- a/internal/cluster/accord/proposals.go
+++ b/internal/cluster/accord/proposals.go
@@ -21,7 +21,7 @@
 		return // already in the log; the first request gets the result
 	}
 	if !v.hasQuorum() {
-		v.c.reply(m, &Message{Kind: Result, Answer: &rules.Answer{ID: m.Change.ID, Rejection: "a majority of the keepers has not joined the log yet; nothing can be agreed"}})
+		v.c.reply(m, &Message{Kind: Result, Answer: &rules.Answer{ID: m.Change.ID, Rejection: "the keepers are still coming together; nothing can be agreed yet"}})
 		return
 	}
 	if name := v.memberWithoutForm(m.Change.RequiredForm()); name != "" {
--- a/internal/console/console.go
+++ b/internal/console/console.go
@@ -47,15 +47,15 @@
 }
 
 // ErrDisabled is returned for a request about a feature that is not enabled.
-var ErrDisabled = errors.New("not enabled: its section is missing from the operator file")
+var ErrDisabled = errors.New("not switched on: its section is not in the operator file")
 
 var (
 	// ErrInvalid is returned for a malformed or inconsistent request.
-	ErrInvalid = errors.New("invalid request")
+	ErrInvalid = errors.New("the call makes no sense")
 	// ErrNotPersisted is returned for an operator override that is in effect but not stored on disk.
-	ErrNotPersisted = errors.New("applied, but not persisted")
+	ErrNotPersisted = errors.New("done, and not lasting")
 	// ErrRefused is returned for a change that was rejected. The error that it is joined with gives the reason.
-	ErrRefused = errors.New("rejected")
+	ErrRefused = errors.New("turned away")
 )
 
 const (
@@ -186,7 +186,7 @@
 	s.log.Warn("console: by hand", "action", "refound", "caller", r.RemoteAddr, "refused", err)
 	switch {
 	case err == nil:
-		fmt.Fprintln(w, "refound: this voter continues alone")
+		fmt.Fprintln(w, "refound: this keeper goes on alone")
 	case errors.Is(err, ErrDisabled):
 		http.Error(w, err.Error(), http.StatusNotFound)
 	default:
@@ -235,7 +235,7 @@
 
 func (s *Server) ready(w http.ResponseWriter) {
 	if !s.controller.Ready() {
-		http.Error(w, "not accepting clients", http.StatusServiceUnavailable)
+		http.Error(w, "not taking clients", http.StatusServiceUnavailable)
 		return
 	}
 	fmt.Fprintln(w, "ready")
@@ -250,7 +250,7 @@
 	}
 	list := strings.Join(methods, ", ")
 	w.Header().Set("Allow", list)
-	http.Error(w, "this call requires method "+list, http.StatusMethodNotAllowed)
+	http.Error(w, "this call wants "+list, http.StatusMethodNotAllowed)
 	return false
 }
 
@@ -259,13 +259,13 @@
 	id, err := url.PathUnescape(segment)
 	switch {
 	case err != nil:
-		return "", fmt.Errorf("backend id: %w", err)
+		return "", fmt.Errorf("backend's id: %w", err)
 	case id == "":
-		return "", errors.New("backend id: empty")
+		return "", errors.New("backend's id: empty")
 	case len(id) > maxIDBytes:
-		return "", fmt.Errorf("backend id: over %d bytes", maxIDBytes)
+		return "", fmt.Errorf("backend's id: over %d bytes", maxIDBytes)
 	case !utf8.ValidString(id) || strings.ContainsFunc(id, unicode.IsControl):
-		return "", errors.New("backend id: not plain text")
+		return "", errors.New("backend's id: not plain text")
 	}
 	return id, nil
 }
