--- a/internal/backends/begin.go
+++ b/internal/backends/begin.go
@@ -6,42 +6,43 @@
 )
 
 const (
-	// beginHolds is how long what Begin has said is relied on. The request's bytes are written by another goroutine, and a process may not run
-	// between the two for as long as it is stopped or starved.
-	beginHolds = 10 * time.Millisecond
-	// toldSlack is how much more time a server may be told than is left; the protocol allows 150 ms.
-	toldSlack = 100 * time.Millisecond
+	// permitValidity is how long an answer of Attempt.Begin may be used. Another goroutine writes the request's bytes,
+	// and the process may be stopped or starved of processor time between the two.
+	permitValidity = 10 * time.Millisecond
+	// announcedSlack is by how much the announced remaining time may exceed the actual one. The protocol allows 150 ms.
+	announcedSlack = 100 * time.Millisecond
 )
 
-// Why nothing of a request was written.
+// Reasons why a request was not written.
 var (
-	errUnwanted = errors.New("the attempt is not wanted any more")
-	errOutdated = errors.New("the request tells the server more time than is left")
+	errUnwanted = errors.New("the attempt is no longer wanted")
+	errOutdated = errors.New("the request announces more time to the server than remains")
 )
 
-// beginning is what an attempt has said last of whether it may be written. Its methods are called by one goroutine at a time.
-type beginning struct {
-	attempt Attempt
-	asked   time.Time     // when the attempt was asked last
-	told    time.Duration // the time that the request tells the server
+// writePermit is an attempt's latest permission to write its request. Its methods must not be called concurrently.
+type writePermit struct {
+	attempt   Attempt
+	checkedAt time.Time     // when the attempt was last asked
+	announced time.Duration // the remaining time that the request announces to the server
 }
 
-// begin asks an attempt whether it may be written, and how long the proxy will wait.
-func begin(a Attempt) (b beginning, wanted bool) {
-	b = beginning{attempt: a, asked: time.Now()}
-	b.told, wanted = a.Begin()
+// requestPermit asks an attempt whether its request may be written, and how long the proxy will wait for the response.
+func requestPermit(a Attempt) (b writePermit, wanted bool) {
+	b = writePermit{attempt: a, checkedAt: time.Now()}
+	b.announced, wanted = a.Begin()
 	return b, wanted
 }
 
-// hold asks the attempt again for as long as this process did not run since it was asked, and returns why the request may not be written now.
-func (b *beginning) hold() error {
-	for time.Since(b.asked) >= beginHolds {
-		b.asked = time.Now()
+// revalidate asks the attempt again if the permit is older than permitValidity, and repeats this until an answer is
+// recent enough. It returns the reason if the request may not be written now.
+func (b *writePermit) revalidate() error {
+	for time.Since(b.checkedAt) >= permitValidity {
+		b.checkedAt = time.Now()
 		left, wanted := b.attempt.Begin()
 		switch {
 		case !wanted:
 			return errUnwanted
-		case left < b.told-toldSlack:
+		case left < b.announced-announcedSlack:
 			return errOutdated
 		}
 	}
--- a/internal/backends/begin_test.go
+++ b/internal/backends/begin_test.go
@@ -15,68 +15,70 @@
 	"brasswell/balance"
 )
 
-// scriptedAttempt says in turn what the test has it say, and its last word from then on.
+// scriptedAttempt returns the test's answers one after another, and repeats the last one.
 type scriptedAttempt struct {
-	left  []time.Duration // 0 where it is not wanted
-	asked atomic.Int32
+	left  []time.Duration // 0 if the attempt is not wanted
+	calls atomic.Int32
 }
 
 func (a *scriptedAttempt) Begin() (time.Duration, bool) {
-	n := int(a.asked.Add(1)) - 1
+	n := int(a.calls.Add(1)) - 1
 	left := a.left[min(n, len(a.left)-1)]
 	return left, left > 0
 }
 
 func (a *scriptedAttempt) Started(*Reply) bool { return false }
 
-// holdUp is a context whose first request is not written for a while once the attempt has been asked.
-func holdUp(t *testing.T, length time.Duration) context.Context {
-	var held atomic.Bool
+// stallFirstWrite returns a context that delays the write of its first request after the attempt has been asked.
+func stallFirstWrite(t *testing.T, length time.Duration) context.Context {
+	var stalled atomic.Bool
 	return httptrace.WithClientTrace(t.Context(), &httptrace.ClientTrace{WroteHeaderField: func(string, []string) {
-		if held.CompareAndSwap(false, true) {
+		if stalled.CompareAndSwap(false, true) {
 			time.Sleep(length)
 		}
 	}})
 }
 
-// exchangeBehindAHoldUp has an attempt exchanged with a server, and returns what came of it and what the server was told, per request.
-func exchangeBehindAHoldUp(t *testing.T, a *scriptedAttempt) (outcome balance.Outcome, told []string) {
+// exchangeAfterStall performs an attempt whose first write is stalled. It returns the outcome and the X-Remaining-Ms of
+// each request that the server received.
+func exchangeAfterStall(t *testing.T, a *scriptedAttempt) (outcome balance.Outcome, sent []string) {
 	t.Helper()
-	const length = 300 * time.Millisecond // stops of this length are beyond what the protocol's slack covers
-	got := make(chan string, 8)
+	const length = 300 * time.Millisecond // longer than the slack that the protocol allows
+	received := make(chan string, 8)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		got <- r.Header.Get("X-Remaining-Ms")
+		received <- r.Header.Get("X-Remaining-Ms")
 		fmt.Fprint(w, "ok")
 	}))
 	pool := NewPool(Limits{Conns: 4, ConnectTimeout: time.Second, ConnIdle: time.Minute, Options: DefaultOptions()})
 	to := Endpoint{Server: "s", Address: server.Listener.Addr().String()}
 	message := &Message{Method: http.MethodGet, URI: "/api", URL: &url.URL{Path: "/api"}, Host: "x", Header: http.Header{}}
-	outcome, _ = pool.Exchange(holdUp(t, length), to, message, a)
+	outcome, _ = pool.Exchange(stallFirstWrite(t, length), to, message, a)
 	pool.Close()
-	server.Close() // waits for its requests
-	close(got)
-	for text := range got {
-		told = append(told, text)
+	server.Close() // waits for outstanding requests
+	close(received)
+	for text := range received {
+		sent = append(sent, text)
 	}
-	return outcome, told
+	return outcome, sent
 }
 
-// TestNothingIsWrittenBehindAHoldUpUnlessStillWanted guards against a send to a server that drains, or for a caller that has left, by a process
-// that was stopped between its last look and the write.
-func TestNothingIsWrittenBehindAHoldUpUnlessStillWanted(t *testing.T) {
+// TestNothingIsWrittenAfterAStallUnlessStillWanted guards against requests to a draining server, or for a caller that
+// has disconnected. They occurred when the process was stopped between the last check and the write.
+func TestNothingIsWrittenAfterAStallUnlessStillWanted(t *testing.T) {
 	a := &scriptedAttempt{left: []time.Duration{5 * time.Second, 0}}
-	outcome, told := exchangeBehindAHoldUp(t, a)
-	if len(told) > 0 || outcome != balance.Ignored {
-		t.Errorf("outcome %v, sent %v", outcome, told)
+	outcome, sent := exchangeAfterStall(t, a)
+	if len(sent) > 0 || outcome != balance.Ignored {
+		t.Errorf("outcome %v, sent %v", outcome, sent)
 	}
 }
 
-// TestServersAreToldTheTimeThatIsLeftBehindAHoldUp guards against work that goes on behind the caller's deadline.
-func TestServersAreToldTheTimeThatIsLeftBehindAHoldUp(t *testing.T) {
+// TestRemainingTimeIsRecomputedAfterAStall guards against servers that continue to work on a request after the caller's
+// deadline, because the remaining time was computed before a stall of the proxy.
+func TestRemainingTimeIsRecomputedAfterAStall(t *testing.T) {
 	const left = 700 * time.Millisecond
 	a := &scriptedAttempt{left: []time.Duration{time.Second, left}}
-	outcome, told := exchangeBehindAHoldUp(t, a)
-	if want := strconv.FormatInt(left.Milliseconds(), 10); outcome != balance.OK || len(told) != 1 || told[0] != want {
-		t.Errorf("outcome %v, told %v, want %s once", outcome, told, want)
+	outcome, sent := exchangeAfterStall(t, a)
+	if want := strconv.FormatInt(left.Milliseconds(), 10); outcome != balance.OK || len(sent) != 1 || sent[0] != want {
+		t.Errorf("outcome %v, announced %v, want %s once", outcome, sent, want)
 	}
 }
--- a/internal/backends/options.go
+++ b/internal/backends/options.go
@@ -6,39 +6,39 @@
 	"brasswell/internal/operator"
 )
 
-// Options are what is expected of backends.
+// Options configures the handling of backends' responses and connections.
 type Options struct {
-	// AnswerTimeout is how long an answer that has begun and of which nothing has been passed on may be silent.
-	// One that falls silent there will not go on, and the time that is left may do for another attempt. It
-	// would harm backends that send an answer as they compute it.
+	// AnswerTimeout is how long a response may stall after it has begun, as long as none of it has been forwarded. A
+	// response that stalls there is not expected to continue, and the remaining time may suffice for another attempt. It
+	// is too short for backends that send a response while they compute it.
 	AnswerTimeout time.Duration
-	// StreamSilence is how long a backend may be silent, or take nothing, within a message that is passed on
-	// while it comes. There is no other attempt then, so it is only against peers that will never go on.
-	StreamSilence time.Duration
-	// Settle is how long a connection rests after an answer before it carries another request. What a backend
-	// sends too much mostly comes right behind its answer; on a connection already in use again it would pass
-	// for the next answer. Against what comes later than that this is no help.
-	Settle time.Duration
+	// StreamIdleTimeout is how long a backend may send or accept nothing within a message that is streamed. No other
+	// attempt is possible then, so this only ends connections whose peer will never continue.
+	StreamIdleTimeout time.Duration
+	// SettleTime is how long a connection stays unused after a response before it carries another request. Excess bytes
+	// mostly arrive right after a response; on a connection already in use again they would be mistaken for the next
+	// response. It does not protect against bytes that arrive later.
+	SettleTime time.Duration
 }
 
-// DefaultOptions fit backends that may answer with more than belongs to them.
+// DefaultOptions returns options for backends that may send excess bytes after a response.
 func DefaultOptions() Options {
-	return Options{AnswerTimeout: 400 * time.Millisecond, StreamSilence: 10 * time.Second, Settle: 5 * time.Millisecond}
+	return Options{AnswerTimeout: 400 * time.Millisecond, StreamIdleTimeout: 10 * time.Second, SettleTime: 5 * time.Millisecond}
 }
 
-// Section describes the options to the operator file.
+// Section describes the options for the operator file.
 func (o *Options) Section() operator.Section {
 	return operator.Section{
 		Name:   "backends",
-		Doc:    "What is expected of backends' answers and connections.",
-		Absent: "the defaults hold.",
+		Doc:    "Time limits for backends' responses and connections.",
+		Absent: "the defaults apply.",
 		Keys: []operator.Key{
 			operator.Duration("answer_timeout", &o.AnswerTimeout, 10*time.Millisecond, time.Minute,
-				"How long an answer that has begun may be silent before it is given up. Raise it for backends that send an answer as they compute it.").OnReload(),
-			operator.Duration("stream_silence", &o.StreamSilence, 100*time.Millisecond, time.Hour,
-				"How long a backend may be silent, or take nothing, within a message over 64 KiB, which is passed on while it comes.").OnReload(),
-			operator.Duration("settle", &o.Settle, 0, time.Second,
-				"How long a connection rests after an answer, so that stray bytes behind it cannot pass for the next one. 0 trusts the backends.").OnReload(),
+				"How long a response may stall after it has begun before it is abandoned. Raise it for backends that send a response while they compute it.").OnReload(),
+			operator.Duration("stream_silence", &o.StreamIdleTimeout, 100*time.Millisecond, time.Hour,
+				"How long a backend may send nothing, or accept nothing, within a message over 64 KiB, which is streamed.").OnReload(),
+			operator.Duration("settle", &o.SettleTime, 0, time.Second,
+				"How long a connection stays unused after a response, so that excess bytes after it cannot be mistaken for the next response. 0 trusts the backends to send none.").OnReload(),
 		},
 	}
 }
--- a/internal/backends/pool.go
+++ b/internal/backends/pool.go
@@ -11,87 +11,88 @@
 	"time"
 )
 
-// Pool holds the connections to all backends. Its size is bounded by limit, and an idle connection's life by
-// idleFor, which ends before the backend's own patience does.
+// Pool holds the connections to all backends. The number of connections is bounded by limit, and the time that one
+// may be idle by maxIdle, which is shorter than the backend's own idle timeout.
 //
-// A plain http.Transport would not do: it sends a GET or a keyed request again by itself when a reused
-// connection breaks, behind the balancer's back and maybe a second time.
+// A plain http.Transport is unsuitable: when a reused connection breaks, it repeats a GET request or one with an
+// idempotency key by itself. The balancer would not know of the repetition, and the request might run twice.
 type Pool struct {
 	transport      *http.Transport
-	control        func(network, address string, c syscall.RawConn) error // of each socket; may be nil
+	control        func(network, address string, c syscall.RawConn) error // called for each socket; may be nil
 	connectTimeout time.Duration
-	idleFor        time.Duration
+	maxIdle        time.Duration
 	limit          int
-	written        func(class int) // may be nil
+	onWritten      func(class int) // may be nil
 
 	mu      sync.Mutex
 	options Options
 	closed  bool
 	open    int                    // connections open or being opened
-	idle    map[Endpoint]*idleList // none is empty
-	wanted  map[Endpoint]bool      // whose connections are kept
+	idle    map[Endpoint]*idleList // never contains an empty list
+	wanted  map[Endpoint]bool      // the endpoints whose idle connections are kept
 }
 
-// Limits is what a pool is told. All of it must be above 0, but the functions may be nil.
+// Limits configures a pool. All values must be above 0; the functions may be nil.
 type Limits struct {
-	Conns          int           // open at one time, to all backends
-	ConnectTimeout time.Duration // a connection not up by then counts as failed
-	ConnIdle       time.Duration // a backend closes a connection that idles for so long
-	// Control is called for each socket before it connects, as net.Dialer has it.
+	Conns          int           // maximum number of open connections, to all backends together
+	ConnectTimeout time.Duration // a connection that is not established by then counts as failed
+	ConnIdle       time.Duration // idle time after which a backend closes a connection
+	// Control is called for each socket before it connects, like net.Dialer's field of this name.
 	Control func(network, address string, c syscall.RawConn) error
-	// Written is called with the request's class once for each attempt that has been written whole. It must not block.
-	Written func(class int)
-	Options Options
+	// OnWritten is called with the request's class once for each attempt whose request was written completely. It must
+	// not block.
+	OnWritten func(class int)
+	Options   Options
 }
 
-// NewPool returns a pool that keeps no connections until Keep names the endpoints that are wanted.
+// NewPool returns a pool. It keeps no idle connections until SetWanted names the wanted endpoints.
 func NewPool(l Limits) *Pool {
 	p := &Pool{
 		control:        l.Control,
 		connectTimeout: l.ConnectTimeout,
-		// A request that crosses the backend's close ends as a reset, and may have run for all we know.
-		// The fifth left is for answers that took their time to be read.
-		idleFor: l.ConnIdle * 4 / 5,
-		limit:   l.Conns, options: l.Options, written: l.Written,
+		// A request that is sent while the backend closes the connection ends with a reset, and may have been
+		// executed. The remaining fifth allows for responses that took long to read.
+		maxIdle: l.ConnIdle * 4 / 5,
+		limit:   l.Conns, options: l.Options, onWritten: l.OnWritten,
 		idle: map[Endpoint]*idleList{},
 	}
 	p.transport = &http.Transport{
 		DisableCompression:     true,
 		MaxResponseHeaderBytes: maxAnswerHead,
 		DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			return ctx.Value(dialed{}).(*conn), nil
+			return ctx.Value(connKey{}).(*conn), nil
 		},
 	}
 	return p
 }
 
-// stoppedTimer is a timer that calls f once it has been reset.
+// stoppedTimer returns a stopped timer that calls f when it expires after a Reset.
 func stoppedTimer(f func()) *time.Timer {
 	t := time.AfterFunc(time.Hour, f)
 	t.Stop()
 	return t
 }
 
-// dialed is the context key under which a connection is handed to the transport.
-type dialed struct{}
+// connKey is the context key of the connection that the transport is to use.
+type connKey struct{}
 
-// get takes the idle connection that was used last and has settled, or opens one.
+// get returns the most recently parked connection that has settled, or opens a new one.
 func (p *Pool) get(ctx context.Context, to Endpoint) (c *conn, reused bool, err error) {
 	var dead []*conn
 	p.mu.Lock()
 	now := time.Now()
 	for c == nil && p.idle[to] != nil {
-		k := p.idle[to].lastSettled(now, p.options.Settle)
-		if k == nil {
+		candidate := p.idle[to].lastSettled(now, p.options.SettleTime)
+		if candidate == nil {
 			break
 		}
-		p.unpark(k)
-		if k.cc.Err() != nil || now.Sub(k.parkedAt) >= p.idleFor {
-			dead = append(dead, k)
+		p.unpark(candidate)
+		if candidate.cc.Err() != nil || now.Sub(candidate.parkedAt) >= p.maxIdle {
+			dead = append(dead, candidate)
 			continue
 		}
-		k.renew()
-		c = k
+		candidate.reset()
+		c = candidate
 	}
 	if c == nil && p.open-len(dead) >= p.limit {
 		if oldest := p.oldestIdle(); oldest != nil {
@@ -124,18 +125,18 @@
 		return nil, fmt.Errorf("connect to %s: %w", to.Address, err)
 	}
 	c := &conn{Conn: nc, pool: p, endpoint: to}
-	c.retire = stoppedTimer(func() { p.retire(c) })
-	c.rest = stoppedTimer(c.restOver)
-	if c.cc, err = p.transport.NewClientConn(context.WithValue(ctx, dialed{}, c), "http", to.Address); err != nil {
+	c.idleTimer = stoppedTimer(func() { p.onIdleTimer(c) })
+	c.answerTimer = stoppedTimer(c.onAnswerTimer)
+	if c.cc, err = p.transport.NewClientConn(context.WithValue(ctx, connKey{}, c), "http", to.Address); err != nil {
 		c.Close()
 		return nil, fmt.Errorf("connect to %s: %w", to.Address, err)
 	}
 	return c, nil
 }
 
-// release gives back a connection on which no answer is outstanding.
+// release returns a connection to the pool. No response may be outstanding on it.
 func (p *Pool) release(c *conn) {
-	c.unwatchRest()
+	c.clearAnswerDeadline()
 	if c.cc.Available() == 0 {
 		c.discard()
 		return
@@ -145,7 +146,7 @@
 	if c.inRead && !unwanted {
 		p.park(c)
 	} else {
-		c.done = true
+		c.answerRead = true
 	}
 	p.mu.Unlock()
 	if unwanted {
@@ -153,8 +154,8 @@
 	}
 }
 
-// Keep closes the idle connections to all endpoints but these, now and as they come free.
-func (p *Pool) Keep(wanted map[Endpoint]bool) {
+// SetWanted closes the connections to all other endpoints: idle ones at once, and others when they are released.
+func (p *Pool) SetWanted(wanted map[Endpoint]bool) {
 	p.mu.Lock()
 	p.wanted = wanted
 	var drop []*conn
@@ -166,8 +167,8 @@
 	p.drop(drop)
 }
 
-// distrust closes the idle connections to an endpoint that does not answer.
-func (p *Pool) distrust(to Endpoint) {
+// dropIdle closes the idle connections to an endpoint that does not respond.
+func (p *Pool) dropIdle(to Endpoint) {
 	p.mu.Lock()
 	var all []*conn
 	if idle := p.idle[to]; idle != nil {
@@ -176,7 +177,7 @@
 	p.drop(all)
 }
 
-// drop unparks and ends connections. It is called with p.mu held and gives it back.
+// drop unparks and closes connections. It is called with p.mu held and unlocks it.
 func (p *Pool) drop(conns []*conn) {
 	for _, c := range conns {
 		p.unpark(c)
@@ -187,7 +188,8 @@
 	}
 }
 
-// park and unpark need p.mu held, and so must not call what takes the connection's own lock.
+// park adds a connection to its endpoint's idle list. park and unpark are called with p.mu held, so they must not call
+// functions that take the connection's own lock.
 func (p *Pool) park(c *conn) {
 	if c.closed {
 		return
@@ -199,22 +201,22 @@
 		p.idle[c.endpoint] = idle
 	}
 	idle.Push(c)
-	if !c.retiring {
-		c.retiring = true
-		c.retire.Reset(p.idleFor)
+	if !c.idleTimerSet {
+		c.idleTimerSet = true
+		c.idleTimer.Reset(p.maxIdle)
 	}
 }
 
-// retire ends a connection that has idled for too long. Its timer is not stopped when the connection is used: it
-// looks again when it fires, which costs a busy connection one look in each idleFor.
-func (p *Pool) retire(c *conn) {
+// onIdleTimer closes a connection that has been idle for too long. The timer is not stopped when the connection is used.
+// Instead, the idle time is checked when it fires, which costs a busy connection one check per maxIdle.
+func (p *Pool) onIdleTimer(c *conn) {
 	p.mu.Lock()
-	c.retiring = false
+	c.idleTimerSet = false
 	over := false
 	if c.parked {
-		if left := p.idleFor - time.Since(c.parkedAt); left > 0 {
-			c.retiring = true
-			c.retire.Reset(left)
+		if left := p.maxIdle - time.Since(c.parkedAt); left > 0 {
+			c.idleTimerSet = true
+			c.idleTimer.Reset(left)
 		} else {
 			over = true
 			p.unpark(c)
@@ -244,7 +246,8 @@
 	return oldest
 }
 
-// SetLimit changes how many connections may be open. Those that are over it end as they come free or idle on.
+// SetLimit changes how many connections may be open. Connections over a lowered limit are not closed at once: they end
+// when they have been idle for too long, or are discarded for another reason.
 func (p *Pool) SetLimit(conns int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -258,7 +261,7 @@
 	p.options = o
 }
 
-// Close ends the idle connections, and those in use as they come free.
+// Close closes the idle connections at once, and those in use when they are released.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -269,8 +272,8 @@
 	p.drop(idle)
 }
 
-// States counts the connections that are open or being opened, and those of them that idle.
-func (p *Pool) States() map[string]int {
+// ConnCounts returns the number of idle connections, and of those in use or being opened.
+func (p *Pool) ConnCounts() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	idle := 0
--- a/internal/callers/listener.go
+++ b/internal/callers/listener.go
@@ -9,59 +9,61 @@
 	"time"
 )
 
-// Listener accepts only what there is room for, and closes the rest at once.
+// Listener accepts connections while the set has capacity, and closes the others at once.
 type Listener struct {
 	net.Listener
-	set      *Set
-	accepted atomic.Pointer[time.Time] // when the last one was; nil before it
-	stopped  atomic.Bool
-	drained  atomic.Bool   // nothing more is accepted after Stop
-	closed   chan struct{} // closed by Close
+	set        *Set
+	lastAccept atomic.Pointer[time.Time] // when the last connection was accepted; nil before the first
+	stopped    atomic.Bool
+	drained    atomic.Bool   // nothing more is accepted after Stop
+	closed     chan struct{} // closed by Close
 
-	// Of accepts that fail for a moment, one behind the other: used by Accept alone.
-	stallBegin, stallEnd time.Time
-	end                  sync.Once
+	// Start of the first and end of the last pause in a run of temporary accept errors; used by Accept only.
+	failuresBegin, failuresEnd time.Time
+	closeOnce                  sync.Once
 }
 
-// Stop lets go of the socket, which another process goes on accepting from, and leaves the connections that were
-// accepted as they are.
+// Stop closes the listening socket, on which another process continues to accept, and leaves the accepted
+// connections as they are.
 func (l *Listener) Stop() {
 	if !l.stopped.Swap(true) {
-		// Not awaited: it would stand while an accept does, if the socket blocks against all rules.
+		// Close is not awaited: if the socket is in blocking mode, which it should not be, Close blocks until a
+		// pending accept returns.
 		go l.Listener.Close()
 	}
 }
 
-// Drained says whether, after Stop, every connection that was accepted has been handed on.
+// Drained reports whether, after Stop, every accepted connection has been returned by Accept.
 func (l *Listener) Drained() bool { return l.drained.Load() }
 
-// Close ends the listener.
+// Close closes the listener.
 func (l *Listener) Close() error {
-	l.end.Do(func() { close(l.closed) })
+	l.closeOnce.Do(func() { close(l.closed) })
 	if l.stopped.Load() {
 		return nil
 	}
 	return l.Listener.Close()
 }
 
+// Accept returns the next connection that the set admits. It retries after temporary errors.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
-		if err != nil && momentary(err) && !l.stopped.Load() {
-			l.stall()
+		if err != nil && temporary(err) && !l.stopped.Load() {
+			l.pauseAfterFailure()
 			continue
 		}
 		if err != nil {
 			if l.stopped.Load() {
 				l.drained.Store(true)
-				<-l.closed // net/http would end with an error of its own
+				<-l.closed // returning here would make net/http stop with an error
 			}
 			return nil, err
 		}
 		now := time.Now()
-		l.accepted.Store(&now)
+		l.lastAccept.Store(&now)
 		if k := l.set.admit(conn); k != nil {
-			k.waited = l.stalled(now)
+			k.acceptDelay = l.acceptDelay(now)
 			return k, nil
 		}
 		conn.Close()
@@ -69,56 +71,60 @@
 }
 
 const (
-	// acceptPause is waited behind an accept that failed for a moment. Callers wait meanwhile, and their time runs.
+	// acceptPause is the wait after a temporary accept error. Callers wait meanwhile, and their remaining time runs
+	// down.
 	acceptPause = 5 * time.Millisecond
-	// drainTime behind such accepts all that had queued up is taken.
-	drainTime = 50 * time.Millisecond
+	// backlogDrainTime is how long after such an error connections that had queued up may still be in the accept
+	// queue.
+	backlogDrainTime = 50 * time.Millisecond
 )
 
-// momentary says whether accept has failed for want of something that may come back, or of a connection that is gone.
-func momentary(err error) bool {
-	for _, one := range []error{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
-		if errors.Is(err, one) {
+// temporary reports whether accept failed because of a resource that may become available again, or of a connection
+// that is gone.
+func temporary(err error) bool {
+	for _, retryable := range []error{syscall.ECONNABORTED, syscall.EINTR, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM} {
+		if errors.Is(err, retryable) {
 			return true
 		}
 	}
 	return false
 }
 
-// stall waits behind an accept that failed.
-func (l *Listener) stall() {
+// pauseAfterFailure waits after a temporary accept error.
+func (l *Listener) pauseAfterFailure() {
 	now := time.Now()
-	if now.Sub(l.stallEnd) > drainTime {
-		l.stallBegin = now
+	if now.Sub(l.failuresEnd) > backlogDrainTime {
+		l.failuresBegin = now
 	}
 	select {
 	case <-l.closed:
 	case <-time.After(acceptPause):
 	}
-	l.stallEnd = time.Now()
+	l.failuresEnd = time.Now()
 }
 
-// stalled is how long a connection may have waited that is accepted now.
-func (l *Listener) stalled(now time.Time) time.Duration {
-	if l.stallEnd.IsZero() || now.Sub(l.stallEnd) > drainTime {
+// acceptDelay returns how long a connection that is accepted now may have waited in the accept queue.
+func (l *Listener) acceptDelay(now time.Time) time.Duration {
+	if l.failuresEnd.IsZero() || now.Sub(l.failuresEnd) > backlogDrainTime {
 		return 0
 	}
-	return now.Sub(l.stallBegin)
+	return now.Sub(l.failuresBegin)
 }
 
-// Listen wraps a listener so that the set decides which connections are taken.
+// Listen wraps a listener so that the set decides which connections are accepted.
 func (c *Set) Listen(l net.Listener) *Listener {
 	return &Listener{Listener: l, set: c, closed: make(chan struct{})}
 }
 
-// longQuiet is longer than anybody waits for quiet.
-const longQuiet = time.Hour
+// maxSinceAccept is what SinceLastAccept returns before the first connection. It is longer than any caller of
+// SinceLastAccept waits.
+const maxSinceAccept = time.Hour
 
-// Quiet is how long no connection has come.
+// SinceLastAccept returns how long ago the last connection was accepted.
 func (l *Listener) SinceLastAccept() time.Duration {
-	last := l.accepted.Load()
+	last := l.lastAccept.Load()
 	if last == nil {
-		return longQuiet
+		return maxSinceAccept
 	}
 	return time.Since(*last)
 }
--- a/internal/channel/end.go
+++ b/internal/channel/end.go
@@ -18,96 +18,98 @@
 
 // end is one end of a channel.
 type end struct {
-	side plan.Side
-	now  func() time.Duration
-	conn *net.TCPConn
-	raw  syscall.RawConn
-	mask bool // frames to it are masked
-	get  *gate
-	// How long it may take nothing, and how long it may leave a Close unanswered.
-	patience, closeWithin time.Duration
+	side    plan.Side
+	now     func() time.Duration
+	conn    *net.TCPConn
+	raw     syscall.RawConn
+	mask    bool // frames to it are masked
+	buffers *bufferPool
+	// How long it may accept no data, and how long it may leave a Close unanswered.
+	writeTimeout, closeTimeout time.Duration
 
-	// Of what it sends; used by the goroutine that reads it, but for the atomics.
-	checker frame.Checker
-	held    []byte // read, and not enough yet to go on
-	heard   atomic.Int64
-	spoke   atomic.Int64
-	since   atomic.Int64 // since when a frame has been on its way; 0 for none
-	moved   atomic.Int64 // bytes of that frame
-	blocked atomic.Bool  // its bytes wait for the other end
-	resting atomic.Bool  // a goroutine that does nothing else waits for it
-	dropped int          // bytes that nobody takes any more
-	bytes   atomic.Int64 // that have gone on
+	// State of what it sends. Except for the atomics, only the goroutine that reads it uses these fields.
+	checker     frame.Checker
+	unconsumed  []byte       // read, but not enough to be parsed yet
+	lastRead    atomic.Int64 // see plan.Activity
+	lastMessage atomic.Int64 // see plan.Activity
+	frameStart  atomic.Int64 // when its unfinished frame began; 0 for none
+	frameBytes  atomic.Int64 // payload bytes of that frame that have been forwarded
+	blocked     atomic.Bool  // its data waits for the other end
+	parked      atomic.Bool  // a goroutine with a minimal stack waits for its data
+	discarded   int          // bytes that were read but could not be forwarded
+	forwarded   atomic.Int64 // bytes that were forwarded
 
-	// Of what goes to it.
-	mu      sync.Mutex
-	writing bool      // a write runs without mu
-	until   time.Time // the socket's write deadline
-	within  bool      // the last byte written stands within a frame
-	open    bool      // a message to it has begun, and not ended
-	pending []byte    // frames of the proxy's own that are still to be written; may begin within one
-	closing bool      // a Close has been written to it or stands in pending, or it is gone: no data may follow
-	gone    bool      // its socket is closed
-	told    bool      // that Close was the proxy's own word to go
-	toRest  bool      // its read is broken off so that it can rest
-	looking bool      // a look for room runs without mu, and writing is set; a frame that is put in breaks it off
-	wanted  *goodbye  // to be told once the message at hand is over
+	// State of what is sent to it.
+	mu            sync.Mutex
+	writing       bool        // a write is running without mu
+	writeDeadline time.Time   // the write deadline of the socket
+	midFrame      bool        // the last byte written is within a frame
+	midMessage    bool        // a message to it has begun but not ended
+	pending       []byte      // the proxy's own frames that are not written yet; the first may be written in part
+	closing       bool        // a Close has been written or is in pending, or the end is disconnected: no data may follow
+	disconnected  bool        // its socket is closed
+	closedByProxy bool        // that Close was sent by the proxy itself
+	parkRequested bool        // its read is interrupted so that it can be parked
+	polling       bool        // waitWritable is waiting without mu, and writing is set; a control frame interrupts it
+	deferredClose *closeFrame // to be sent after the current message
 
-	// What a read returns; kept here so that no read allocates.
-	peeked  byte
-	reading struct {
-		f    func(fd uintptr) bool
-		room bool // the other end has room for what is read
-		b    *buffer
-		n    int
-		err  error
-		full bool
+	// State of the current read, kept here so that reads do not allocate.
+	peekByte byte
+	reading  struct {
+		try       func(fd uintptr) bool
+		writable  bool // the other end is writable, or its state does not matter
+		buf       *buffer
+		n         int
+		err       error
+		exhausted bool // no buffer was available
 	}
 }
 
 var (
-	errStalled = errors.New("the end takes nothing")
-	errTooMuch = errors.New("the end goes on after its Close")
-	errRest    = errors.New("the end is quiet")
-	errClosed  = errors.New("the end has sent its Close")
+	errWriteStalled      = errors.New("write stalled: the end accepts no data")
+	errTooMuchAfterClose = errors.New("too much data that cannot be forwarded")
+	errParked            = errors.New("the end is parked")
+	errCloseReceived     = errors.New("the end has sent a Close")
 )
 
-func newEnd(side plan.Side, conn *net.TCPConn, held []byte, rules frame.Rules, t *Table) (*end, error) {
+// newEnd returns the end of a channel on conn. buffered is data of it that has been read before.
+func newEnd(side plan.Side, conn *net.TCPConn, buffered []byte, rules frame.Rules, t *Table) (*end, error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	// The proxy's sockets have buffers for requests. They are small where there are many sockets, and smaller than a
-	// segment on loopback: the kernel then waits on its own timers within each long message.
+	// The proxy sizes the buffers of its sockets for requests. With many sockets they are small, and smaller than a
+	// segment on the loopback interface. The kernel then waits for its own timers within each long message.
 	size := int(t.options.SocketBuffer)
 	if err := errors.Join(conn.SetReadBuffer(size), conn.SetWriteBuffer(size)); err != nil {
 		return nil, err
 	}
 	e := &end{
-		side: side, now: t.now, conn: conn, raw: raw, mask: side == plan.Server, get: t.gate, held: held,
-		patience: t.options.WriteTimeout, closeWithin: t.options.CloseTimeout,
+		side: side, now: t.now, conn: conn, raw: raw, mask: side == plan.Server, buffers: t.buffers, unconsumed: buffered,
+		writeTimeout: t.options.WriteTimeout, closeTimeout: t.options.CloseTimeout,
 	}
 	e.checker.Rules = rules
 	now := int64(t.now())
-	e.heard.Store(now)
-	e.spoke.Store(now)
-	e.reading.f = e.tryRead
+	e.lastRead.Store(now)
+	e.lastMessage.Store(now)
+	e.reading.try = e.tryRead
 	return e, nil
 }
 
-// tryRead takes a buffer only once there is something to read, or before the first look.
+// tryRead reads without blocking, and reports whether the read is done. raw.Read calls it at once, and again whenever the
+// socket is readable. It holds no buffer in between.
 func (e *end) tryRead(fd uintptr) bool {
 	r := &e.reading
-	if r.b == nil {
-		r.b = e.get.try(r.room)
+	if r.buf == nil {
+		r.buf = e.buffers.tryGet(r.writable)
 	}
-	if r.b == nil {
-		r.full = true
+	if r.buf == nil {
+		r.exhausted = true
 		return true
 	}
-	into := r.b[frame.MaxUnconsumed:]
-	if r.room {
-		into = into[:roomyBytes]
+	into := r.buf[frame.MaxUnconsumed:]
+	if r.writable {
+		into = into[:writableReadBytes]
 	}
 	for {
 		if r.n, r.err = syscall.Read(int(fd), into); r.err != syscall.EINTR {
@@ -115,40 +117,41 @@
 		}
 	}
 	if r.err == syscall.EAGAIN {
-		e.get.put(r.b)
-		r.b = nil
+		e.buffers.put(r.buf)
+		r.buf = nil
 		return false
 	}
 	return true
 }
 
-// read returns a buffer with what the end sent, behind room for what was held. It holds no buffer while it waits:
-// a quiet channel costs its goroutines and its sockets. room is called where buffers are short, and waits until the
-// bytes can go on at once; nil where they need not.
-func (e *end) read(room func()) (*buffer, int, error) {
+// read returns a buffer with data of the end, and its length. The data begins at MaxUnconsumed, to leave space for
+// unconsumed bytes before it. While read waits for data it holds no buffer, so an idle channel costs only its goroutines
+// and sockets. When buffers are scarce, read calls waitWritable, which waits until data can be forwarded at once. waitWritable
+// is nil if the data is not forwarded.
+func (e *end) read(waitWritable func()) (*buffer, int, error) {
 	r := &e.reading
-	r.room, r.b = room == nil, nil
+	r.writable, r.buf = waitWritable == nil, nil
 	for {
-		r.full = false
-		err := e.raw.Read(r.f)
+		r.exhausted = false
+		err := e.raw.Read(r.try)
 		switch {
 		case err != nil:
-			if r.b != nil {
-				e.get.put(r.b)
+			if r.buf != nil {
+				e.buffers.put(r.buf)
 			}
 			return nil, 0, err
-		case r.full && !r.room:
-			room()
-			r.room = true
+		case r.exhausted && !r.writable:
+			waitWritable()
+			r.writable = true
 			continue
-		case r.full:
-			// Something has come, and all buffers are in use. This end waits, and with it who sends there.
-			e.waitsFor(func() { r.b = e.get.wait() })
+		case r.exhausted:
+			// There is data, but all buffers are in use. This end waits, and so does its sender.
+			e.whileBlocked(func() { r.buf = e.buffers.get() })
 			continue
 		case r.err == nil && r.n > 0:
-			return r.b, r.n, nil
+			return r.buf, r.n, nil
 		}
-		e.get.put(r.b)
+		e.buffers.put(r.buf)
 		if r.err != nil {
 			return nil, 0, os.NewSyscallError("read", r.err)
 		}
@@ -156,37 +159,38 @@
 	}
 }
 
-// peek says whether a read would not wait. It must not use much of the stack.
+// peek reports whether a read would return at once. It must use little stack (see park).
 func (e *end) peek(fd uintptr) bool {
-	_, _, errno := syscall.Syscall6(syscall.SYS_RECVFROM, fd, uintptr(unsafe.Pointer(&e.peeked)), 1, syscall.MSG_PEEK|syscall.MSG_DONTWAIT, 0, 0)
+	_, _, errno := syscall.Syscall6(syscall.SYS_RECVFROM, fd, uintptr(unsafe.Pointer(&e.peekByte)), 1, syscall.MSG_PEEK|syscall.MSG_DONTWAIT, 0, 0)
 	return errno != syscall.EAGAIN
 }
 
-// progress notes whether a frame is on its way, and how far it is.
-func (e *end) progress(now time.Duration, held bool) {
-	if e.checker.AtFrameBoundary() && !held {
-		e.since.Store(0)
+// trackFrame records whether a frame is unfinished, and how much of it has been forwarded.
+func (e *end) trackFrame(now time.Duration, partial bool) {
+	if e.checker.AtFrameBoundary() && !partial {
+		e.frameStart.Store(0)
 		return
 	}
-	e.moved.Store(e.checker.FrameBytes())
-	if e.since.Load() == 0 {
-		e.since.Store(int64(now))
+	e.frameBytes.Store(e.checker.FrameBytes())
+	if e.frameStart.Load() == 0 {
+		e.frameStart.Store(int64(now))
 	}
 }
 
-// waitsFor calls f, in which the end's bytes wait for the other end. That is the other end's time, not its own.
-func (e *end) waitsFor(f func()) {
-	begun := e.now()
+// whileBlocked calls f, which waits for the other end or for a buffer. That time does not count as the time of the end's
+// own frame.
+func (e *end) whileBlocked(f func()) {
+	started := e.now()
 	e.blocked.Store(true)
 	f()
 	e.blocked.Store(false)
-	if since := e.since.Load(); since > 0 {
-		e.since.Store(since + int64(e.now()-begun))
+	if frameStart := e.frameStart.Load(); frameStart > 0 {
+		e.frameStart.Store(frameStart + int64(e.now()-started))
 	}
 }
 
-// rulesOf are the rules of both directions.
-func rulesOf(a handshake.Agreement, o *Options) [plan.NumSides]frame.Rules {
+// frameRules returns the rules for the frames of both ends.
+func frameRules(a handshake.Agreement, o *Options) [plan.NumSides]frame.Rules {
 	both := frame.Rules{ReservedBits: a.ReservedBits, MaxMessage: o.MaxMessage, CheckUTF8: a.UTF8 || o.CheckUTF8}
 	client := both
 	client.Masked = true
--- a/internal/channel/frame/frame_test.go
+++ b/internal/channel/frame/frame_test.go
@@ -10,8 +10,8 @@
 	"unicode/utf8"
 )
 
-// build is one frame as a peer might send it, right or wrong.
-func build(first byte, payload []byte, masked bool) []byte {
+// buildFrame returns a frame as a peer might send it, valid or not.
+func buildFrame(first byte, payload []byte, masked bool) []byte {
 	b := []byte{first}
 	bit := byte(0)
 	if masked {
@@ -36,7 +36,7 @@
 	return b
 }
 
-// outcome is what became of a stream of bytes.
+// outcome is the result of scanning a stream.
 type outcome struct {
 	passed   []byte
 	controls []string // opcode and payload
@@ -44,12 +44,12 @@
 	ended    bool
 }
 
-// feed gives bytes to a checker in pieces, whose sizes next tells, the way a relay does.
-func feed(rules Rules, b []byte, next func() int) (o outcome) {
+// feed passes b to a Checker in pieces of the sizes that nextSize returns, as a relay does.
+func feed(rules Rules, b []byte, nextSize func() int) (o outcome) {
 	c := Checker{Rules: rules}
 	var held []byte
 	for len(b) > 0 {
-		n := min(max(next(), 1), len(b))
+		n := min(max(nextSize(), 1), len(b))
 		held = append(held, b[:n]...)
 		b = b[n:]
 		for {
@@ -70,7 +70,7 @@
 				return o
 			}
 			if len(held) > MaxUnconsumed {
-				panic("more is left than MaxHeld")
+				panic("Scan left more than MaxUnconsumed")
 			}
 			break
 		}
@@ -78,8 +78,8 @@
 	return o
 }
 
-// reference reads a whole stream with no regard for cuts, memory or speed.
-func reference(rules Rules, b []byte) (o outcome) {
+// referenceScan is a simple implementation that scans a whole stream at once, without regard to memory or speed.
+func referenceScan(rules Rules, b []byte) (o outcome) {
 	var open, text bool
 	var size int64
 	var message []byte
@@ -160,7 +160,7 @@
 		if text {
 			good := message
 			for i := 0; i < min(3, len(good)) && !(fin && whole) && !utf8.Valid(good); i++ {
-				// What may still become a character does not count against it yet.
+				// An incomplete character at the end may still become valid.
 				if tail := good[len(good)-1-i:]; !utf8.FullRune(tail) && (tail[0] >= 0xC0) {
 					good = good[:len(good)-1-i]
 					break
@@ -181,72 +181,72 @@
 	}
 }
 
-func same(a, b outcome) bool {
+func sameOutcome(a, b outcome) bool {
 	if a.code != b.code || a.ended != b.ended || strings.Join(a.controls, "|") != strings.Join(b.controls, "|") {
 		return false
 	}
-	// Where text turns out wrong, what has passed by then is a matter of cuts.
+	// How much has passed before invalid text is found depends on the sizes of the pieces.
 	return a.code == InvalidPayload || bytes.Equal(a.passed, b.passed)
 }
 
-// stream is random frames, most of them right.
-func stream(dice *rand.Rand, masked bool) []byte {
+// randomStream returns random frames, most of which are valid.
+func randomStream(rng *rand.Rand, masked bool) []byte {
 	var b []byte
 	open := false
-	for range 1 + dice.IntN(12) {
+	for range 1 + rng.IntN(12) {
 		first := byte(0x80)
-		size := []int{0, 1, 7, 125, 126, 127, 300, 65535, 65536}[dice.IntN(9)]
-		switch k := dice.IntN(10); {
+		size := []int{0, 1, 7, 125, 126, 127, 300, 65535, 65536}[rng.IntN(9)]
+		switch k := rng.IntN(10); {
 		case k < 3:
-			first |= byte(Ping) + byte(dice.IntN(2))
+			first |= byte(Ping) + byte(rng.IntN(2))
 			size = min(size, 125)
-		case k == 3 && dice.IntN(4) == 0:
+		case k == 3 && rng.IntN(4) == 0:
 			first |= byte(Close)
 			size = min(size, 125)
 		default:
 			if !open {
-				first |= 1 + byte(dice.IntN(2))
+				first |= 1 + byte(rng.IntN(2))
 			}
-			if open = dice.IntN(2) == 0; open {
+			if open = rng.IntN(2) == 0; open {
 				first &^= 0x80
 			}
 		}
-		if dice.IntN(25) == 0 {
-			first ^= 1 << dice.IntN(8)
+		if rng.IntN(25) == 0 {
+			first ^= 1 << rng.IntN(8)
 		}
 		payload := []byte(strings.Repeat("予約の本が届きました ", size/31+1))[:size]
 		if first&15 == byte(Close) && size >= 2 {
-			binary.BigEndian.PutUint16(payload, uint16(1000+dice.IntN(20)))
+			binary.BigEndian.PutUint16(payload, uint16(1000+rng.IntN(20)))
 		}
-		one := build(first, payload, masked != (dice.IntN(40) == 0))
-		if dice.IntN(30) == 0 {
-			one[dice.IntN(len(one))] ^= byte(1 + dice.IntN(255))
+		f := buildFrame(first, payload, masked != (rng.IntN(40) == 0))
+		if rng.IntN(30) == 0 {
+			f[rng.IntN(len(f))] ^= byte(1 + rng.IntN(255))
 		}
-		b = append(b, one...)
+		b = append(b, f...)
 	}
-	return b[:len(b)-dice.IntN(3)*dice.IntN(len(b))/4]
+	return b[:len(b)-rng.IntN(3)*rng.IntN(len(b))/4]
 }
 
-func TestRandomStreamsAgainstAPlainReader(t *testing.T) {
+func TestRandomStreamsAgainstReference(t *testing.T) {
 	broken := 0
 	for seed := range uint64(1500) {
-		dice := rand.New(rand.NewPCG(seed, 0))
-		rules := Rules{Masked: seed&1 == 0, MaxMessage: []int64{0, 400, 70_000}[dice.IntN(3)], CheckUTF8: dice.IntN(2) == 0}
-		if dice.IntN(3) == 0 {
+		rng := rand.New(rand.NewPCG(seed, 0))
+		rules := Rules{Masked: seed&1 == 0, MaxMessage: []int64{0, 400, 70_000}[rng.IntN(3)], CheckUTF8: rng.IntN(2) == 0}
+		if rng.IntN(3) == 0 {
 			rules.ReservedBits = CompressedBit
 		}
-		b := stream(dice, rules.Masked)
-		want := reference(rules, b)
+		b := randomStream(rng, rules.Masked)
+		want := referenceScan(rules, b)
 		cuts := []func() int{
 			func() int { return len(b) }, func() int { return 1 },
-			func() int { return 1 + dice.IntN(200) },
+			func() int { return 1 + rng.IntN(200) },
 		}
 		for i, cut := range cuts {
 			if len(b) > 20_000 && i == 1 {
 				continue
 			}
-			if got := feed(rules, b, cut); !same(got, want) {
-				t.Fatalf("seed %d, cut %d: code %d, %d passed, controls %q, ended %t; want %d, %d, %q, %t", seed, i,
+			if got := feed(rules, b, cut); !sameOutcome(got, want) {
+				t.Fatalf("seed %d, sizes %d: code %d, %d bytes passed, controls %q, ended %t; want %d, %d, %q, %t", seed, i,
 					got.code, len(got.passed), got.controls, got.ended, want.code, len(want.passed), want.controls, want.ended)
 			}
 		}
@@ -255,28 +255,28 @@
 		}
 	}
 	if broken < 400 || broken > 1300 {
-		t.Errorf("%d of 1500 streams are broken: the mix tests too little", broken)
+		t.Errorf("%d of 1500 streams are invalid, want 400 to 1300 for a useful mix", broken)
 	}
 }
 
-func TestStopsWhereAsked(t *testing.T) {
+func TestScanStopsAtBoundaries(t *testing.T) {
 	var b []byte
-	b = append(b, build(0x01, []byte("ab"), false)...)
-	b = append(b, build(0x80, []byte("c"), false)...)
+	b = append(b, buildFrame(0x01, []byte("ab"), false)...)
+	b = append(b, buildFrame(0x80, []byte("c"), false)...)
 	first := len(b)
-	b = append(b, build(0x82, nil, false)...)
-	for _, k := range []struct {
+	b = append(b, buildFrame(0x82, nil, false)...)
+	for _, tc := range []struct {
 		until BoundaryKind
 		want  []int
 	}{{NoBoundary, []int{len(b)}}, {MessageEnd, []int{first, len(b)}}, {FrameEnd, []int{4, first, len(b)}}} {
 		c := Checker{}
-		for at, i := 0, 0; i < len(k.want); i++ {
-			r, v := c.Scan(b[at:], k.until)
-			if at += r.Pass; v != nil || at != k.want[i] {
-				t.Fatalf("until %d: stopped at %d, want %d (%v)", k.until, at, k.want[i], v)
+		for at, i := 0, 0; i < len(tc.want); i++ {
+			r, v := c.Scan(b[at:], tc.until)
+			if at += r.Pass; v != nil || at != tc.want[i] {
+				t.Fatalf("boundary %d: stopped at %d, want %d (%v)", tc.until, at, tc.want[i], v)
 			}
-			if c.InMessage() != (k.until == FrameEnd && i == 0) || !c.AtFrameBoundary() {
-				t.Errorf("until %d, stop %d: open %t, between %t", k.until, i, c.InMessage(), c.AtFrameBoundary())
+			if c.InMessage() != (tc.until == FrameEnd && i == 0) || !c.AtFrameBoundary() {
+				t.Errorf("boundary %d, stop %d: InMessage is %t, AtFrameBoundary is %t", tc.until, i, c.InMessage(), c.AtFrameBoundary())
 			}
 		}
 	}
@@ -286,7 +286,7 @@
 	c := Checker{Rules: Rules{MaxMessage: 1 << 20}}
 	head := binary.BigEndian.AppendUint64([]byte{0x82, 127}, 1<<30)
 	if r, v := c.Scan(head, NoBoundary); v == nil || v.Code != MessageTooBig || r.Pass != 0 {
-		t.Errorf("pass %d, %v", r.Pass, v)
+		t.Errorf("%d bytes passed, violation %v; want 0 and a message that is too big", r.Pass, v)
 	}
 }
 
@@ -297,24 +297,24 @@
 		c := Checker{Rules: Rules{Masked: masked != nil}}
 		r, v := c.Scan(b, NoBoundary)
 		if v != nil || r.Stop != ControlFrame || r.Code != ServiceRestart || r.Size != len(b) || len(r.Payload) != 2+41*3 {
-			t.Errorf("%+v, %v", r, v)
+			t.Errorf("scan of a written Close: %+v, violation %v", r, v)
 		}
 	}
 }
 
 func FuzzScan(f *testing.F) {
 	for seed := range uint64(20) {
-		f.Add(stream(rand.New(rand.NewPCG(seed, 1)), seed&1 == 0), seed&1 == 0, byte(seed))
+		f.Add(randomStream(rand.New(rand.NewPCG(seed, 1)), seed&1 == 0), seed&1 == 0, byte(seed))
 	}
-	f.Fuzz(func(t *testing.T, b []byte, masked bool, with byte) {
-		rules := Rules{Masked: masked, CheckUTF8: with&1 != 0, MaxMessage: int64(with>>3) * 100}
-		if with&2 != 0 {
+	f.Fuzz(func(t *testing.T, b []byte, masked bool, options byte) {
+		rules := Rules{Masked: masked, CheckUTF8: options&1 != 0, MaxMessage: int64(options>>3) * 100}
+		if options&2 != 0 {
 			rules.ReservedBits = CompressedBit
 		}
-		want := reference(rules, b)
-		for _, n := range []int{len(b), 1, int(with)} {
-			if got := feed(rules, b, func() int { return n }); !same(got, want) {
-				t.Fatalf("in pieces of %d: %+v, want %+v", n, got, want)
+		want := referenceScan(rules, b)
+		for _, n := range []int{len(b), 1, int(options)} {
+			if got := feed(rules, b, func() int { return n }); !sameOutcome(got, want) {
+				t.Fatalf("in pieces of %d bytes: %+v, want %+v", n, got, want)
 			}
 		}
 	})
@@ -323,7 +323,7 @@
 func BenchmarkScan(b *testing.B) {
 	for _, size := range []int{32, 1024, 16384} {
 		b.Run(strconv.Itoa(size), func(b *testing.B) {
-			one := build(0x82, make([]byte, size), true)
+			one := buildFrame(0x82, make([]byte, size), true)
 			chunk := bytes.Repeat(one, max(32<<10/len(one), 1))
 			b.SetBytes(int64(len(chunk)))
 			c := Checker{Rules: Rules{Masked: true, MaxMessage: 1 << 20}}
--- a/internal/cluster/agreement/node_test.go
+++ b/internal/cluster/agreement/node_test.go
@@ -21,35 +21,35 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// wire carries parcels between nodes of a test at once.
+// wire delivers payloads between the nodes of a test synchronously.
 type wire struct {
 	mu    sync.Mutex
 	nodes map[string]func([]byte)
 }
 
-// end is one node's end of a wire; its address is its name.
+// end is a node's connection to a wire; its address is the node's name.
 type end struct {
 	*wire
 	name string
 }
 
-func (e end) Carry(to string, body []byte) {
+func (e end) SendPayload(to string, body []byte) {
 	e.mu.Lock()
-	take := e.nodes[to]
+	receive := e.nodes[to]
 	e.mu.Unlock()
-	if take != nil {
-		take(slices.Clone(body))
+	if receive != nil {
+		receive(slices.Clone(body))
 	}
 }
 
-func (e end) OnParcel(take func([]byte)) {
+func (e end) OnPayload(receive func([]byte)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.nodes[e.name] = take
+	e.nodes[e.name] = receive
 }
 
-func (e end) Follow(f func(view.Standing)) {
-	var s view.Standing
+func (e end) Follow(f func(view.Snapshot)) {
+	var s view.Snapshot
 	for _, n := range []string{"a", "b", "c", "d"} {
 		s.Members = append(s.Members, view.Member{Record: view.Record{Name: n, Address: n, State: view.Alive}})
 	}
@@ -59,8 +59,8 @@
 func (w *wire) open(t *testing.T, name, folder string) *Node {
 	t.Helper()
 	o := DefaultOptions()
-	o.Keepers, o.Folder, o.Lease = []string{"a", "b", "c"}, folder, 500*time.Millisecond
-	n, err := Open(Config{Options: o, Fleet: "shelf", Name: name, Boot: uint64(len(folder)) + uint64(name[0]), Seed: 1, Log: slog.New(slog.DiscardHandler)}, end{w, name})
+	o.Voters, o.Folder, o.Lease = []string{"a", "b", "c"}, folder, 500*time.Millisecond
+	n, err := Open(Config{Options: o, Fleet: "shelf", Name: name, InstanceID: uint64(len(folder)) + uint64(name[0]), Seed: 1, Log: slog.New(slog.DiscardHandler)}, end{w, name})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,17 +68,18 @@
 	return n
 }
 
-// until waits for what must come.
-func until(t *testing.T, what string, is func() bool) {
+// waitFor waits until cond is true, and fails the test after 20 seconds.
+func waitFor(t *testing.T, what string, cond func() bool) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !cond(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not ", what)
+			t.Fatal("timed out waiting for: ", what)
 		}
 	}
 }
 
-// TestFourNodes: three keepers and one more agree on a ban, are told of it, and one that starts anew knows it from its folder.
+// TestFourNodes checks that three voters and another proxy agree on a ban, that followers are notified of it, and that
+// a restarted proxy knows it from its folder.
 func TestFourNodes(t *testing.T) {
 	w := &wire{nodes: map[string]func([]byte){}}
 	nodes, folders := map[string]*Node{}, map[string]string{}
@@ -86,79 +87,84 @@
 		folders[name] = t.TempDir()
 		nodes[name] = w.open(t, name, folders[name])
 	}
-	told := make(chan uint64, 100)
-	nodes["d"].Follow(func(b *accord.Basis) { told <- b.Version })
+	notified := make(chan uint64, 100)
+	nodes["d"].Follow(func(b *accord.Basis) { notified <- b.Version })
 	for name, n := range nodes {
-		until(t, name+" with a lease", func() bool { return n.Mode() == accord.Leased && n.Basis().Version == 1 })
+		waitFor(t, name+" with a lease", func() bool { return n.Mode() == accord.Leased && n.Basis().Version == 1 })
 	}
 	var a rules.Answer
-	until(t, "agreed", func() bool { // the keepers may still be coming together
+	waitFor(t, "the change to be accepted", func() bool { // the voters may still be joining the log
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		var err error
 		a, err = nodes["d"].Propose(ctx, rules.Change{Kind: rules.Suspend, Server: "node-00", Why: "disk"})
-		return err == nil && a.No == ""
+		return err == nil && a.Rejection == ""
 	})
 	for _, name := range slices.Sorted(maps.Keys(nodes)) {
 		n := nodes[name]
-		until(t, name+" with it in force", func() bool { return n.Basis().Version >= a.Version })
-		if ruling, ground := n.Rule(rules.Send{Server: "node-00"}); ruling != rules.Banned || ground.Version != a.Version || !ground.Leased {
-			t.Errorf("%s: %v by %+v", name, ruling, ground)
+		waitFor(t, name+" with it in force", func() bool { return n.Basis().Version >= a.Version })
+		if decision, basis := n.Decide(rules.Send{Server: "node-00"}); decision != rules.Banned || basis.Version != a.Version || !basis.Leased {
+			t.Errorf("%s: decision %v, based on %+v", name, decision, basis)
 		}
 	}
-	until(t, "told", func() bool { return <-told >= a.Version })
+	waitFor(t, "the follower to be notified", func() bool { return <-notified >= a.Version })
 	r, err := nodes["a"].Report(t.Context())
-	if err != nil || len(r.History) < 2 || r.Keepers == nil || len(r.Document.Bans) != 1 {
-		t.Errorf("%+v, %v", r, err)
+	if err != nil || len(r.History) < 2 || r.Voters == nil || len(r.Document.Bans) != 1 {
+		t.Errorf("report %+v, error %v", r, err)
 	}
-	// One that hands over acts on what it knows until its end, and repeats nothing.
+	// A process that has handed over acts until its end on the rules that it knows, and repeats nothing.
 	nodes["d"].Close(true)
-	if ruling, _ := nodes["d"].Rule(rules.Send{Server: "node-01", Again: true}); ruling != rules.NoRepeat || nodes["d"].Mode() != accord.Alone {
-		t.Errorf("after it has handed over: %v, %v", ruling, nodes["d"].Mode())
+	if decision, _ := nodes["d"].Decide(rules.Send{Server: "node-01", MayHaveRun: true}); decision != rules.NoRepeat || nodes["d"].Mode() != accord.Alone {
+		t.Errorf("after the handover: decision %v, mode %v", decision, nodes["d"].Mode())
 	}
 	for _, name := range []string{"a", "b", "c"} {
 		nodes[name].Close(false)
 	}
-	again := w.open(t, "d", folders["d"])
-	until(t, "alone", func() bool { return again.Mode() == accord.Alone })
-	if ruling, _ := again.Rule(rules.Send{Server: "node-00"}); ruling != rules.Banned {
-		t.Errorf("from the folder alone: %v", ruling)
+	restarted := w.open(t, "d", folders["d"])
+	waitFor(t, "mode alone after the restart", func() bool { return restarted.Mode() == accord.Alone })
+	if decision, _ := restarted.Decide(rules.Send{Server: "node-00"}); decision != rules.Banned {
+		t.Errorf("with the rules of the folder alone: decision %v", decision)
 	}
 }
 
-func TestNobodyAnswers(t *testing.T) {
+// TestNoAnswerFromVoters checks a proxy that reaches no voter: a proposal times out, and an undecodable message is
+// ignored.
+func TestNoAnswerFromVoters(t *testing.T) {
 	w := &wire{nodes: map[string]func([]byte){}}
 	n := w.open(t, "d", t.TempDir())
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	if _, err := n.Propose(ctx, rules.Change{Kind: rules.Suspend, Server: "node-00"}); !errors.Is(err, ErrNoAnswer) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v; wanted ErrNoAnswer", err)
 	}
 	if _, err := n.Propose(t.Context(), rules.Change{Kind: rules.Suspend}); err == nil {
-		t.Error("a change of nothing is proposed")
+		t.Error("a change without a server is accepted")
 	}
 	if err := n.Refound(t.Context()); err == nil {
-		t.Error("one that is no keeper goes on alone")
+		t.Error("Refound succeeds at a proxy that is not a voter")
 	}
-	n.parcel([]byte("no message"))
+	n.onPayload([]byte("no message"))
 	r, err := n.Report(t.Context())
-	if err != nil || fmt.Sprint(r.Keepers) != "map[]" {
-		t.Errorf("%+v, %v", r, err)
+	if err != nil || fmt.Sprint(r.Voters) != "map[]" {
+		t.Errorf("report %+v, error %v", r, err)
 	}
 }
 
-// topics is a carrier that notes under which topic each parcel goes out.
+// topics is a carrier that records the destination and the topic of each payload.
 type topics struct {
 	end
 	seen []string
 }
 
-func (c *topics) Carry(to string, _ []byte) { c.seen = append(c.seen, to) }
+func (c *topics) SendPayload(to string, _ []byte) { c.seen = append(c.seen, to) }
 
-func (c *topics) CarryLatest(to, topic string, _ []byte) { c.seen = append(c.seen, to+": "+topic) }
+func (c *topics) SendLatestPayload(to, topic string, _ []byte) {
+	c.seen = append(c.seen, to+": "+topic)
+}
 
-// TestNewerGrantsAndTellsTakeTheirPlace: those of one kind for one proxy replace each other where they wait, and nothing else does.
-func TestNewerGrantsAndTellsTakeTheirPlace(t *testing.T) {
+// TestNewerMessagesReplaceQueued checks that only grants and updates are sent with a topic, one for each kind and
+// receiver, so that a newer message replaces a queued one. All other messages are sent without a topic.
+func TestNewerMessagesReplaceQueued(t *testing.T) {
 	c := &topics{}
 	n := &Node{carrier: c}
 	n.addresses.Store(&map[string]string{"a": "at-a", "b": "at-b"})
@@ -166,9 +172,9 @@
 		to string
 		m  accord.Message
 	}{
-		{"a", accord.Message{Kind: accord.Grant, From: "l", To: "a"}}, {"a", accord.Message{Kind: accord.Tell, From: "l", To: "a"}},
+		{"a", accord.Message{Kind: accord.Grant, From: "l", To: "a"}}, {"a", accord.Message{Kind: accord.Update, From: "l", To: "a"}},
 		{"b", accord.Message{Kind: accord.Grant, From: "l", To: "a", Path: []string{"b"}}}, {"a", accord.Message{Kind: accord.Raft, From: "l", To: "a"}},
-		{"gone", accord.Message{Kind: accord.Tell, From: "l", To: "gone"}},
+		{"gone", accord.Message{Kind: accord.Update, From: "l", To: "gone"}},
 	} {
 		host{n}.Send(m.to, &m.m)
 	}
@@ -177,31 +183,31 @@
 	}
 }
 
-// TestWhatWaitsIsTakenTogether: messages that wait are taken in in their order, so many at one time at most.
-func TestWhatWaitsIsTakenTogether(t *testing.T) {
+// TestQueuedMessagesAreBatched checks that queued messages are batched in their order, maxBatch at most.
+func TestQueuedMessagesAreBatched(t *testing.T) {
 	const more = 7
-	n := &Node{messages: make(chan *accord.Message, mostWaiting)}
-	for i := range mostTogether + more {
+	n := &Node{messages: make(chan *accord.Message, maxQueued)}
+	for i := range maxBatch + more {
 		n.messages <- &accord.Message{Seq: uint64(i)}
 	}
 	next := uint64(0)
-	for _, want := range []int{mostTogether, more} {
-		together := n.waiting(<-n.messages)
-		if len(together) != want {
-			t.Errorf("%d messages together; wanted %d", len(together), want)
+	for _, want := range []int{maxBatch, more} {
+		messages := n.batch(<-n.messages)
+		if len(messages) != want {
+			t.Errorf("a batch of %d messages; wanted %d", len(messages), want)
 		}
-		for _, m := range together {
+		for _, m := range messages {
 			if m.Seq != next {
-				t.Fatalf("message %d came as %d", next, m.Seq)
+				t.Fatalf("expected message %d, got message %d", next, m.Seq)
 			}
 			next++
 		}
 	}
 }
 
-// TestProposalsThatWaitTogether: changes that are proposed while the leader's goroutine has other work go out to the others in a few
-// steps, and not in one each.
-func TestProposalsThatWaitTogether(t *testing.T) {
+// TestQueuedProposalsAreBatched checks that changes that are proposed while the leader's goroutine is busy are
+// replicated in a few steps, and not in one step for each change.
+func TestQueuedProposalsAreBatched(t *testing.T) {
 	const changes = 12
 	w := &wire{nodes: map[string]func([]byte){}}
 	nodes := map[string]*Node{}
@@ -209,53 +215,53 @@
 		nodes[name] = w.open(t, name, t.TempDir())
 	}
 	for name, n := range nodes {
-		until(t, name+" with a lease", func() bool { return n.Mode() == accord.Leased && n.Basis().Version == 1 })
+		waitFor(t, name+" with a lease", func() bool { return n.Mode() == accord.Leased && n.Basis().Version == 1 })
 	}
 	var leader *Node
-	until(t, "led by one that three vote for", func() bool {
+	waitFor(t, "a leader with three voters", func() bool {
 		for _, n := range nodes {
-			if r, err := n.Report(t.Context()); err == nil && r.Leads && len(r.Keepers) == 3 {
+			if r, err := n.Report(t.Context()); err == nil && r.IsLeader && len(r.Voters) == 3 {
 				leader = n
 			}
 		}
 		return leader != nil
 	})
 	var mu sync.Mutex
-	known := map[uint64]bool{} // the newest versions that d has known
+	known := map[uint64]bool{} // the newest versions that d has observed
 	nodes["d"].Follow(func(b *accord.Basis) {
 		mu.Lock()
 		defer mu.Unlock()
 		known[b.Last] = true
 	})
 
-	release, held := make(chan struct{}), make(chan struct{})
-	go leader.ask(leader.ctx, func(*accord.Core, time.Duration) { close(held); <-release })
-	<-held
+	release, blocked := make(chan struct{}), make(chan struct{})
+	go leader.do(leader.ctx, func(*accord.Core, time.Duration) { close(blocked); <-release })
+	<-blocked
 	var proposing sync.WaitGroup
 	for i := range changes {
 		proposing.Go(func() {
 			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 			defer cancel()
 			c := rules.Change{ID: fmt.Sprint("ban-", i), Kind: rules.Suspend, Server: fmt.Sprint("node-", i)}
-			if a, err := nodes["d"].Propose(ctx, c); err != nil || a.No != "" {
-				t.Errorf("change %d: %q, %v", i, a.No, err)
+			if a, err := nodes["d"].Propose(ctx, c); err != nil || a.Rejection != "" {
+				t.Errorf("change %d: %q, %v", i, a.Rejection, err)
 			}
 		})
 	}
-	until(t, "waiting before the leader", func() bool { return len(leader.messages) >= changes })
+	waitFor(t, "all proposals to be queued at the leader", func() bool { return len(leader.messages) >= changes })
 	close(release)
 	proposing.Wait()
-	until(t, "known", func() bool { return nodes["d"].Basis().Last == changes+1 })
+	waitFor(t, "d to know all versions", func() bool { return nodes["d"].Basis().Last == changes+1 })
 	mu.Lock()
 	defer mu.Unlock()
-	t.Logf("d knew %d versions in %d steps", changes+1, len(known))
+	t.Logf("d observed %d versions in %d steps", changes+1, len(known))
 	if len(known) > changes/2 {
-		t.Errorf("%d changes became known in %d steps", changes, len(known))
+		t.Errorf("%d changes were observed in %d steps", changes, len(known))
 	}
 }
 
-// TestWhatFindsNoRoomIsCounted: a message beyond those that may wait is dropped, and told among the figures.
-func TestWhatFindsNoRoomIsCounted(t *testing.T) {
+// TestDroppedMessagesAreCounted checks that a message is dropped if the queue is full, and that the figures count it.
+func TestDroppedMessagesAreCounted(t *testing.T) {
 	n := &Node{messages: make(chan *accord.Message, 1)}
 	n.basis.Store(&accord.Basis{})
 	body, err := (&accord.Message{Kind: accord.Renew, From: "a"}).Encode()
@@ -263,10 +269,10 @@
 		t.Fatal(err)
 	}
 	for range 3 {
-		n.parcel(body)
+		n.onPayload(body)
 	}
-	if n.Late() != 2 || len(n.messages) != 1 {
-		t.Errorf("%d were dropped, %d wait", n.Late(), len(n.messages))
+	if n.DroppedMessages() != 2 || len(n.messages) != 1 {
+		t.Errorf("%d dropped, %d queued", n.DroppedMessages(), len(n.messages))
 	}
 	if text := string(n.Figures(nil)); !strings.Contains(text, "rules_late:2|c") {
 		t.Errorf("figures: %q", text)
--- a/internal/cluster/link/link_test.go
+++ b/internal/cluster/link/link_test.go
@@ -18,19 +18,19 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// ear hands on what comes.
-type ear struct {
-	came    chan *view.Message
-	parcels chan []byte
-	table   []view.Record
-	hold    chan struct{} // exchanges wait for it, if it is set
+// recorder is a Handler that records received data.
+type recorder struct {
+	received chan *view.Message
+	payloads chan []byte
+	table    []view.Record
+	hold     chan struct{} // if set, exchanges wait until it is closed
 }
 
-func (e *ear) Datagram(_ string, m *view.Message) { e.came <- m }
+func (e *recorder) Datagram(_ string, m *view.Message) { e.received <- m }
 
-func (e *ear) Parcel(body []byte) { e.parcels <- body }
+func (e *recorder) Payload(body []byte) { e.payloads <- body }
 
-func (e *ear) Asked(ctx context.Context, _ string, table []view.Record) ([]view.Record, error) {
+func (e *recorder) Exchange(ctx context.Context, _ string, table []view.Record) ([]view.Record, error) {
 	if e.hold != nil {
 		select {
 		case <-e.hold:
@@ -41,14 +41,14 @@
 	return append(e.table, table...), nil
 }
 
-func listen(t *testing.T, networks string) (*Link, *ear) {
+func listen(t *testing.T, networks string) (*Link, *recorder) {
 	t.Helper()
 	return listenOn(t, networks, nil)
 }
 
-func listenOn(t *testing.T, networks string, path Path) (*Link, *ear) {
+func listenOn(t *testing.T, networks string, path Path) (*Link, *recorder) {
 	t.Helper()
-	e := &ear{came: make(chan *view.Message, 10_000), parcels: make(chan []byte, 100), table: []view.Record{record("held")}}
+	e := &recorder{received: make(chan *view.Message, 10_000), payloads: make(chan []byte, 100), table: []view.Record{record("held")}}
 	l, err := Listen(Config{Fleet: "shelf", Listen: "127.0.0.1:0", Networks: []netip.Prefix{netip.MustParsePrefix(networks)}, Path: path}, e)
 	if err != nil {
 		t.Fatal(err)
@@ -58,15 +58,15 @@
 }
 
 func record(name string) view.Record {
-	return view.Record{Name: name, Boot: 1, Incarnation: 1, State: view.Alive, Address: "127.0.0.1:9"}
+	return view.Record{Name: name, InstanceID: 1, Incarnation: 1, State: view.Alive, Address: "127.0.0.1:9"}
 }
 
-// until waits until a count has come to what is wanted.
-func until(t *testing.T, what string, is func() bool) {
+// waitFor waits until a condition holds.
+func waitFor(t *testing.T, what string, is func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !is(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("never %s", what)
+			t.Fatalf("timeout waiting until %s", what)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 	a, _ := listen(t, "127.0.0.0/8")
 	b, ear := listen(t, "127.0.0.0/8")
 	a.Send(b.Addr(), &view.Message{Kind: view.Ping, Seq: 5, From: record("a")})
-	if m := <-ear.came; m.Seq != 5 || m.From.Name != "a" {
+	if m := <-ear.received; m.Seq != 5 || m.From.Name != "a" {
 		t.Errorf("%+v", m)
 	}
 	got, err := a.Exchange(t.Context(), b.Addr(), []view.Record{record("mine")})
@@ -85,23 +85,23 @@
 	a.Send("10.9.9.9:7946", &view.Message{Kind: view.Ping, From: record("a")})
 	a.Send("nowhere", &view.Message{Kind: view.Ping, From: record("a")})
 	if _, err := a.Exchange(t.Context(), "10.9.9.9:7946", nil); err == nil {
-		t.Error("an exchange with another network")
+		t.Error("no error for an exchange with a network that is not listed")
 	}
 	if c := a.Counts(); c.Sent != 1 || c.Unsent != 2 || c.Exchanges != 1 {
 		t.Errorf("%+v", c)
 	}
 }
 
-// TestWhatIsNotOursIsDropped: each kind is counted as what it is, and nothing of it is handed on.
-func TestWhatIsNotOursIsDropped(t *testing.T) {
+// TestInvalidAndForeignDataIsDropped: each kind of dropped data has its own count, and none of it reaches the handler.
+func TestInvalidAndForeignDataIsDropped(t *testing.T) {
 	l, ear := listen(t, "127.0.0.0/8")
 	conn, err := net.Dial("udp4", l.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	own, _ := codec.New("shelf").Message(&view.Message{Kind: view.Ping, From: record("a")})
-	other, _ := codec.New("other").Message(&view.Message{Kind: view.Ping, From: record("a")})
+	own, _ := codec.New("shelf").EncodeMessage(&view.Message{Kind: view.Ping, From: record("a")})
+	other, _ := codec.New("other").EncodeMessage(&view.Message{Kind: view.Ping, From: record("a")})
 	future := append([]byte(nil), own...)
 	future[3] = 99
 	for _, b := range [][]byte{other, future, own[:len(own)-2], []byte("hello"), make([]byte, 4000), {}} {
@@ -109,12 +109,12 @@
 			t.Fatal(err)
 		}
 	}
-	until(t, "all counted", func() bool {
+	waitFor(t, "all datagrams are counted", func() bool {
 		c := l.Counts()
 		return c.Foreign == 1 && c.Version == 1 && c.Garbage == 4
 	})
-	if len(ear.came) > 0 {
-		t.Errorf("%+v is handed on", <-ear.came)
+	if len(ear.received) > 0 {
+		t.Errorf("%+v reached the handler", <-ear.received)
 	}
 	strict, ear := listen(t, "10.0.0.0/8")
 	there, err := net.Dial("udp4", strict.Addr())
@@ -123,19 +123,19 @@
 	}
 	defer there.Close()
 	there.Write(own)
-	until(t, "the other network's counted", func() bool { return strict.Counts().Foreign == 1 })
+	waitFor(t, "the datagram from the other network is counted", func() bool { return strict.Counts().Foreign == 1 })
 	if stream, err := net.Dial("tcp4", strict.Addr()); err == nil {
 		defer stream.Close()
 		if _, err := stream.Read(make([]byte, 1)); err == nil {
-			t.Error("a stream of another network is answered")
+			t.Error("a stream from a network that is not listed was answered")
 		}
 	}
-	if len(ear.came) > 0 {
-		t.Error("another network's is handed on")
+	if len(ear.received) > 0 {
+		t.Error("a datagram from a network that is not listed reached the handler")
 	}
 }
 
-// TestFloodsAreBounded by source.
+// TestFloodsAreBounded: the rate of datagrams is limited for each source, and the number of tracked sources is bounded.
 func TestFloodsAreBounded(t *testing.T) {
 	var s sources
 	now := time.Now()
@@ -147,17 +147,17 @@
 		}
 	}
 	if allowed != burstPerSource || !s.allow(netip.MustParseAddr("127.0.0.2"), now) {
-		t.Errorf("%d of one source at one moment", allowed)
+		t.Errorf("%d datagrams of one source were allowed at one time", allowed)
 	}
-	for i := range 10 * mostSources {
+	for i := range 10 * maxSources {
 		s.allow(netip.AddrFrom4([4]byte{127, byte(i >> 16), byte(i >> 8), byte(i)}), now)
 	}
-	if n := len(s.now) + len(s.before); n > mostSources {
-		t.Errorf("%d sources are remembered", n)
+	if n := len(s.current) + len(s.previous); n > maxSources {
+		t.Errorf("%d sources are tracked", n)
 	}
 }
 
-// TestStreamsAreBounded: beyond the bound they are closed at once, and those that say nothing end in time.
+// TestStreamsAreBounded: streams beyond the bound are closed at once, and streams without data end after a timeout.
 func TestStreamsAreBounded(t *testing.T) {
 	l, ear := listen(t, "127.0.0.0/8")
 	ear.hold = make(chan struct{})
@@ -165,23 +165,23 @@
 		n   int
 		err error
 	}
-	results := make(chan result, 3*mostStreams)
-	for range 3 * mostStreams {
+	results := make(chan result, 3*maxStreams)
+	for range 3 * maxStreams {
 		go func() {
 			got, err := l.Exchange(context.Background(), l.Addr(), nil)
 			results <- result{len(got), err}
 		}()
 	}
-	until(t, "over the bound", func() bool { return l.Counts().Flood >= mostStreams })
+	waitFor(t, "streams beyond the bound are closed", func() bool { return l.Counts().Flood >= maxStreams })
 	close(ear.hold)
 	whole := 0
-	for range 3 * mostStreams {
+	for range 3 * maxStreams {
 		if r := <-results; r.err == nil && r.n == 1 {
 			whole++
 		}
 	}
-	if whole < mostStreams {
-		t.Errorf("%d of %d are answered", whole, mostStreams)
+	if whole < maxStreams {
+		t.Errorf("%d exchanges were answered, want at least %d", whole, maxStreams)
 	}
 	silent, err := net.Dial("tcp4", l.Addr())
 	if err != nil {
@@ -189,25 +189,25 @@
 	}
 	defer silent.Close()
 	if _, err := silent.Read(make([]byte, 1)); err == nil {
-		t.Error("a silent stream is answered")
+		t.Error("a stream without data was answered")
 	}
 }
 
 func TestListenSaysWhatIsWrong(t *testing.T) {
 	l, _ := listen(t, "127.0.0.0/8")
 	for _, at := range []string{l.Addr(), "nowhere", "127.0.0.1"} {
-		if other, err := Listen(Config{Fleet: "shelf", Listen: at}, &ear{}); err == nil {
+		if other, err := Listen(Config{Fleet: "shelf", Listen: at}, &recorder{}); err == nil {
 			other.Close()
-			t.Errorf("%s is listened on", at)
+			t.Errorf("Listen succeeded on %s", at)
 		} else if fmt.Sprint(err) == "" {
-			t.Error("no reason")
+			t.Error("the error has no text")
 		}
 	}
 }
 
-// TestParcels: short ones go as datagrams and long ones by streams, whole or not at all; a bent one is dropped and counted.
-func TestParcels(t *testing.T) {
-	e := &ear{parcels: make(chan []byte, 10)}
+// TestPayloads: short payloads are sent as datagrams and long ones over streams, and arrive complete; a corrupt one is not decoded.
+func TestPayloads(t *testing.T) {
+	e := &recorder{payloads: make(chan []byte, 10)}
 	listen := func(h Handler) *Link {
 		l, err := Listen(Config{Fleet: "shelf", Listen: "127.0.0.1:0", Networks: []netip.Prefix{netip.MustParsePrefix("127.0.0.0/8")}}, h)
 		if err != nil {
@@ -216,27 +216,27 @@
 		t.Cleanup(l.Close)
 		return l
 	}
-	to, from := listen(e), listen(&ear{})
+	to, from := listen(e), listen(&recorder{})
 	for _, n := range []int{0, 1, 1100, 1200, 300_000} {
 		sent := bytes.Repeat([]byte{7}, n)
-		from.Carry(to.Addr(), sent)
-		if got := <-e.parcels; !bytes.Equal(got, sent) {
-			t.Errorf("%d bytes came of %d", len(got), n)
+		from.SendPayload(to.Addr(), sent)
+		if got := <-e.payloads; !bytes.Equal(got, sent) {
+			t.Errorf("received %d bytes of %d", len(got), n)
 		}
 	}
-	from.Carry("192.0.2.1:7", []byte("to a network that is not listed"))
+	from.SendPayload("192.0.2.1:7", []byte("to a network that is not listed"))
 	if n := from.Counts().Unsent; n != 1 {
 		t.Errorf("%d unsent", n)
 	}
-	text, err := codec.New("shelf").Parcel([]byte("bent"))
+	text, err := codec.New("shelf").EncodePayload([]byte("bent"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	text[len(text)-1] ^= 1
-	if _, err := codec.New("shelf").ReadParcel(text); !errors.Is(err, codec.ErrTorn) {
-		t.Errorf("a bent one: %v", err)
+	if _, err := codec.New("shelf").DecodePayload(text); !errors.Is(err, codec.ErrCorrupt) {
+		t.Errorf("a corrupt payload: %v", err)
 	}
-	if _, err := codec.New("another").ReadParcel(text); !errors.Is(err, codec.ErrFleet) {
-		t.Errorf("another fleet's: %v", err)
+	if _, err := codec.New("another").DecodePayload(text); !errors.Is(err, codec.ErrOtherFleet) {
+		t.Errorf("a payload of another fleet: %v", err)
 	}
 }
--- a/internal/cluster/node_test.go
+++ b/internal/cluster/node_test.go
@@ -21,17 +21,17 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// places counts the addresses that tests of this process have had.
-var places atomic.Uint32
+// addressCount counts the addresses that tests of this process have used.
+var addressCount atomic.Uint32
 
-// place is an address on loopback of this test's own: an IP that nothing else of the machine uses, and a port below those that the
-// kernel gives out, so that nobody takes it between here and the node's start, or while a node lets go of it for another.
-func place(t *testing.T) string {
+// testAddress returns a loopback address for one test: an IP that no other test uses, and a port below the kernel's ephemeral range, so
+// that no other socket takes it before the node starts, or while one node hands it over to another.
+func testAddress(t *testing.T) string {
 	t.Helper()
-	process := os.Getpid() // processes of other tests stand beside this one
+	process := os.Getpid() // other test processes run at the same time
 	const port = 17946
 	for {
-		number := uint32(process)*64 + places.Add(1)
+		number := uint32(process)*64 + addressCount.Add(1)
 		at := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 62, byte(number >> 8), byte(number)}), port)
 		if loopback.CheckFree([]netip.AddrPort{at}) == nil {
 			return at.String()
@@ -39,10 +39,10 @@
 	}
 }
 
-func join(t *testing.T, name string, boot uint64, o Options) *Node {
+func openNode(t *testing.T, name string, boot uint64, o Options) *Node {
 	t.Helper()
-	o.Name, o.Networks, o.Period, o.Most = "shelf", []string{"127.0.0.0/8"}, 50*time.Millisecond, 100
-	n, err := Open(Config{Options: o, Name: name, Seed: boot, Boot: boot, Succeeds: true, Log: slog.New(slog.DiscardHandler)})
+	o.Name, o.Networks, o.Period, o.MaxMembers = "shelf", []string{"127.0.0.0/8"}, 50*time.Millisecond, 100
+	n, err := Open(Config{Options: o, Name: name, Seed: boot, InstanceID: boot, ReplacesProcess: true, Log: slog.New(slog.DiscardHandler)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,98 +50,98 @@
 	return n
 }
 
-// holds waits until a node holds a member in a state.
-func holds(t *testing.T, n *Node, member string, s view.State) view.Member {
+// waitForState waits until a member is in a state in a node's view.
+func waitForState(t *testing.T, n *Node, member string, s view.State) view.Member {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		standing, _, _ := n.Standing(t.Context())
-		for _, m := range standing.Members {
+		snapshot, _, _ := n.Snapshot(t.Context())
+		for _, m := range snapshot.Members {
 			if m.Name == member && m.State == s {
 				return m
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%s is not held %v: %+v", member, s, standing.Members)
+			t.Fatalf("%s did not become %v: %+v", member, s, snapshot.Members)
 		}
 	}
 }
 
 func TestJoinLeaveAndDie(t *testing.T) {
-	first := place(t)
-	a := join(t, "a", 1, Options{Listen: first, Seeds: []string{first}})
-	b := join(t, "b", 2, Options{Listen: place(t), Seeds: []string{first}})
-	c := join(t, "c", 3, Options{Listen: place(t), Seeds: []string{first}})
+	first := testAddress(t)
+	a := openNode(t, "a", 1, Options{Listen: first, Seeds: []string{first}})
+	b := openNode(t, "b", 2, Options{Listen: testAddress(t), Seeds: []string{first}})
+	c := openNode(t, "c", 3, Options{Listen: testAddress(t), Seeds: []string{first}})
 	for _, n := range []*Node{a, b, c} {
 		for _, m := range []string{"a", "b", "c"} {
-			holds(t, n, m, view.Alive)
+			waitForState(t, n, m, view.Alive)
 		}
 	}
-	told := make(chan int, 1000)
-	a.Follow(func(s view.Standing) { told <- len(s.Members) })
-	if got := <-told; got != 3 {
-		t.Errorf("a follower is told of %d members at first", got)
+	received := make(chan int, 1000)
+	a.Follow(func(s view.Snapshot) { received <- len(s.Members) })
+	if got := <-received; got != 3 {
+		t.Errorf("a follower's first snapshot has %d members, want 3", got)
 	}
 	b.Close(true)
-	holds(t, a, "b", view.Left)
+	waitForState(t, a, "b", view.Left)
 	c.Close(false)
-	holds(t, a, "c", view.Dead)
-	if len(told) < 3 {
-		t.Errorf("a follower is told of %d changes", len(told))
+	waitForState(t, a, "c", view.Dead)
+	if len(received) < 3 {
+		t.Errorf("a follower received %d further snapshots, want at least 3", len(received))
 	}
-	if _, _, ok := b.Standing(context.Background()); ok {
-		t.Error("a closed node answers")
+	if _, _, ok := b.Snapshot(context.Background()); ok {
+		t.Error("a closed node returned a snapshot")
 	}
 }
 
-// TestTakesTheAddressOver: a second process of one proxy waits for the address and is the same member then.
+// TestTakesTheAddressOver: a second process of a proxy waits until the first one releases the address, and is then the same member.
 func TestTakesTheAddressOver(t *testing.T) {
-	first, second := place(t), place(t)
-	a := join(t, "a", 1, Options{Listen: first, Seeds: []string{second}})
-	old := join(t, "b", 2, Options{Listen: second, Seeds: []string{first}})
-	holds(t, a, "b", view.Alive)
-	next := join(t, "b", 3, Options{Listen: second, Seeds: []string{first}})
+	first, second := testAddress(t), testAddress(t)
+	a := openNode(t, "a", 1, Options{Listen: first, Seeds: []string{second}})
+	old := openNode(t, "b", 2, Options{Listen: second, Seeds: []string{first}})
+	waitForState(t, a, "b", view.Alive)
+	next := openNode(t, "b", 3, Options{Listen: second, Seeds: []string{first}})
 	old.HandOver()
-	holds(t, next, "a", view.Alive)
-	for end := time.Now().Add(20 * time.Second); holds(t, a, "b", view.Alive).Boot != 3; {
+	waitForState(t, next, "a", view.Alive)
+	for end := time.Now().Add(20 * time.Second); waitForState(t, a, "b", view.Alive).InstanceID != 3; {
 		if time.Now().After(end) {
-			t.Fatal("a does not see the new process")
+			t.Fatal("a's view does not have the new process")
 		}
 	}
 }
 
 func TestSeedsCanChange(t *testing.T) {
-	first := place(t)
-	a := join(t, "a", 1, Options{Listen: first, Seeds: []string{"127.0.0.1:1"}})
-	b := join(t, "b", 2, Options{Listen: place(t), Seeds: []string{"127.0.0.1:1"}})
-	if s, _, _ := b.Standing(t.Context()); len(s.Members) != 1 {
+	first := testAddress(t)
+	a := openNode(t, "a", 1, Options{Listen: first, Seeds: []string{"127.0.0.1:1"}})
+	b := openNode(t, "b", 2, Options{Listen: testAddress(t), Seeds: []string{"127.0.0.1:1"}})
+	if s, _, _ := b.Snapshot(t.Context()); len(s.Members) != 1 {
 		t.Errorf("%+v", s.Members)
 	}
 	b.SetSeeds([]string{first})
-	holds(t, a, "b", view.Alive)
+	waitForState(t, a, "b", view.Alive)
 }
 
-// TestFolders: one that is kept finds the others with no seed; one that is lost, torn or another fleet's does no harm.
+// TestFolders: with a stored folder a node finds the others without seeds; one that is missing, corrupt or of another fleet does no harm.
 func TestFolders(t *testing.T) {
-	first, folder := place(t), t.TempDir()
-	a := join(t, "a", 1, Options{Listen: first, Seeds: []string{first}})
-	b := join(t, "b", 2, Options{Listen: place(t), Seeds: []string{first}, Folder: folder})
-	holds(t, b, "a", view.Alive)
+	first, folder := testAddress(t), t.TempDir()
+	a := openNode(t, "a", 1, Options{Listen: first, Seeds: []string{first}})
+	b := openNode(t, "b", 2, Options{Listen: testAddress(t), Seeds: []string{first}, Folder: folder})
+	waitForState(t, b, "a", view.Alive)
 	b.Close(true)
-	holds(t, a, "b", view.Left)
+	waitForState(t, a, "b", view.Left)
 	file := filepath.Join(folder, membersFile)
 	whole, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again := join(t, "b", 3, Options{Listen: place(t), Folder: folder})
-	holds(t, again, "a", view.Alive)
+	again := openNode(t, "b", 3, Options{Listen: testAddress(t), Folder: folder})
+	waitForState(t, again, "a", view.Alive)
 	again.Close(false)
 	for name, text := range map[string][]byte{"torn": whole[:len(whole)/2], "empty": {}, "noise": []byte("members: all"), "bent": append([]byte{whole[0] ^ 1}, whole[1:]...)} {
 		if err := os.WriteFile(file, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		n := join(t, "c", 4, Options{Listen: place(t), Folder: folder})
-		if s, _, _ := n.Standing(t.Context()); len(s.Members) != 1 {
+		n := openNode(t, "c", 4, Options{Listen: testAddress(t), Folder: folder})
+		if s, _, _ := n.Snapshot(t.Context()); len(s.Members) != 1 {
 			t.Errorf("%s: %+v", name, s.Members)
 		}
 		n.Close(false)
@@ -152,20 +152,20 @@
 		t.Fatal(err)
 	}
 	if got := other.addresses(""); got != nil {
-		t.Errorf("another fleet's folder: %v", got)
+		t.Errorf("addresses from another fleet's folder: %v", got)
 	}
-	nowhere := join(t, "d", 5, Options{Listen: place(t), Seeds: []string{first}, Folder: filepath.Join(folder, "not", "there")})
-	holds(t, nowhere, "a", view.Alive)
+	nowhere := openNode(t, "d", 5, Options{Listen: testAddress(t), Seeds: []string{first}, Folder: filepath.Join(folder, "not", "there")})
+	waitForState(t, nowhere, "a", view.Alive)
 }
 
 func TestReport(t *testing.T) {
-	first := place(t)
-	a := join(t, "a", 1, Options{Listen: first, Seeds: []string{first}})
-	b := join(t, "b", 2, Options{Listen: place(t), Seeds: []string{first}})
-	holds(t, a, "b", view.Alive)
-	twin := join(t, "b", 3, Options{Listen: place(t), Seeds: []string{first}})
+	first := testAddress(t)
+	a := openNode(t, "a", 1, Options{Listen: first, Seeds: []string{first}})
+	b := openNode(t, "b", 2, Options{Listen: testAddress(t), Seeds: []string{first}})
+	waitForState(t, a, "b", view.Alive)
+	twin := openNode(t, "b", 3, Options{Listen: testAddress(t), Seeds: []string{first}})
 	var r *Report
-	for end := time.Now().Add(20 * time.Second); r == nil || len(r.Trouble) < 2; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); r == nil || len(r.Problems) < 2; time.Sleep(5 * time.Millisecond) {
 		text, err := b.Status(t.Context())
 		if err != nil || time.Now().After(end) {
 			t.Fatalf("%v: %s", err, text)
@@ -182,74 +182,75 @@
 		t.Error(figures)
 	}
 	if _, err := ReadReport("{"); err == nil {
-		t.Error("half an object is read")
+		t.Error("incomplete JSON was accepted")
 	}
 	if text, err := json.Marshal(r); err != nil || !strings.Contains(string(text), `"state":"alive"`) {
 		t.Errorf("%s, %v", text, err)
 	}
 	many := Report{}
-	for i := range 2 * mostShown {
+	for i := range 2 * maxTextMembers {
 		many.Members = append(many.Members, Member{Name: fmt.Sprint("n", i), State: view.Alive})
 	}
-	if text := many.Text(); !strings.Contains(text, fmt.Sprintf("and %d more", mostShown)) {
+	if text := many.Text(); !strings.Contains(text, fmt.Sprintf("and %d more", maxTextMembers)) {
 		t.Error(text)
 	}
 }
 
 func TestOpenSaysWhatIsWrong(t *testing.T) {
 	o := DefaultOptions()
-	o.Listen = "192.0.2.1:7946" // no address of any machine
-	if _, err := Open(Config{Options: o, Name: "a", Boot: 1, Log: slog.New(slog.DiscardHandler)}); err == nil {
-		t.Error("it opens at an address that is not this machine's")
+	o.Listen = "192.0.2.1:7946" // TEST-NET-1, not an address of any machine
+	if _, err := Open(Config{Options: o, Name: "a", InstanceID: 1, Log: slog.New(slog.DiscardHandler)}); err == nil {
+		t.Error("opened at an address that is not this machine's")
 	}
-	o.Listen = place(t)
-	if _, err := Open(Config{Options: o, Name: "", Boot: 1, Log: slog.New(slog.DiscardHandler)}); err == nil {
-		t.Error("a member with no name")
+	o.Listen = testAddress(t)
+	if _, err := Open(Config{Options: o, Name: "", InstanceID: 1, Log: slog.New(slog.DiscardHandler)}); err == nil {
+		t.Error("opened a member without a name")
 	}
 }
 
-// TestTellingIsBounded: while the view of a large fleet changes with each message, telling followers takes a tenth of the twentieth of a
-// core that a proxy may spend on control, and they still know of a member within the patience of the shortest lease's renewals.
-func TestTellingIsBounded(t *testing.T) {
-	const took, most, patience = 600 * time.Microsecond, time.Second / 20 / 10, 150 * time.Millisecond // at 1,400 members
-	pause := tellPause(took)
+// TestNotificationsAreBounded: while the view of a large fleet changes with each message, notifying followers takes at most a tenth of
+// the 1/20 of a core that a proxy may spend on control, and followers still receive a change within the timeout of the shortest lease's
+// renewals.
+func TestNotificationsAreBounded(t *testing.T) {
+	const took, most, timeout = 600 * time.Microsecond, time.Second / 20 / 10, 150 * time.Millisecond // at 1,400 members
+	pause := notifyInterval(took)
 	times := time.Second / pause
 	if spent := times * took; spent > most {
-		t.Errorf("told %d times a second, which takes %v of it; %v are allowed", times, spent, most)
+		t.Errorf("%d notifications per second take %v; %v are allowed", times, spent, most)
 	}
-	if pause > patience {
-		t.Errorf("a change is told %v late; %v are allowed", pause, patience)
+	if pause > timeout {
+		t.Errorf("a change is reported after %v; %v are allowed", pause, timeout)
 	}
-	if pause := tellPause(time.Second); pause > mostTellWait {
-		t.Errorf("a process that is short of time tells after %v; %v are allowed", pause, mostTellWait)
+	if pause := notifyInterval(time.Second); pause > maxNotifyInterval {
+		t.Errorf("a process short of processor time notifies after %v; %v are allowed", pause, maxNotifyInterval)
 	}
 }
 
-// TestFollowersAreToldTogether: changes that come close together are told as few, and how the view stands at their end is told.
-func TestFollowersAreToldTogether(t *testing.T) {
+// TestNotificationsAreCoalesced: changes in quick succession cause few notifications, and the last one has the final state.
+func TestNotificationsAreCoalesced(t *testing.T) {
 	const changes, work = 90, 5 * time.Millisecond
-	n := join(t, "a", 1, Options{Listen: place(t), Seeds: []string{"127.0.0.1:9"}})
-	told := make(chan int, changes+2)
-	n.Follow(func(s view.Standing) {
-		time.Sleep(work) // as much as it takes in a large fleet
+	n := openNode(t, "a", 1, Options{Listen: testAddress(t), Seeds: []string{"127.0.0.1:9"}})
+	received := make(chan int, changes+2)
+	n.Follow(func(s view.Snapshot) {
+		time.Sleep(work) // like the cost in a large fleet
 		select {
-		case told <- len(s.Members):
+		case received <- len(s.Members):
 		default: // the test has ended
 		}
 	})
 	for i := range changes {
-		r := view.Record{Name: fmt.Sprintf("m%d", i), Boot: 1, Incarnation: 1, State: view.Alive, Address: "127.0.0.1:9"}
-		n.ask(t.Context(), func(v *view.View, now time.Duration) { v.Merge(now, []view.Record{r}, "m0") })
+		r := view.Record{Name: fmt.Sprintf("m%d", i), InstanceID: 1, Incarnation: 1, State: view.Alive, Address: "127.0.0.1:9"}
+		n.do(t.Context(), func(v *view.View, now time.Duration) { v.Merge(now, []view.Record{r}, "m0") })
 	}
 	times := 0
 	for members := 0; members < changes+1; times++ {
 		select {
-		case members = <-told:
+		case members = <-received:
 		case <-time.After(20 * time.Second):
-			t.Fatalf("told %d times, the last time of %d members", times, members)
+			t.Fatalf("%d notifications, the last one with %d members", times, members)
 		}
 	}
 	if times > changes/4 {
-		t.Errorf("%d changes were told in %d times", changes, times)
+		t.Errorf("%d changes caused %d notifications", changes, times)
 	}
 }
--- a/internal/cluster/view/view.go
+++ b/internal/cluster/view/view.go
@@ -1,14 +1,15 @@
-// Package view decides, for one proxy, who else of its fleet is there. It has no I/O and no clock: events with their time
-// go in, actions come out, and equal settings, seed and events give equal actions. It is not safe for concurrent use.
+// Package view decides, for one proxy, which other members of its fleet are present. It has no I/O and no clock: events with their
+// time go in, actions come out, and equal settings, seed and events give equal actions. It is not safe for concurrent use.
 //
 // The protocol is SWIM (Das, Gupta, Motivala 2002) with these extensions: suspicions that the suspect refutes, local health and
-// suspicion timeouts that get shorter with confirmations (Lifeguard, Dadgar, Phillips, Currey 2018), a digest of the view on each
-// message, by which differences are detected at no cost while there are none, and pings to dead members, by which the halves of a
+// suspicion timeouts that shorten with confirmations (Lifeguard, Dadgar, Phillips, Currey 2018), a digest of the view on each
+// message, which detects differences at no cost while there are none, and pings to dead members, by which the halves of a
 // partitioned fleet find each other again. docs/design/view.md weighs them.
 //
-// The files: probe.go probes members, suspicion.go raises and ends suspicions, health.go is this process's own health, message.go sends
-// and receives datagrams, news.go disseminates records, apply.go merges records into the view, member.go holds them, exchange.go
-// compares and exchanges whole views, join.go finds the fleet by seeds and dead members, and name.go settles who has this process's name.
+// The files: probe.go probes members, suspicion.go raises and ends suspicions, health.go tracks this process's own health, message.go
+// sends and receives messages, updates.go disseminates records, apply.go merges records into the view, member.go stores them, exchange.go
+// compares and exchanges whole views, join.go finds the fleet through seeds and dead members, name.go decides which process has this
+// process's name, and snapshot.go takes snapshots.
 package view
 
 import (
@@ -18,66 +19,66 @@
 )
 
 const (
-	// newsMessages are sent in a period while there are records to disseminate, beside those that are sent anyway.
-	newsMessages = 2
-	// duplicatePeriods is how long another process under this name is reported after it was last heard.
+	// gossipMessages is the number of additional messages in a period while there are records to disseminate.
+	gossipMessages = 2
+	// duplicatePeriods is how many periods after its last message another process with this name is reported.
 	duplicatePeriods = 200
 )
 
 // View is one process's view of its fleet.
 type View struct {
-	set  Settings
-	host Host
-	rng  *rand.Rand
+	settings Settings
+	host     Host
+	rng      *rand.Rand
 
 	self    Record
 	members map[string]*member
-	byName  []*member // all members, in the order of their names, so that a Standing need not sort them
-	present []*member // alive and suspect ones, in no order
+	byName  []*member // all members sorted by name, so that Snapshot need not sort them
+	present []*member // alive and suspect members, unordered
 	suspect map[string]*member
-	gone    []*member // dead and left ones, the oldest first; some of them may be present again
+	gone    []*member // dead and left members, the oldest first; some of them may be present again
 	digest  uint64
-	news    news
+	updates updateQueue
 
-	startedAt  time.Duration
-	nextPeriod time.Duration
-	heardAt    time.Duration // when any message was last received
-	changedAt  time.Duration // when the view last changed
-	leaving    bool
-	forgotten  int // records that were not taken for want of room
+	startedAt      time.Duration
+	nextPeriod     time.Duration
+	lastReceivedAt time.Duration // when any message was last received
+	changedAt      time.Duration // when the view last changed
+	leaving        bool
+	rejected       int // records that were rejected because the view was full
 
 	// Probing:
 	seq          uint64
-	order        []*member // the rest of this round's probes, the next one last
-	roundBegun   bool      // the first round has
+	order        []*member // the rest of this round, the next member to probe last
+	roundBegun   bool      // whether the first round has begun
 	probes       []probe
-	asked        map[uint64]pendingPing
-	width        int  // probes that begin in a period
-	probesFailed bool // since the period began
+	pendingPings map[uint64]pendingPing
+	width        int  // probes that start in a period
+	probesFailed bool // since the current period began
 
 	// Suspicions:
-	// suspicionDue is when a suspicion may first end: no suspect's deadline is earlier; never where there is none. A suspicion that is
-	// refuted or lasts longer leaves it as it is, until Wake looks at all suspects then.
-	suspicionDue     time.Duration
-	suspicionScans   int           // how often all suspects were looked at for it
-	falseSuspicions  int           // suspicions of this process that were refuted lately
-	falseSuspicionAt time.Duration // when one of them was last forgotten, or the first one came
-	health           int           // the local health score; 0 for well
-	trustUntil       time.Duration // until when no member is suspected
+	// nextSuspicionEnd is a lower bound of all suspects' deadlines; never if there are none. It does not change when a suspicion is
+	// refuted or extended; Wake scans all suspects when it is reached.
+	nextSuspicionEnd time.Duration
+	suspicionScans   int           // how often all suspects were scanned for it
+	falseSuspicions  int           // recent suspicions by this process that were refuted
+	falseSuspicionAt time.Duration // when the count last decreased, or the first one was refuted
+	health           int           // the local health score; 0 is healthy
+	noSuspicionUntil time.Duration // until then failed probes are ignored and no suspect is declared dead
 
 	// Exchanges:
-	digestsDifferSince time.Duration // 0 if they agree
-	lateExchange       time.Duration // when they have differed for so long that changes do not keep this process from an exchange
-	agreeing           int           // how many messages in a row have shown the same digest
-	exchangedAt        time.Duration // when the last exchange was begun here
-	merged             bool          // an exchange has brought something
+	digestsDifferSince time.Duration // 0 if they match
+	exchangeForcedAt   time.Duration // after that time this process starts an exchange although the view keeps changing
+	matchingDigests    int           // consecutive messages with the same digest, up to 3
+	exchangedAt        time.Duration // when this process last started an exchange
+	merged             bool          // whether a table was received in an exchange
 
 	// This process's name:
 	displaced       bool    // another process has it
 	duplicate       *Record // another process that claims it
 	duplicateSeenAt time.Duration
 	claimedAt       time.Duration // when the name was last claimed from another process
-	backoff         int           // periods until it may be again
+	backoff         int           // minimum periods until the next claim
 }
 
 // New returns the view of a process that starts now and knows no other member.
@@ -86,25 +87,25 @@
 		return nil, err
 	}
 	v := &View{
-		set: s, host: host, rng: rand.New(rand.NewPCG(seed, s.Boot)),
-		self:    Record{Name: s.Name, Boot: s.Boot, Incarnation: 1, State: Alive, Address: s.Address},
-		members: map[string]*member{}, suspect: map[string]*member{}, asked: map[uint64]pendingPing{},
-		startedAt: now, width: 1, suspicionDue: never, heardAt: now, changedAt: now, backoff: 1, exchangedAt: now - exchangePeriods*s.Period,
+		settings: s, host: host, rng: rand.New(rand.NewPCG(seed, s.InstanceID)),
+		self:    Record{Name: s.Name, InstanceID: s.InstanceID, Incarnation: 1, State: Alive, Address: s.Address},
+		members: map[string]*member{}, suspect: map[string]*member{}, pendingPings: map[uint64]pendingPing{},
+		startedAt: now, width: 1, nextSuspicionEnd: never, lastReceivedAt: now, changedAt: now, backoff: 1, exchangedAt: now - exchangePeriods*s.Period,
 	}
 	v.seq = v.rng.Uint64() >> 1
-	// Processes that are started together do not all probe at one time.
+	// Processes that start together should not all probe at the same time.
 	v.nextPeriod = now + time.Duration(v.rng.Float64()*float64(s.Period)/2)
 	v.digest = hash(&v.self)
-	v.news.tell(v.self.Name)
+	v.updates.push(v.self.Name)
 	for _, seed := range s.Seeds {
 		v.pingAddress(now, seed)
 	}
 	return v, nil
 }
 
-// Next is when Wake is to be called at the latest.
+// Next returns the latest time at which Wake has to be called.
 func (v *View) Next() time.Duration {
-	next := min(v.nextPeriod, v.suspicionDue)
+	next := min(v.nextPeriod, v.nextSuspicionEnd)
 	for i := range v.probes {
 		p := &v.probes[i]
 		next = min(next, p.deadline)
@@ -115,7 +116,7 @@
 	return next
 }
 
-// Wake does what is due.
+// Wake carries out what is due: indirect probes, failed probes, expired suspicions and the next period.
 func (v *View) Wake(now time.Duration) {
 	v.detectPause(now)
 	if v.leaving {
@@ -135,7 +136,7 @@
 		v.probes = slices.Delete(v.probes, i, i+1)
 		v.probeFailed(now, &ended)
 	}
-	if now >= v.suspicionDue {
+	if now >= v.nextSuspicionEnd {
 		v.endSuspicions(now)
 	}
 	if now >= v.nextPeriod {
@@ -143,11 +144,11 @@
 	}
 }
 
-// beginPeriod probes the next members of the round, and pings some others whose answer would be news.
+// beginPeriod probes the next members of the round, and pings suspects, dead members and seeds, whose answers would change the view.
 func (v *View) beginPeriod(now time.Duration) {
-	p := v.set.Period
+	p := v.settings.Period
 	v.nextPeriod += p
-	if v.nextPeriod <= now { // the clock has run ahead
+	if v.nextPeriod <= now { // the process was delayed by more than a period
 		v.nextPeriod = now + p
 	}
 	v.adjustWidth(now)
@@ -155,14 +156,14 @@
 		v.probeNext(now)
 	}
 	all := float64(len(v.present) + 1)
-	if !v.set.NoPrompt {
+	if !v.settings.NoSuspectPings {
 		v.pingSuspects(now, all)
 	}
-	if !v.set.NoReach {
+	if !v.settings.NoDeadPings {
 		v.pingDead(now, all)
 	}
 	v.pingSeed(now, all)
-	v.sendNews()
+	v.sendGossip()
 	v.forgetGone(now)
 	if v.duplicate != nil && now-v.duplicateSeenAt > duplicatePeriods*p {
 		v.duplicate = nil
@@ -170,34 +171,34 @@
 	v.expirePings(now)
 }
 
-// sendNews sends messages that carry nothing but records, while there are any to disseminate.
-func (v *View) sendNews() {
-	for range newsMessages {
-		if v.news.empty() || len(v.present) == 0 {
+// sendGossip sends messages that carry only updates, while there are any to disseminate.
+func (v *View) sendGossip() {
+	for range gossipMessages {
+		if v.updates.empty() || len(v.present) == 0 {
 			return
 		}
 		if m := v.present[v.rng.IntN(len(v.present))]; m.State == Alive || v.chance(0.5) {
-			v.send(m.Address, &m.Record, &Message{Kind: News})
+			v.send(m.Address, &m.Record, &Message{Kind: Gossip})
 		}
 	}
 }
 
-// chance is true with a probability.
+// chance returns true with probability p.
 func (v *View) chance(p float64) bool { return p >= 1 || v.rng.Float64() < p }
 
-// Leave tells some members that this process leaves. Nothing is done after it.
+// Leave announces to some members that this process leaves. The view does nothing after it.
 func (v *View) Leave(now time.Duration) {
 	if v.leaving || v.displaced {
 		v.leaving = true
 		return
 	}
 	v.self.State, v.self.By = Left, v.self.Name
-	v.news.tell(v.self.Name)
+	v.updates.push(v.self.Name)
 	order := slices.Clone(v.present)
 	v.rng.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 	for _, m := range order[:min(len(order), 4*indirectProbes)] {
-		v.news.tell(v.self.Name)
-		v.send(m.Address, nil, &Message{Kind: News})
+		v.updates.push(v.self.Name)
+		v.send(m.Address, nil, &Message{Kind: Gossip})
 	}
 	v.leaving = true
 }
--- a/internal/count/count.go
+++ b/internal/count/count.go
@@ -1,5 +1,6 @@
-// Package count adds up what many proxies did together, from the lines that each of them logs at level debug. What is
-// harmless at one proxy may be harmful when all do it, and shows in no single log. It reads and decides nothing else.
+// Package count aggregates what many proxies did together, from the lines that each of them logs at level debug.
+// Behavior that is harmless at one proxy may be harmful when all proxies do it, and no single log shows that. The
+// package has no other input and makes no decisions.
 package count
 
 import (
@@ -13,7 +14,7 @@
 	"brasswell/internal/host"
 )
 
-// Line is one line of a proxy's log.
+// Line is one parsed line of a proxy's log.
 type Line struct {
 	Proxy  string
 	At     time.Time
@@ -21,66 +22,70 @@
 	Fields map[string]string
 }
 
-// mostSeconds bounds the span that is counted: a stray date would otherwise make an empty day of every second before it.
-const mostSeconds = 24 * 60 * 60
+// maxSeconds bounds the counted time span. Without it, one line with a wrong date would add an entry for each empty
+// second before that date.
+const maxSeconds = 24 * 60 * 60
 
-// Second is what all proxies did in one second; attempts count in the one in which they were sent.
+// Second is what all proxies did in one second. An attempt counts in the second in which it was sent.
 type Second struct {
-	At       int            `json:"at"` // whole seconds from the first line
-	Calls    int            `json:"calls"`
-	Broken   int            `json:"broken"` // calls that ended with an error
-	First    int            `json:"first"`  // first attempts
-	Again    int            `json:"again"`
-	Outcomes map[string]int `json:"outcomes"` // of all attempts
-	Refused  int            `json:"refused"`
-	Failed   int            `json:"failed"`
-	// Uneven is the most that one backend was sent over the mean of those that were sent anything; 0 where none was.
-	Uneven float64 `json:"uneven"`
+	At          int            `json:"at"` // whole seconds since the first line
+	Calls       int            `json:"calls"`
+	FailedCalls int            `json:"broken"` // calls that ended with an error
+	First       int            `json:"first"`  // first attempts
+	Retries     int            `json:"again"`
+	Outcomes    map[string]int `json:"outcomes"` // of all attempts
+	Refused     int            `json:"refused"`
+	Failed      int            `json:"failed"`
+	// MaxOverMean is the largest number of attempts at one backend, divided by the mean over the backends that had any.
+	// It is 0 where no backend had any.
+	MaxOverMean float64 `json:"uneven"`
 }
 
 // Backend is what all proxies did with one backend.
 type Backend struct {
 	ID       string `json:"id"`
-	Proxies  int    `json:"proxies"` // that sent to it
+	Proxies  int    `json:"proxies"` // proxies that sent to it
 	Attempts int    `json:"attempts"`
 	Served   int    `json:"served"`
-	// MostSecond is the most that it was sent in one second.
-	MostSecond int `json:"most_second"`
-	// Lost is when it was first unreachable or silent, in seconds from the first line, and LastSent the last send that
-	// ended so; negative if none did. The proxies' time to find it out lies between.
-	Lost     float64 `json:"lost"`
-	LastSent float64 `json:"last_sent"`
+	// MaxPerSecond is the largest number of attempts at it in one second.
+	MaxPerSecond int `json:"most_second"`
+	// FirstUnreachable and LastUnreachable are the send times, in seconds since the first line, of the first and the
+	// last attempt that failed because the backend was unreachable or did not answer. They are negative if there was
+	// none. The time between them is what the proxies needed to detect the failure.
+	FirstUnreachable float64 `json:"lost"`
+	LastUnreachable  float64 `json:"last_sent"`
 }
 
-// News is a change of the server list as the proxies heard of it.
-type News struct {
+// ListUpdate is a version of the server list, with the times at which the proxies received it.
+type ListUpdate struct {
 	Seq     int64 `json:"seq"`
-	Proxies int   `json:"proxies"` // that hold it or a later one
-	// First and Last are when the first and the last proxy got just this version, in seconds from the first line.
+	Proxies int   `json:"proxies"` // proxies that hold it or a later one
+	// First and Last are when the first and the last proxy received exactly this version, in seconds since the first
+	// line.
 	First float64 `json:"first"`
 	Last  float64 `json:"last"`
 }
 
-// Report is what a fleet did.
+// Report is what all proxies of a fleet did.
 type Report struct {
-	Proxies  int       `json:"proxies"`
-	Seconds  []Second  `json:"seconds"`
-	Backends []Backend `json:"backends"`
-	News     []News    `json:"news"`
-	Strange  int       `json:"strange"` // lines of these kinds whose fields make no sense, or from outside the span
+	Proxies     int          `json:"proxies"`
+	Seconds     []Second     `json:"seconds"`
+	Backends    []Backend    `json:"backends"`
+	ListUpdates []ListUpdate `json:"news"`
+	Malformed   int          `json:"strange"` // lines of the counted kinds with invalid fields, or from outside the time span
 }
 
-// Fleet adds lines up. It is not safe for concurrent use.
-type Fleet struct{ lines []event }
+// Aggregator collects the lines of all proxies. It is not safe for concurrent use.
+type Aggregator struct{ lines []event }
 
-// event is what is kept of a line that counts.
+// event is a line of a counted kind.
 type event struct {
 	Line
-	at time.Time // when it began: an attempt when it was sent
+	at time.Time // when it started; for an attempt, when it was sent
 }
 
-// Add takes one line; those of other kinds count for nothing.
-func (f *Fleet) Add(l Line) {
+// Add takes one line, and ignores lines of other kinds.
+func (a *Aggregator) Add(l Line) {
 	switch l.Msg {
 	case host.TraceAttempt, host.TraceUnserved, host.TraceList, discovery.TraceCall:
 	default:
@@ -90,37 +95,37 @@
 	if took, err := time.ParseDuration(l.Fields["took_ms"] + "ms"); err == nil && l.Msg == host.TraceAttempt {
 		e.at = l.At.Add(-took)
 	}
-	f.lines = append(f.lines, e)
+	a.lines = append(a.lines, e)
 }
 
-// tally is what is known of one backend while lines are added up.
+// tally accumulates the counts of one backend.
 type tally struct {
 	Backend
-	by     map[string]bool
-	second map[int]int
+	senders   map[string]bool
+	perSecond map[int]int
 }
 
-// lost says whether an outcome is that of a backend which does not answer at all.
-func lost(outcome string) bool {
+// unreachable reports whether an outcome means that the backend does not answer at all.
+func unreachable(outcome string) bool {
 	return outcome == "connect_error" || outcome == "timed_out" || outcome == "reset"
 }
 
-// Report adds up what was taken in.
-func (f *Fleet) Report() Report {
-	slices.SortStableFunc(f.lines, func(x, y event) int { return x.at.Compare(y.at) })
+// Report aggregates the lines added so far.
+func (a *Aggregator) Report() Report {
+	slices.SortStableFunc(a.lines, func(x, y event) int { return x.at.Compare(y.at) })
 	var r Report
-	if len(f.lines) == 0 {
+	if len(a.lines) == 0 {
 		return r
 	}
-	start := f.lines[0].at
+	start := a.lines[0].at
 	proxies := map[string]bool{}
 	backends := map[string]*tally{}
-	held := map[string]int64{} // by proxy, the version that it holds
-	news := map[int64]*News{}
-	for _, e := range f.lines {
+	versions := map[string]int64{} // the list version that each proxy holds, by proxy
+	updates := map[int64]*ListUpdate{}
+	for _, e := range a.lines {
 		since := e.at.Sub(start).Seconds()
-		if since >= mostSeconds {
-			r.Strange++
+		if since >= maxSeconds {
+			r.Malformed++
 			continue
 		}
 		proxies[e.Proxy] = true
@@ -132,20 +137,20 @@
 		case discovery.TraceCall:
 			s.Calls++
 			if e.Fields["error"] != "<nil>" && e.Fields["error"] != "" {
-				s.Broken++
+				s.FailedCalls++
 				continue
 			}
-			seq, ok := number(e.Fields["seq"])
+			seq, ok := parseInt(e.Fields["seq"])
 			if !ok {
-				r.Strange++
+				r.Malformed++
 				continue
 			}
-			if seq > held[e.Proxy] {
-				held[e.Proxy] = seq
-				if news[seq] == nil {
-					news[seq] = &News{Seq: seq, First: since}
+			if seq > versions[e.Proxy] {
+				versions[e.Proxy] = seq
+				if updates[seq] == nil {
+					updates[seq] = &ListUpdate{Seq: seq, First: since}
 				}
-				news[seq].Last = since
+				updates[seq].Last = since
 			}
 		case host.TraceUnserved:
 			if e.Fields["refused"] == "true" {
@@ -155,65 +160,66 @@
 			}
 		case host.TraceAttempt:
 			id, outcome := e.Fields["backend"], e.Fields["outcome"]
-			n, ok := number(e.Fields["n"])
+			n, ok := parseInt(e.Fields["n"])
 			if !ok || id == "" || outcome == "" {
-				r.Strange++
+				r.Malformed++
 				continue
 			}
 			if n == 0 {
 				s.First++
 			} else {
-				s.Again++
+				s.Retries++
 			}
 			s.Outcomes[outcome]++
 			b := backends[id]
 			if b == nil {
-				b = &tally{Backend: Backend{ID: id, Lost: -1, LastSent: -1}, by: map[string]bool{}, second: map[int]int{}}
+				b = &tally{Backend: Backend{ID: id, FirstUnreachable: -1, LastUnreachable: -1}, senders: map[string]bool{}, perSecond: map[int]int{}}
 				backends[id] = b
 			}
-			b.by[e.Proxy] = true
+			b.senders[e.Proxy] = true
 			b.Attempts++
-			b.second[s.At]++
+			b.perSecond[s.At]++
 			if outcome == "ok" {
 				b.Served++
 			}
-			if lost(outcome) {
-				if b.Lost < 0 {
-					b.Lost = since
+			if unreachable(outcome) {
+				if b.FirstUnreachable < 0 {
+					b.FirstUnreachable = since
 				}
-				b.LastSent = since
+				b.LastUnreachable = since
 			}
 		}
 	}
 	r.Proxies = len(proxies)
 	for i := range r.Seconds {
-		r.Seconds[i].Uneven = uneven(backends, i)
+		r.Seconds[i].MaxOverMean = maxOverMean(backends, i)
 	}
 	for _, id := range slices.Sorted(maps.Keys(backends)) {
 		b := backends[id]
-		b.Proxies = len(b.by)
-		for _, n := range b.second {
-			b.MostSecond = max(b.MostSecond, n)
+		b.Proxies = len(b.senders)
+		for _, n := range b.perSecond {
+			b.MaxPerSecond = max(b.MaxPerSecond, n)
 		}
 		r.Backends = append(r.Backends, b.Backend)
 	}
-	for seq, n := range news {
-		for _, version := range held {
+	for seq, n := range updates {
+		for _, version := range versions {
 			if version >= seq {
 				n.Proxies++
 			}
 		}
-		r.News = append(r.News, *n)
+		r.ListUpdates = append(r.ListUpdates, *n)
 	}
-	slices.SortFunc(r.News, func(x, y News) int { return cmp.Compare(x.Seq, y.Seq) })
+	slices.SortFunc(r.ListUpdates, func(x, y ListUpdate) int { return cmp.Compare(x.Seq, y.Seq) })
 	return r
 }
 
-// uneven is the most over the mean of what backends were sent in a second.
-func uneven(backends map[string]*tally, second int) float64 {
+// maxOverMean returns the largest number of attempts at one backend in a second, divided by the mean over the backends
+// that had any.
+func maxOverMean(backends map[string]*tally, second int) float64 {
 	most, sum, used := 0, 0, 0
 	for _, b := range backends {
-		if n := b.second[second]; n > 0 {
+		if n := b.perSecond[second]; n > 0 {
 			most, sum, used = max(most, n), sum+n, used+1
 		}
 	}
--- a/internal/discovery/plan/model/draw.go
+++ b/internal/discovery/plan/model/draw.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// Draw draws a course from a seed.
+// RandomSchedule draws a schedule from a seed.
 func RandomSchedule(seed uint64) Schedule {
 	dice := rand.New(rand.NewPCG(seed, 0xd15c))
-	c := Schedule{Seed: seed, Pushed: dice.IntN(4) == 0, Length: 60 * time.Second}
-	end := c.Length - quietTime
-	moment := func() time.Duration { return time.Duration(dice.Int64N(int64(end))) }
+	s := Schedule{Seed: seed, Pushed: dice.IntN(4) == 0, Length: 60 * time.Second}
+	end := s.Length - faultFreeEnd
+	randomTime := func() time.Duration { return time.Duration(dice.Int64N(int64(end))) }
 	for range 1 + dice.IntN(4) {
-		c.Changes = insert(c.Changes, moment())
+		s.Changes = insert(s.Changes, randomTime())
 	}
-	c.Phases = drawPhases(dice, c.Pushed, end)
+	s.Phases = drawPhases(dice, s.Pushed, end)
 	if dice.IntN(2) == 0 {
-		c.Outages = append(c.Outages, drawOutage(dice, c.Pushed, end))
+		s.Outages = append(s.Outages, drawOutage(dice, s.Pushed, end))
 	}
-	for _, times := range []*[]time.Duration{&c.WatchResets, &c.WatchSilences, &c.Moves} {
+	for _, times := range []*[]time.Duration{&s.WatchResets, &s.WatchSilences, &s.Moves} {
 		for range dice.IntN(3) {
-			*times = insert(*times, moment())
+			*times = insert(*times, randomTime())
 		}
 	}
-	if len(c.Moves) > 0 && dice.IntN(2) == 0 { // configurations in a row
-		c.Moves = insert(c.Moves, c.Moves[0]+time.Duration(dice.Int64N(int64(3*time.Second))))
+	if len(s.Moves) > 0 && dice.IntN(2) == 0 { // several configurations in a row
+		s.Moves = insert(s.Moves, s.Moves[0]+time.Duration(dice.Int64N(int64(3*time.Second))))
 	}
 	if dice.IntN(4) == 0 {
-		c.Renumberings = append(c.Renumberings, moment())
+		s.Renumberings = append(s.Renumberings, randomTime())
 	}
 	if dice.IntN(4) == 0 {
-		c.Start = moment()
+		s.Start = randomTime()
 	}
 	if dice.IntN(4) == 0 {
-		c.Stalls = drawHoldUps(dice, c.Pushed, end)
+		s.Stalls = drawStalls(dice, s.Pushed, end)
 	}
 	askEvery := []time.Duration{500 * time.Millisecond, time.Second, 5 * time.Second, defaultAskEvery, time.Minute}
-	c.AskEvery = askEvery[dice.IntN(len(askEvery))]
+	s.AskEvery = askEvery[dice.IntN(len(askEvery))]
 	if dice.IntN(4) == 0 {
-		c.WholeLists = dice.Float64()
+		s.WholeLists = dice.Float64()
 	}
-	return c
+	return s
 }
 
 func drawPhases(dice *rand.Rand, pushed bool, end time.Duration) (phases []Phase) {
@@ -52,18 +52,18 @@
 	return append(phases, Phase{From: end})
 }
 
-// drawShares draws up to four kinds of bad calls, nine in ten of all together at most. An agent on the proxy's own machine answers at once
-// or is silent while discovery is down.
+// drawShares draws up to four kinds of failing calls, with at most nine in ten of the calls in all. An agent on the
+// proxy's own machine answers at once, or is silent while discovery is down.
 func drawShares(dice *rand.Rand, pushed bool) (shares []Share) {
-	fates := Outcomes()[1:]
+	outcomes := Outcomes()[1:]
 	if pushed {
-		fates = []Outcome{Truncated, Reset, RefusedAtOnce}
+		outcomes = []Outcome{Truncated, Reset, RefusedAtOnce}
 	}
 	kinds, left := dice.IntN(5), 0.9*dice.Float64()
 	for range kinds {
-		of := left * dice.Float64()
-		left -= of
-		shares = append(shares, Share{fates[dice.IntN(len(fates))], of})
+		fraction := left * dice.Float64()
+		left -= fraction
+		shares = append(shares, Share{outcomes[dice.IntN(len(outcomes))], fraction})
 	}
 	if kinds > 0 {
 		shares[kinds-1].Fraction += left
@@ -72,21 +72,22 @@
 }
 
 func drawOutage(dice *rand.Rand, pushed bool, end time.Duration) Outage {
-	fates := []Outcome{NoResponse, Reset, RefusedAtOnce, RefusedLate, DialRefused, DialTimeout}
+	outcomes := []Outcome{NoResponse, Reset, RefusedAtOnce, RefusedLate, DialRefused, DialTimeout}
 	if pushed {
-		fates = []Outcome{NoResponse}
+		outcomes = []Outcome{NoResponse}
 	}
-	o := Outage{From: time.Duration(dice.Int64N(int64(end))), Outcome: fates[dice.IntN(len(fates))]}
+	o := Outage{From: time.Duration(dice.Int64N(int64(end))), Outcome: outcomes[dice.IntN(len(outcomes))]}
 	o.To = o.From + time.Duration(dice.Int64N(int64(end-o.From)))
 	return o
 }
 
-// drawHoldUps draws up to three, the second and third behind the one before. Where lists are pushed they are as long as the pages allow for:
-// what an agent is told behind the answer of a watch lies in no socket, and counts at once.
-func drawHoldUps(dice *rand.Rand, pushed bool, end time.Duration) (holdUps []Stall) {
-	longest := longestHoldUp
+// drawStalls draws up to three stalls, each after the one before. If lists are pushed, stalls are no longer than the
+// operators' pages allow for: what an agent learns after it has answered a watch is in no socket, and counts as
+// notified at once.
+func drawStalls(dice *rand.Rand, pushed bool, end time.Duration) (stalls []Stall) {
+	longest := maxStall
 	if pushed {
-		longest = allowedHoldUp
+		longest = maxAllowedStall
 	}
 	from := time.Duration(0)
 	for range 1 + dice.IntN(3) {
@@ -95,13 +96,13 @@
 		if from+length >= end {
 			break
 		}
-		holdUps = append(holdUps, Stall{from, length})
+		stalls = append(stalls, Stall{from, length})
 		from += length
 	}
-	return holdUps
+	return stalls
 }
 
-// insert keeps times in order.
+// insert inserts a time and keeps the times in order.
 func insert(times []time.Duration, t time.Duration) []time.Duration {
 	i := 0
 	for i < len(times) && times[i] <= t {
--- a/internal/discovery/plan/model/model_test.go
+++ b/internal/discovery/plan/model/model_test.go
@@ -15,74 +15,74 @@
 	"brasswell/internal/discovery/plan"
 )
 
-var courses = flag.Int("courses", 100_000, "how many drawn courses are played")
+var scheduleCount = flag.Int("courses", 100_000, "how many random schedules are run")
 
-// sum is what came of many courses.
-type sum struct {
-	mu           sync.Mutex
-	late, pushed int
-	latest       time.Duration
-	worst        uint64
-	unconfirmed  int
-	outageHeld   int
-	calls        int
-	held, length time.Duration
-	by           map[NoticeRule]int // late courses, by the sentence that is broken furthest
-	lateCourses  []Schedule         // the first of them, by sentence
-	examples     []string
+// summary is the combined result of many runs.
+type summary struct {
+	mu                sync.Mutex
+	late, pushed      int
+	latest            time.Duration
+	worstSeed         uint64
+	unconfirmedRuns   int
+	staleInOutage     int
+	calls             int
+	staleTime, length time.Duration
+	lateByRule        map[NoticeRule]int // late runs, by the notice rule that is violated most
+	lateSchedules     []Schedule         // the first late schedules, by notice rule
+	examples          []string
 }
 
-// fewLate bounds how many late courses are kept for one sentence.
-const fewLate = 20
+// maxLatePerRule bounds how many late schedules are kept for one notice rule.
+const maxLatePerRule = 20
 
-func (s *sum) add(c Schedule, v Result) {
+func (s *summary) add(schedule Schedule, v Result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls += v.Calls
-	s.held += v.StaleTime
-	s.length += c.Length - c.Start
+	s.staleTime += v.StaleTime
+	s.length += schedule.Length - schedule.Start
 	if v.Late > 0 {
 		s.late++
-		if s.by[v.LateRule]++; s.by[v.LateRule] <= fewLate {
-			s.lateCourses = append(s.lateCourses, c)
+		if s.lateByRule[v.LateRule]++; s.lateByRule[v.LateRule] <= maxLatePerRule {
+			s.lateSchedules = append(s.lateSchedules, schedule)
 		}
-		if c.Pushed {
+		if schedule.Pushed {
 			s.pushed++
 		}
 		if v.Late > s.latest {
-			s.latest, s.worst = v.Late, c.Seed
+			s.latest, s.worstSeed = v.Late, schedule.Seed
 		}
 	}
 	if !v.Confirmed {
-		s.unconfirmed++
+		s.unconfirmedRuns++
 	}
 	if v.OutageStaleTime > 0 {
-		s.outageHeld++
+		s.staleInOutage++
 	}
 	if !v.Confirmed && len(s.examples) < 5 {
-		s.examples = append(s.examples, fmt.Sprintf("%+v: %+v", c, v))
+		s.examples = append(s.examples, fmt.Sprintf("%+v: %+v", schedule, v))
 	}
 }
 
-// shortest are the shortest late courses that are found, one for each sentence.
-func (s *sum) shortest(rule func(Schedule) StalenessRule) (all []string) {
+// shortestLate returns the shortest late schedule that shorten finds for each notice rule.
+func (s *summary) shortestLate(rule func(Schedule) StalenessRule) (all []string) {
 	found := map[NoticeRule]Schedule{}
-	verdicts := map[NoticeRule]Result{}
-	for _, c := range s.lateCourses {
-		c, v := shorten(c, rule)
-		if old, has := found[v.LateRule]; !has || size(c) < size(old) {
-			found[v.LateRule], verdicts[v.LateRule] = c, v
+	results := map[NoticeRule]Result{}
+	for _, schedule := range s.lateSchedules {
+		shortest, v := shorten(schedule, rule)
+		if old, has := found[v.LateRule]; !has || size(shortest) < size(old) {
+			found[v.LateRule], results[v.LateRule] = shortest, v
 		}
 	}
 	for _, by := range slices.Sorted(maps.Keys(found)) {
-		all = append(all, fmt.Sprintf("%s: %+v: %+v", by, found[by], verdicts[by]))
+		all = append(all, fmt.Sprintf("%s: %+v: %+v", by, found[by], results[by]))
 	}
 	return all
 }
 
-// playMany plays courses on all cores; rule makes a rule for each, nil for the follower's own.
-func playMany(n int, draw func(n int) Schedule, rule func(Schedule) StalenessRule) *sum {
-	s := &sum{by: map[NoticeRule]int{}}
+// runMany runs schedules on all cores. rule returns a rule for each schedule; it is nil for the follower's own.
+func runMany(n int, draw func(n int) Schedule, rule func(Schedule) StalenessRule) *summary {
+	s := &summary{lateByRule: map[NoticeRule]int{}}
 	var next atomic.Int64
 	var all sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
@@ -92,12 +92,12 @@
 				if i >= n {
 					return
 				}
-				c := draw(i)
+				schedule := draw(i)
 				var r StalenessRule
 				if rule != nil {
-					r = rule(c)
+					r = rule(schedule)
 				}
-				s.add(c, Run(c, r))
+				s.add(schedule, Run(schedule, r))
 			}
 		})
 	}
@@ -105,79 +105,81 @@
 	return s
 }
 
-func drawn(n int) Schedule { return RandomSchedule(uint64(n)) }
+func seededSchedule(n int) Schedule { return RandomSchedule(uint64(n)) }
 
-func drawnLiteral(n int) Schedule {
-	c := RandomSchedule(uint64(n))
-	c.Literal = true
-	return c
+func literalSchedule(n int) Schedule {
+	s := RandomSchedule(uint64(n))
+	s.Literal = true
+	return s
 }
 
-// TestDrawnCourses: whatever calls meet, the list is not acted on behind the grace of a change that counts as told, and one whole answer ends
-// all holding back. For how long an outage holds back is logged: nothing tells it from a discovery that is there.
-func TestDrawnCourses(t *testing.T) {
+// TestRandomSchedules: whatever happens to the calls, the list must not be acted on after the grace of a change that
+// counts as notified, and a single complete answer must make the list usable again. For how long the list is
+// unusable in an outage is only logged, because the process cannot distinguish an outage from a discovery service
+// that is running.
+func TestRandomSchedules(t *testing.T) {
 	began := time.Now()
-	s := playMany(*courses, drawn, nil)
-	t.Logf("%d courses in %v, %d calls, %.3f of the time held back, %d in an outage", *courses, time.Since(began).Round(time.Millisecond), s.calls, s.held.Seconds()/s.length.Seconds(), s.outageHeld)
-	if s.late > 0 || s.unconfirmed > 0 {
-		t.Errorf("%d courses late (%d pushed), by %v at most (seed %d), %v; %d not confirmed by an answer:\n%s",
-			s.late, s.pushed, s.latest, s.worst, s.by, s.unconfirmed, strings.Join(append(s.shortest(nil), s.examples...), "\n"))
+	s := runMany(*scheduleCount, seededSchedule, nil)
+	t.Logf("%d schedules in %v, %d calls, list stale for %.3f of the time, %d schedules stale in an outage", *scheduleCount, time.Since(began).Round(time.Millisecond), s.calls, s.staleTime.Seconds()/s.length.Seconds(), s.staleInOutage)
+	if s.late > 0 || s.unconfirmedRuns > 0 {
+		t.Errorf("%d schedules late (%d pushed), by %v at most (seed %d), %v; %d not confirmed by an answer:\n%s",
+			s.late, s.pushed, s.latest, s.worstSeed, s.lateByRule, s.unconfirmedRuns, strings.Join(append(s.shortestLate(nil), s.examples...), "\n"))
 	}
 }
 
-// TestAllShortCourses: every way in which the first calls can end, behind a watch that goes on, is reset or falls silent, with a change
-// before and behind that.
-func TestAllShortCourses(t *testing.T) {
+// TestAllShortSchedules covers every combination of outcomes of the first calls, after a watch that continues, is
+// reset, falls silent or ends in an outage, with a change before and after that.
+func TestAllShortSchedules(t *testing.T) {
 	const depth = 4
-	fates := Outcomes()
+	outcomes := Outcomes()
 	ends := []func(*Schedule){
 		func(*Schedule) {},
-		func(c *Schedule) { c.WatchResets = []time.Duration{500 * time.Millisecond} },
-		func(c *Schedule) { c.WatchSilences = []time.Duration{500 * time.Millisecond} },
-		func(c *Schedule) {
-			c.Outages = []Outage{{From: 500 * time.Millisecond, To: 5 * time.Second, Outcome: RefusedLate}}
+		func(s *Schedule) { s.WatchResets = []time.Duration{500 * time.Millisecond} },
+		func(s *Schedule) { s.WatchSilences = []time.Duration{500 * time.Millisecond} },
+		func(s *Schedule) {
+			s.Outages = []Outage{{From: 500 * time.Millisecond, To: 5 * time.Second, Outcome: RefusedLate}}
 		},
 	}
 	changes := []time.Duration{400 * time.Millisecond, 600 * time.Millisecond, 5500 * time.Millisecond}
 	all := 1
 	for range depth {
-		all *= len(fates)
+		all *= len(outcomes)
 	}
-	course := func(n int) Schedule {
-		c := Schedule{Seed: uint64(n), Length: 30 * time.Second, Changes: changes, CallOutcomes: []Outcome{Normal}}
-		ends[n%len(ends)](&c)
+	schedule := func(n int) Schedule {
+		s := Schedule{Seed: uint64(n), Length: 30 * time.Second, Changes: changes, CallOutcomes: []Outcome{Normal}}
+		ends[n%len(ends)](&s)
 		n /= len(ends)
 		for range depth {
-			c.CallOutcomes = append(c.CallOutcomes, fates[n%len(fates)])
-			n /= len(fates)
+			s.CallOutcomes = append(s.CallOutcomes, outcomes[n%len(outcomes)])
+			n /= len(outcomes)
 		}
-		return c
+		return s
 	}
-	s := playMany(all*len(ends), course, nil)
-	t.Logf("%d courses, %d calls", all*len(ends), s.calls)
-	if s.late > 0 || s.unconfirmed > 0 {
-		t.Errorf("%d courses late, by %v at most, %v; %d not confirmed by an answer:\n%s",
-			s.late, s.latest, s.by, s.unconfirmed, strings.Join(append(s.shortest(nil), s.examples...), "\n"))
+	s := runMany(all*len(ends), schedule, nil)
+	t.Logf("%d schedules, %d calls", all*len(ends), s.calls)
+	if s.late > 0 || s.unconfirmedRuns > 0 {
+		t.Errorf("%d schedules late, by %v at most, %v; %d not confirmed by an answer:\n%s",
+			s.late, s.latest, s.lateByRule, s.unconfirmedRuns, strings.Join(append(s.shortestLate(nil), s.examples...), "\n"))
 	}
 }
 
-// TestConvictsEarlierRules: the rules of earlier versions are late.
-func TestConvictsEarlierRules(t *testing.T) {
+// TestEarlierRulesAreLate: the checks must find runs in which the rules of earlier versions are late.
+func TestEarlierRulesAreLate(t *testing.T) {
 	const n = 10_000
 	for name, rule := range map[string]func(Schedule) StalenessRule{
 		"cd021f6 and 690a85e: any list is acted on": func(Schedule) StalenessRule { return anyAge{} },
 		"1bb215d: signs of an outage":               func(Schedule) StalenessRule { return &signs{} },
-		"af58041: a lease that dials renew":         func(c Schedule) StalenessRule { return newDialLease(c.Start, c.Pushed) },
+		"af58041: a lease that dials renew":         func(s Schedule) StalenessRule { return newDialLease(s.Start, s.Pushed) },
 	} {
-		s := playMany(n, drawn, rule)
-		t.Logf("%s: %d of %d courses late, by %v at most: %v", name, s.late, n, s.latest, s.by)
+		s := runMany(n, seededSchedule, rule)
+		t.Logf("%s: %d of %d schedules late, by %v at most: %v", name, s.late, n, s.latest, s.lateByRule)
 		if s.late == 0 {
-			t.Errorf("%s: not convicted", name)
+			t.Errorf("%s: no late run found", name)
 		}
 	}
 }
 
-// anyAge is a rule that never holds a list back.
+// anyAge is a rule by which the list may always be acted on.
 type anyAge struct{}
 
 func (anyAge) CallMade(plan.Call, time.Duration)                               {}
@@ -190,7 +192,7 @@
 func (anyAge) CallEnded(plan.Call, plan.CallEnd, time.Duration, time.Duration) {}
 func (anyAge) MayAct(time.Duration) bool                                       { return true }
 
-// signs is the rule that went by signs of life and of an outage.
+// signs is the earlier rule that was based on signs that discovery is running or in an outage.
 type signs struct {
 	current                       time.Duration
 	alive, down, answered, waited bool
@@ -208,7 +210,7 @@
 	const promptRefusal = 250 * time.Millisecond
 	switch end {
 	case plan.CutOff:
-		r.signOfLife(now)
+		r.sawAlive(now)
 	case plan.Unreachable:
 		r.down = true
 	case plan.NoAnswer:
@@ -216,7 +218,7 @@
 	case plan.TurnedAway:
 		switch {
 		case now-begun <= promptRefusal:
-			r.signOfLife(now)
+			r.sawAlive(now)
 		case c.ContinuesWatch:
 			r.down = true
 		case r.down || r.alive:
@@ -228,7 +230,7 @@
 	}
 }
 
-func (r *signs) signOfLife(now time.Duration) {
+func (r *signs) sawAlive(now time.Duration) {
 	if r.down || r.waited {
 		r.current = now
 	}
@@ -236,29 +238,30 @@
 }
 
 func (r *signs) MayAct(now time.Duration) bool {
-	const stale, most = 6300 * time.Millisecond, 20 * time.Second
+	const stale, maxStaleTime = 6300 * time.Millisecond, 20 * time.Second
 	age := now - r.current
-	return r.down || !r.alive || age < stale || age >= stale+most
+	return r.down || !r.alive || age < stale || age >= stale+maxStaleTime
 }
 
-// TestAProofHolds: a list that nothing but proof keeps in force is never late, so the adversary asks for nothing that cannot be had; and what
-// is measured as its price holds for no follower but the one whose calls it judges here.
-func TestAProofHolds(t *testing.T) {
+// TestProofRuleIsNeverLate: a rule by which only proof keeps a list in force must never be late, which shows that
+// the checks demand nothing impossible. The logged cost of that rule applies only to the follower whose calls are
+// checked here.
+func TestProofRuleIsNeverLate(t *testing.T) {
 	const n = 10_000
-	s := playMany(n, drawn, func(c Schedule) StalenessRule { return newProof(c) })
-	t.Logf("%d courses, %.3f of the time held back, %d not confirmed by an answer, %d held back in an outage", n, s.held.Seconds()/s.length.Seconds(), s.unconfirmed, s.outageHeld)
+	s := runMany(n, seededSchedule, func(s Schedule) StalenessRule { return newProof(s) })
+	t.Logf("%d schedules, list stale for %.3f of the time, %d not confirmed by an answer, %d stale in an outage", n, s.staleTime.Seconds()/s.length.Seconds(), s.unconfirmedRuns, s.staleInOutage)
 	if s.late > 0 {
-		t.Errorf("%d courses late (%d pushed), by %v at most: %v\n%s", s.late, s.pushed, s.latest, s.by, strings.Join(s.shortest(func(c Schedule) StalenessRule { return newProof(c) }), "\n"))
+		t.Errorf("%d schedules late (%d pushed), by %v at most: %v\n%s", s.late, s.pushed, s.latest, s.lateByRule, strings.Join(s.shortestLate(func(c Schedule) StalenessRule { return newProof(c) }), "\n"))
 	}
 }
 
-// TestOlderSentencesByTheirLetter: what two older sentences ask for by their letter is judged where a course says so.
-func TestOlderSentencesByTheirLetter(t *testing.T) {
+// TestLiteralNoticeRules: two older notice rules must be checked literally in the schedules that ask for it.
+func TestLiteralNoticeRules(t *testing.T) {
 	const n = 10_000
-	rule := func(c Schedule) StalenessRule { return newDialLease(c.Start, c.Pushed) }
-	plain, literal := playMany(n, drawn, rule), playMany(n, drawnLiteral, rule)
-	t.Logf("af58041: %d of %d courses late, by their letter %d: %v", plain.late, n, literal.late, literal.by)
-	if literal.by[AfterWait] == 0 || literal.by[BetweenCalls] == 0 {
-		t.Errorf("a sentence convicts nobody: %v", literal.by)
+	rule := func(s Schedule) StalenessRule { return newDialLease(s.Start, s.Pushed) }
+	plain, literal := runMany(n, seededSchedule, rule), runMany(n, literalSchedule, rule)
+	t.Logf("af58041: %d of %d schedules late, %d with the literal notice rules: %v", plain.late, n, literal.late, literal.lateByRule)
+	if literal.lateByRule[AfterWait] == 0 || literal.lateByRule[BetweenCalls] == 0 {
+		t.Errorf("a literal notice rule has found no late run: %v", literal.lateByRule)
 	}
 }
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -10,37 +10,38 @@
 	"brasswell/internal/host"
 )
 
-// turnAway answers a request that is not taken on, and ends its connection: what else stands on it may be a body
-// that nobody has read. net/http still reads some of that, and would wait for a body that never comes.
-func (s *Front) turnAway(w http.ResponseWriter, a ask, status int, err error) {
+// reject answers a request that is not accepted and closes its connection, because the remaining bytes on it may be
+// a body that has not been read. net/http still reads some of them after the answer, and without a deadline it would
+// wait for a body that may never arrive.
+func (s *Front) reject(w http.ResponseWriter, info requestInfo, status int, err error) {
 	switch {
-	case a.class < 0: // no class to count it under
+	case info.class < 0: // no class to count it under
 	case status == http.StatusServiceUnavailable:
-		s.figures.Count(a.class, figures.Refused)
+		s.figures.CountOutcome(info.class, figures.Refused)
 	default:
-		s.figures.Count(a.class, figures.Failed)
+		s.figures.CountOutcome(info.class, figures.Failed)
 	}
 	control := http.NewResponseController(w)
-	control.SetReadDeadline(time.Now().Add(leftoverWait))
+	control.SetReadDeadline(time.Now().Add(unreadBodyWait))
 	control.SetWriteDeadline(time.Now().Add(s.options.Load().WriteTimeout))
 	w.Header().Set("Connection", "close")
 	http.Error(w, err.Error(), status)
 }
 
-// answer writes the one final answer, and counts it.
-func (s *Front) answer(w http.ResponseWriter, a ask, f host.Final) {
-	if f.Verdict == host.Served && f.Reply.Rest != nil {
-		s.passOn(w, a, f.Reply)
+// answer writes the final answer to a request, and counts it.
+func (s *Front) answer(w http.ResponseWriter, info requestInfo, f host.Final) {
+	if f.Outcome == host.Served && f.Reply.Remainder != nil {
+		s.streamAnswer(w, info, f.Reply)
 		return
 	}
-	s.figures.Count(a.class, outcomes[f.Verdict])
+	s.figures.CountOutcome(info.class, outcomes[f.Outcome])
 	control := http.NewResponseController(w)
 	control.SetWriteDeadline(time.Now().Add(s.options.Load().WriteTimeout))
 	header := w.Header()
 	if s.restart.Closing() {
 		header.Set("Connection", "close")
 	}
-	switch f.Verdict {
+	switch f.Outcome {
 	case host.Refused:
 		if f.RetryAfter > 0 {
 			setRetryAfter(header, f.RetryAfter)
@@ -51,29 +52,30 @@
 		http.Error(w, "failed", http.StatusBadGateway)
 		return
 	}
-	answerHeader(header, f.Reply)
+	setAnswerHeader(header, f.Reply)
 	w.WriteHeader(http.StatusOK)
 	text := f.Reply.Body
-	for len(text) > pieceBytes { // who reads slowly and moves is waited for
-		if _, err := w.Write(text[:pieceBytes]); err != nil {
+	// Each chunk has its own deadline, so a caller that reads slowly but steadily gets the whole answer.
+	for len(text) > chunkSize {
+		if _, err := w.Write(text[:chunkSize]); err != nil {
 			return
 		}
-		text = text[pieceBytes:]
+		text = text[chunkSize:]
 		control.SetWriteDeadline(time.Now().Add(s.options.Load().WriteTimeout))
 	}
 	w.Write(text)
 }
 
-// setRetryAfter says how long to stay away, in seconds with three decimals.
+// setRetryAfter sets how long the caller should wait before it retries, in seconds with three decimals.
 func setRetryAfter(header http.Header, wait time.Duration) {
 	header.Set("Retry-After", strconv.FormatFloat(wait.Seconds(), 'f', 3, 64))
 }
 
-// answerHeader makes the header of a backend's answer that of the caller's.
-func answerHeader(header http.Header, r *backends.Reply) {
+// setAnswerHeader copies the header of a backend's answer to the caller's answer.
+func setAnswerHeader(header http.Header, r *backends.Reply) {
 	copyEndToEnd(header, r.Header)
 	if header["Content-Type"] == nil {
-		header["Content-Type"] = nil // keeps net/http from guessing
+		header["Content-Type"] = nil // keeps net/http from guessing the type
 	}
 	if r.Length >= 0 {
 		header.Set("Content-Length", strconv.FormatInt(r.Length, 10))
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestOnlyEndToEndHeadersGoOn(t *testing.T) {
+func TestOnlyEndToEndHeadersAreForwarded(t *testing.T) {
 	src := http.Header{
 		"Connection": {"close, X-Hop", "x-other"}, "X-Hop": {"1"}, "X-Other": {"2"}, "Keep-Alive": {"3"}, "Te": {"4"},
 		"Transfer-Encoding": {"chunked"}, "Content-Length": {"5"}, "Upgrade": {"h2c"}, "X-Txn": {"a"}, "Accept": {"b", "c"},
@@ -15,6 +15,6 @@
 	copyEndToEnd(dst, src)
 	want := http.Header{"Connection": {"close"}, "X-Txn": {"a"}, "Accept": {"b", "c"}}
 	if !reflect.DeepEqual(dst, want) {
-		t.Errorf("%v, want %v", dst, want)
+		t.Errorf("copied header is %v, want %v", dst, want)
 	}
 }
--- a/internal/handover/link.go
+++ b/internal/handover/link.go
@@ -12,60 +12,61 @@
 )
 
 const (
-	// meetTime bounds the new process's search for the old one, and what it waits for its answer: it has 6 s in all.
-	meetTime = 1500 * time.Millisecond
-	// doneTime bounds the wait for what the other is asked to do; operators are owed an answer within 1 s.
-	doneTime = 500 * time.Millisecond
-	// writeTime bounds one message to a peer that does not read.
-	writeTime = 500 * time.Millisecond
+	// connectTimeout bounds how long the new process tries to connect to the old one and waits for its state. Its whole
+	// start must take at most 6 s.
+	connectTimeout = 1500 * time.Millisecond
+	// requestTimeout bounds the wait for a Done, because operators must get a response within 1 s.
+	requestTimeout = 500 * time.Millisecond
+	// writeTimeout bounds the write of one message to a peer that does not read.
+	writeTimeout = 500 * time.Millisecond
 )
 
 // Peer is a connection to the other process. Its methods may be called at any time.
 type Peer struct {
 	conn net.Conn
 
-	writing sync.Mutex // apart from mu: who reads must not wait for who writes, or two peers could wait for each other
+	writeMu sync.Mutex // separate from mu: if reads had to wait for writes, two peers could deadlock
 
-	mu      sync.Mutex
-	last    uint64
-	waiting map[uint64]chan Message // for the Done of this number
-	gone    bool
+	mu         sync.Mutex
+	lastNumber uint64
+	pending    map[uint64]chan Message // requests that wait for the Done with this number
+	closed     bool
 }
 
-// NewPeer returns a peer at the other end of a connection, which Follow or Close ends.
+// NewPeer returns the peer at the other end of a connection. Serve closes the connection when it returns.
 func NewPeer(c net.Conn) *Peer {
-	return &Peer{conn: c, waiting: map[uint64]chan Message{}}
+	return &Peer{conn: c, pending: map[uint64]chan Message{}}
 }
 
-// Tell sends a message that nobody answers.
-func (p *Peer) Tell(m Message) error {
-	p.writing.Lock()
-	defer p.writing.Unlock()
-	p.conn.SetWriteDeadline(time.Now().Add(writeTime))
+// Send sends a message that has no response.
+func (p *Peer) Send(m Message) error {
+	p.writeMu.Lock()
+	defer p.writeMu.Unlock()
+	p.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	return Write(p.conn, m)
 }
 
-// Ask sends a message and waits for its Done, for doneTime at most.
-func (p *Peer) Ask(ctx context.Context, m Message) (Message, error) {
+// Request sends a message and waits for its Done, for at most requestTimeout.
+func (p *Peer) Request(ctx context.Context, m Message) (Message, error) {
 	done := make(chan Message, 1)
 	p.mu.Lock()
-	if p.gone {
+	if p.closed {
 		p.mu.Unlock()
 		return Message{}, net.ErrClosed
 	}
-	p.last++
-	m.Number = p.last
-	p.waiting[m.Number] = done
+	p.lastNumber++
+	m.Number = p.lastNumber
+	p.pending[m.Number] = done
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		delete(p.waiting, m.Number)
+		delete(p.pending, m.Number)
 	}()
-	if err := p.Tell(m); err != nil {
+	if err := p.Send(m); err != nil {
 		return Message{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, doneTime)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	select {
 	case d, open := <-done:
@@ -78,16 +79,16 @@
 	}
 }
 
-// Follow reads messages until the peer has gone; handle gets all but Done. It returns why it ended.
-func (p *Peer) Follow(handle func(Message)) error {
+// Serve reads messages until the connection ends, and returns the reason. It passes all messages except Done to handle.
+func (p *Peer) Serve(handle func(Message)) error {
 	defer func() {
 		p.conn.Close()
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.gone = true
-		for n, done := range p.waiting {
+		p.closed = true
+		for n, done := range p.pending {
 			close(done)
-			delete(p.waiting, n)
+			delete(p.pending, n)
 		}
 	}()
 	for {
@@ -100,8 +101,8 @@
 			continue
 		}
 		p.mu.Lock()
-		done := p.waiting[m.Number]
-		delete(p.waiting, m.Number)
+		done := p.pending[m.Number]
+		delete(p.pending, m.Number)
 		p.mu.Unlock()
 		if done != nil {
 			done <- m
@@ -109,48 +110,49 @@
 	}
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (p *Peer) Close() { p.conn.Close() }
 
-// path is where the processes of one proxy meet. Other users' processes have another TMPDIR or cannot write there.
-func path(dir, name string) string { return filepath.Join(dir, "brasswell-"+name+".sock") }
+// socketPath returns the path of the socket of a proxy's processes. Processes of other users have another TMPDIR or cannot
+// write there.
+func socketPath(dir, name string) string { return filepath.Join(dir, "brasswell-"+name+".sock") }
 
-// Meet looks for a running process of the proxy and gets what it knows. It returns nil and no error if there is none.
-func Meet(dir, name string) (*Peer, *Knowledge, error) {
-	until := time.Now().Add(meetTime)
-	conn, err := net.DialTimeout("unix", path(dir, name), meetTime)
+// Connect connects to the running process of the proxy and gets its state. It returns nil and no error if there is none.
+func Connect(dir, name string) (*Peer, *State, error) {
+	deadline := time.Now().Add(connectTimeout)
+	conn, err := net.DialTimeout("unix", socketPath(dir, name), connectTimeout)
 	if err != nil {
-		return nil, nil, nil // no socket, or one that a process has left behind
+		return nil, nil, nil // no socket, or one left by a process that has ended
 	}
-	conn.SetDeadline(until)
+	conn.SetDeadline(deadline)
 	if err = Write(conn, Message{Kind: Hello}); err == nil {
 		var m Message
-		if m, err = Read(conn); err == nil && (m.Kind != Snapshot || m.Snapshot == nil) {
-			err = errors.New("handover: something else where a snapshot was due")
+		if m, err = Read(conn); err == nil && (m.Kind != StateReply || m.State == nil) {
+			err = errors.New("handover: unexpected message instead of the state")
 		}
 		if err == nil {
 			conn.SetDeadline(time.Time{})
-			return NewPeer(conn), m.Snapshot, nil
+			return NewPeer(conn), m.State, nil
 		}
 	}
 	conn.Close()
 	return nil, nil, fmt.Errorf("the running process: %w", err)
 }
 
-// Listen waits for the process that is to follow this one. It takes the place of whoever listened there before, who
-// goes on with the peers that it has.
+// Listen listens for the successor of this process. It replaces the socket of a process that listened there before, which
+// keeps its existing peers.
 func Listen(dir, name string) (*net.UnixListener, error) {
-	at := path(dir, name)
-	own := fmt.Sprintf("%s.%d", at, os.Getpid())
-	os.Remove(own)
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: own, Net: "unix"})
+	socket := socketPath(dir, name)
+	temp := fmt.Sprintf("%s.%d", socket, os.Getpid())
+	os.Remove(temp)
+	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: temp, Net: "unix"})
 	if err != nil {
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	l.SetUnlinkOnClose(false)
-	if err := os.Rename(own, at); err != nil {
+	if err := os.Rename(temp, socket); err != nil {
 		l.Close()
-		os.Remove(own)
+		os.Remove(temp)
 		return nil, fmt.Errorf("handover: %w", err)
 	}
 	return l, nil
--- a/internal/handover/state.go
+++ b/internal/handover/state.go
@@ -1,60 +1,63 @@
 package handover
 
-// Part is what of the proxy's limits is this process's own.
-type Part struct {
-	Callers float64 // of the callers' connections
-	Rest    float64 // of the backends' connections, the memory and the budget for cold servers
+// Share is a process's share of the proxy's limits.
+type Share struct {
+	Callers float64 // share of the callers' connections
+	Other   float64 // share of the connections to backends, the memory and the budget for cold servers
 }
 
-// Alone is the part of a process that is the whole proxy.
-var Alone = Part{1, 1}
+// FullShare is the share of a proxy's only process.
+var FullShare = Share{1, 1}
 
-// half is what each of two processes has of what both can do without.
+// half is the share of each of two processes in limits that both can share.
 const half = 0.5
 
-// Elder decides what a running process does about the one that follows it. It is not safe for concurrent use.
-type Elder struct {
-	asked, ready, leaving bool
+// OldProcess is the state of a running process toward its successor. It is not safe for concurrent use.
+type OldProcess struct {
+	stateRequested, successorReady, shuttingDown bool
 }
 
-// Asked takes in that a new process has asked for what this one knows. held is how many callers' connections this one
-// holds, of so many that it may: it need not let go of any, for each has a caller that may write on it now.
-func (e *Elder) Asked(held, most int) Part {
-	e.asked, e.ready = true, false
-	own := Part{min(max(half, share(held, most)), 1), half}
-	if e.leaving {
-		own.Rest = 0
+// StateRequested records that a new process has requested the state, and returns this process's share from now on.
+// conns is the number of callers' connections that this process has, and maxConns their limit. It need not close any of
+// them, because a caller may be sending a request on each one.
+func (o *OldProcess) StateRequested(conns, maxConns int) Share {
+	o.stateRequested, o.successorReady = true, false
+	share := Share{min(max(half, heldShare(conns, maxConns)), 1), half}
+	if o.shuttingDown {
+		share.Other = 0
 	}
-	return own
+	return share
 }
 
-func share(held, most int) float64 { return float64(held) / float64(max(most, 1)) }
+func heldShare(conns, maxConns int) float64 { return float64(conns) / float64(max(maxConns, 1)) }
 
-// Ready takes in that the new process takes clients.
-func (e *Elder) Ready() { e.ready = e.asked }
+// SuccessorReady records that the new process accepts clients.
+func (o *OldProcess) SuccessorReady() { o.successorReady = o.stateRequested }
 
-// Gone takes in that the new process is not there any more. Before this one has been told to go it is alone again,
-// whatever the other had said.
-func (e *Elder) Gone() Part {
-	e.asked, e.ready = false, false
-	return Alone
+// SuccessorGone records that the new process has gone. Unless this process is already shutting down, it is the only one
+// again, whatever the other has reported before.
+func (o *OldProcess) SuccessorGone() Share {
+	o.stateRequested, o.successorReady = false, false
+	return FullShare
 }
 
-// Leave takes in that this process has been told to go. It reports whether another takes the callers: then this one
-// accepts no more of them, and lets those it has come over with their next answer.
-func (e *Elder) Leave() (handed bool) {
-	e.leaving = true
-	return e.ready
+// Shutdown records that this process is to shut down. It reports whether another process accepts the callers. In that
+// case this one accepts no more of them, and closes their connections after the next response so that they reconnect to
+// the other.
+func (o *OldProcess) Shutdown() (handedOver bool) {
+	o.shuttingDown = true
+	return o.successorReady
 }
 
-// leastCallers of the callers' connections are a new process's at least.
-const leastCallers = 0.25
+// minCallers is the minimum share of a new process in the callers' connections.
+const minCallers = 0.25
 
-// Joined is the part of a new process beside one that holds so many callers' connections, of most.
-func Joined(held, most int) Part {
-	return Part{max(min(half, 1-share(held, most)), leastCallers), half}
+// NewProcessShare returns the share of a new process. conns is the number of callers' connections that the old process has,
+// and maxConns their limit.
+func NewProcessShare(conns, maxConns int) Share {
+	return Share{max(min(half, 1-heldShare(conns, maxConns)), minCallers), half}
 }
 
-// Left is its part once the old one has been told to go: what that still holds of callers' connections stays its own
-// until it has gone, and it sends nothing new to cold servers.
-func Left(p Part) Part { return Part{p.Callers, 1} }
+// ShareAfterShutdown returns the new process's share once the old one is shutting down. The old process keeps its share
+// of the callers' connections until it exits, and sends no new requests to cold servers.
+func ShareAfterShutdown(p Share) Share { return Share{p.Callers, 1} }
--- a/internal/host/crossing_test.go
+++ b/internal/host/crossing_test.go
@@ -19,15 +19,15 @@
 	"brasswell/internal/backends"
 )
 
-// server takes requests and does with each connection what the test says once one has come whole.
+// server counts requests and calls a function of the test with the connection of each one that has arrived whole.
 type server struct {
-	address string
-	took    atomic.Int32
-	l       net.Listener
-	served  sync.WaitGroup
+	address  string
+	received atomic.Int32
+	l        net.Listener
+	served   sync.WaitGroup
 }
 
-func newServer(t *testing.T, then func(net.Conn)) *server {
+func newServer(t *testing.T, handle func(net.Conn)) *server {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -47,8 +47,8 @@
 					if _, err := http.ReadRequest(r); err != nil {
 						return
 					}
-					s.took.Add(1)
-					then(c)
+					s.received.Add(1)
+					handle(c)
 				}
 			})
 		}
@@ -60,27 +60,27 @@
 
 func serve(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok") }
 
-// breakOff ends a connection as a process that dies does.
-func breakOff(c net.Conn) {
+// resetConn closes a connection with a reset, as when the server's process dies.
+func resetConn(c net.Conn) {
 	c.(*net.TCPConn).SetLinger(0)
 	c.Close()
 }
 
-// waiter is a caller that goes when the test says so.
-type waiter struct{ gone atomic.Bool }
+// testCaller is a caller that counts as gone once the test sets the flag.
+type testCaller struct{ gone atomic.Bool }
 
-func (w *waiter) Gone() bool { return w.gone.Load() }
+func (w *testCaller) Gone() bool { return w.gone.Load() }
 
-// crossing is an instance before two servers. Each connection that it opens is held until the test lets it come up.
-type crossing struct {
+// fixture is an instance with test servers. Each connection that it opens waits until the test lets it be established.
+type fixture struct {
 	*Instance
-	dials chan chan struct{} // of each connection that is asked for, what lets it come up when closed
+	dials chan chan struct{} // one channel for each dial; closing it lets the connection be established
 	pool  *backends.Pool
 }
 
-func newCrossing(t *testing.T, class balance.Class, servers ...*server) *crossing {
+func newFixture(t *testing.T, class balance.Class, servers ...*server) *fixture {
 	t.Helper()
-	c := &crossing{dials: make(chan chan struct{}, 8)}
+	c := &fixture{dials: make(chan chan struct{}, 8)}
 	c.pool = backends.NewPool(backends.Limits{
 		Conns: 8, ConnectTimeout: 30 * time.Second, ConnIdle: 30 * time.Second, Options: backends.DefaultOptions(),
 		Control: func(_, _ string, _ syscall.RawConn) error {
@@ -105,14 +105,14 @@
 	return c
 }
 
-func (c *crossing) close() { c.Close(); c.pool.Close() }
+func (c *fixture) close() { c.Close(); c.pool.Close() }
 
-// long is a request's time; nothing here may take that long.
-const long = 20 * time.Second
+// requestTimeout is the timeout of requests. No test may take that long.
+const requestTimeout = 20 * time.Second
 
-func (c *crossing) submit(w Caller) *Request {
+func (c *fixture) submit(w Caller) *Request {
 	u := &url.URL{Path: "/api"}
-	return c.Submit(w, &backends.Message{Method: "GET", URI: "/api", URL: u, Host: "x", Header: http.Header{}}, 0, -1, long, 0)
+	return c.Submit(w, &backends.Message{Method: "GET", URI: "/api", URL: u, Host: "x", Header: http.Header{}}, 0, -1, requestTimeout, 0)
 }
 
 func await[T any](t *testing.T, what string, c <-chan T) T {
@@ -120,155 +120,160 @@
 	select {
 	case v := <-c:
 		return v
-	case <-time.After(long / 2):
-		t.Fatalf("%s did not come", what)
+	case <-time.After(requestTimeout / 2):
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
 
 func class(effect balance.Effect, window time.Duration) balance.Class {
-	return balance.Class{Aim: long, ClientTimeout: long, Value: 1, Effect: effect, DedupScope: balance.DedupAll, DedupWindow: window}
+	return balance.Class{Aim: requestTimeout, ClientTimeout: requestTimeout, Value: 1, Effect: effect, DedupScope: balance.DedupAll, DedupWindow: window}
 }
 
-// TestWindowEndsWhileAConnectionComesUp: the first attempt may have run; the second is decided within the window, and its
-// connection is up only behind its end. Nothing is written on it, and the request is given up at once.
+// TestWindowEndsWhileAConnectionComesUp guards against a repeat that is written after the deduplication window has
+// ended. The first attempt may have run; the second is decided on within the window, but its connection is established
+// only after it. Nothing may be written on that connection, and the request is abandoned at once.
 func TestWindowEndsWhileAConnectionComesUp(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	const window = 2 * time.Second
-	a, b := newServer(t, breakOff), newServer(t, breakOff)
+	a, b := newServer(t, resetConn), newServer(t, resetConn)
 	defer a.close()
 	defer b.close()
-	c := newCrossing(t, class(balance.Deduplicated, window), a, b)
+	c := newFixture(t, class(balance.Deduplicated, window), a, b)
 	defer c.close()
-	begun := time.Now()
-	q := c.submit(&waiter{})
+	start := time.Now()
+	q := c.submit(&testCaller{})
 	close(await(t, "the first connection", c.dials))
 	second := await(t, "the second connection", c.dials)
-	time.Sleep(time.Until(begun.Add(window + 50*time.Millisecond))) // until the window is over for certain
+	time.Sleep(time.Until(start.Add(window + 50*time.Millisecond))) // until the window has certainly ended
 	close(second)
-	if f := await(t, "the answer", q.Final()); f.Verdict != Refused { // all drop repeats: harmless
-		t.Errorf("verdict %v", f.Verdict)
+	if f := await(t, "the answer", q.Final()); f.Outcome != Refused { // all servers drop repeats, so a retry is harmless
+		t.Errorf("outcome %v", f.Outcome)
 	}
-	if n := a.took.Load() + b.took.Load(); n != 1 {
-		t.Errorf("%d attempts were written, want the first alone", n)
+	if n := a.received.Load() + b.received.Load(); n != 1 {
+		t.Errorf("%d attempts were written, want only the first", n)
 	}
 }
 
-// TestWindowEndsWhileARepeatWaits is the same for a repeat that is held, since its servers can take none for now.
+// TestWindowEndsWhileARepeatWaits covers the end of the window for a repeat that the balancer holds because both
+// servers were taken out while the repeat's connection was being established.
 func TestWindowEndsWhileARepeatWaits(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	a, b := newServer(t, breakOff), newServer(t, breakOff)
+	a, b := newServer(t, resetConn), newServer(t, resetConn)
 	defer a.close()
 	defer b.close()
-	c := newCrossing(t, class(balance.Deduplicated, 2*time.Second), a, b)
+	c := newFixture(t, class(balance.Deduplicated, 2*time.Second), a, b)
 	defer c.close()
-	q := c.submit(&waiter{})
+	q := c.submit(&testCaller{})
 	first := await(t, "the first connection", c.dials)
 	close(first)
 	second := await(t, "the second connection", c.dials)
 	c.SetBanned("a", true)
-	c.SetBanned("b", true) // whichever it goes to: it is taken out while its connection comes up
+	c.SetBanned("b", true) // whichever server the repeat is for is taken out while its connection is being established
 	close(second)
-	if f := await(t, "the answer", q.Final()); f.Verdict != Refused {
-		t.Errorf("verdict %v", f.Verdict)
+	if f := await(t, "the answer", q.Final()); f.Outcome != Refused {
+		t.Errorf("outcome %v", f.Outcome)
 	}
-	if n := a.took.Load() + b.took.Load(); n != 1 {
-		t.Errorf("%d attempts were written, want the first alone", n)
+	if n := a.received.Load() + b.received.Load(); n != 1 {
+		t.Errorf("%d attempts were written, want only the first", n)
 	}
 }
 
-// TestNoDialForACallerThatHasGone: the caller goes while the first attempt is out, and its connection does not say so
-// here. No connection is asked for the next one.
+// TestNoDialForACallerThatHasGone checks that no connection is opened for the next attempt if the caller has gone
+// during the first one and only Gone reports it.
 func TestNoDialForACallerThatHasGone(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	w := &waiter{}
-	leave := func(c net.Conn) { w.gone.Store(true); breakOff(c) }
-	a, b := newServer(t, leave), newServer(t, leave)
+	w := &testCaller{}
+	goneAndReset := func(c net.Conn) { w.gone.Store(true); resetConn(c) }
+	a, b := newServer(t, goneAndReset), newServer(t, goneAndReset)
 	defer a.close()
 	defer b.close()
-	c := newCrossing(t, class(balance.Idempotent, 0), a, b)
+	c := newFixture(t, class(balance.Idempotent, 0), a, b)
 	defer c.close()
 	q := c.submit(w)
 	close(await(t, "the first connection", c.dials))
-	if f := await(t, "the answer", q.Final()); f.Verdict != Failed {
-		t.Errorf("verdict %v", f.Verdict)
+	if f := await(t, "the answer", q.Final()); f.Outcome != Failed {
+		t.Errorf("outcome %v", f.Outcome)
 	}
-	if n := a.took.Load() + b.took.Load(); n != 1 || len(c.dials) != 0 {
-		t.Errorf("%d attempts written and %d more connections asked for, want 1 and none", n, len(c.dials))
+	if n := a.received.Load() + b.received.Load(); n != 1 || len(c.dials) != 0 {
+		t.Errorf("%d attempts written and %d more connections opened, want 1 and 0", n, len(c.dials))
 	}
 }
 
-// TestNothingIsSentForACallerThatWentWhileAConnectionCameUp.
+// TestNothingIsSentForACallerThatWentWhileAConnectionCameUp checks that nothing is written if the caller goes while the
+// attempt's connection is being established.
 func TestNothingIsSentForACallerThatWentWhileAConnectionCameUp(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	w := &waiter{}
+	w := &testCaller{}
 	a := newServer(t, serve)
 	defer a.close()
-	c := newCrossing(t, class(balance.Idempotent, 0), a)
+	c := newFixture(t, class(balance.Idempotent, 0), a)
 	defer c.close()
 	q := c.submit(w)
 	up := await(t, "the connection", c.dials)
 	w.gone.Store(true)
 	close(up)
-	if f := await(t, "the answer", q.Final()); f.Verdict != Failed || a.took.Load() != 0 {
-		t.Errorf("verdict %v, %d attempts written", f.Verdict, a.took.Load())
+	if f := await(t, "the answer", q.Final()); f.Outcome != Failed || a.received.Load() != 0 {
+		t.Errorf("outcome %v, %d attempts written", f.Outcome, a.received.Load())
 	}
 }
 
-// TestUnsafeRepeats: a request that must never run twice is sent again only where the first was surely never written: not
-// behind a break, and never while one is out.
+// TestUnsafeRepeats checks that a request that must never run twice is sent again only if the first attempt certainly
+// did not run: after a refusal by the server, but not after a broken connection, a partial answer or an error, and
+// never while an attempt is outstanding.
 func TestUnsafeRepeats(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	turnAway := func(c net.Conn) {
 		io.WriteString(c, "HTTP/1.1 503 Busy\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n")
 	}
-	half := func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"); breakOff(c) }
-	failed := func(c net.Conn) { io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n") }
+	partialAnswer := func(c net.Conn) { io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"); resetConn(c) }
+	serverError := func(c net.Conn) { io.WriteString(c, "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n") }
 	for _, k := range []struct {
-		name    string
-		first   func(net.Conn)
-		took    int32
-		verdict Verdict
+		name     string
+		first    func(net.Conn)
+		attempts int32
+		outcome  Outcome
 	}{
-		{"turned away", turnAway, 2, Served}, {"broken off", breakOff, 1, Failed}, {"half an answer", half, 1, Failed},
-		{"an error", failed, 1, Failed},
+		{"turned away", turnAway, 2, Served}, {"broken off", resetConn, 1, Failed}, {"half an answer", partialAnswer, 1, Failed},
+		{"an error", serverError, 1, Failed},
 	} {
 		t.Run(k.name, func(t *testing.T) {
-			var turn atomic.Int32
-			then := func(c net.Conn) {
-				if turn.Add(1) == 1 {
+			var count atomic.Int32
+			handle := func(c net.Conn) {
+				if count.Add(1) == 1 {
 					k.first(c)
 					return
 				}
 				serve(c)
 			}
-			a, b := newServer(t, then), newServer(t, then)
+			a, b := newServer(t, handle), newServer(t, handle)
 			defer a.close()
 			defer b.close()
-			c := newCrossing(t, class(balance.AtMostOnce, 0), a, b)
+			c := newFixture(t, class(balance.AtMostOnce, 0), a, b)
 			defer c.close()
-			q := c.submit(&waiter{})
+			q := c.submit(&testCaller{})
 			close(await(t, "the first connection", c.dials))
-			if k.took == 2 {
+			if k.attempts == 2 {
 				close(await(t, "the second connection", c.dials))
 			}
 			f := await(t, "the answer", q.Final())
-			if n := a.took.Load() + b.took.Load(); f.Verdict != k.verdict || n != k.took {
-				t.Errorf("verdict %v after %d attempts, want %v after %d", f.Verdict, n, k.verdict, k.took)
+			if n := a.received.Load() + b.received.Load(); f.Outcome != k.outcome || n != k.attempts {
+				t.Errorf("outcome %v after %d attempts, want %v after %d", f.Outcome, n, k.outcome, k.attempts)
 			}
 		})
 	}
 }
 
-// TestDrainWhileAConnectionComesUp: the list takes the server out between the decision and the first byte.
+// TestDrainWhileAConnectionComesUp guards against an attempt that is written to a draining server because the list
+// update came between the decision and the first byte.
 func TestDrainWhileAConnectionComesUp(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a, b := newServer(t, serve), newServer(t, serve)
 	defer a.close()
 	defer b.close()
-	c := newCrossing(t, class(balance.AtMostOnce, 0), a, b)
+	c := newFixture(t, class(balance.AtMostOnce, 0), a, b)
 	defer c.close()
-	q := c.submit(&waiter{})
+	q := c.submit(&testCaller{})
 	up := await(t, "the first connection", c.dials)
 	c.mu.Lock()
 	to := c.requests[q.id].attempts[0].to
@@ -276,22 +281,23 @@
 	c.Update(balance.Delta, []balance.Entry{{ID: to.Server, State: balance.Draining}}, nil)
 	close(up)
 	close(await(t, "the connection to the other", c.dials))
-	if f := await(t, "the answer", q.Final()); f.Verdict != Served {
-		t.Errorf("verdict %v", f.Verdict)
+	if f := await(t, "the answer", q.Final()); f.Outcome != Served {
+		t.Errorf("outcome %v", f.Outcome)
 	}
 	drained, other := a, b
 	if to.Address == b.address {
 		drained, other = b, a
 	}
-	if drained.took.Load() != 0 || other.took.Load() != 1 {
-		t.Errorf("%d written to the one that drains, %d to the other", drained.took.Load(), other.took.Load())
+	if drained.received.Load() != 0 || other.received.Load() != 1 {
+		t.Errorf("%d requests written to the draining server, %d to the other", drained.received.Load(), other.received.Load())
 	}
 }
 
-// TestReadyMeansThatItCanServe: with no list, with one of servers that all drain or are gone, and again once one is there.
+// TestReadyMeansThatItCanServe checks that an instance is not ready without a list or if all servers drain or are gone,
+// and is ready again once a server is in service.
 func TestReadyMeansThatItCanServe(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	c := newCrossing(t, class(balance.Idempotent, 0))
+	c := newFixture(t, class(balance.Idempotent, 0))
 	defer c.close()
 	up := []balance.Entry{{ID: "a"}}
 	for n, step := range []struct {
--- a/internal/idle/idle_test.go
+++ b/internal/idle/idle_test.go
@@ -11,44 +11,44 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func TestPace(t *testing.T) {
+func TestPolicy(t *testing.T) {
 	now := time.Now()
-	ago := func(d time.Duration) time.Time { return now.Add(-d) }
-	p := Pace{After: time.Second, Timeout: 10 * time.Second}
+	before := func(d time.Duration) time.Time { return now.Add(-d) }
+	p := Policy{ParkAfter: time.Second, Timeout: 10 * time.Second}
 	for _, c := range []struct {
 		since       time.Duration
-		hold, close bool
+		park, close bool
 	}{{0, false, false}, {time.Second - 1, false, false}, {time.Second, true, false}, {10*time.Second - 1, true, false}, {10 * time.Second, true, true}} {
-		if got := p.Hold(ago(c.since), now); got != c.hold {
-			t.Errorf("idle for %v: held %v", c.since, got)
+		if got := p.ShouldPark(before(c.since), now); got != c.park {
+			t.Errorf("idle for %v: ShouldPark %v", c.since, got)
 		}
-		if got := p.Close(ago(c.since), now); got != c.close {
-			t.Errorf("idle for %v: closed %v", c.since, got)
+		if got := p.ShouldClose(before(c.since), now); got != c.close {
+			t.Errorf("idle for %v: ShouldClose %v", c.since, got)
 		}
 	}
-	if (Pace{Timeout: time.Second}).Hold(ago(time.Hour), now) {
-		t.Error("held where nothing is to be")
+	if (Policy{Timeout: time.Second}).ShouldPark(before(time.Hour), now) {
+		t.Error("parked though parking is disabled")
 	}
-	// 200,000 that are due at once go within half a minute, and no step is over a hundredth of them.
+	// 200,000 connections that are due at once are closed within 30 s, and no step closes over a hundredth of them.
 	steps := 0
 	for left := 200_000; left > 0; steps++ {
-		n := p.Batch(left)
+		n := p.BatchSize(left)
 		if n > 2000 {
-			t.Fatalf("%d in one step", n)
+			t.Fatalf("%d connections in one step", n)
 		}
 		left -= min(n, left)
 	}
-	if took := time.Duration(steps) * p.Every(); took > 30*time.Second {
-		t.Errorf("all are closed after %v", took)
+	if took := time.Duration(steps) * p.CheckInterval(); took > 30*time.Second {
+		t.Errorf("all connections are closed after %v", took)
 	}
 }
 
-// waiter counts how often it is told.
-type waiter struct{ told chan struct{} }
+// testHandler reports each call to a channel.
+type testHandler struct{ notified chan struct{} }
 
-func (w waiter) Woken() { w.told <- struct{}{} }
+func (w testHandler) SocketReady() { w.notified <- struct{}{} }
 
-// socketPair is both ends of a TCP connection.
+// socketPair returns both ends of a TCP connection.
 func socketPair(t *testing.T) (ours *net.TCPConn, theirs net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -67,40 +67,41 @@
 	return c.(*net.TCPConn), theirs
 }
 
-func running(t *testing.T) *Lot {
+func startPoller(t *testing.T) *Poller {
 	t.Helper()
-	l, err := NewLot()
+	p, err := NewPoller()
 	if err != nil {
 		t.Fatal(err)
 	}
 	var all sync.WaitGroup
 	all.Go(func() {
-		if err := l.Run(); err != nil {
+		if err := p.Run(); err != nil {
 			t.Error(err)
 		}
 	})
-	t.Cleanup(func() { l.Close(); all.Wait() })
-	return l
+	t.Cleanup(func() { p.Close(); all.Wait() })
+	return p
 }
 
-// TestHeldSocketsComeBackWithWhatCame holds a socket, gives it back when bytes come or have come already, and again.
-func TestHeldSocketsComeBackWithWhatCame(t *testing.T) {
-	l := running(t)
+// TestParkedSocketsKeepTheirData parks and unparks a socket repeatedly, with bytes that arrive before or after it is
+// parked.
+func TestParkedSocketsKeepTheirData(t *testing.T) {
+	p := startPoller(t)
 	ours, theirs := socketPair(t)
-	w := waiter{make(chan struct{}, 10)}
+	h := testHandler{make(chan struct{}, 10)}
 	for round := range 20 {
-		if round%2 == 0 { // before it is held, or after
+		if round%2 == 0 { // write before the socket is parked, or else after
 			theirs.Write([]byte("hold"))
 		}
-		key, err := l.Hold(ours, w)
+		key, err := p.Park(ours, h)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if round%2 == 1 {
 			theirs.Write([]byte("hold"))
 		}
-		<-w.told
-		if ours, err = l.Take(key); err != nil {
+		<-h.notified
+		if ours, err = p.Unpark(key); err != nil {
 			t.Fatal(err)
 		}
 		b := make([]byte, 10)
@@ -108,41 +109,41 @@
 			t.Fatalf("%q, %v", b[:n], err)
 		}
 	}
-	if len(w.told) > 0 || l.Len() > 0 {
-		t.Errorf("told %d times too often, %d held", len(w.told), l.Len())
+	if len(h.notified) > 0 || p.Len() > 0 {
+		t.Errorf("%d surplus notifications, %d sockets parked", len(h.notified), p.Len())
 	}
 	ours.Close()
 }
 
-func TestEndsOfHeldSockets(t *testing.T) {
-	l := running(t)
-	w := waiter{make(chan struct{}, 10)}
+func TestClosingOfParkedSockets(t *testing.T) {
+	p := startPoller(t)
+	h := testHandler{make(chan struct{}, 10)}
 	ours, theirs := socketPair(t)
-	key, err := l.Hold(ours, w)
+	key, err := p.Park(ours, h)
 	if err != nil {
 		t.Fatal(err)
 	}
 	theirs.Close()
-	<-w.told
-	l.Drop(key)
-	l.Drop(key)
-	if _, err := l.Take(key); err == nil {
-		t.Error("a socket that was dropped was given back")
+	<-h.notified
+	p.Drop(key)
+	p.Drop(key)
+	if _, err := p.Unpark(key); err == nil {
+		t.Error("Unpark returned a dropped socket")
 	}
 	ours, theirs = socketPair(t)
-	if _, err = l.Hold(ours, w); err != nil {
+	if _, err = p.Park(ours, h); err != nil {
 		t.Fatal(err)
 	}
-	l.Close()
-	l.Close()
+	p.Close()
+	p.Close()
 	if _, err := theirs.Read(make([]byte, 1)); err == nil {
-		t.Error("a held socket outlived its lot")
+		t.Error("a parked socket is open after Close")
 	}
 	ours, theirs = socketPair(t)
-	if _, err = l.Hold(ours, w); err == nil {
-		t.Error("a closed lot holds a socket")
+	if _, err = p.Park(ours, h); err == nil {
+		t.Error("a closed poller accepts a socket")
 	}
 	if _, err := theirs.Read(make([]byte, 1)); err == nil {
-		t.Error("a socket that was not held is open")
+		t.Error("a socket that was not accepted is open")
 	}
 }
--- a/internal/proxy/channel_story_test.go
+++ b/internal/proxy/channel_scenario_test.go
@@ -16,10 +16,10 @@
 	"brasswell/internal/standin/audit"
 )
 
-var channelSeeds = flag.Int("channel-seeds", 2, "how many seeds the stories with channels play")
+var channelSeeds = flag.Int("channel-seeds", 2, "number of seeds for which the channel scenarios run")
 
-// channelStory is a fleet whose proxy has channels, and clients that keep some open.
-type channelStory struct {
+// channelScenario is a fleet whose proxy has channels, with clients that keep channels open.
+type channelScenario struct {
 	t       *testing.T
 	fleet   *standin.Fleet
 	clients *standin.ChannelClients
@@ -27,7 +27,7 @@
 	end     func() audit.Report
 }
 
-func newChannelStory(t *testing.T, f standin.FleetConfig, load standin.ChannelLoad, change func(*channel.Options)) *channelStory {
+func newChannelScenario(t *testing.T, f standin.FleetConfig, load standin.ChannelLoad, change func(*channel.Options)) *channelScenario {
 	t.Helper()
 	if f.Rules == (audit.Rules{}) {
 		f.Rules = rules()
@@ -60,7 +60,7 @@
 	}
 	fleet.OnMove = p.MoveDiscovery
 	endProxy := serveProxy(t, p)
-	s := &channelStory{t: t, fleet: fleet, address: p.Addr().String()}
+	s := &channelScenario{t: t, fleet: fleet, address: p.Addr().String()}
 	s.clients = fleet.ChannelClients(s.address)
 	coming, leave := context.WithCancel(context.Background())
 	gone := make(chan struct{})
@@ -79,8 +79,8 @@
 	return s
 }
 
-// open waits until so many channels are open, or the test fails.
-func (s *channelStory) open(n int, within time.Duration) {
+// awaitOpen waits until n channels are open, and fails the test if that takes too long.
+func (s *channelScenario) awaitOpen(n int, within time.Duration) {
 	s.t.Helper()
 	for end := time.Now().Add(within); s.clients.Tally().Open != n; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -90,8 +90,8 @@
 	}
 }
 
-// kept ends the story and checks the rules.
-func (s *channelStory) kept() audit.Report {
+// finish ends the scenario and checks the rules.
+func (s *channelScenario) finish() audit.Report {
 	s.t.Helper()
 	r := s.end()
 	if !r.Kept() {
@@ -100,78 +100,78 @@
 	return r
 }
 
-// TestChannelsThroughFaults has clients that open and leave channels all the time while servers drain, die and return
-// cold, fail and fall silent, and counts what reaches a server after notice.
+// TestChannelsThroughFaults has clients that open and close channels continuously while servers drain, die and return
+// cold, fail and stop responding. It counts what reaches a server after the notice that the server is out of service.
 func TestChannelsThroughFaults(t *testing.T) {
 	kinds := []string{"drain", "die", "silent", "spoil", "turn-away", "reset-after", "discovery-late", "surge"}
 	for seed := range *channelSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			s := newChannelStory(t, standin.FleetConfig{Seed: uint64(seed)}, standin.ChannelLoad{
+			s := newChannelScenario(t, standin.FleetConfig{Seed: uint64(seed)}, standin.ChannelLoad{
 				Clients: 150, Impatient: 2, Within: 500 * time.Millisecond, Path: "/events", Hold: 400 * time.Millisecond,
 			}, func(o *channel.Options) { o.MoveWindow = 500 * time.Millisecond })
-			dice := rand.New(rand.NewPCG(uint64(seed), 5))
+			rng := rand.New(rand.NewPCG(uint64(seed), 5))
 			script := standin.Script{Length: 4 * time.Second, Load: standin.Load{Rate: 80, Retries: 2, Backoff: 5 * time.Millisecond, Slack: rules().AnswerSlack}}
 			for n := range 4 {
-				for _, kind := range []string{"drain", kinds[dice.IntN(len(kinds))]} {
-					one := step(kind, 8, dice)
-					one.At += time.Duration(n) * 800 * time.Millisecond
+				for _, kind := range []string{"drain", kinds[rng.IntN(len(kinds))]} {
+					fault := step(kind, 8, rng)
+					fault.At += time.Duration(n) * 800 * time.Millisecond
 					if kind == "drain" {
-						one.For = 700 * time.Millisecond // past the grace
+						fault.For = 700 * time.Millisecond // longer than the grace period
 					}
 					if kind == "discovery-late" {
-						one.Size = 0.1
+						fault.Size = 0.1
 					}
-					script.Steps = append(script.Steps, one)
+					script.Steps = append(script.Steps, fault)
 				}
 			}
 			if err := s.fleet.Play(t.Context(), script, s.fleet.Callers(s.address), nil); err != nil {
 				t.Error(err)
 			}
 			tally := s.clients.Tally()
-			r := s.kept()
+			r := s.finish()
 			if tally.Opened < 200 || r.Checks[audit.Drains] < 4 {
-				t.Errorf("the story tests too little: %+v, %v checks", tally, r.Checks)
+				t.Errorf("the scenario tests too little: %+v, %v checks", tally, r.Checks)
 			}
 			var begun []int
 			for _, b := range s.fleet.Backends {
 				begun = append(begun, len(b.Opened()))
 			}
-			t.Logf("%d upgrades, %d channels opened, %d refused, %d failed; ended with %v; %d notices, the latest after notice %v; begun at each server: %v",
+			t.Logf("%d upgrades, %d channels opened, %d refused, %d failed; ended with %v; %d notices, the latest after notice %v; opened at each server: %v",
 				tally.Asked, tally.Opened, tally.Refused, tally.Failed, tally.Closed, r.Checks[audit.Drains], r.Latest, begun)
 		})
 	}
 }
 
-func TestRoomDrainsOneServerAfterAnother(t *testing.T) {
+func TestZoneDrainsOneServerAfterAnother(t *testing.T) {
 	t.Parallel()
-	s := newChannelStory(t, standin.FleetConfig{Seed: 1, Backends: 6}, standin.ChannelLoad{Clients: 180, Path: "/events"}, nil)
-	s.open(180, 20*time.Second)
-	room := []int{0, 2, 4}
-	for _, i := range room {
+	s := newChannelScenario(t, standin.FleetConfig{Seed: 1, Backends: 6}, standin.ChannelLoad{Clients: 180, Path: "/events"}, nil)
+	s.awaitOpen(180, 20*time.Second)
+	zone := []int{0, 2, 4}
+	for _, i := range zone {
 		s.fleet.List(i, "draining")
 		time.Sleep(300 * time.Millisecond)
 	}
-	held := func(who []int) (n int) {
-		for _, i := range who {
+	openAt := func(indexes []int) (n int) {
+		for _, i := range indexes {
 			n += s.fleet.Backends[i].State().Channels
 		}
 		return n
 	}
-	for end := time.Now().Add(20 * time.Second); held(room) > 0; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); openAt(zone) > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d channels stay in the room", held(room))
+			t.Fatalf("%d channels remain in the zone", openAt(zone))
 		}
 	}
-	s.open(180, 20*time.Second)
-	if n := held([]int{1, 3, 5}); n != 180 {
-		t.Errorf("%d channels are in the other room", n)
+	s.awaitOpen(180, 20*time.Second)
+	if n := openAt([]int{1, 3, 5}); n != 180 {
+		t.Errorf("%d channels are in the other zone", n)
 	}
 	tally := s.clients.Tally()
 	if tally.Closed[1012] != sum(tally.Closed) || tally.Closed[1012] < 90 {
 		t.Errorf("channels ended with %v", tally.Closed)
 	}
-	s.kept()
+	s.finish()
 }
 
 func sum(m map[int]int) (n int) {
@@ -183,12 +183,12 @@
 
 func TestServerDiesWithItsChannelsAndReturnsCold(t *testing.T) {
 	t.Parallel()
-	s := newChannelStory(t, standin.FleetConfig{Seed: 2, Backends: 2, Slots: 8, Queue: 200, WarmUp: 3 * time.Second},
+	s := newChannelScenario(t, standin.FleetConfig{Seed: 2, Backends: 2, Slots: 8, Queue: 200, WarmUp: 3 * time.Second},
 		standin.ChannelLoad{Clients: 1000, Within: 2 * time.Second, Path: "/events"},
 		func(o *channel.Options) {
 			o.MaxChannels, o.NodeRate, o.Rate, o.MaxWait = 2000, 300, 600, 10*time.Second
 		})
-	s.open(1000, 30*time.Second)
+	s.awaitOpen(1000, 30*time.Second)
 	before := s.fleet.Backends[0].State().Channels
 	if before < 300 {
 		t.Fatalf("%d of 1000 channels are at the server", before)
@@ -201,21 +201,22 @@
 	}
 	born := len(s.fleet.Backends[0].Opened())
 	s.fleet.List(0, "up")
-	s.open(1000, 30*time.Second)
-	t.Logf("%d ended: %v; %d came to the cold server while all returned", before, s.clients.Tally().Closed, len(s.fleet.Backends[0].Opened())-born)
-	s.kept()
+	s.awaitOpen(1000, 30*time.Second)
+	t.Logf("%d ended: %v; %d went to the cold server while all reconnected", before, s.clients.Tally().Closed, len(s.fleet.Backends[0].Opened())-born)
+	s.finish()
 }
 
-func TestClientsThatReconnectAtOnceForEver(t *testing.T) {
-	s := newChannelStory(t, standin.FleetConfig{Seed: 3, Backends: 4}, standin.ChannelLoad{Clients: 60, Impatient: 10, Path: "/events"},
+func TestClientsThatReconnectImmediately(t *testing.T) {
+	s := newChannelScenario(t, standin.FleetConfig{Seed: 3, Backends: 4}, standin.ChannelLoad{Clients: 60, Impatient: 10, Path: "/events"},
 		func(o *channel.Options) { o.Rate, o.MaxChannels = 20, 55 })
-	// Of ten impatient and fifty patient ones, 55 find room; the limit holds, and who is refused is answered.
-	s.open(55, 30*time.Second)
+	// There are 10 impatient and 50 patient clients and 55 places. The limit must hold, and every refused client must
+	// get an answer.
+	s.awaitOpen(55, 30*time.Second)
 	before := s.clients.Tally()
 	time.Sleep(500 * time.Millisecond)
 	after := s.clients.Tally()
 	if after.Refused-before.Refused < 20 || after.Failed > before.Failed || after.Open != 55 {
 		t.Errorf("before %+v, after %+v", before, after)
 	}
-	s.kept()
+	s.finish()
 }
--- a/internal/proxy/crowding_test.go
+++ b/internal/proxy/crowding_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// TestIdleCallersFillTheirShareWhileDiscoveryIsDown: more callers than there are descriptors connect and say nothing, or half of
-// what they want, while discovery answers nobody. Newcomers get in or get a close; once discovery is back the watch opens, the
-// drain is obeyed, and a backend that was never used is dialled.
+// TestIdleCallersFillTheirShareWhileDiscoveryIsDown connects more callers than there are descriptors. They send nothing
+// or half a head, while discovery does not answer. New callers are served or their connections are closed. Once
+// discovery answers again, the watch opens, the drain is applied, and a backend that was never used gets a connection.
 func TestIdleCallersFillTheirShareWhileDiscoveryIsDown(t *testing.T) {
 	t.Parallel()
-	a := newBackend(t, "127.0.0.1:0", whole)
-	b := newBackend(t, "127.0.0.1:0", whole)
+	a := newBackend(t, "127.0.0.1:0", idAnswer)
+	b := newBackend(t, "127.0.0.1:0", idAnswer)
 	const sockets = 96
-	g := newRig(t, func(c *Config) {
+	g := newTestProxy(t, func(c *Config) {
 		c.Sockets = sockets
 		c.Settings.Balancer.AskForList, c.Settings.Balancer.AskEvery = true, 10*time.Second
 	}, entry("a", a.address, "up"))
@@ -25,14 +25,14 @@
 			c.send(head("half")[:30])
 		}
 		all = append(all, c)
-		if open := g.callers.Len(); open > g.limits.hard {
-			t.Fatalf("%d callers' connections are open, %d at most", open, g.limits.hard)
+		if open := g.callers.Len(); open > g.limits.hardCallers {
+			t.Fatalf("%d callers' connections are open, %d at most", open, g.limits.hardCallers)
 		}
 	}
-	// All that are still held are past their grace, so that a newcomer finds room.
+	// All connections still open are past their grace period, so that a new caller can replace one.
 	time.Sleep(600 * time.Millisecond)
 	if status, body := g.dial().send(head("before")).answer(); status != 200 || body != "before" {
-		t.Errorf("while they fill it: %d %q", status, body)
+		t.Errorf("while the connections are full: %d %q", status, body)
 	}
 	await(t, "the request before", a.requests)
 	g.registry.lists <- list(2, false, entry("a", a.address, "draining"), entry("b", b.address, "up"))
@@ -42,12 +42,12 @@
 	}
 	await(t, "the request after", b.requests)
 	if n := len(a.requests); n != 0 {
-		t.Errorf("%d requests to the one that drains", n)
+		t.Errorf("%d requests to the draining server", n)
 	}
 	for _, c := range all {
 		c.Close()
 	}
-	for g.callers.Len() > 2 { // places come back
+	for g.callers.Len() > 2 { // closed connections free their places
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/proxy/stream_test.go
+++ b/internal/proxy/stream_test.go
@@ -18,17 +18,18 @@
 	"brasswell/internal/front"
 )
 
-// echo is a backend that answers a request with its own body, or with as many bytes as the path asks for.
-type echo struct {
-	address string
-	began   atomic.Int64  // requests whose last byte has come
-	broken  chan string   // the ids of requests that broke off
-	gate    chan struct{} // an answer's second half waits for one, if set
+// echoBackend is a backend that answers a request with the request's body, or with the number of bytes that the path
+// requests.
+type echoBackend struct {
+	address  string
+	received atomic.Int64  // requests received whole
+	broken   chan string   // the ids of requests that were cut off
+	gate     chan struct{} // if set, the second half of each answer waits for a value
 }
 
-func newEcho(t *testing.T) *echo {
+func newEchoBackend(t *testing.T) *echoBackend {
 	t.Helper()
-	e := &echo{broken: make(chan string, 100)}
+	e := &echoBackend{broken: make(chan string, 100)}
 	s := httptest.NewServer(e)
 	t.Cleanup(func() {
 		s.CloseClientConnections()
@@ -38,13 +39,13 @@
 	return e
 }
 
-func (e *echo) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *echoBackend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	text, err := io.ReadAll(r.Body)
 	if err != nil {
 		e.broken <- r.Header.Get(front.IDField)
 		panic(http.ErrAbortHandler)
 	}
-	e.began.Add(1)
+	e.received.Add(1)
 	if n, err := strconv.Atoi(strings.TrimPrefix(r.URL.Path, "/bytes/")); err == nil {
 		text = pattern(n)
 	}
@@ -68,7 +69,7 @@
 	w.Write(text[half:])
 }
 
-// pattern is n bytes in which a shift shows.
+// pattern returns n bytes in which missing, repeated or shifted bytes can be detected.
 func pattern(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
@@ -77,7 +78,7 @@
 	return b
 }
 
-// keyed is the head of a keyed POST but for what frames its body.
+// keyed returns the head of a POST with an idempotency key, without the framing fields and the blank line.
 func keyed(id, path string) string {
 	return "POST " + path + " HTTP/1.1\r\nHost: x\r\nX-Txn: " + id + "\r\nX-Lane: hold\r\nX-Remaining-Ms: 9000\r\nIdempotency-Key: k" + id + "\r\n"
 }
@@ -85,13 +86,13 @@
 func get(id, path string) string { return strings.Replace(head(id), "/api", path, 1) }
 
 func TestLongBodiesGoThroughUnchanged(t *testing.T) {
-	for _, size := range []int{body.WholeBytes, body.WholeBytes + 1, 1 << 20, 5 << 20, body.MaxBytes} {
+	for _, size := range []int{body.MaxBufferedBytes, body.MaxBufferedBytes + 1, 1 << 20, 5 << 20, body.MaxBytes} {
 		for _, how := range []string{"length", "chunks"} {
 			t.Run(fmt.Sprint(how, " ", size), func(t *testing.T) {
 				t.Parallel()
-				e := newEcho(t)
+				e := newEchoBackend(t)
 				text, want := pattern(size), string(pattern(size))
-				c := newRig(t, nil, entry("s1", e.address, "up")).dial() // last: a connection that stays silent is closed
+				c := newTestProxy(t, nil, entry("s1", e.address, "up")).dial() // dialed last, because a silent connection is closed
 				go func() {
 					if how == "length" {
 						io.WriteString(c, keyed("a", "/")+"Content-Length: "+strconv.Itoa(size)+"\r\n\r\n")
@@ -101,7 +102,7 @@
 					io.WriteString(c, keyed("a", "/")+"Transfer-Encoding: chunked\r\n\r\n")
 					for n := 1; len(text) > 0; n = n*3 + 1 {
 						n = min(n, len(text))
-						fmt.Fprintf(c, "%x;note=\"x\"\r\n", n) // an extension that nobody knows
+						fmt.Fprintf(c, "%x;note=\"x\"\r\n", n) // an unknown chunk extension
 						c.Write(text[:n])
 						text = text[n:]
 						io.WriteString(c, "\r\n")
@@ -112,7 +113,7 @@
 				if status != 200 || got != want {
 					t.Fatalf("%d, %d bytes of %d", status, len(got), size)
 				}
-				if n := e.began.Load(); n != 1 {
+				if n := e.received.Load(); n != 1 {
 					t.Errorf("it ran %d times", n)
 				}
 			})
@@ -120,13 +121,14 @@
 	}
 }
 
-// TestLongAnswerIsPassedOnBeforeItsEnd has the backend wait in the middle until the caller has the first half.
+// TestLongAnswerIsPassedOnBeforeItsEnd has the backend wait in the middle of the answer until the caller has the first
+// half.
 func TestLongAnswerIsPassedOnBeforeItsEnd(t *testing.T) {
 	for _, query := range []string{"", "?chunks=1"} {
-		e := newEcho(t)
+		e := newEchoBackend(t)
 		e.gate = make(chan struct{})
-		c := newRig(t, nil, entry("s1", e.address, "up")).dial()
-		const size = 4 * body.WholeBytes
+		c := newTestProxy(t, nil, entry("s1", e.address, "up")).dial()
+		const size = 4 * body.MaxBufferedBytes
 		c.send(get("a", "/bytes/"+strconv.Itoa(size)+query))
 		resp, err := http.ReadResponse(c.r, nil)
 		if err != nil {
@@ -139,16 +141,17 @@
 		e.gate <- struct{}{}
 		rest, err := io.ReadAll(resp.Body)
 		if err != nil || !bytes.Equal(append(first, rest...), pattern(size)) {
-			t.Errorf("%q: %d bytes behind the first half, %v", query, len(rest), err)
+			t.Errorf("%q: %d bytes after the first half, %v", query, len(rest), err)
 		}
 	}
 }
 
-// TestBrokenAnswerDoesNotPassForWhole breaks answers in the middle, framed by a length and by chunks.
-func TestBrokenAnswerDoesNotPassForWhole(t *testing.T) {
+// TestTruncatedAnswerIsNotComplete cuts answers off in the middle, both with a length and with chunks. The caller must
+// detect that the answer is incomplete.
+func TestTruncatedAnswerIsNotComplete(t *testing.T) {
 	for _, query := range []string{"?break=1", "?break=1&chunks=1"} {
-		e := newEcho(t)
-		g := newRig(t, nil, entry("s1", e.address, "up"))
+		e := newEchoBackend(t)
+		g := newTestProxy(t, nil, entry("s1", e.address, "up"))
 		c := g.dial().send(get("a", "/bytes/1000000"+query))
 		resp, err := http.ReadResponse(c.r, nil)
 		if err != nil {
@@ -157,7 +160,7 @@
 		if text, err := io.ReadAll(resp.Body); err == nil {
 			t.Errorf("%q: %d bytes and a clean end", query, len(text))
 		}
-		if n := e.began.Load(); n != 1 {
+		if n := e.received.Load(); n != 1 {
 			t.Errorf("%q: it ran %d times", query, n)
 		}
 		if n := g.figures.Class(0); n.Errors != 1 || n.OK != 0 || n.Tries != 1 {
@@ -166,13 +169,13 @@
 	}
 }
 
-// TestSpentBodyIsNotSentAgain has the first backend take most of a long body and die; what is left here is no request
-// any more. It never ran, so trying again is harmless.
-func TestSpentBodyIsNotSentAgain(t *testing.T) {
-	good := newEcho(t)
-	bad := newTaker(t, 2<<20)
-	g := newRig(t, nil, entry("s1", bad.address, "up"), entry("s2", good.address, "up"))
-	for i := range 2 { // in turn, so one of them meets the bad one
+// TestDiscardedBodyIsNotResent has the first backend read most of a long body and die. The proxy has discarded the start
+// of the body by then and cannot send the request again. The request never ran, so the caller may repeat it.
+func TestDiscardedBodyIsNotResent(t *testing.T) {
+	good := newEchoBackend(t)
+	bad := newPartialReader(t, 2<<20)
+	g := newTestProxy(t, nil, entry("s1", bad.address, "up"), entry("s2", good.address, "up"))
+	for i := range 2 { // round robin, so one of them goes to the bad backend
 		c := g.dial()
 		go func() {
 			io.WriteString(c, keyed(fmt.Sprint("r", i), "/")+"Content-Length: "+strconv.Itoa(8<<20)+"\r\n\r\n")
@@ -184,16 +187,16 @@
 		}
 	}
 	await(t, "the request that broke", bad.took)
-	if n := good.began.Load(); n != 1 {
+	if n := good.received.Load(); n != 1 {
 		t.Errorf("%d requests ran", n)
 	}
 }
 
-// TestKeptBodyIsSentAgain has it die early enough that the body is still whole here.
-func TestKeptBodyIsSentAgain(t *testing.T) {
-	good := newEcho(t)
-	bad := newTaker(t, 100<<10)
-	g := newRig(t, nil, entry("s1", bad.address, "up"), entry("s2", good.address, "up"))
+// TestBufferedBodyIsResent has the backend die so early that the proxy still buffers the whole body.
+func TestBufferedBodyIsResent(t *testing.T) {
+	good := newEchoBackend(t)
+	bad := newPartialReader(t, 100<<10)
+	g := newTestProxy(t, nil, entry("s1", bad.address, "up"), entry("s2", good.address, "up"))
 	for i := range 2 {
 		c := g.dial()
 		go func() {
@@ -205,25 +208,25 @@
 		}
 	}
 	await(t, "the request that broke", bad.took)
-	if n := good.began.Load(); n != 2 {
+	if n := good.received.Load(); n != 2 {
 		t.Errorf("%d requests ran", n)
 	}
 }
 
-// taker is a backend that takes so much of each request and then dies.
-type taker struct {
+// partialReader is a backend that reads a fixed number of bytes of each request and then closes the connection.
+type partialReader struct {
 	address string
 	took    chan struct{}
 }
 
-func newTaker(t *testing.T, bytes int64) *taker {
+func newPartialReader(t *testing.T, bytes int64) *partialReader {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	k := &taker{l.Addr().String(), make(chan struct{}, 100)}
+	k := &partialReader{l.Addr().String(), make(chan struct{}, 100)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -241,10 +244,11 @@
 	return k
 }
 
-// TestCallerThatLeavesWithinItsBody must leave nothing behind, and no blame on the backend.
+// TestCallerThatLeavesWithinItsBody checks that a caller that leaves in the middle of its body leaves no open request, and
+// that the backend is not ejected for it.
 func TestCallerThatLeavesWithinItsBody(t *testing.T) {
-	e := newEcho(t)
-	g := newRig(t, nil, entry("s1", e.address, "up"))
+	e := newEchoBackend(t)
+	g := newTestProxy(t, nil, entry("s1", e.address, "up"))
 	for i := range 5 {
 		c := g.dial()
 		io.WriteString(c, keyed(fmt.Sprint("r", i), "/")+"Content-Length: 5000000\r\n\r\n")
@@ -256,14 +260,15 @@
 		t.Errorf("after callers that left: %d", status)
 	}
 	if _, avoided := g.host.CountServers(); avoided != 0 {
-		t.Error("the backend is blamed for callers that left")
+		t.Error("the backend was ejected because of callers that left")
 	}
 }
 
-// TestSlowCallerThatMovesIsServed sends a body and a head byte by byte, slower than any silence allows in the whole.
+// TestSlowCallerThatMovesIsServed sends a body byte by byte. The whole body takes longer than the idle timeout, but no
+// pause does. A caller that stops sending gets a 408.
 func TestSlowCallerThatMovesIsServed(t *testing.T) {
-	e := newEcho(t)
-	g := newRig(t, func(c *Config) {
+	e := newEchoBackend(t)
+	g := newTestProxy(t, func(c *Config) {
 		c.Options.Callers.BodyTimeout, c.Options.Callers.BodyGrace = 300*time.Millisecond, time.Minute
 	}, entry("s1", e.address, "up"))
 	c := g.dial()
@@ -271,21 +276,21 @@
 	io.WriteString(c, keyed("a", "/")+"Content-Length: 40\r\n\r\n")
 	for i := range text {
 		c.Write(text[i : i+1])
-		time.Sleep(15 * time.Millisecond) // the pace is what is tested: 0.6 s in all
+		time.Sleep(15 * time.Millisecond) // this rate is under test: 0.6 s in total
 	}
 	if status, got := c.answer(); status != 200 || got != string(text) {
 		t.Errorf("%d %q", status, got)
 	}
 	c = g.dial().send(keyed("b", "/") + "Content-Length: 40\r\n\r\nab")
 	if status, _ := c.answer(); status != 408 {
-		t.Errorf("a caller that fell silent: %d", status)
+		t.Errorf("a caller that stopped sending: %d", status)
 	}
 }
 
-// TestExpectIsAnsweredWhenTheBodyIsWanted sends a head that asks first; a request that is turned away hears no 100.
+// TestExpectIsAnsweredWhenTheBodyIsWanted sends a head with Expect: 100-continue. A request that is refused gets no 100.
 func TestExpectIsAnsweredWhenTheBodyIsWanted(t *testing.T) {
-	e := newEcho(t)
-	g := newRig(t, nil, entry("s1", e.address, "up"))
+	e := newEchoBackend(t)
+	g := newTestProxy(t, nil, entry("s1", e.address, "up"))
 	for _, size := range []int{10, 300_000} {
 		c := g.dial().send(keyed(fmt.Sprint("a", size), "/") + fmt.Sprintf("Expect: 100-continue\r\nContent-Length: %d\r\n\r\n", size))
 		if line, err := c.r.ReadString('\n'); err != nil || !strings.Contains(line, " 100 ") {
@@ -299,13 +304,14 @@
 	}
 	c := g.dial().send(strings.Replace(keyed("b", "/"), "hold", "nonsense", 1) + "Expect: 100-continue\r\nContent-Length: 10\r\n\r\n")
 	if status, _ := c.answer(); status != 400 {
-		t.Errorf("a request that is turned away: %d first", status)
+		t.Errorf("a refused request: answered %d first", status)
 	}
 }
 
-// TestRefusedLongBodyIsReadToItsEnd refuses while the caller still writes: the answer comes whole all the same.
+// TestRefusedLongBodyIsReadToItsEnd refuses a request while the caller still writes its body. The caller must still get the
+// whole answer.
 func TestRefusedLongBodyIsReadToItsEnd(t *testing.T) {
-	g := newRig(t, nil) // no backends
+	g := newTestProxy(t, nil) // no backends
 	c := g.dial()
 	wrote := make(chan error, 1)
 	go func() {
