--- a/internal/proxy/upgrade_test.go
+++ b/internal/proxy/upgrade_test.go
@@ -21,8 +21,8 @@
 	"brasswell/internal/handover"
 )
 
-// platform holds the callers' listening socket, as the platform does, and starts processes of one proxy at it. They run
-// in this process; what they share is the socket and the folder.
+// platform owns the callers' listening socket, as the real platform does, and starts processes of one proxy that use
+// it. They all run in the test's process and share only the socket and the folder.
 type platform struct {
 	t        *testing.T
 	listener *net.TCPListener
@@ -38,7 +38,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	folder, err := os.MkdirTemp("", "up") // a socket's path may have 107 bytes
+	folder, err := os.MkdirTemp("", "up") // the path of a Unix socket may have at most 107 bytes
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 	return &platform{t, l.(*net.TCPListener), folder, newRegistry(t), hosts}
 }
 
-// process is one running process of the proxy.
+// process is one simulated process of the proxy.
 type process struct {
 	*Proxy
 	t    *testing.T
@@ -54,15 +54,15 @@
 	done chan error
 }
 
-// start starts a process, and returns once it says that it takes clients.
+// start starts a process, and returns once its console reports that it is ready.
 func (p *platform) start() *process {
 	p.t.Helper()
 	file, err := p.listener.File()
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	c := rigConfig(p.registry.address, json.RawMessage(list(1, true, p.hosts...)))
-	c.Inherited, c.Name, c.MeetIn, c.Console = file, "n1", p.folder, "127.0.0.1:0"
+	c := testConfig(p.registry.address, json.RawMessage(list(1, true, p.hosts...)))
+	c.Inherited, c.Name, c.HandoverDir, c.Console = file, "n1", p.folder, "127.0.0.1:0"
 	proxy, err := New(c)
 	if err != nil {
 		p.t.Fatal(err)
@@ -71,7 +71,7 @@
 	s := &process{proxy, p.t, term, make(chan error, 1)}
 	go func() { s.done <- proxy.Serve(ctx) }()
 	p.t.Cleanup(s.stop)
-	for end := time.Now().Add(patient); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); ; time.Sleep(time.Millisecond) {
 		if status, _ := s.console("GET", "/v1/readyz"); status == 200 {
 			return s
 		}
@@ -81,7 +81,7 @@
 	}
 }
 
-// stop tells the process to go and waits until it has gone.
+// stop shuts the process down and waits for its end.
 func (s *process) stop() {
 	s.term()
 	if s.done == nil {
@@ -93,32 +93,32 @@
 	s.done = nil
 }
 
-// console makes one call.
+// console makes one call to the process's console.
 func (s *process) console(method, path string) (int, string) {
 	s.t.Helper()
 	return dialAt(s.t, s.Proxy.console.Addr().String()).send(method + " " + path + " HTTP/1.1\r\nHost: console\r\n\r\n").answer()
 }
 
-// crowd is callers that ask one request after the other on kept connections until they are told to end.
-type crowd struct {
-	address string
-	asked   atomic.Int64
-	broken  atomic.Int64 // requests that met a closed, reset or unread connection
-	unheard atomic.Int64 // answers that were not 200 with the request's own id
-	stop    chan struct{}
-	all     sync.WaitGroup
+// callerLoad runs callers that send one request after another on persistent connections until stop is closed.
+type callerLoad struct {
+	address      string
+	asked        atomic.Int64
+	broken       atomic.Int64 // requests whose connection was closed or reset before the answer
+	wrongAnswers atomic.Int64 // answers other than 200 with the request's own id
+	stop         chan struct{}
+	all          sync.WaitGroup
 }
 
-func newCrowd(t *testing.T, address string, callers int) *crowd {
-	c := &crowd{address: address, stop: make(chan struct{})}
+func newCallerLoad(t *testing.T, address string, callers int) *callerLoad {
+	c := &callerLoad{address: address, stop: make(chan struct{})}
 	for n := range callers {
-		c.all.Go(func() { c.ask(fmt.Sprint("c", n)) })
+		c.all.Go(func() { c.run(fmt.Sprint("c", n)) })
 	}
 	t.Cleanup(c.end)
 	return c
 }
 
-func (c *crowd) end() {
+func (c *callerLoad) end() {
 	select {
 	case <-c.stop:
 	default:
@@ -127,7 +127,7 @@
 	c.all.Wait()
 }
 
-func (c *crowd) ask(name string) {
+func (c *callerLoad) run(name string) {
 	var conn net.Conn
 	var r *bufio.Reader
 	defer func() {
@@ -147,12 +147,12 @@
 				c.broken.Add(1)
 				return
 			}
-			conn.SetDeadline(time.Now().Add(patient))
+			conn.SetDeadline(time.Now().Add(eventTimeout))
 			r = bufio.NewReader(conn)
 		}
 		id := fmt.Sprint(name, "-", i)
 		c.asked.Add(1)
-		io.WriteString(conn, unsafe(id)+"Content-Length: 0\r\n\r\n")
+		io.WriteString(conn, onceHead(id)+"Content-Length: 0\r\n\r\n")
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil {
 			c.broken.Add(1)
@@ -162,7 +162,7 @@
 		}
 		text, err := io.ReadAll(resp.Body)
 		if err != nil || resp.StatusCode != 200 || string(text) != id {
-			c.unheard.Add(1)
+			c.wrongAnswers.Add(1)
 		}
 		if resp.Close {
 			conn.Close()
@@ -171,90 +171,90 @@
 	}
 }
 
-// unsafe is the head of a POST that must not run twice, but for what frames its body.
-func unsafe(id string) string {
+// onceHead returns the head of a POST that must not run twice, without the framing fields and the blank line.
+func onceHead(id string) string {
 	return "POST /api HTTP/1.1\r\nHost: x\r\nX-Txn: " + id + "\r\nX-Lane: once\r\nX-Remaining-Ms: 900\r\n"
 }
 
-// reached waits until the crowd has asked so many more.
-func (c *crowd) reached(t *testing.T, more int64) {
+// awaitRequests waits until the callers have sent that many more requests.
+func (c *callerLoad) awaitRequests(t *testing.T, more int64) {
 	t.Helper()
-	for want, end := c.asked.Load()+more, time.Now().Add(patient); c.asked.Load() < want; time.Sleep(time.Millisecond) {
+	for want, end := c.asked.Load()+more, time.Now().Add(eventTimeout); c.asked.Load() < want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the crowd stands still")
+			t.Fatal("the callers send no more requests")
 		}
 	}
 }
 
-// ran counts how often each request ran, and at which backend since when.
-type ran struct {
-	mu    sync.Mutex
-	times map[string]int
-	at    map[string]int // by backend
+// runCounter counts how often each request ran, and how many requests ran at each backend.
+type runCounter struct {
+	mu        sync.Mutex
+	byID      map[string]int
+	byBackend map[string]int // requests by backend name
 }
 
-func (r *ran) backend(t *testing.T, name string) string {
-	return newCounting(t, func(id string) {
+func (r *runCounter) backend(t *testing.T, name string) string {
+	return newCountingBackend(t, func(id string) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.times[id]++
-		r.at[name]++
+		r.byID[id]++
+		r.byBackend[name]++
 	})
 }
 
-func (r *ran) count(name string) int {
+func (r *runCounter) count(name string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.at[name]
+	return r.byBackend[name]
 }
 
-// newCounting is a backend that tells of each request and answers with its id.
-func newCounting(t *testing.T, tell func(id string)) (address string) {
+// newCountingBackend starts a backend that calls onRequest for each request and answers with the request's id.
+func newCountingBackend(t *testing.T, onRequest func(id string)) (address string) {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get(front.IDField)
-		tell(id)
+		onRequest(id)
 		io.WriteString(w, id)
 	}))
 	t.Cleanup(s.Close)
 	return s.Listener.Addr().String()
 }
 
-// TestUpgradesUnderLoad upgrades several times in a row while callers ask without a pause for what must not run twice.
-// Nobody meets a closed connection, every request is answered with its own answer, and each ran once.
+// TestUpgradesUnderLoad upgrades several times in a row while callers continuously send requests that must not run
+// twice. No caller may get a closed connection, every request must get its own answer, and each must run exactly once.
 func TestUpgradesUnderLoad(t *testing.T) {
-	r := &ran{times: map[string]int{}, at: map[string]int{}}
+	r := &runCounter{byID: map[string]int{}, byBackend: map[string]int{}}
 	p := newPlatform(t, entry("s1", r.backend(t, "s1"), "up"), entry("s2", r.backend(t, "s2"), "up"), entry("s3", r.backend(t, "s3"), "up"))
 	now := p.start()
-	c := newCrowd(t, p.listener.Addr().String(), 8)
+	c := newCallerLoad(t, p.listener.Addr().String(), 8)
 	for range 6 {
-		c.reached(t, 200)
+		c.awaitRequests(t, 200)
 		next := p.start()
 		now.stop()
 		now = next
 	}
-	c.reached(t, 200)
+	c.awaitRequests(t, 200)
 	c.end()
 	if n := c.broken.Load(); n != 0 {
-		t.Errorf("%d of %d requests met a connection that was closed", n, c.asked.Load())
+		t.Errorf("%d of %d requests had their connection closed", n, c.asked.Load())
 	}
-	if n := c.unheard.Load(); n != 0 {
-		t.Errorf("%d of %d requests got another answer than their own", n, c.asked.Load())
+	if n := c.wrongAnswers.Load(); n != 0 {
+		t.Errorf("%d of %d requests did not get their own answer", n, c.asked.Load())
 	}
-	for id, n := range r.times {
+	for id, n := range r.byID {
 		if n != 1 {
 			t.Errorf("%s ran %d times", id, n)
 		}
 	}
-	if n := int64(len(r.times)); n != c.asked.Load() {
+	if n := int64(len(r.byID)); n != c.asked.Load() {
 		t.Errorf("%d requests ran of %d", n, c.asked.Load())
 	}
 }
 
-// TestBanHoldsOverUpgrades takes a backend out before an upgrade, and another between the new process's yes and the
-// old one's end, by the new one's console and by the old one's.
-func TestBanHoldsOverUpgrades(t *testing.T) {
-	r := &ran{times: map[string]int{}, at: map[string]int{}}
+// TestBansPersistAcrossUpgrades bans a backend before an upgrade, and two others between the time when the new process is
+// ready and the end of the old one: one by the new process's console, and one by the old one's.
+func TestBansPersistAcrossUpgrades(t *testing.T) {
+	r := &runCounter{byID: map[string]int{}, byBackend: map[string]int{}}
 	names := []string{"s1", "s2", "s3", "s4"}
 	var hosts []string
 	for _, name := range names {
@@ -262,100 +262,102 @@
 	}
 	p := newPlatform(t, hosts...)
 	first := p.start()
-	c := newCrowd(t, p.listener.Addr().String(), 4)
-	c.reached(t, 100)
-	out := func(s *process, name string) {
+	c := newCallerLoad(t, p.listener.Addr().String(), 4)
+	c.awaitRequests(t, 100)
+	ban := func(s *process, name string) {
 		t.Helper()
 		if status, text := s.console("POST", "/v1/backends/"+name+"/suspend"); status != 200 {
 			t.Fatalf("%s: %d %s", name, status, text)
 		}
 	}
-	out(first, "s1")
+	ban(first, "s1")
 	second := p.start()
-	out(second, "s2")
-	out(first, "s3")
-	// A send that had its last look before the yes may still be on its way; what the callers ask from now on is later.
-	c.reached(t, 20)
+	ban(second, "s2")
+	ban(first, "s3")
+	// A request that was checked before the confirmation may still be on its way to the backend. Requests that the callers
+	// send from now on are later.
+	c.awaitRequests(t, 20)
 	before := map[string]int{}
 	for _, name := range names {
 		before[name] = r.count(name)
 	}
-	c.reached(t, 200)
+	c.awaitRequests(t, 200)
 	first.stop()
-	c.reached(t, 200)
+	c.awaitRequests(t, 200)
 	for _, name := range names[:3] {
 		if n := r.count(name) - before[name]; n != 0 {
-			t.Errorf("%s, which is out, got %d requests", name, n)
+			t.Errorf("%s, which is banned, got %d requests", name, n)
 		}
 	}
 	if r.count("s4") == before["s4"] {
-		t.Error("nothing came to the one that is in")
+		t.Error("the backend that is not banned got no requests")
 	}
 	if _, text := second.console("GET", "/v1/metrics"); !strings.Contains(text, "pool_size:4|g") || !strings.Contains(text, "pool_ejected:3|g") {
-		t.Errorf("figures\n%s", text)
+		t.Errorf("metrics\n%s", text)
 	}
 	if status, _ := second.console("POST", "/v1/backends/s1/resume"); status != 200 {
 		t.Errorf("resume: %d", status)
 	}
-	for end := time.Now().Add(patient); r.count("s1") == before["s1"]; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); r.count("s1") == before["s1"]; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("s1 is back and gets nothing")
+			t.Fatal("s1 got no request after its ban was lifted")
 		}
 	}
 	if status, _ := second.console("POST", "/v1/backends/nobody/suspend"); status != 404 {
 		t.Errorf("an id that was never listed: %d", status)
 	}
-	c.end() // while there is somebody to answer
+	c.end() // while a process is there to answer
 }
 
-// TestNewProcessThatDies has new processes come and go before and after their yes; the old one serves on alone.
+// TestNewProcessThatDies has new processes die before and after they are ready. The old process must continue alone,
+// with its full share of the limits.
 func TestNewProcessThatDies(t *testing.T) {
-	r := &ran{times: map[string]int{}, at: map[string]int{}}
+	r := &runCounter{byID: map[string]int{}, byBackend: map[string]int{}}
 	p := newPlatform(t, entry("s1", r.backend(t, "s1"), "up"))
 	old := p.start()
-	c := newCrowd(t, p.listener.Addr().String(), 4)
+	c := newCallerLoad(t, p.listener.Addr().String(), 4)
 	for range 3 {
-		peer, _, err := handover.Meet(p.folder, "n1") // asks, and dies before its yes
+		peer, _, err := handover.Connect(p.folder, "n1") // requests the state, and dies before it is ready
 		if err != nil || peer == nil {
 			t.Fatalf("%v, %v", peer, err)
 		}
 		peer.Close()
 	}
-	c.reached(t, 100)
-	c.end() // a process that dies takes what it has with it
+	c.awaitRequests(t, 100)
+	c.end() // a process that dies loses its open requests
 	next := p.start()
 	next.Close()
-	<-next.done // with an error: it was not told to go
+	<-next.done // returns an error: it was not shut down
 	next.done = nil
-	for end := time.Now().Add(patient); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(eventTimeout); ; time.Sleep(time.Millisecond) {
 		old.upgrade.mu.Lock()
-		part := old.upgrade.part
+		share := old.upgrade.share
 		old.upgrade.mu.Unlock()
-		if part == handover.Alone {
+		if share == handover.FullShare {
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the old one still keeps to %+v", part)
+			t.Fatalf("the old process still has the share %+v", share)
 		}
 	}
-	if c.broken.Load()+c.unheard.Load() != 0 {
-		t.Errorf("%d broken, %d unheard", c.broken.Load(), c.unheard.Load())
+	if c.broken.Load()+c.wrongAnswers.Load() != 0 {
+		t.Errorf("%d broken, %d wrong answers", c.broken.Load(), c.wrongAnswers.Load())
 	}
-	again := newCrowd(t, p.listener.Addr().String(), 4)
-	again.reached(t, 200)
+	again := newCallerLoad(t, p.listener.Addr().String(), 4)
+	again.awaitRequests(t, 200)
 	again.end()
-	if again.broken.Load()+again.unheard.Load() != 0 {
-		t.Errorf("afterwards %d broken, %d unheard", again.broken.Load(), again.unheard.Load())
+	if again.broken.Load()+again.wrongAnswers.Load() != 0 {
+		t.Errorf("afterwards %d broken, %d wrong answers", again.broken.Load(), again.wrongAnswers.Load())
 	}
 }
 
-// TestFiguresAgainstTheBooks holds the figures against what callers and backends have counted themselves.
-func TestFiguresAgainstTheBooks(t *testing.T) {
-	r := &ran{times: map[string]int{}, at: map[string]int{}}
+// TestMetricsMatchCallerAndBackendCounts compares the metrics with the counts of the callers and backends.
+func TestMetricsMatchCallerAndBackendCounts(t *testing.T) {
+	r := &runCounter{byID: map[string]int{}, byBackend: map[string]int{}}
 	p := newPlatform(t, entry("s1", r.backend(t, "s1"), "up"), entry("s2", r.backend(t, "s2"), "up"))
 	s := p.start()
-	c := newCrowd(t, p.listener.Addr().String(), 6)
-	c.reached(t, 300)
+	c := newCallerLoad(t, p.listener.Addr().String(), 6)
+	c.awaitRequests(t, 300)
 	c.end()
 	served := c.asked.Load()
 	if status, _ := dialAt(t, p.listener.Addr().String()).send(strings.Replace(keyed("x", "/"), "hold", "nonsense", 1) + "Content-Length: 0\r\n\r\n").answer(); status != 400 {
--- a/internal/recovery/demand.go
+++ b/internal/recovery/demand.go
@@ -6,53 +6,53 @@
 	"brasswell/internal/cluster/revival"
 )
 
-// tally is what has become of requests so far, by class.
-type tally struct{ asked, lost, turned []int64 }
+// totals counts the outcomes of requests so far, by class.
+type totals struct{ received, failed, rejected []int64 }
 
-func (n *Node) tally() (t tally) {
-	// What is turned away is counted before it is lost, and so read after: it is never taken for lost by the balancer.
-	t.asked, t.lost = n.side.Outcomes()
-	t.turned = make([]int64, len(n.turned))
-	for i := range n.turned {
-		t.turned[i] = n.turned[i].Load()
+func (n *Node) totals() (t totals) {
+	// A rejected request is counted in n.rejected before the proxy counts it as failed. Reading n.rejected second makes sure that no
+	// rejected request is taken for one that the balancer failed to serve.
+	t.received, t.failed = n.proxy.Outcomes()
+	t.rejected = make([]int64, len(n.rejected))
+	for i := range n.rejected {
+		t.rejected[i] = n.rejected[i].Load()
 	}
 	return t
 }
 
-// since is what has come after an earlier one.
-func (t tally) since(was tally) []revival.Count {
-	counts := make([]revival.Count, len(t.asked))
+// since returns the outcomes since earlier totals.
+func (t totals) since(earlier totals) []revival.Count {
+	counts := make([]revival.Count, len(t.received))
 	for i := range counts {
-		asked, lost, turned := t.asked[i]-was.asked[i], t.lost[i]-was.lost[i], t.turned[i]-was.turned[i]
-		counts[i] = revival.Count{Asked: float64(asked), In: float64(max(asked-turned, 0)), Lost: float64(max(lost-turned, 0))}
+		received, failed, rejected := t.received[i]-earlier.received[i], t.failed[i]-earlier.failed[i], t.rejected[i]-earlier.rejected[i]
+		counts[i] = revival.Count{Received: float64(received), Admitted: float64(max(received-rejected, 0)), Failed: float64(max(failed-rejected, 0))}
 	}
 	return counts
 }
 
-// rest measures what is asked for, for the next start.
-func (n *Node) rest() {
-	was := n.tally()
+// measureDemand measures the demand, which the next start uses.
+func (n *Node) measureDemand() {
+	previous := n.totals()
 	for {
-		begun := time.Now()
+		start := time.Now()
 		select {
 		case <-n.ctx.Done():
 			return
-		case <-time.After(restEvery):
+		case <-time.After(donePollInterval):
 		}
-		next := n.tally()
-		n.demanded(next.since(was), time.Since(begun))
-		was = next
+		next := n.totals()
+		n.updateDemand(next.since(previous), time.Since(start))
+		previous = next
 	}
 }
 
-// demanded smooths what is asked for over half a minute or so: a surge of callers who come again is not what the next start is to
-// expect.
-func (n *Node) demanded(counts []revival.Count, past time.Duration) {
+// updateDemand smooths the demand over about half a minute, so that the next start does not expect a short surge of retries.
+func (n *Node) updateDemand(counts []revival.Count, elapsed time.Duration) {
 	const weight = 1. / 30
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for i := range n.demand {
-		rate := counts[i].Asked / past.Seconds()
+		rate := counts[i].Received / elapsed.Seconds()
 		if n.demand[i] == 0 {
 			n.demand[i] = rate
 		}
--- a/internal/recovery/node.go
+++ b/internal/recovery/node.go
@@ -1,5 +1,5 @@
-// Package recovery brings a proxy back after a start: it puts the decisions (package revival), the disk (package state) and the
-// fleet's link together. One goroutine owns the core, another the disk; what serves asks one atomic plan.
+// Package recovery runs the recovery of a proxy after a start. It connects the decisions (package revival), the disk (package state)
+// and the connections to the fleet. One goroutine owns the core, another the disk; request handling reads one atomic plan.
 package recovery
 
 import (
@@ -18,137 +18,139 @@
 	"brasswell/internal/state"
 )
 
-// The log's lines, which package rig reads back.
+// Log messages, which package rig parses.
 const (
-	LogStep  = "recovery: step"
-	LogBegin = "recovery: begins"
-	LogFound = "recovery: folder"
+	LogStep   = "recovery: step"
+	LogBegin  = "recovery: begins"
+	LogFolder = "recovery: folder"
 )
 
 const (
-	// mostWaiting events stand before the owner; messages beyond are dropped, as the network would.
-	mostWaiting = 256
-	// lookEvery is between two looks at the proxy while it comes back, and restEvery after that.
-	lookEvery = 50 * time.Millisecond
-	restEvery = time.Second
-	// heldEvery is between tries for a folder that the process before still holds.
-	heldEvery = 200 * time.Millisecond
+	// maxQueuedEvents is the length of the queue of the goroutine that owns the core; events beyond it are dropped, as the network
+	// might drop their messages.
+	maxQueuedEvents = 256
+	// pollInterval is how often the state of the proxy is read during recovery, and donePollInterval after it.
+	pollInterval     = 50 * time.Millisecond
+	donePollInterval = time.Second
+	// lockRetryInterval is the time between attempts to open a folder that the previous process still holds.
+	lockRetryInterval = 200 * time.Millisecond
 )
 
-// Side is the proxy's side. Its methods may be called at any time.
-type Side interface {
-	// Begin takes up what is known. No start of a backend before lost is believed from then on. It is called once.
-	Begin(k handover.Knowledge, lost time.Duration)
-	// Now is the time of the clock that backends' starts are told in.
+// Proxy is what a Node uses of the proxy. Its methods must be safe for concurrent use.
+type Proxy interface {
+	// RestoreState applies saved state. After it, no start time of a backend before trustedSince is trusted. It is called once.
+	RestoreState(k handover.State, trustedSince time.Duration)
+	// Now returns the time on the clock that start times of backends refer to.
 	Now() time.Duration
-	// Known is what this proxy knows now. It may take its time.
-	Known() handover.Knowledge
-	// Outcomes are how many requests have come so far, by class, and how many of them were not served.
-	Outcomes() (asked, lost []int64)
-	// Births are when the backends in service were started.
-	Births() []time.Duration
-	// Leased says whether keepers vouch for the agreed rules.
+	// State returns the current state of this proxy. It may be slow.
+	State() handover.State
+	// Outcomes returns how many requests have arrived so far, by class, and how many of them were not served.
+	Outcomes() (received, failed []int64)
+	// StartTimes returns the start times of the backends in service.
+	StartTimes() []time.Duration
+	// Leased reports whether this proxy holds a lease on the agreed rules.
 	Leased() bool
-	// Banned are the backends out by hand.
+	// Banned returns the backends taken out by the operator.
 	Banned() []string
-	// Ban takes backends out by hand, as was said before this start, also where no list has named them yet.
+	// Ban takes backends out as the operator did before this start, including backends that no list has named yet.
 	Ban(ids []string)
 }
 
-// Config is what a node is told.
+// Config is the configuration of a Node.
 type Config struct {
-	Options   Options
-	Name      string
-	Boot      uint64
-	Seed      uint64
-	Instances int
-	Agrees    bool // rules are agreed on
-	Classes   []string
-	Balancer  balance.Settings
-	Log       *slog.Logger
+	Options    Options
+	Name       string
+	InstanceID uint64
+	Seed       uint64
+	Instances  int
+	UsesRules  bool // the fleet agrees on rules
+	Classes    []string
+	Balancer   balance.Settings
+	Log        *slog.Logger
 }
 
 type event func(c *revival.Core, now time.Duration)
 
-// Node is this process's way back. Its methods may be called at any time.
+// Node runs the recovery of this process. Its methods are safe for concurrent use.
 type Node struct {
-	config  Config
-	carrier cluster.Carrier // nil for none
-	began   time.Time
-	found   *state.Found
-	age     state.Age
-	plan    atomic.Pointer[plan]
-	events  chan event
-	dice    *dice // of admissions
-
-	// turned is how many requests were not let in, by class.
-	turned []atomic.Int64
+	config    Config
+	carrier   cluster.Carrier // nil for none
+	startedAt time.Time
+	saved     *state.Contents
+	age       state.Age
+	plan      atomic.Pointer[plan]
+	events    chan event
+	rng       *lockedRand // for admission
+
+	// rejected counts the requests that were not admitted, by class.
+	rejected []atomic.Int64
 
 	// Set by Start:
-	side   Side
-	core   *revival.Core // the owner's
-	joined bool          // it goes on where a running process is
-
-	mu        sync.Mutex
-	folder    *state.Folder
-	keeper    *state.Keeper
-	waiting   bool // for a folder that another process holds
-	addresses map[string]string
-	trusted   []Trusted
-	demand    []float64
+	proxy  Proxy
+	core   *revival.Core // used only by run and the events that it executes
+	joined bool          // this process continues the work of a running one
+
+	mu             sync.Mutex
+	folder         *state.Folder
+	writer         *state.Writer
+	awaitingFolder bool // another process holds the folder
+	addresses      map[string]string
+	itemTrust      []ItemTrust
+	demand         []float64
 
 	ctx     context.Context
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 }
 
-// Open reads the folder. Nothing in it, and no fault of it, keeps a proxy from starting.
+// Open reads the folder. Neither its contents nor an error in reading it prevents a proxy from starting.
 func Open(c Config, carrier cluster.Carrier) *Node {
-	n := &Node{config: c, carrier: carrier, began: time.Now(), found: &state.Found{}, events: make(chan event, mostWaiting), dice: newDice(c.Seed), demand: make([]float64, len(c.Classes)), turned: make([]atomic.Int64, len(c.Classes))}
+	n := &Node{config: c, carrier: carrier, startedAt: time.Now(), saved: &state.Contents{}, events: make(chan event, maxQueuedEvents), rng: newLockedRand(c.Seed), demand: make([]float64, len(c.Classes)), rejected: make([]atomic.Int64, len(c.Classes))}
 	n.ctx, n.cancel = context.WithCancel(context.Background())
 	first := &plan{shares: make([]float64, len(c.Classes))}
 	if c.Balancer.RetryAfter {
-		first.wait = c.Balancer.MaxRetryAfter
+		first.retryAfter = c.Balancer.MaxRetryAfter
 	}
 	n.plan.Store(first)
 	folder, err := state.OpenFolder(c.Options.Folder)
 	if err != nil {
-		n.waiting = errors.Is(err, state.ErrHeld)
-		if n.waiting {
-			c.Log.Info(LogFound, "what", "is held by another process, and taken once that lets go of it; until then bans by hand do not last", "error", err)
+		n.awaitingFolder = errors.Is(err, state.ErrLocked)
+		if n.awaitingFolder {
+			c.Log.Info(LogFolder, "what", "is held by another process and will be opened when released; until then operator bans are not persistent", "error", err)
 		} else {
-			c.Log.Error(LogFound, "what", "cannot be used; this start knows nothing of before, and bans by hand will not last", "error", err)
+			c.Log.Error(LogFolder, "what", "cannot be used; this start has no saved state, and operator bans will not be persistent", "error", err)
 		}
 		return n
 	}
 	n.folder = folder
-	store, found := state.Open(folder, c.Name)
-	n.found = found
-	for _, t := range found.Trouble {
-		c.Log.Warn(LogFound, "what", t)
+	store, saved := state.Open(folder, c.Name)
+	n.saved = saved
+	for _, t := range saved.Problems {
+		c.Log.Warn(LogFolder, "what", t)
 	}
-	n.age = state.Age{Most: state.Unknown}
-	if found.Learned != nil {
-		n.age = state.Since(found.Learned.Written, state.Now())
+	n.age = state.Age{Max: state.UnknownAge}
+	if saved.Learned != nil {
+		n.age = state.AgeOf(saved.Learned.Written, state.Now())
 	}
-	n.keeper = state.Keep(store, c.Options.Every, n.learned, c.Log)
+	n.writer = state.StartWriter(store, c.Options.SaveInterval, n.learnedState, c.Log)
 	return n
 }
 
-// Start begins the way back of a proxy. joined says that it goes on where a running process is, so there is no way to go.
-func (n *Node) Start(side Side, joined bool) {
-	n.side = side
+// Start begins the recovery of a proxy. joined says that this process continues the work of a running one, so it admits all requests
+// at once.
+func (n *Node) Start(proxy Proxy, joined bool) {
+	n.proxy = proxy
 	c := &n.config
 	s := revival.Settings{
-		Name: c.Name, Boot: c.Boot, Alone: n.carrier == nil || c.Instances == 1, Agrees: c.Agrees, Of: c.Instances,
-		ColdFrom: c.Balancer.ColdCapacity, WarmUp: c.Balancer.WarmUp, Times: revival.DefaultTimes(),
+		Name: c.Name, InstanceID: c.InstanceID, Standalone: n.carrier == nil || c.Instances == 1, UsesRules: c.UsesRules, FleetSize: c.Instances,
+		ColdCapacity: c.Balancer.ColdCapacity, WarmUp: c.Balancer.WarmUp, Times: revival.DefaultTimes(),
 	}
-	s.Times.Young = c.Options.Young
+	s.Times.JustStarted = c.Options.JustStarted
 	for i, name := range c.Classes {
-		s.Classes = append(s.Classes, revival.Class{Name: name, Worth: c.Balancer.Classes[i].Value})
+		s.Classes = append(s.Classes, revival.Class{Name: name, Value: c.Balancer.Classes[i].Value})
 	}
-	if l := n.found.Learned; l != nil {
-		s.Same = l.Written.Machine != "" && l.Written.Machine == state.Now().Machine
+	if l := n.saved.Learned; l != nil {
+		s.SameMachineBoot = l.Written.Machine != "" && l.Written.Machine == state.Now().Machine
 		for _, name := range c.Classes {
 			s.Demand = append(s.Demand, l.Demand[name])
 		}
@@ -156,34 +158,34 @@
 	n.joined = joined
 	if joined {
 		n.admitAll()
-		n.running.Go(n.rest)
+		n.running.Go(n.measureDemand)
 	} else {
 		n.core = revival.New(n.now(), s, c.Seed, host{n})
 		if n.carrier != nil {
-			n.carrier.OnParcel(n.parcel)
-			n.carrier.Follow(n.members)
+			n.carrier.OnPayload(n.receive)
+			n.carrier.Follow(n.setMembers)
 		}
-		n.running.Go(n.own)
+		n.running.Go(n.run)
 	}
-	if n.waiting {
-		n.running.Go(n.openLater)
+	if n.awaitingFolder {
+		n.running.Go(n.openWhenReleased)
 	}
 }
 
-func (n *Node) now() time.Duration { return time.Since(n.began) }
+func (n *Node) now() time.Duration { return time.Since(n.startedAt) }
 
-// own is the goroutine that the core belongs to.
-func (n *Node) own() {
+// run is the goroutine that owns the core.
+func (n *Node) run() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	measured, asked := n.now(), n.tally()
-	counted := asked
+	demandAt, demandTotals := n.now(), n.totals()
+	previous := demandTotals
 	for {
-		every := lookEvery
+		interval := pollInterval
 		if n.core.Step() == revival.Done {
-			every = restEvery
+			interval = donePollInterval
 		}
-		timer.Reset(max(min(n.core.Next()-n.now(), every), 0))
+		timer.Reset(max(min(n.core.Next()-n.now(), interval), 0))
 		select {
 		case <-n.ctx.Done():
 			return
@@ -193,62 +195,63 @@
 		case <-timer.C:
 		}
 		now := n.now()
-		if n.side.Leased() {
-			n.core.Leased(now)
+		if n.proxy.Leased() {
+			n.core.SetLeased(now)
 		}
-		tally := n.tally()
-		n.core.Counted(now, tally.since(counted))
-		counted = tally
-		if past := now - measured; past >= time.Second {
-			n.demanded(tally.since(asked), past)
-			measured, asked = now, tally
+		current := n.totals()
+		n.core.AddCounts(now, current.since(previous))
+		previous = current
+		if elapsed := now - demandAt; elapsed >= time.Second {
+			n.updateDemand(current.since(demandTotals), elapsed)
+			demandAt, demandTotals = now, current
 		}
-		n.core.Wake(now)
+		n.core.Tick(now)
 	}
 }
 
-func (n *Node) parcel(body []byte) {
+func (n *Node) receive(body []byte) {
 	r, err := revival.Decode(body)
 	if err != nil {
-		n.config.Log.Debug("recovery: a message is dropped", "error", err)
+		n.config.Log.Debug("recovery: invalid message dropped", "error", err)
 		return
 	}
-	n.event(func(c *revival.Core, now time.Duration) { c.Heard(now, r) })
+	n.enqueue(func(c *revival.Core, now time.Duration) { c.ReceiveReport(now, r) })
 }
 
-func (n *Node) event(e event) {
+func (n *Node) enqueue(e event) {
 	select {
 	case n.events <- e:
 	default:
 	}
 }
 
-func (n *Node) members(s view.Standing) {
+func (n *Node) setMembers(s view.Snapshot) {
 	addresses, living := s.Addresses()
 	n.mu.Lock()
 	n.addresses = addresses
 	n.mu.Unlock()
-	n.event(func(c *revival.Core, now time.Duration) { c.SetMembers(now, living) })
+	n.enqueue(func(c *revival.Core, now time.Duration) { c.SetMembers(now, living) })
 }
 
-// Listed says that a list has come from discovery, or from before; it must not be called with the proxy's locks held.
-func (n *Node) Listed(fresh bool) {
-	births := n.side.Births()
-	ahead := n.now() - n.side.Now() // of the core's clock
-	for i := range births {
-		births[i] += ahead
+// ListUpdated notifies the core of a list; fresh says that it came from discovery and is not a saved one. It must not be called with
+// the proxy's locks held.
+func (n *Node) ListUpdated(fresh bool) {
+	startTimes := n.proxy.StartTimes()
+	offset := n.now() - n.proxy.Now() // offset of the core's clock
+	for i := range startTimes {
+		startTimes[i] += offset
 	}
-	n.event(func(c *revival.Core, now time.Duration) { c.Listed(now, fresh, births) })
+	n.enqueue(func(c *revival.Core, now time.Duration) { c.SetList(now, fresh, startTimes) })
 }
 
-// Close ends the way back, writes what is known a last time and lets go of the folder.
+// Close stops the recovery, saves the state a last time and releases the folder.
 func (n *Node) Close() {
 	n.cancel()
 	n.running.Wait()
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.keeper != nil {
-		n.keeper.Close()
+	if n.writer != nil {
+		n.writer.Close()
 		n.folder.Close()
 	}
 }
--- a/internal/rig/trial/trial.go
+++ b/internal/rig/trial/trial.go
@@ -97,23 +97,23 @@
 	"indirect":   func(s *view.Settings) { s.NoIndirect = true },
 	"suspicion":  func(s *view.Settings) { s.NoSuspicion = true },
 	"health":     func(s *view.Settings) { s.NoHealth = true },
-	"prompt":     func(s *view.Settings) { s.NoPrompt = true },
+	"prompt":     func(s *view.Settings) { s.NoSuspectPings = true },
 	"digest":     func(s *view.Settings) { s.NoDigest = true },
-	"reach":      func(s *view.Settings) { s.NoReach = true },
+	"reach":      func(s *view.Settings) { s.NoDeadPings = true },
 	"widening":   func(s *view.Settings) { s.NoWidening = true },
-	"correction": func(s *view.Settings) { s.NoCorrection = true },
-	"calm":       func(s *view.Settings) { s.NoCalm = true },
+	"correction": func(s *view.Settings) { s.NoEarlyConfirmation = true },
+	"calm":       func(s *view.Settings) { s.NoFalseSuspicionLimit = true },
 }
 
 // ruleDefences are those of an agreement's settings, for stories with keepers.
 var ruleDefences = map[string]func(*accord.Settings){
 	"lease-check": func(s *accord.Settings) { s.NoLeaseCheck = true },
-	"prepared":    func(s *accord.Settings) { s.NoPrepared = true },
-	"wait":        func(s *accord.Settings) { s.NoWait = true },
-	"confirm":     func(s *accord.Settings) { s.NoConfirm = true },
-	contentCheck:  func(s *accord.Settings) { s.NoDigest = true },
+	"prepared":    func(s *accord.Settings) { s.NoPreparePhase = true },
+	"wait":        func(s *accord.Settings) { s.NoLeaderWait = true },
+	"confirm":     func(s *accord.Settings) { s.NoQuorumCheck = true },
+	contentCheck:  func(s *accord.Settings) { s.NoDigestCheck = true },
 	// It counts where leases rest on what proxies have, which they do beside differences that are long.
-	"enforcing": func(s *accord.Settings) { s.NoEnforcing, s.MostShort = true, 1 },
+	"enforcing": func(s *accord.Settings) { s.NoEnforcingCheck, s.MaxInlineDelta = true, 1 },
 }
 
 // contentCheck is the comparison of what a proxy has with what the voters have by its digest. The view has one named "digest".
@@ -220,7 +220,7 @@
 
 // inAgreement plays a story of rules in the model of an agreement.
 func (c *Config) inAgreement(s *story.Story) (*Run, error) {
-	config := agreed.Config{Story: s, Drift: modelDrift, Crash: modelCrash, Set: func(set *accord.Settings) {
+	config := agreed.Config{Scenario: s, Drift: modelDrift, CrashRate: modelCrash, AdjustSettings: func(set *accord.Settings) {
 		for _, name := range c.Without {
 			if take := ruleDefences[name]; take != nil {
 				take(set)
@@ -228,20 +228,20 @@
 		}
 	}}
 	if slices.Contains(c.Without, contentCheck) {
-		config.Corrupt = modelCorrupt
+		config.CorruptRate = modelCorrupt
 	}
 	f, err := agreed.New(config)
 	if err != nil {
 		return nil, err
 	}
 	begun := time.Now()
-	f.Play(time.Duration(s.Length) + modelSettle)
-	f.Judge()
-	g := &f.Figures
+	f.Run(time.Duration(s.Length) + modelSettle)
+	f.Check()
+	g := &f.Results
 	run := &Run{Story: s, Datagrams: g.Messages, Bytes: g.Bytes, Events: g.Events, CPU: time.Since(begun)}
-	run.Agreed = ruling.Verdict{Acts: int(g.Events), Agreed: g.Agreed, Leased: g.Leased, Unleased: g.Alone, InForce: g.InForce, Lost: g.Wrong}
+	run.Agreed = ruling.Verdict{Acts: int(g.Events), Agreed: g.Agreed, Leased: g.LeasedBreach, Unleased: g.AloneBreach, InForce: g.InForce, Lost: g.Violations}
 	if !run.Agreed.Kept() {
-		run.Explain = fmt.Sprintf("with a lease against another for %v; %q", g.Leased, g.Wrong)
+		run.Explain = fmt.Sprintf("with a lease against another for %v; %q", g.LeasedBreach, g.Violations)
 	}
 	return run, nil
 }
@@ -252,8 +252,8 @@
 	}
 	text := codec.New("model")
 	f, err := model.New(model.Config{
-		Story: s,
-		Set: func(v *view.Settings) {
+		Scenario: s,
+		Configure: func(v *view.Settings) {
 			for _, name := range c.Without {
 				if take := defences[name]; take != nil {
 					take(v)
@@ -261,7 +261,7 @@
 			}
 		},
 		Size: func(m *view.Message) int {
-			b, err := text.Message(m)
+			b, err := text.EncodeMessage(m)
 			if err != nil {
 				return 0
 			}
@@ -273,13 +273,13 @@
 	}
 	begun := time.Now()
 	f.Run(time.Duration(s.Length))
-	g := &f.Figures
-	run := &Run{Story: s, False: g.False, Deaths: g.Deaths, Refuted: g.Refuted, Datagrams: g.Datagrams, Bytes: g.Bytes, Events: g.Events, CPU: time.Since(begun)}
-	for _, one := range g.Settled {
+	g := &f.Stats
+	run := &Run{Story: s, False: g.FalseDeaths, Deaths: g.Deaths, Refuted: g.Refuted, Datagrams: g.Datagrams, Bytes: g.Bytes, Events: g.Events, CPU: time.Since(begun)}
+	for _, one := range g.Convergences {
 		run.Settled = append(run.Settled, history.Settling(one))
 	}
-	if !f.Right() {
-		run.Wrong = f.Wrong()
+	if !f.Converged() {
+		run.Wrong = f.Mismatches()
 		run.Explain = fmt.Sprintf("story %s, seed %d: at the end %v\n", s.Name, s.Seed, run.Wrong[:min(len(run.Wrong), 5)])
 	}
 	return run, nil
--- a/internal/state/crashfs/crashfs.go
+++ b/internal/state/crashfs/crashfs.go
@@ -1,7 +1,7 @@
-// Package crashfs is a folder in memory that loses power: what was not synced is then lost, torn or there, as it comes, and names
-// that were not synced are the old or the new ones. It also fills up, fails and is slow where a test says so.
+// Package crashfs is an in-memory folder that simulates power losses: data that was not synced is then lost, torn or kept at random, and
+// names that were not synced are the old or the new ones. A test can also make its calls fail, for example with ENOSPC.
 //
-// It is a stand-in for a file system, stricter than most: POSIX promises no more (a file's sync says nothing of its name).
+// It is stricter than most file systems, and guarantees no more than POSIX does: syncing a file does not make its name durable.
 package crashfs
 
 import (
@@ -15,74 +15,74 @@
 	"brasswell/internal/state"
 )
 
-// ErrPower is that of every call once the power is gone.
-var ErrPower = errors.New("crashfs: the power is gone")
+// ErrPowerLost is returned by the call in which power is lost, and by later ones until Restore.
+var ErrPowerLost = errors.New("crashfs: power lost")
 
 type inode struct {
 	durable, now []byte
 }
 
-// step is a change of names that is not synced.
-type step struct {
+// nameChange is a change of names that is not synced.
+type nameChange struct {
 	name string
 	node *inode // nil for a removal
-	from string // of a rename
+	from string // old name, for a rename
 }
 
-// FS is a folder. Its methods may be called at any time.
+// FS is a folder. Its methods are safe for concurrent use.
 type FS struct {
-	mu      sync.Mutex
-	names   map[string]*inode // now
-	durable map[string]*inode
-	pending []step
-	dice    *rand.Rand
-	off     bool
-	calls   int
-	offAt   int   // the call that the power is lost in; 0 for none
-	fail    error // of each write, sync and change of names
-	syncs   int
-	bytes   int64
+	mu         sync.Mutex
+	names      map[string]*inode // current names
+	durable    map[string]*inode
+	pending    []nameChange
+	rng        *rand.Rand
+	poweredOff bool
+	calls      int
+	powerOffAt int   // the number of the call in which power is lost; 0 for none
+	fail       error // error of each write, sync and change of names
+	syncs      int
+	bytes      int64
 }
 
 // New returns an empty folder.
 func New(seed uint64) *FS {
-	return &FS{names: map[string]*inode{}, durable: map[string]*inode{}, dice: rand.New(rand.NewPCG(seed, 0xc4a5))}
+	return &FS{names: map[string]*inode{}, durable: map[string]*inode{}, rng: rand.New(rand.NewPCG(seed, 0xc4a5))}
 }
 
-// Fail has each call that changes something fail from now on; nil ends that.
+// Fail makes each call that changes something fail with err; nil ends that.
 func (f *FS) Fail(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fail = err
 }
 
-// LosePowerIn has the power lost within the n-th call from now on that changes something.
+// LosePowerIn simulates a power loss within the n-th call from now that changes something.
 func (f *FS) LosePowerIn(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.offAt = f.calls + n
+	f.powerOffAt = f.calls + n
 }
 
-// Off says whether the power is gone.
-func (f *FS) Off() bool {
+// PoweredOff reports whether power is lost.
+func (f *FS) PoweredOff() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.off
+	return f.poweredOff
 }
 
-// Counts are the calls that changed something, the syncs among them, and the bytes written.
+// Counts returns the number of calls that changed something, the number of completed syncs among them, and the bytes written.
 func (f *FS) Counts() (calls, syncs int, bytes int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls, f.syncs, f.bytes
 }
 
-// Restore brings the power back: what is there is what has lasted.
+// Restore ends the power loss. Only data that survived it remains.
 func (f *FS) Restore() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, s := range f.pending { // each may have lasted, in order
-		if f.dice.IntN(2) == 0 {
+	for _, s := range f.pending { // each may have survived, in order
+		if f.rng.IntN(2) == 0 {
 			continue
 		}
 		if s.from != "" && f.durable[s.from] == s.node {
@@ -93,54 +93,54 @@
 	f.pending = nil
 	names := map[string]*inode{}
 	for name, n := range f.durable {
-		n.durable = f.lasted(n)
+		n.durable = f.survivingBytes(n)
 		n.now = slices.Clone(n.durable)
 		names[name] = n
 	}
 	f.names, f.durable = names, maps.Clone(names)
-	f.off, f.offAt, f.fail = false, 0, nil
+	f.poweredOff, f.powerOffAt, f.fail = false, 0, nil
 }
 
-// lasted is what is left of a file: all that was synced, and of the rest a part, maybe with bytes that nobody wrote.
-func (f *FS) lasted(n *inode) []byte {
+// survivingBytes returns what is left of a file: all synced bytes, and a random part of the others, possibly corrupted.
+func (f *FS) survivingBytes(n *inode) []byte {
 	if len(n.now) < len(n.durable) || !slices.Equal(n.now[:len(n.durable)], n.durable) {
-		if f.dice.IntN(2) == 0 {
+		if f.rng.IntN(2) == 0 {
 			return n.durable
 		}
 		return n.now
 	}
 	rest := n.now[len(n.durable):]
-	kept := slices.Clone(n.now[:len(n.durable)+f.dice.IntN(len(rest)+1)])
+	kept := slices.Clone(n.now[:len(n.durable)+f.rng.IntN(len(rest)+1)])
 	if more := len(kept) - len(n.durable); more > 0 {
-		switch f.dice.IntN(4) {
-		case 0: // zeros, as where the length lasted and the bytes did not
-			clear(kept[len(n.durable)+f.dice.IntN(more):])
+		switch f.rng.IntN(4) {
+		case 0: // zeros, as when the length was durable but the data was not
+			clear(kept[len(n.durable)+f.rng.IntN(more):])
 		case 1:
-			kept[len(n.durable)+f.dice.IntN(more)] ^= byte(1 << f.dice.IntN(8))
+			kept[len(n.durable)+f.rng.IntN(more)] ^= byte(1 << f.rng.IntN(8))
 		}
 	}
 	return kept
 }
 
-// begin counts a call that changes something; dying says that the power is lost within it.
-func (f *FS) begin() (dying bool, err error) {
-	if f.off {
-		return false, ErrPower
+// startCall counts a call that changes something. powerLost says that power is lost within it.
+func (f *FS) startCall() (powerLost bool, err error) {
+	if f.poweredOff {
+		return false, ErrPowerLost
 	}
 	f.calls++
-	if f.calls == f.offAt {
-		f.off = true
-		return true, ErrPower
+	if f.calls == f.powerOffAt {
+		f.poweredOff = true
+		return true, ErrPowerLost
 	}
 	return false, f.fail
 }
 
-// ReadFile returns a file.
+// ReadFile returns the contents of a file.
 func (f *FS) ReadFile(name string) ([]byte, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.off {
-		return nil, ErrPower
+	if f.poweredOff {
+		return nil, ErrPowerLost
 	}
 	n := f.names[name]
 	if n == nil {
@@ -149,7 +149,7 @@
 	return slices.Clone(n.now), nil
 }
 
-// Put sets a file as if it had lasted.
+// Put creates a file whose name and contents are durable.
 func (f *FS) Put(name string, text []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -157,25 +157,25 @@
 	f.names[name], f.durable[name] = n, n
 }
 
-// Create makes a file.
+// Create creates a file, or replaces an existing one by an empty one.
 func (f *FS) Create(name string) (state.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if _, err := f.begin(); err != nil {
+	if _, err := f.startCall(); err != nil {
 		return nil, err
 	}
 	n := &inode{}
 	f.names[name] = n
-	f.pending = append(f.pending, step{name: name, node: n})
+	f.pending = append(f.pending, nameChange{name: name, node: n})
 	return &file{f, n}, nil
 }
 
-// Append opens a file.
+// Append opens an existing file to write at its end.
 func (f *FS) Append(name string) (state.File, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.off {
-		return nil, ErrPower
+	if f.poweredOff {
+		return nil, ErrPowerLost
 	}
 	n := f.names[name]
 	if n == nil {
@@ -184,28 +184,28 @@
 	return &file{f, n}, nil
 }
 
-// Truncate cuts a file, which lasts.
+// Truncate truncates a file durably.
 func (f *FS) Truncate(name string, size int64) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	dying, err := f.begin()
+	powerLost, err := f.startCall()
 	n := f.names[name]
 	switch {
 	case n == nil || int64(len(n.now)) < size:
 		return errors.Join(err, fs.ErrNotExist)
-	case dying && f.dice.IntN(2) == 0, err == nil:
+	case powerLost && f.rng.IntN(2) == 0, err == nil:
 		n.now = n.now[:size:size]
 		n.durable = slices.Clone(n.now)
 	}
 	return err
 }
 
-// Rename puts a file under another name.
+// Rename renames a file.
 func (f *FS) Rename(from, to string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	dying, err := f.begin()
-	if err != nil && !dying {
+	powerLost, err := f.startCall()
+	if err != nil && !powerLost {
 		return err
 	}
 	n := f.names[from]
@@ -214,22 +214,22 @@
 	}
 	delete(f.names, from)
 	f.names[to] = n
-	f.pending = append(f.pending, step{name: to, node: n, from: from})
+	f.pending = append(f.pending, nameChange{name: to, node: n, from: from})
 	return err
 }
 
-// Names are those of all files.
+// Names returns the names of all files.
 func (f *FS) Names() ([]string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Sorted(maps.Keys(f.names)), nil
 }
 
-// SyncDir makes the names last.
+// SyncDir makes the names of the files durable.
 func (f *FS) SyncDir() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if _, err := f.begin(); err != nil {
+	if _, err := f.startCall(); err != nil {
 		return err
 	}
 	f.syncs++
@@ -242,33 +242,33 @@
 	node   *inode
 }
 
-func (o *file) Write(b []byte) (int, error) {
-	f := o.folder
+func (w *file) Write(b []byte) (int, error) {
+	f := w.folder
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	dying, err := f.begin()
+	powerLost, err := f.startCall()
 	n := len(b)
 	if err != nil {
 		n = 0
-		if dying || f.dice.IntN(2) == 0 { // a part of it may be there
-			n = f.dice.IntN(len(b) + 1)
+		if powerLost || f.rng.IntN(2) == 0 { // a part of the data may be written
+			n = f.rng.IntN(len(b) + 1)
 		}
 	}
-	o.node.now = append(o.node.now, b[:n]...)
+	w.node.now = append(w.node.now, b[:n]...)
 	f.bytes += int64(n)
 	return n, err
 }
 
-func (o *file) Sync() error {
-	f := o.folder
+func (w *file) Sync() error {
+	f := w.folder
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	dying, err := f.begin()
-	if err == nil || dying && f.dice.IntN(2) == 0 {
+	powerLost, err := f.startCall()
+	if err == nil || powerLost && f.rng.IntN(2) == 0 {
 		f.syncs++
-		o.node.durable = slices.Clone(o.node.now)
+		w.node.durable = slices.Clone(w.node.now)
 	}
 	return err
 }
 
-func (o *file) Close() error { return nil }
+func (w *file) Close() error { return nil }
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -1,12 +1,12 @@
-// Package state keeps what one proxy knows for its next start: backends that were taken out by hand, and what it has learned. It is
-// two files in a folder of this proxy alone.
+// Package state saves the state of one proxy for its next start: the backends that the operator took out, and what the proxy has
+// learned. The state is two files in a folder of this proxy alone.
 //
-//	bans      a log: what is out as a whole, then each change. A change holds once it has returned.
-//	learned   what the proxy knew some seconds ago, replaced whole or not at all.
+//	bans      a log: first all bans, then each change. A change is durable once the call that makes it has returned.
+//	learned   a snapshot of what the proxy knew some seconds ago, replaced atomically.
 //
-// No file keeps a proxy from starting: a torn end is cut, and what is broken, another proxy's or a later version's is put aside
-// under another name and told. Memory is bounded by the files' bounds. A Store works on its files while it is called; a Keeper
-// does so from a goroutine of its own, so that no disk is ever waited for by what serves.
+// No file prevents a proxy from starting: a torn end is cut off, and a file that is corrupt, of another proxy or of a later version is
+// renamed and reported. The limits on file sizes limit the memory. A Store accesses its files within its calls; a Writer does so in its
+// own goroutine, so that request handling never waits for a disk.
 package state
 
 import (
@@ -30,164 +30,164 @@
 const (
 	bansFile    = "bans"
 	learnedFile = "learned"
-	next        = ".next" // of a file that is to take another's place
-
-	// form is that of both files. A later one is not read; there is no earlier one.
-	form = 1
-	// MostBans ids are kept.
-	MostBans = 4096
-	// MostID is the longest, in bytes.
-	MostID = 256
-	// mostLearned and mostChange bound a file's pieces, in bytes.
-	mostLearned = 64 << 20
-	mostChange  = 4 << 20
-	// mostChanges are appended before the log is begun anew.
-	mostChanges = 1024
-	// mostAside files of one name are kept aside; the oldest makes room.
-	mostAside = 3
+	tempSuffix  = ".next" // suffix of a file that will replace another
+
+	// formatVersion is the format of both files. Later formats are not read; there is no earlier one.
+	formatVersion = 1
+	// MaxBans is how many bans are kept.
+	MaxBans = 4096
+	// MaxIDBytes is the maximum length of an id.
+	MaxIDBytes = 256
+	// maxLearnedBytes and maxRecordBytes limit the records in the two files.
+	maxLearnedBytes = 64 << 20
+	maxRecordBytes  = 4 << 20
+	// maxLogChanges is how many changes are appended before the log is rewritten.
+	maxLogChanges = 1024
+	// maxSetAside is how many unusable files of one name are kept; a further one replaces the last of them.
+	maxSetAside = 3
 )
 
-// Owner says whose files they are.
+// Owner identifies the proxy and the format of a file.
 type Owner struct {
 	Form int    `cbor:"1,keyasint"`
-	Name string `cbor:"2,keyasint"` // of the proxy
+	Name string `cbor:"2,keyasint"` // name of the proxy
 }
 
-// Stamp is when something was written, by all the clocks that there are. None of them is trusted alone: see Age.
+// Stamp is the time of a write on all available clocks. None of them is trusted alone: see AgeOf.
 type Stamp struct {
 	Wall    time.Duration `cbor:"1,keyasint"` // Unix time
-	Machine string        `cbor:"2,keyasint"` // the id of the machine's start
-	Running time.Duration `cbor:"3,keyasint"` // since then, sleep included
+	Machine string        `cbor:"2,keyasint"` // the kernel's boot id
+	Running time.Duration `cbor:"3,keyasint"` // time since the boot, including suspend
 }
 
-// Age is how long ago something was written.
+// Age is the time since a write.
 type Age struct {
-	// Least and Most bound it. Most is Unknown where no clock can be believed: after a power loss a machine's clock may be years off.
-	Least, Most time.Duration
+	// Min and Max are its bounds. Max is UnknownAge if no clock can be trusted: after a power loss a machine's clock may be years off.
+	Min, Max time.Duration
 }
 
-// Unknown is longer than any age.
-const Unknown = time.Duration(1<<63 - 1)
+// UnknownAge is longer than any age.
+const UnknownAge = time.Duration(1<<63 - 1)
 
-// Since is how old something is now. Within one start of the machine that is exact. Across starts at least the time since this
-// start has passed; the wall clock's word is taken for the most only where it is possible.
-func Since(written, now Stamp) Age {
+// AgeOf returns the age of a write. Within one boot of the machine it is exact. Across boots, the minimum is the time since the current
+// boot, and the wall clock gives the maximum only if it does not contradict that minimum.
+func AgeOf(written, now Stamp) Age {
 	if written.Machine != "" && written.Machine == now.Machine && now.Running >= written.Running {
 		d := now.Running - written.Running
 		return Age{d, d}
 	}
-	a := Age{Least: now.Running, Most: Unknown}
-	if wall := now.Wall - written.Wall; wall >= a.Least && written.Wall > 0 {
-		a.Most = wall
+	a := Age{Min: now.Running, Max: UnknownAge}
+	if wall := now.Wall - written.Wall; wall >= a.Min && written.Wall > 0 {
+		a.Max = wall
 	}
 	return a
 }
 
-// Learned is what a proxy knew at a moment: the same as what a process hands over to the next at an upgrade.
+// Learned is a snapshot of what a proxy knows: the same state that a process hands over to its successor at an upgrade.
 type Learned struct {
-	Owner     Owner              `cbor:"1,keyasint"`
-	Written   Stamp              `cbor:"2,keyasint"`
-	Knowledge handover.Knowledge `cbor:"3,keyasint"`
-	// Demand is what callers asked for, in requests a second, by class name.
+	Owner     Owner          `cbor:"1,keyasint"`
+	Written   Stamp          `cbor:"2,keyasint"`
+	Knowledge handover.State `cbor:"3,keyasint"`
+	// Demand is the rate of requests from callers, in requests a second, by class name.
 	Demand map[string]float64 `cbor:"4,keyasint,omitempty"`
 }
 
-// change is a piece of the bans' log.
-type change struct {
-	Owner *Owner   `cbor:"1,keyasint,omitempty"` // of the first piece alone
-	All   []string `cbor:"2,keyasint,omitempty"` // of the first piece: all that are out
-	ID    string   `cbor:"3,keyasint,omitempty"`
-	Out   bool     `cbor:"4,keyasint,omitempty"`
+// logRecord is a record of the bans log.
+type logRecord struct {
+	Owner  *Owner   `cbor:"1,keyasint,omitempty"` // only in the first record
+	Bans   []string `cbor:"2,keyasint,omitempty"` // only in the first record: all banned backends
+	ID     string   `cbor:"3,keyasint,omitempty"`
+	Banned bool     `cbor:"4,keyasint,omitempty"`
 }
 
-// Found is what a folder held at a start.
-type Found struct {
-	Bans    []string // in order
-	Learned *Learned // nil for none
-	// Trouble is what was not as it should be, for people; what was put aside is named.
-	Trouble []string
+// Contents is what Open found in a folder.
+type Contents struct {
+	Bans    []string // sorted
+	Learned *Learned // nil if there is none
+	// Problems describes faults of the folder for operators, and names the files that were renamed.
+	Problems []string
 }
 
-var reading = strict.CBOR(cbor.DecOptions{MaxArrayElements: 1 << 17, MaxMapPairs: 1 << 17, MaxNestedLevels: 16})
+var decMode = strict.CBOR(cbor.DecOptions{MaxArrayElements: 1 << 17, MaxMapPairs: 1 << 17, MaxNestedLevels: 16})
 
-// Store is a folder's files. It is not safe for concurrent use.
+// Store accesses the files of a folder. It is not safe for concurrent use.
 type Store struct {
-	files FS
-	own   Owner
-	bans  map[string]bool
-	log   File // nil where the next change begins the log anew
-	count int  // of changes in it
+	files   FS
+	owner   Owner
+	bans    map[string]bool
+	log     File // nil if the next change must rewrite the log
+	changes int  // number of changes in the log
 }
 
-// Open reads a folder's files and mends what it can. It does not fail: where the folder cannot be read or written, Found says so
-// and each write does.
-func Open(files FS, name string) (*Store, *Found) {
-	s := &Store{files: files, own: Owner{form, name}, bans: map[string]bool{}}
-	f := &Found{}
+// Open reads the files of a folder and repairs what it can. It does not fail: if the folder cannot be read or written, Contents.Problems
+// says so, and each later write returns an error.
+func Open(files FS, name string) (*Store, *Contents) {
+	s := &Store{files: files, owner: Owner{formatVersion, name}, bans: map[string]bool{}}
+	f := &Contents{}
 	s.openBans(f)
 	f.Bans = slices.Sorted(maps.Keys(s.bans))
 	s.openLearned(f)
 	return s, f
 }
 
-func (s *Store) openBans(f *Found) {
+func (s *Store) openBans(f *Contents) {
 	text, err := s.files.ReadFile(bansFile)
 	if errors.Is(err, fs.ErrNotExist) {
 		return
 	}
-	if err != nil { // the next change begins the log anew, and must not take the place of what may be read another day
-		s.aside(f, bansFile, fmt.Errorf("it cannot be read, so bans by hand from before are not known: %w", err))
+	if err != nil { // the next change rewrites the log, and must not overwrite a file that may be readable later
+		s.setAside(f, bansFile, fmt.Errorf("it cannot be read, so earlier operator bans are unknown: %w", err))
 		return
 	}
-	bans, whole, rest, err := readBans(text, s.own)
+	bans, validLen, remaining, err := readBans(text, s.owner)
 	switch {
-	case errors.Is(err, errNotMine):
-		s.aside(f, bansFile, err)
+	case errors.Is(err, errForeign):
+		s.setAside(f, bansFile, err)
 	case err != nil:
-		// What stands behind the broken place was acknowledged too, and is kept; the next change writes all anew.
+		// Changes after the corrupt part were acknowledged too, and are kept. The log is rewritten at once, or else by the next change.
 		s.bans = bans
-		s.aside(f, bansFile, fmt.Errorf("%w; %d bans were saved from it", err, len(bans)))
-		if err := s.begin(); err != nil {
-			f.tell("the bans that were saved cannot be written: %v", err)
+		s.setAside(f, bansFile, fmt.Errorf("%w; %d bans were saved from it", err, len(bans)))
+		if err := s.rewriteLog(); err != nil {
+			f.addProblem("the recovered bans cannot be written: %v", err)
 		}
 	default:
 		s.bans = bans
-		if rest > 0 { // an end that was torn: nobody was told that it holds
-			f.tell("the end of the bans' log was torn: %d bytes of a change that nobody was told of are cut off", rest)
-			err = s.files.Truncate(bansFile, int64(whole))
+		if remaining > 0 { // a torn end: the change was not acknowledged
+			f.addProblem("the end of the bans log was torn: %d bytes of a change that was not acknowledged are cut off", remaining)
+			err = s.files.Truncate(bansFile, int64(validLen))
 		}
-		if err == nil && whole > 0 {
+		if err == nil && validLen > 0 {
 			s.log, err = s.files.Append(bansFile)
 		}
 		if err != nil {
-			s.log = nil // the next change begins it anew
+			s.log = nil // the next change rewrites the log
 		}
 	}
 }
 
-var errNotMine = errors.New("another proxy's, or of another version of the program")
+var errForeign = errors.New("it belongs to another proxy or another version of the program")
 
-// readBans reads a log. whole is how many bytes of it make sense from its beginning on, and rest what stands behind them. An error
-// is errNotMine, or says that something in the middle is broken; bans are then all that could be made out.
-func readBans(text []byte, own Owner) (bans map[string]bool, whole, rest int, err error) {
+// readBans reads a log. validLen is the length of its valid beginning, and remaining the number of bytes after that. An error is
+// errForeign, or says that the log is corrupt before its end; bans are then those that could be recovered.
+func readBans(data []byte, owner Owner) (bans map[string]bool, validLen, remaining int, err error) {
 	bans = map[string]bool{}
-	first, broken, budget := true, false, hashMost
-	take := func(piece []byte) error {
-		var c change
-		if err := reading.Unmarshal(piece, &c); err != nil {
+	first, corrupt, budget := true, false, maxHashedBytes
+	apply := func(record []byte) error {
+		var c logRecord
+		if err := decMode.Unmarshal(record, &c); err != nil {
 			return err
 		}
 		if c.Owner != nil {
-			if *c.Owner != own {
-				return fmt.Errorf("%w: it is %q's, of form %d", errNotMine, c.Owner.Name, c.Owner.Form)
+			if *c.Owner != owner {
+				return fmt.Errorf("%w: it is %q's, of form %d", errForeign, c.Owner.Name, c.Owner.Form)
 			}
 			clear(bans)
-			for _, id := range c.All {
+			for _, id := range c.Bans {
 				bans[id] = true
 			}
-		} else if first && !broken { // behind a broken beginning a change is worth saving: to ban too much is the smaller harm
-			return errors.New("no beginning")
-		} else if c.Out {
+		} else if first && !corrupt { // after a corrupt first record, changes are still recovered: banning too many backends is the smaller harm
+			return errors.New("the first record is missing")
+		} else if c.Banned {
 			bans[c.ID] = true
 		} else {
 			delete(bans, c.ID)
@@ -195,70 +195,70 @@
 		first = false
 		return nil
 	}
-	for at := 0; at < len(text); {
-		piece, err := sealed.Read(bytes.NewReader(text[at:]), mostChange)
+	for at := 0; at < len(data); {
+		record, err := sealed.Read(bytes.NewReader(data[at:]), maxRecordBytes)
 		if err == nil {
-			err = take(piece)
-			if errors.Is(err, errNotMine) {
-				return nil, 0, len(text), err
+			err = apply(record)
+			if errors.Is(err, errForeign) {
+				return nil, 0, len(data), err
 			}
 		}
 		if err == nil {
-			at += sealed.HeadBytes + len(piece)
-			if !broken {
-				whole = at
+			at += sealed.HeaderBytes + len(record)
+			if !corrupt {
+				validLen = at
 			}
 			continue
 		}
-		// Whether this is a torn end or a broken middle shows in whether a whole piece stands behind it.
-		at = nextPiece(text, at+1, &budget)
-		if at < len(text) {
-			broken = true
+		// If a valid record follows, the log is corrupt in the middle; if not, its end is torn.
+		at = nextRecord(data, at+1, &budget)
+		if at < len(data) {
+			corrupt = true
 		}
 	}
-	if broken || first && len(text) > 0 {
-		return bans, whole, len(text) - whole, fmt.Errorf("broken at byte %d", whole)
+	if corrupt || first && len(data) > 0 {
+		return bans, validLen, len(data) - validLen, fmt.Errorf("corrupt at byte %d", validLen)
 	}
-	return bans, whole, len(text) - whole, nil
+	return bans, validLen, len(data) - validLen, nil
 }
 
-// Behind a broken place pieces of up to mostSaved bytes are looked for, which changes are, and no more than hashMost bytes are hashed
-// for that: a start must not hang on a file that somebody has filled with what looks like beginnings of pieces.
+// After a corrupt part of the log, records of up to maxSalvagedBytes are searched for, which is enough for changes. The search hashes at
+// most maxHashedBytes, so that a file full of apparent record headers cannot block a start.
 const (
-	mostSaved = 1 << 10
-	hashMost  = 16 << 20
+	maxSalvagedBytes = 1 << 10
+	maxHashedBytes   = 16 << 20
 )
 
-// nextPiece looks for a whole piece from a place on; the end of text if there is none. budget is how much may still be hashed.
-func nextPiece(text []byte, from int, budget *int) int {
-	for ; from+sealed.HeadBytes < len(text) && *budget > 0; from++ {
+// nextRecord returns the offset of the next valid record, or len(text) if there is none. budget is how many bytes may still be hashed.
+func nextRecord(text []byte, from int, budget *int) int {
+	for ; from+sealed.HeaderBytes < len(text) && *budget > 0; from++ {
 		length := int(binary.BigEndian.Uint32(text[from:]))
-		if length == 0 || length > mostSaved || length > len(text)-from-sealed.HeadBytes {
+		if length == 0 || length > maxSalvagedBytes || length > len(text)-from-sealed.HeaderBytes {
 			continue
 		}
 		*budget -= length
-		if _, err := sealed.Read(bytes.NewReader(text[from:]), mostSaved); err == nil {
+		if _, err := sealed.Read(bytes.NewReader(text[from:]), maxSalvagedBytes); err == nil {
 			return from
 		}
 	}
 	return len(text)
 }
 
-func (s *Store) openLearned(f *Found) {
+func (s *Store) openLearned(f *Contents) {
 	text, err := s.files.ReadFile(learnedFile)
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 		return
 	case err != nil:
-		f.tell("what was learned before cannot be read: %v", err)
+		f.addProblem("the learned state cannot be read: %v", err)
 		return
 	}
 	l, err := readLearned(text)
-	if err == nil && l.Owner != s.own {
-		err = fmt.Errorf("%w: it is %q's, of form %d", errNotMine, l.Owner.Name, l.Owner.Form)
+	if err == nil && l.Owner != s.owner {
+		err = fmt.Errorf("%w: it is %q's, of form %d", errForeign, l.Owner.Name, l.Owner.Form)
 	}
 	if err != nil {
-		s.aside(f, learnedFile, err)
+		s.setAside(f, learnedFile, err)
 		return
 	}
 	f.Learned = l
@@ -266,7 +266,7 @@
 
 func readLearned(text []byte) (*Learned, error) {
 	r := bytes.NewReader(text)
-	piece, err := sealed.Read(r, mostLearned)
+	record, err := sealed.Read(r, maxLearnedBytes)
 	if err != nil {
 		if errors.Is(err, io.EOF) {
 			err = io.ErrUnexpectedEOF
@@ -277,76 +277,76 @@
 		return nil, fmt.Errorf("%d bytes too many", r.Len())
 	}
 	l := &Learned{}
-	if err := reading.Unmarshal(piece, l); err != nil {
+	if err := decMode.Unmarshal(record, l); err != nil {
 		return nil, err
 	}
 	return l, nil
 }
 
-func (f *Found) tell(format string, a ...any) {
-	f.Trouble = append(f.Trouble, fmt.Sprintf(format, a...))
+func (f *Contents) addProblem(format string, a ...any) {
+	f.Problems = append(f.Problems, fmt.Sprintf(format, a...))
 }
 
-// aside puts a file that is not to be used under another name.
-func (s *Store) aside(f *Found, name string, why error) {
+// setAside renames a file that cannot be used.
+func (s *Store) setAside(f *Contents, name string, reason error) {
 	names, err := s.files.Names()
 	if err != nil {
-		f.tell("%s is not used (%v), and cannot be put aside: %v", name, why, err)
+		f.addProblem("%s is not used (%v), and cannot be put aside: %v", name, reason, err)
 		return
 	}
 	to := ""
-	for i := 1; i <= mostAside && to == ""; i++ {
+	for i := 1; i <= maxSetAside && to == ""; i++ {
 		if candidate := fmt.Sprintf("%s.aside-%d", name, i); !slices.Contains(names, candidate) {
 			to = candidate
 		}
 	}
-	if to == "" { // the first of them was the first trouble, and tells most; the last makes room
-		to = fmt.Sprintf("%s.aside-%d", name, mostAside)
+	if to == "" { // the first file shows the original fault and tells most, so the last one is replaced
+		to = fmt.Sprintf("%s.aside-%d", name, maxSetAside)
 	}
 	if err := s.files.Rename(name, to); err != nil {
-		f.tell("%s is not used (%v), and cannot be put aside: %v", name, why, err)
+		f.addProblem("%s is not used (%v), and cannot be put aside: %v", name, reason, err)
 		return
 	}
-	f.tell("%s is not used, and was put aside as %s: %v", name, to, why)
+	f.addProblem("%s is not used, and was put aside as %s: %v", name, to, reason)
 }
 
-// Ban makes a change by hand last. Once it has returned without an error it is there after a power loss. After an error it may be or
-// not, and the next change writes all anew.
-func (s *Store) Ban(id string, out bool) error {
-	if len(id) > MostID {
-		return fmt.Errorf("state: an id of %d bytes; %d at most", len(id), MostID)
+// Ban makes an operator change durable. If it returns nil, the change survives a power loss. After an error the change may be on disk or
+// not, and the next change rewrites the log.
+func (s *Store) Ban(id string, banned bool) error {
+	if len(id) > MaxIDBytes {
+		return fmt.Errorf("state: id has %d bytes, the maximum is %d", len(id), MaxIDBytes)
 	}
-	if out && !s.bans[id] && len(s.bans) >= MostBans {
-		return fmt.Errorf("state: %d backends are out; no more are kept", len(s.bans))
+	if banned && !s.bans[id] && len(s.bans) >= MaxBans {
+		return fmt.Errorf("state: %d backends are banned already, which is the maximum", len(s.bans))
 	}
-	was := s.bans[id]
-	if out {
+	wasBanned := s.bans[id]
+	if banned {
 		s.bans[id] = true
 	} else {
 		delete(s.bans, id)
 	}
-	if s.log == nil || s.count >= mostChanges {
-		return s.begin()
+	if s.log == nil || s.changes >= maxLogChanges {
+		return s.rewriteLog()
 	}
-	if was == out {
-		return nil // it is there already: whoever began the log or appended has had a yes, or the log is begun anew
+	if wasBanned == banned {
+		return nil // durable already: while s.log is open, all earlier writes have succeeded
 	}
-	text, err := piece(change{ID: id, Out: out})
+	text, err := encodeRecord(logRecord{ID: id, Banned: banned})
 	if err == nil {
 		if _, err = s.log.Write(text); err == nil {
 			err = s.log.Sync()
 		}
 	}
 	if err != nil {
-		// What stands in the file now nobody knows, also after a later sync that works (an error is told once).
-		s.drop()
+		// The contents of the file are unknown now, even if a later sync succeeds, as the kernel reports a write error only once.
+		s.closeLog()
 		return fmt.Errorf("state: %w", err)
 	}
-	s.count++
+	s.changes++
 	return nil
 }
 
-func piece(c change) ([]byte, error) {
+func encodeRecord(c logRecord) ([]byte, error) {
 	text, err := cbor.Marshal(c)
 	if err != nil {
 		return nil, err
@@ -354,17 +354,17 @@
 	return sealed.Append(nil, text), nil
 }
 
-func (s *Store) drop() {
+func (s *Store) closeLog() {
 	if s.log != nil {
 		s.log.Close()
 		s.log = nil
 	}
 }
 
-// begin begins the log anew with all that is out.
-func (s *Store) begin() error {
-	s.drop()
-	text, err := piece(change{Owner: &s.own, All: slices.Sorted(maps.Keys(s.bans))})
+// rewriteLog replaces the log by one with all current bans.
+func (s *Store) rewriteLog() error {
+	s.closeLog()
+	text, err := encodeRecord(logRecord{Owner: &s.owner, Bans: slices.Sorted(maps.Keys(s.bans))})
 	if err == nil {
 		err = s.replace(bansFile, text)
 	}
@@ -372,15 +372,15 @@
 		return fmt.Errorf("state: %w", err)
 	}
 	if s.log, err = s.files.Append(bansFile); err != nil {
-		s.log = nil // it holds; the next change begins it anew
+		s.log = nil // the change is durable; the next one rewrites the log
 	}
-	s.count = 0
+	s.changes = 0
 	return nil
 }
 
-// replace writes a file whole or not at all.
+// replace replaces a file atomically.
 func (s *Store) replace(name string, text []byte) error {
-	f, err := s.files.Create(name + next)
+	f, err := s.files.Create(name + tempSuffix)
 	if err != nil {
 		return err
 	}
@@ -392,7 +392,7 @@
 		err = closed
 	}
 	if err == nil {
-		err = s.files.Rename(name+next, name)
+		err = s.files.Rename(name+tempSuffix, name)
 	}
 	if err == nil {
 		err = s.files.SyncDir()
@@ -400,25 +400,25 @@
 	return err
 }
 
-// Save makes what was learned last, in place of what was there.
+// Save makes the learned state durable and replaces the earlier one.
 func (s *Store) Save(l *Learned) error {
-	own := *l
-	own.Owner = s.own
-	text, err := cbor.Marshal(&own)
+	owned := *l
+	owned.Owner = s.owner
+	text, err := cbor.Marshal(&owned)
 	if err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
-	if len(text) > mostLearned {
-		return fmt.Errorf("state: %d bytes of what was learned; %d at most", len(text), mostLearned)
+	if len(text) > maxLearnedBytes {
+		return fmt.Errorf("state: the learned state has %d bytes, the maximum is %d", len(text), maxLearnedBytes)
 	}
-	if err := s.replace(learnedFile, sealed.Append(make([]byte, 0, sealed.HeadBytes+len(text)), text)); err != nil {
+	if err := s.replace(learnedFile, sealed.Append(make([]byte, 0, sealed.HeaderBytes+len(text)), text)); err != nil {
 		return fmt.Errorf("state: %w", err)
 	}
 	return nil
 }
 
-// Bans are the backends that are out, in order.
+// Bans returns the banned backends, sorted.
 func (s *Store) Bans() []string { return slices.Sorted(maps.Keys(s.bans)) }
 
-// Close lets go of the files.
-func (s *Store) Close() { s.drop() }
+// Close closes the files.
+func (s *Store) Close() { s.closeLog() }
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -22,7 +22,7 @@
 )
 
 func learned(n int) *state.Learned {
-	l := &state.Learned{Knowledge: handover.Knowledge{Seq: int64(n), Addresses: map[string]string{}}}
+	l := &state.Learned{Knowledge: handover.State{Seq: int64(n), Addresses: map[string]string{}}}
 	for i := range 3 {
 		id := fmt.Sprint("s", i)
 		l.Knowledge.Addresses[id] = fmt.Sprintf("127.0.0.1:%d", n)
@@ -31,96 +31,96 @@
 	return l
 }
 
-// life is one start of a proxy with random changes until the power goes, and what was acknowledged meanwhile.
-type life struct {
-	bans  map[string]bool // acknowledged
-	doubt map[string]bool // ids whose last change was not
-	saved int             // the last that was acknowledged
-	tried int
+// session runs a proxy with random changes until a power loss, and records which changes were acknowledged.
+type session struct {
+	bans        map[string]bool // acknowledged
+	unconfirmed map[string]bool // ids whose last change was not acknowledged
+	lastSaved   int             // the last snapshot whose save was acknowledged
+	lastTried   int
 }
 
-func (l *life) live(t *testing.T, disk *crashfs.FS, dice *rand.Rand) {
+func (ses *session) run(t *testing.T, disk *crashfs.FS, rng *rand.Rand) {
 	s, found := state.Open(disk, "n1")
-	l.check(t, found)
-	l.bans = map[string]bool{}
+	ses.check(t, found)
+	ses.bans = map[string]bool{}
 	for _, id := range found.Bans {
-		l.bans[id] = true
-	}
-	clear(l.doubt)
-	for !disk.Off() {
-		if dice.IntN(4) == 0 {
-			l.tried++
-			if s.Save(learned(l.tried)) == nil {
-				l.saved = l.tried
+		ses.bans[id] = true
+	}
+	clear(ses.unconfirmed)
+	for !disk.PoweredOff() {
+		if rng.IntN(4) == 0 {
+			ses.lastTried++
+			if s.Save(learned(ses.lastTried)) == nil {
+				ses.lastSaved = ses.lastTried
 			}
 			continue
 		}
-		id, out := fmt.Sprint("b", dice.IntN(6)), dice.IntN(2) == 0
-		if s.Ban(id, out) != nil {
-			l.doubt[id] = true
+		id, banned := fmt.Sprint("b", rng.IntN(6)), rng.IntN(2) == 0
+		if s.Ban(id, banned) != nil {
+			ses.unconfirmed[id] = true
 			continue
 		}
-		// A yes to one change says that all before it are there too, also those that got no yes.
-		if l.bans[id] = out; !out {
-			delete(l.bans, id)
+		// An acknowledged change implies that all earlier changes are durable too, including those that were not acknowledged.
+		if ses.bans[id] = banned; !banned {
+			delete(ses.bans, id)
 		}
-		delete(l.doubt, id)
+		delete(ses.unconfirmed, id)
 	}
 	s.Close()
 }
 
-// check holds what a start finds against what was acknowledged.
-func (l *life) check(t *testing.T, f *state.Found) {
+// check compares the state that a start finds with what was acknowledged.
+func (ses *session) check(t *testing.T, f *state.Contents) {
 	t.Helper()
 	for i := range 6 {
 		id := fmt.Sprint("b", i)
-		if has := slices.Contains(f.Bans, id); has != l.bans[id] && !l.doubt[id] {
-			t.Fatalf("%s: out is %v, and %v was acknowledged; %q", id, has, l.bans[id], f.Trouble)
+		if has := slices.Contains(f.Bans, id); has != ses.bans[id] && !ses.unconfirmed[id] {
+			t.Fatalf("%s: banned is %v, but %v was acknowledged; %q", id, has, ses.bans[id], f.Problems)
 		}
 	}
 	switch got := f.Learned; {
-	case got == nil && l.saved > 0:
-		t.Fatalf("what was saved as %d is gone: %q", l.saved, f.Trouble)
-	case got != nil && (got.Knowledge.Seq < int64(l.saved) || got.Knowledge.Seq > int64(l.tried) || len(got.Knowledge.Addresses) != 3):
-		t.Fatalf("learned %d, of %d saved and %d tried", got.Knowledge.Seq, l.saved, l.tried)
-	}
-	for _, trouble := range f.Trouble {
-		if !strings.Contains(trouble, "torn") {
-			t.Fatalf("a power loss alone is told as %q", trouble)
+	case got == nil && ses.lastSaved > 0:
+		t.Fatalf("the saved state %d is lost: %q", ses.lastSaved, f.Problems)
+	case got != nil && (got.Knowledge.Seq < int64(ses.lastSaved) || got.Knowledge.Seq > int64(ses.lastTried) || len(got.Knowledge.Addresses) != 3):
+		t.Fatalf("found state %d; the last acknowledged is %d, the last attempted %d", got.Knowledge.Seq, ses.lastSaved, ses.lastTried)
+	}
+	for _, problem := range f.Problems {
+		if !strings.Contains(problem, "torn") {
+			t.Fatalf("a power loss is reported as %q", problem)
 		}
 	}
 }
 
-// TestPowerLossAtEveryCall: the power goes within each of the first calls that change anything, for many draws of what is lost, and
-// then again and again in later starts. What was acknowledged is there, what was not may be, and each start comes up.
+// TestPowerLossAtEveryCall loses power within each of the first 40 calls that change files, with many random choices of what is lost, and
+// then again in later starts. Acknowledged changes must survive, others may, and each start must succeed.
 func TestPowerLossAtEveryCall(t *testing.T) {
 	points := 0
 	for call := 1; call <= 40; call++ {
 		for seed := range uint64(40) {
 			disk := crashfs.New(seed)
-			dice := rand.New(rand.NewPCG(seed, uint64(call)))
-			l := &life{bans: map[string]bool{}, doubt: map[string]bool{}}
+			rng := rand.New(rand.NewPCG(seed, uint64(call)))
+			ses := &session{bans: map[string]bool{}, unconfirmed: map[string]bool{}}
 			for range 3 {
 				disk.LosePowerIn(call)
-				l.live(t, disk, dice)
+				ses.run(t, disk, rng)
 				disk.Restore()
 				points++
 			}
 			_, found := state.Open(disk, "n1")
-			l.check(t, found)
+			ses.check(t, found)
 		}
 	}
 	if points < 1000 {
-		t.Errorf("%d power losses", points)
+		t.Errorf("%d power losses, want at least 1000", points)
 	}
 }
 
-// TestCheckerFindsALostYes: with a disk that says that it has synced and has not, the check above finds what is lost.
-func TestCheckerFindsALostYes(t *testing.T) {
+// TestCheckFindsLostAcknowledgement checks that crashfs loses acknowledged changes if the disk reports syncs that it has not done.
+func TestCheckFindsLostAcknowledgement(t *testing.T) {
 	lost := 0
 	for seed := range uint64(40) {
 		disk := crashfs.New(seed)
-		s, _ := state.Open(liar{disk}, "n1")
+		s, _ := state.Open(unsyncedFS{disk}, "n1")
 		for i := range 4 {
 			if err := s.Ban(fmt.Sprint("b", i), true); err != nil {
 				t.Fatal(err)
@@ -134,27 +134,27 @@
 		}
 	}
 	if lost == 0 {
-		t.Error("a disk that syncs nothing loses nothing: the stand-in checks nothing")
+		t.Error("a disk that syncs nothing loses nothing, so crashfs cannot reveal a missing sync")
 	}
 }
 
-type liar struct{ *crashfs.FS }
+type unsyncedFS struct{ *crashfs.FS }
 
-func (l liar) SyncDir() error { return nil }
-func (l liar) Create(name string) (state.File, error) {
+func (l unsyncedFS) SyncDir() error { return nil }
+func (l unsyncedFS) Create(name string) (state.File, error) {
 	f, err := l.FS.Create(name)
-	return lie{f}, err
+	return unsyncedFile{f}, err
 }
-func (l liar) Append(name string) (state.File, error) {
+func (l unsyncedFS) Append(name string) (state.File, error) {
 	f, err := l.FS.Append(name)
-	return lie{f}, err
+	return unsyncedFile{f}, err
 }
 
-type lie struct{ state.File }
+type unsyncedFile struct{ state.File }
 
-func (lie) Sync() error { return nil }
+func (unsyncedFile) Sync() error { return nil }
 
-// TestDiskThatFails: after each failure no yes is given for what is not there, and once the disk works again all is kept.
+// TestDiskThatFails checks that a failed write is never acknowledged, and that all bans are durable once the disk works again.
 func TestDiskThatFails(t *testing.T) {
 	disk := crashfs.New(1)
 	s, _ := state.Open(disk, "n1")
@@ -176,13 +176,13 @@
 	s.Ban("d", true)
 	disk.Restore()
 	if _, f := state.Open(disk, "n1"); !slices.Equal(f.Bans, []string{"a", "b", "c"}) && !slices.Equal(f.Bans, []string{"a", "b", "c", "d"}) {
-		t.Errorf("%q; %q", f.Bans, f.Trouble)
+		t.Errorf("%q; %q", f.Bans, f.Problems)
 	}
 }
 
-// TestFoldersThatAreNotAsTheyWere: none keeps a proxy from starting, each is told, and what can be saved is.
-func TestFoldersThatAreNotAsTheyWere(t *testing.T) {
-	whole := func(name string) *crashfs.FS {
+// TestDamagedAndForeignFiles checks that no such file prevents a start, that each is reported, and that readable bans are recovered.
+func TestDamagedAndForeignFiles(t *testing.T) {
+	intact := func(name string) *crashfs.FS {
 		disk := crashfs.New(1)
 		s, _ := state.Open(disk, name)
 		for i := range 5 {
@@ -198,42 +198,42 @@
 		}
 		return text
 	}
-	bans, learns := read(whole("n1"), "bans"), read(whole("n1"), "learned")
-	bent := func(text []byte, at int) []byte { b := slices.Clone(text); b[at] ^= 4; return b }
+	bans, learns := read(intact("n1"), "bans"), read(intact("n1"), "learned")
+	flipBit := func(text []byte, at int) []byte { b := slices.Clone(text); b[at] ^= 4; return b }
 	for name, c := range map[string]struct {
 		bans, learned []byte
-		least         int // bans found
-		knows         bool
-		told          string
+		minBans       int // minimum number of bans found
+		hasLearned    bool
+		problem       string
 	}{
-		"whole":                     {bans, learns, 5, true, ""},
-		"empty":                     {[]byte{}, []byte{}, 0, false, "learned is not used, and was put aside"},
-		"another proxy's":           {read(whole("n2"), "bans"), read(whole("n2"), "learned"), 0, false, `it is "n2"'s`},
-		"torn end of bans":          {bans[:len(bans)-3], learns, 4, true, "was torn"},
-		"a bent byte in the middle": {bent(bans, len(bans)/2), learns, 4, true, "bans were saved from it"},
-		"a bent beginning":          {bent(bans, 12), learns, 4, true, "bans were saved from it"},
-		"zeros behind the bans":     {append(slices.Clone(bans), make([]byte, 100)...), learns, 5, true, "was torn"},
-		"torn learned":              {bans, learns[:len(learns)/2], 5, false, "learned is not used"},
-		"bent learned":              {bans, bent(learns, len(learns)/2), 5, false, "checksum"},
-		"more behind learned":       {bans, append(slices.Clone(learns), 1), 5, false, "bytes too many"},
-		"garbage":                   {[]byte("GET / HTTP/1.1"), []byte("hello"), 0, false, "bans is not used"},
+		"whole":                       {bans, learns, 5, true, ""},
+		"empty":                       {[]byte{}, []byte{}, 0, false, "learned is not used, and was put aside"},
+		"another proxy's":             {read(intact("n2"), "bans"), read(intact("n2"), "learned"), 0, false, `it is "n2"'s`},
+		"torn end of bans":            {bans[:len(bans)-3], learns, 4, true, "was torn"},
+		"a flipped bit in the middle": {flipBit(bans, len(bans)/2), learns, 4, true, "bans were saved from it"},
+		"a flipped bit at the start":  {flipBit(bans, 12), learns, 4, true, "bans were saved from it"},
+		"zeros after the bans":        {append(slices.Clone(bans), make([]byte, 100)...), learns, 5, true, "was torn"},
+		"torn learned":                {bans, learns[:len(learns)/2], 5, false, "learned is not used"},
+		"flipped bit in learned":      {bans, flipBit(learns, len(learns)/2), 5, false, "checksum"},
+		"extra byte after learned":    {bans, append(slices.Clone(learns), 1), 5, false, "bytes too many"},
+		"garbage":                     {[]byte("GET / HTTP/1.1"), []byte("hello"), 0, false, "bans is not used"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			disk := crashfs.New(1)
 			disk.Put("bans", c.bans)
 			disk.Put("learned", c.learned)
 			s, f := state.Open(disk, "n1")
-			if len(f.Bans) < c.least || (f.Learned != nil) != c.knows {
-				t.Errorf("%q; learned %v; %q", f.Bans, f.Learned != nil, f.Trouble)
+			if len(f.Bans) < c.minBans || (f.Learned != nil) != c.hasLearned {
+				t.Errorf("%q; learned %v; %q", f.Bans, f.Learned != nil, f.Problems)
 			}
-			if told := strings.Join(f.Trouble, "\n"); !strings.Contains(told, c.told) || c.told == "" && told != "" {
-				t.Errorf("told %q; wanted %q", told, c.told)
+			if problems := strings.Join(f.Problems, "\n"); !strings.Contains(problems, c.problem) || c.problem == "" && problems != "" {
+				t.Errorf("problems %q; want %q", problems, c.problem)
 			}
 			if err := s.Ban("new", true); err != nil {
 				t.Error(err)
 			}
-			if _, again := state.Open(disk, "n1"); !slices.Contains(again.Bans, "new") || len(again.Bans) != len(f.Bans)+1 || len(again.Trouble) > 0 {
-				t.Errorf("after it: %q, %q", again.Bans, again.Trouble)
+			if _, again := state.Open(disk, "n1"); !slices.Contains(again.Bans, "new") || len(again.Bans) != len(f.Bans)+1 || len(again.Problems) > 0 {
+				t.Errorf("after a further ban: bans %q, problems %q", again.Bans, again.Problems)
 			}
 		})
 	}
@@ -242,57 +242,57 @@
 func TestBoundsOfBans(t *testing.T) {
 	disk := crashfs.New(1)
 	s, _ := state.Open(disk, "n1")
-	for i := range state.MostBans {
+	for i := range state.MaxBans {
 		if err := s.Ban(fmt.Sprint(i), true); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if err := s.Ban("one more", true); err == nil {
-		t.Error("one more is taken")
+		t.Error("a ban beyond MaxBans is accepted")
 	}
-	if err := s.Ban(strings.Repeat("x", state.MostID+1), true); err == nil {
-		t.Error("an id of any length is taken")
+	if err := s.Ban(strings.Repeat("x", state.MaxIDBytes+1), true); err == nil {
+		t.Error("an id longer than MaxIDBytes is accepted")
 	}
 	text, _ := disk.ReadFile("bans")
 	if len(text) > 200<<10 {
-		t.Errorf("%d bytes", len(text))
+		t.Errorf("the bans log has %d bytes", len(text))
 	}
-	if _, f := state.Open(disk, "n1"); len(f.Bans) != state.MostBans {
-		t.Errorf("%d found", len(f.Bans))
+	if _, f := state.Open(disk, "n1"); len(f.Bans) != state.MaxBans {
+		t.Errorf("%d bans found", len(f.Bans))
 	}
 }
 
 func TestAge(t *testing.T) {
 	h := time.Hour
 	for name, c := range map[string]struct {
-		was, is     state.Stamp
-		least, most time.Duration
+		written, now state.Stamp
+		min, max     time.Duration
 	}{
-		"the same start":               {state.Stamp{Wall: 100 * h, Machine: "a", Running: 5 * h}, state.Stamp{Wall: 3 * h, Machine: "a", Running: 6 * h}, h, h},
-		"another start":                {state.Stamp{Wall: 100 * h, Machine: "a", Running: 5 * h}, state.Stamp{Wall: 102 * h, Machine: "b", Running: h}, h, 2 * h},
-		"a clock set back":             {state.Stamp{Wall: 100 * h, Machine: "a", Running: 5 * h}, state.Stamp{Wall: 3 * h, Machine: "b", Running: h}, h, state.Unknown},
-		"a clock that stood meanwhile": {state.Stamp{Wall: 100 * h, Machine: "a"}, state.Stamp{Wall: 100*h + 1, Machine: "b", Running: h}, h, state.Unknown},
-		"no clocks":                    {state.Stamp{}, state.Stamp{}, 0, state.Unknown},
+		"the same boot":        {state.Stamp{Wall: 100 * h, Machine: "a", Running: 5 * h}, state.Stamp{Wall: 3 * h, Machine: "a", Running: 6 * h}, h, h},
+		"another boot":         {state.Stamp{Wall: 100 * h, Machine: "a", Running: 5 * h}, state.Stamp{Wall: 102 * h, Machine: "b", Running: h}, h, 2 * h},
+		"a clock set back":     {state.Stamp{Wall: 100 * h, Machine: "a", Running: 5 * h}, state.Stamp{Wall: 3 * h, Machine: "b", Running: h}, h, state.UnknownAge},
+		"a clock that stopped": {state.Stamp{Wall: 100 * h, Machine: "a"}, state.Stamp{Wall: 100*h + 1, Machine: "b", Running: h}, h, state.UnknownAge},
+		"no clocks":            {state.Stamp{}, state.Stamp{}, 0, state.UnknownAge},
 	} {
-		if a := state.Since(c.was, c.is); a.Least != c.least || a.Most != c.most {
+		if a := state.AgeOf(c.written, c.now); a.Min != c.min || a.Max != c.max {
 			t.Errorf("%s: %v", name, a)
 		}
 	}
 }
 
-// TestKeeperAndAFolder: what a keeper was told is in the folder; a folder is held by one process; a disk that stands delays nobody
-// for longer than they wait.
-func TestKeeperAndAFolder(t *testing.T) {
+// TestWriterAndFolder checks that the folder contains what was passed to the writer, that only one process can hold a folder, and that a
+// disk that does not respond delays no caller beyond its context.
+func TestWriterAndFolder(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "state")
 	folder, err := state.OpenFolder(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := state.OpenFolder(path); !errors.Is(err, state.ErrHeld) {
-		t.Errorf("held twice: %v", err)
+	if _, err := state.OpenFolder(path); !errors.Is(err, state.ErrLocked) {
+		t.Errorf("the folder was opened twice: %v", err)
 	}
 	s, _ := state.Open(folder, "n1")
-	k := state.Keep(s, time.Hour, func(context.Context) *state.Learned { return learned(7) }, slog.New(slog.DiscardHandler))
+	k := state.StartWriter(s, time.Hour, func(context.Context) *state.Learned { return learned(7) }, slog.New(slog.DiscardHandler))
 	for i := range 3 {
 		if err := k.Ban(t.Context(), fmt.Sprint("b", i), true); err != nil {
 			t.Fatal(err)
@@ -307,35 +307,35 @@
 	}
 	defer folder.Close()
 	_, f := state.Open(folder, "n1")
-	if len(f.Bans) != 3 || f.Learned == nil || f.Learned.Knowledge.Seq != 7 || len(f.Trouble) > 0 {
+	if len(f.Bans) != 3 || f.Learned == nil || f.Learned.Knowledge.Seq != 7 || len(f.Problems) > 0 {
 		t.Errorf("%+v", f)
 	}
 	if err := os.Chmod(filepath.Join(path, "bans"), 0); err != nil {
 		t.Fatal(err)
 	}
 
-	stands := &standing{FS: crashfs.New(1), stand: make(chan struct{})}
-	s, _ = state.Open(stands, "n1")
-	k = state.Keep(s, time.Hour, func(context.Context) *state.Learned { return nil }, slog.New(slog.DiscardHandler))
+	hung := &hungFS{FS: crashfs.New(1), release: make(chan struct{})}
+	s, _ = state.Open(hung, "n1")
+	k = state.StartWriter(s, time.Hour, func(context.Context) *state.Learned { return nil }, slog.New(slog.DiscardHandler))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	for range 200 { // more than may wait
-		if err := k.Ban(ctx, "b", true); !errors.Is(err, state.ErrNotKept) {
+	for range 200 { // more than maxQueuedChanges
+		if err := k.Ban(ctx, "b", true); !errors.Is(err, state.ErrNotPersisted) {
 			t.Fatal(err)
 		}
 	}
-	k.Close() // returns, though the disk stands
-	close(stands.stand)
+	k.Close() // returns although the disk does not respond
+	close(hung.release)
 }
 
-// standing is a disk whose calls do not return.
-type standing struct {
+// hungFS is a file system whose Create does not return until it is released.
+type hungFS struct {
 	*crashfs.FS
-	stand chan struct{}
+	release chan struct{}
 }
 
-func (s *standing) Create(name string) (state.File, error) {
-	<-s.stand
+func (s *hungFS) Create(name string) (state.File, error) {
+	<-s.release
 	return s.FS.Create(name)
 }
 
@@ -361,13 +361,13 @@
 		for _, id := range found.Bans {
 			want[id] = true
 		}
-		if !slices.Equal(again.Bans, slices.Sorted(maps.Keys(want))) || len(again.Trouble) > 0 {
-			t.Fatalf("%q after %q; %q", again.Bans, found.Bans, again.Trouble)
+		if !slices.Equal(again.Bans, slices.Sorted(maps.Keys(want))) || len(again.Problems) > 0 {
+			t.Fatalf("%q after %q; %q", again.Bans, found.Bans, again.Problems)
 		}
 	})
 }
 
-// BenchmarkSave is a snapshot of 10,000 servers: writing it, and reading it at a start.
+// BenchmarkSave measures writing a snapshot of 10,000 servers, reading it at a start, and writing a ban.
 func BenchmarkSave(b *testing.B) {
 	l := learned(1)
 	for i := range 10_000 {
@@ -394,7 +394,7 @@
 	b.Run("open", func(b *testing.B) {
 		for b.Loop() {
 			if _, f := state.Open(folder, "n1"); f.Learned == nil {
-				b.Fatal(f.Trouble)
+				b.Fatal(f.Problems)
 			}
 		}
 	})
